--- /dev/null
+++ b/internal/durable/golden_test.go
@@ -0,0 +1,43 @@
+package durable
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"glencart/internal/goldenfile"
+)
+
+// What is stored, or sent to processes of other versions, keeps its form.
+func TestGoldenForms(t *testing.T) {
+	goldenfile.RoundTrip[Entry](t, "entry")
+	goldenfile.RoundTrip[Damage](t, "damage")
+}
+
+// A folder of snapshots that an earlier version wrote is read, and this version writes the same bytes.
+func TestGoldenSnapshotFolder(t *testing.T) {
+	golden := filepath.Join(goldenfile.Dir, "snapshots")
+	entry, data, damage, err := Snapshots{FS: OS{}, Dir: golden, Keep: 2}.Latest()
+	if err != nil || len(damage) > 0 || entry.Revision != 9 || string(data) != "the state at revision 9" {
+		t.Fatalf("%+v %q, damage %v, error %v", entry, data, damage, err)
+	}
+	written := t.TempDir()
+	snapshots := Snapshots{FS: OS{}, Dir: written, Keep: 2}
+	for _, revision := range []int64{7, 9} {
+		if err := snapshots.Write(revision, []byte("the state at revision "+string(rune('0'+revision)))); err != nil {
+			t.Fatal(err)
+		}
+	}
+	files, err := os.ReadDir(golden)
+	if err != nil || len(files) != 3 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	for _, file := range files {
+		want, _ := os.ReadFile(filepath.Join(golden, file.Name()))
+		got, err := os.ReadFile(filepath.Join(written, file.Name()))
+		if err != nil || !bytes.Equal(got, want) {
+			t.Errorf("%s: %q, %v, want %q", file.Name(), got, err, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,16 @@
+package fleet
+
+import (
+	"testing"
+
+	"glencart/internal/goldenfile"
+)
+
+// What is stored, or sent to processes of other versions, keeps its form.
+func TestGoldenForms(t *testing.T) {
+	goldenfile.RoundTrip[SessionCommand](t, "sessionCommand")
+	goldenfile.RoundTrip[Sessions](t, "sessions")
+	goldenfile.RoundTrip[Held](t, "held")
+	goldenfile.RoundTrip[Echoed](t, "echoed")
+	goldenfile.RoundTrip[View](t, "view")
+}
