--- a/balance/memory.go
+++ b/balance/memory.go
@@ -2,24 +2,46 @@
 
 import "time"
 
-// Memory is what a process has learned, for the one that takes its place.
+// Memory is what a process has learned, for the one that takes its place. The tags are the form in which processes of
+// different versions pass it on; they never change.
 type Memory struct {
-	Part, WarmRate, Retries, Refresh, Gap, MeanValue, AllTime, AllDepth, Answers, AllFail, Probes float64
-	PartSize                                                                                      int
-	RolledAt                                                                                      time.Duration
-	Classes                                                                                       []ClassMemory
-	Servers                                                                                       []ServerMemory
+	Part      float64        `json:"Part"`
+	WarmRate  float64        `json:"WarmRate"`
+	Retries   float64        `json:"Retries"`
+	Refresh   float64        `json:"Refresh"`
+	Gap       float64        `json:"Gap"`
+	MeanValue float64        `json:"MeanValue"`
+	AllTime   float64        `json:"AllTime"`
+	AllDepth  float64        `json:"AllDepth"`
+	Answers   float64        `json:"Answers"`
+	AllFail   float64        `json:"AllFail"`
+	Probes    float64        `json:"Probes"`
+	PartSize  int            `json:"PartSize"`
+	RolledAt  time.Duration  `json:"RolledAt"`
+	Classes   []ClassMemory  `json:"Classes"`
+	Servers   []ServerMemory `json:"Servers"`
 }
 
 // ClassMemory is what is known of a class, and ServerMemory what is known of a server's process.
-type ClassMemory struct{ Base, Seen, Free float64 }
+type ClassMemory struct {
+	Base float64 `json:"Base"`
+	Seen float64 `json:"Seen"`
+	Free float64 `json:"Free"`
+}
 
 // ServerMemory is of the process that started at Launched.
 type ServerMemory struct {
-	Backend                               BackendID
-	Launched, ToldAt, Heard               time.Duration
-	Told, More, Others, Time, Depth, Fail float64
-	Credit                                float64 // what is left of its grant
+	Backend  BackendID     `json:"Backend"`
+	Launched time.Duration `json:"Launched"`
+	ToldAt   time.Duration `json:"ToldAt"`
+	Heard    time.Duration `json:"Heard"`
+	Told     float64       `json:"Told"`
+	More     float64       `json:"More"`
+	Others   float64       `json:"Others"`
+	Time     float64       `json:"Time"`
+	Depth    float64       `json:"Depth"`
+	Fail     float64       `json:"Fail"`
+	Credit   float64       `json:"Credit"` // what is left of its grant
 }
 
 // Remember returns what this process has learned, for the other one when this one is HandedOver. What is left of its
@@ -29,7 +51,7 @@
 		MeanValue: b.meanValue, AllTime: b.allTime, AllDepth: b.allDepth, Answers: b.answers, AllFail: b.allFail,
 		Probes: b.probes, PartSize: b.partSize, RolledAt: b.rolledAt}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{c.base, c.seen, c.free})
+		m.Classes = append(m.Classes, ClassMemory{Base: c.base, Seen: c.seen, Free: c.free})
 	}
 	for _, s := range b.servers {
 		if s.Phase != Gone {
