--- a/cmd/glencart/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -1,4 +1,4 @@
-// Command glencart is one real node: a request balancer on real sockets. It reads its configuration from the
+// Command hitchvale-node is one load-balancing node: a request balancer on real sockets. It reads its configuration from the
 // file that BALANCER_CONFIG names.
 package main
 
@@ -29,7 +29,7 @@
 	out := asynclog.New(os.Stderr)
 	err := run(out)
 	if err != nil {
-		fmt.Fprintln(out, "glencart:", err)
+		fmt.Fprintln(out, "hitchvale-node:", err)
 	}
 	out.Close(logFlush)
 	if err != nil {
--- a/cmd/glencart/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -41,7 +41,7 @@
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("%q: %v", path, err)
 		}
-		if strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "glencart: ") {
+		if strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "hitchvale-node: ") {
 			t.Errorf("%q: printed %q", path, out)
 		}
 	}
--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -63,7 +63,7 @@
 			if out == "" {
 				out = filepath.Join("logs", "lab", s.Name+"-"+time.Now().Format("20060102T150405"))
 			}
-			opts := lab.Options{Glencart: filepath.Join(bin, "glencart"), Hitchvale: self, Out: out, Log: log}
+			opts := lab.Options{NodeBinary: filepath.Join(bin, "hitchvale-node"), CommandBinary: self, Out: out, Log: log}
 			r, err := lab.Run(cmd.Context(), s, opts)
 			if err != nil {
 				return failed(err)
@@ -83,7 +83,7 @@
 		},
 	}
 	c.Flags().StringVar(&out, "out", "", "output folder (default logs/lab/NAME-TIME)")
-	c.Flags().StringVar(&bin, "bin", "", "folder with the glencart binary (default: this command's folder)")
+	c.Flags().StringVar(&bin, "bin", "", "folder with the hitchvale-node binary (default: this command's folder)")
 	return c
 }
 
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -96,7 +96,7 @@
 	g := &globals{stderr: stderr}
 	root := &cobra.Command{
 		Use:           "hitchvale",
-		Short:         "Run, break and check fleets of glencart nodes",
+		Short:         "Run, break and check fleets of nodes",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -120,7 +120,7 @@
 	if plan == nil {
 		return argv
 	}
-	return append([]string{l.opts.Hitchvale, "lab", "shim", "--plan", plan.String(), "--seed", fmt.Sprint(l.seed + uint64(number)), "--"}, argv...)
+	return append([]string{l.opts.CommandBinary, "lab", "shim", "--plan", plan.String(), "--seed", fmt.Sprint(l.seed + uint64(number)), "--"}, argv...)
 }
 
 // path is a file of the run's folder.
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -22,10 +22,10 @@
 // testClusterWith has some of the replicas run under plans.
 func testClusterWith(t *testing.T, registries int, plans map[int]shim.Plan) (*cluster, context.Context) {
 	t.Helper()
-	glencart, hitchvale := binaries(t)
+	nodeBinary, hitchvale := binaries(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	t.Cleanup(cancel)
-	c, err := newCluster(Options{Glencart: glencart, Hitchvale: hitchvale, Out: t.TempDir()}, 7)
+	c, err := newCluster(Options{NodeBinary: nodeBinary, CommandBinary: hitchvale, Out: t.TempDir()}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/duty.go
+++ b/internal/lab/duty.go
@@ -81,7 +81,7 @@
 			return err
 		}
 		p := &Proc{Name: name, env: os.Environ(), log: l.path("%s.log", name),
-			argv: []string{l.opts.Hitchvale, "lab", "candidate", "--registry", strings.Join(via, ","), "--duty", dutyName,
+			argv: []string{l.opts.CommandBinary, "lab", "candidate", "--registry", strings.Join(via, ","), "--duty", dutyName,
 				"--id", name, "--ttl", d.TTL.String(), "--work", d.Work.String(),
 				"--log", l.path("%s.events", name)}}
 		if err := p.Start(l.spawn); err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -7,10 +7,10 @@
 
 // Options say where the programs are and where the run writes.
 type Options struct {
-	Glencart  string // the node's binary
-	Hitchvale string // this command's binary, for the stand-in backends, the replicas and the candidates
-	Out       string // the output folder: logs, report.json, plots
-	Log       *slog.Logger
+	NodeBinary    string // the node's binary
+	CommandBinary string // this command's binary, for the stand-in backends, the replicas and the candidates
+	Out           string // the output folder: logs, report.json, plots
+	Log           *slog.Logger
 }
 
 // Run plays a scenario and returns its report, which it has also written to opts.Out. The error is for a run
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -24,8 +24,8 @@
 	buildErr  error
 )
 
-// binaries builds glencart and hitchvale once for the tests that start them.
-func binaries(t testing.TB) (glencart, hitchvale string) {
+// binaries builds hitchvale-node and hitchvale once for the tests that start them.
+func binaries(t testing.TB) (nodeBinary, hitchvale string) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -35,7 +35,7 @@
 		if buildErr != nil {
 			return
 		}
-		cmd := exec.Command("go", "build", "-o", binDir+"/", "hitchvale/cmd/glencart", "hitchvale/cmd/hitchvale")
+		cmd := exec.Command("go", "build", "-o", binDir+"/", "hitchvale/cmd/hitchvale-node", "hitchvale/cmd/hitchvale")
 		out, err := cmd.CombinedOutput()
 		if err != nil {
 			buildErr = err
@@ -45,21 +45,21 @@
 	if buildErr != nil {
 		t.Fatalf("build: %v", buildErr)
 	}
-	return filepath.Join(binDir, "glencart"), filepath.Join(binDir, "hitchvale")
+	return filepath.Join(binDir, "hitchvale-node"), filepath.Join(binDir, "hitchvale")
 }
 
 // planted builds hitchvale with a bug planted by a variable of a package, and gives it beside the node as it is.
-func planted(t *testing.T, variable string) (glencart, hitchvale string) {
+func planted(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
-	glencart, _ = binaries(t)
-	return glencart, buildPlanted(t, "hitchvale", variable)
+	nodeBinary, _ = binaries(t)
+	return nodeBinary, buildPlanted(t, "hitchvale", variable)
 }
 
 // plantedNode builds the node with a planted fault.
-func plantedNode(t *testing.T, variable string) (glencart, hitchvale string) {
+func plantedNode(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	_, hitchvale = binaries(t)
-	return buildPlanted(t, "glencart", "node."+variable), hitchvale
+	return buildPlanted(t, "hitchvale-node", "node."+variable), hitchvale
 }
 
 // buildPlanted builds a program with a variable of a package under internal set.
@@ -75,11 +75,11 @@
 
 func runScenario(t *testing.T, text string) Report {
 	t.Helper()
-	glencart, hitchvale := binaries(t)
-	return playWith(t, text, glencart, hitchvale)
+	nodeBinary, hitchvale := binaries(t)
+	return playWith(t, text, nodeBinary, hitchvale)
 }
 
-func playWith(t testing.TB, text, glencart, hitchvale string) Report {
+func playWith(t testing.TB, text, nodeBinary, hitchvale string) Report {
 	t.Helper()
 	s, err := ParseScenario([]byte(text))
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	r, err := Run(ctx, s, Options{Glencart: glencart, Hitchvale: hitchvale, Out: t.TempDir()})
+	r, err := Run(ctx, s, Options{NodeBinary: nodeBinary, CommandBinary: hitchvale, Out: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,8 +172,8 @@
 // A node that drops one request that it has taken while it drains is found out.
 func TestPlantedDropInADrainIsCaught(t *testing.T) {
 	t.Parallel()
-	glencart, hitchvale := plantedNode(t, "plantDropInDrain=1")
-	r := playWith(t, nodeToldToEnd, glencart, hitchvale)
+	nodeBinary, hitchvale := plantedNode(t, "plantDropInDrain=1")
+	r := playWith(t, nodeToldToEnd, nodeBinary, hitchvale)
 	if r.Passed || len(r.Checks) == 0 || r.Checks[0].Violations != 1 {
 		t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
 	}
@@ -232,8 +232,8 @@
 	} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
-			glencart, hitchvale := plantedNode(t, "plantShutdown="+plant)
-			r := playWith(t, scenario, glencart, hitchvale)
+			nodeBinary, hitchvale := plantedNode(t, "plantShutdown="+plant)
+			r := playWith(t, scenario, nodeBinary, hitchvale)
 			if r.Passed || len(r.Checks) == 0 || r.Checks[0].OK {
 				t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
 			}
@@ -354,9 +354,9 @@
 
 // BenchmarkTakeover plays 40 faults and tells how soon the duty is held again after each kind, in milliseconds at p99.
 func BenchmarkTakeover(b *testing.B) {
-	glencart, hitchvale := binaries(b)
+	nodeBinary, hitchvale := binaries(b)
 	for b.Loop() {
-		r := playWith(b, dutyScenario(11, 40, `"kill", "pause", "cut", "term", "leader"`), glencart, hitchvale)
+		r := playWith(b, dutyScenario(11, 40, `"kill", "pause", "cut", "term", "leader"`), nodeBinary, hitchvale)
 		for kind, s := range r.Duty.Takeover {
 			b.ReportMetric(s.P99, kind+"-p99-ms")
 		}
@@ -367,8 +367,8 @@
 // successor, and the check of the accepted tokens fails.
 func TestPlantedUnfencedRegistryIsCaught(t *testing.T) {
 	t.Parallel()
-	glencart, planted := planted(t, "registry.plantUnfenced=1")
-	r := playWith(t, dutyScenario(11, 12, `"pause"`), glencart, planted)
+	nodeBinary, planted := planted(t, "registry.plantUnfenced=1")
+	r := playWith(t, dutyScenario(11, 12, `"pause"`), nodeBinary, planted)
 	if r.Checks[0].OK {
 		t.Fatalf("stale writes were accepted in order without a fence: %+v", r.Checks[0])
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -72,7 +72,7 @@
 func (l *loadRun) backendArgv(j int) func(addr string) []string {
 	b := l.s.Backend
 	return func(addr string) []string {
-		argv := []string{l.opts.Hitchvale, "lab", "backend", "--resets", fmt.Sprint(b.Resets), "--hangs", fmt.Sprint(b.Hangs), "--id", fmt.Sprintf("backend-%d", j), "--listen", addr,
+		argv := []string{l.opts.CommandBinary, "lab", "backend", "--resets", fmt.Sprint(b.Resets), "--hangs", fmt.Sprint(b.Hangs), "--id", fmt.Sprintf("backend-%d", j), "--listen", addr,
 			"--log", l.path("backend-%d.runs", j), "--service", b.Service.String(),
 			"--errors", fmt.Sprint(b.Errors), "--seed", fmt.Sprint(l.s.Seed + uint64(j))}
 		if b.Twice {
@@ -151,7 +151,7 @@
 		case l.s.emptyPlan:
 			plan = shim.Plan{}
 		}
-		return l.underShim(plan, i, l.opts.Glencart)
+		return l.underShim(plan, i, l.opts.NodeBinary)
 	}
 	env := []string{"BALANCER_CONFIG=" + conf, "BALANCER_NAME=" + name, "TMPDIR=" + tmp}
 	_, addr, err := l.startChild(ctx, "node", argv, env, "/health/ready")
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -65,7 +65,7 @@
 			return err
 		}
 		proc := &Proc{Name: name, env: os.Environ(), log: l.path("%s.log", name),
-			argv: l.underShim(l.registryPlans[i], i, l.opts.Hitchvale, "registry", "serve", "--config", conf)}
+			argv: l.underShim(l.registryPlans[i], i, l.opts.CommandBinary, "registry", "serve", "--config", conf)}
 		l.procs["registry"], l.registryAddr = append(l.procs["registry"], proc), append(l.registryAddr, r.http)
 		if err := proc.Start(l.spawn); err != nil {
 			return err
--- a/internal/lab/shim_test.go
+++ b/internal/lab/shim_test.go
@@ -44,8 +44,8 @@
 }
 
 func playInto(b *testing.B, s Scenario, dir string) {
-	glencart, hitchvale := binaries(b)
-	if _, err := Run(context.Background(), s, Options{Out: filepath.Join(dir, "out"), Glencart: glencart, Hitchvale: hitchvale}); err != nil {
+	nodeBinary, hitchvale := binaries(b)
+	if _, err := Run(context.Background(), s, Options{Out: filepath.Join(dir, "out"), NodeBinary: nodeBinary, CommandBinary: hitchvale}); err != nil {
 		b.Error(err)
 	}
 }
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -317,7 +317,7 @@
 }
 
 // nodeTroubles are lines of a node's log that tell of a fault of the program.
-var nodeTroubles = []string{"invariant violated", "panic:", "fatal error:", "SIGSEGV", "glencart: "}
+var nodeTroubles = []string{"invariant violated", "panic:", "fatal error:", "SIGSEGV", "hitchvale-node: "}
 
 // checkNodeLogs looks for such lines.
 func (l *loadRun) checkNodeLogs() Check {
--- a/internal/lab/work_test.go
+++ b/internal/lab/work_test.go
@@ -60,8 +60,8 @@
 // shows it.
 func TestPlantedBudgetIsCaught(t *testing.T) {
 	t.Parallel()
-	glencart, planted := planted(t, "rota.plant=budget")
-	r := playWith(t, workScenario(0, ``), glencart, planted)
+	nodeBinary, planted := planted(t, "rota.plant=budget")
+	r := playWith(t, workScenario(0, ``), nodeBinary, planted)
 	for _, c := range r.Checks {
 		if strings.Contains(c.Name, "budget") && !c.OK {
 			return
