--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"hitchvale/internal/lab"
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 func labCmd(g *globals) *cobra.Command {
@@ -133,11 +133,11 @@
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			p, err := shim.ParsePlan(plan)
+			p, err := sysfault.ParsePlan(plan)
 			if err != nil {
 				return usage(err)
 			}
-			code, err := shim.Run(p, seed, args)
+			code, err := sysfault.Run(p, seed, args)
 			if err != nil {
 				return failed(err)
 			}
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"hitchvale/internal/asynclog"
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 // version is set at build time with -ldflags "-X main.version=...".
@@ -43,7 +43,7 @@
 const logFlush = 500 * time.Millisecond
 
 func main() {
-	shim.EnterChild() // first of all: it may become another program
+	sysfault.EnterChild() // first of all: it may become another program
 	// The log's reader may go, or read no further: neither may end a replica or hold it up.
 	signal.Ignore(syscall.SIGPIPE)
 	log := asynclog.New(os.Stderr)
--- a/cmd/hitchvale/problems_test.go
+++ b/cmd/hitchvale/problems_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"hitchvale/internal/fleet"
-	"hitchvale/internal/problem"
+	"hitchvale/internal/maintenance"
+	"hitchvale/internal/operror"
 	"hitchvale/internal/registry"
-	"hitchvale/internal/rota"
 )
 
 // Every kind of error has a remedy and a row of its own in docs/oncall.md, and no row is left of one that is gone.
@@ -21,7 +21,7 @@
 	}
 	var want []string
 	seen := map[string]bool{}
-	for _, e := range slices.Concat(registry.Problems(), fleet.Problems(), rota.Problems()) {
+	for _, e := range slices.Concat(registry.Problems(), fleet.Problems(), maintenance.Problems()) {
 		if e.Remedy == "" || e.Means == "" || e.Status < 400 || seen[e.Code] {
 			t.Errorf("%+v: no remedy, no meaning, no status or no code of its own", e)
 		}
@@ -42,6 +42,6 @@
 }
 
 // row is an error's row of the table.
-func row(e problem.Entry) string {
+func row(e operror.Entry) string {
 	return fmt.Sprintf("| `%s` | %d | %s | %s |", e.Code, e.Status, e.Means, e.Remedy)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/wire"
+	"hitchvale/internal/simproto"
 )
 
 func main() {
@@ -23,9 +23,9 @@
 // run answers batches until the input ends. On an error the reply in the
 // making is dropped, so that only whole replies are ever written.
 func run(stdin io.Reader, stdout, notes io.Writer) error {
-	in, out := wire.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
+	in, out := simproto.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
 	nodes := map[string]*balance.Balancer{}
-	var sheets [wire.MaxSheet + 1][]balance.Member
+	var sheets [simproto.MaxSheet + 1][]balance.Member
 	var now time.Duration
 	var reply []byte
 	var actions []balance.Action
@@ -41,32 +41,32 @@
 		if err != nil {
 			return err
 		}
-		if !inBatch && m.Kind != wire.Clock {
+		if !inBatch && m.Kind != simproto.Clock {
 			return fmt.Errorf("line %d: %s before the clock line of a batch", m.Line, m.Name)
 		}
 		switch m.Kind {
-		case wire.Clock:
+		case simproto.Clock:
 			if inBatch || m.At < now {
 				return fmt.Errorf("line %d: clock: field atTime: a batch is open or time goes back", m.Line)
 			}
 			now, inBatch = m.At, true
-		case wire.Turn:
-			out.Write(wire.AppendAck(reply))
+		case simproto.Turn:
+			out.Write(simproto.AppendAck(reply))
 			if err := out.Flush(); err != nil {
 				return err
 			}
 			reply, inBatch = reply[:0], false
-		case wire.Spawn:
+		case simproto.Spawn:
 			b, err := balance.New(m.Config, m.Salt)
 			if err != nil {
 				return fmt.Errorf("line %d: spawn: field conf: %w", m.Line, err)
 			}
 			nodes[m.Node] = b
-		case wire.Teardown:
+		case simproto.Teardown:
 			delete(nodes, m.Node)
-		case wire.List:
+		case simproto.List:
 			sheets[m.Sheet] = m.Members
-		case wire.Happened:
+		case simproto.Happened:
 			b := nodes[m.Node]
 			if b == nil {
 				fmt.Fprintf(notes, "line %d: %s for %s, which is not alive\n", m.Line, m.Name, m.Node)
@@ -77,7 +77,7 @@
 			}
 			actions = b.Handle(now, m.Event, actions[:0])
 			for i := range actions {
-				reply = wire.AppendAction(reply, m.Node, &actions[i])
+				reply = simproto.AppendAction(reply, m.Node, &actions[i])
 			}
 		default:
 			fmt.Fprintf(notes, "line %d: unknown message %s\n", m.Line, m.Name)
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -3,15 +3,15 @@
 import (
 	"net/http"
 
-	"hitchvale/internal/problem"
+	"hitchvale/internal/operror"
 )
 
 type marker struct{}
 
 // Error is an error of the fleet's sessions and view; its kinds stand below and in docs/oncall.md.
-type Error = problem.Error[marker]
+type Error = operror.Error[marker]
 
-var problems problem.Set[marker]
+var problems operror.Set[marker]
 
 // The kinds of errors. Each changes nothing.
 var (
@@ -30,4 +30,4 @@
 )
 
 // Problems are the kinds of errors that this package gives.
-func Problems() []problem.Entry { return problems.Entries() }
+func Problems() []operror.Entry { return problems.Entries() }
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -11,7 +11,7 @@
 	"net/netip"
 	"slices"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // Session is a process of a node, in the registry's state. Of two processes under one name the one with the higher
@@ -75,43 +75,43 @@
 func (s *Sessions) Kind() string { return "sessions" }
 
 // Commands are the operations of the machine.
-func (s *Sessions) Commands() map[string]func() machine.Command {
-	empty := func() machine.Command { return &SessionCommand{} }
-	return map[string]func() machine.Command{"session-open": empty, "session-close": empty, "session-expire": empty}
+func (s *Sessions) Commands() map[string]func() statemachine.Command {
+	empty := func() statemachine.Command { return &SessionCommand{} }
+	return map[string]func() statemachine.Command{"session-open": empty, "session-close": empty, "session-expire": empty}
 }
 
 // Apply carries out a command. A session is opened by compare-and-set: its incarnation has to be one above the last
 // under the name, so a call that comes late, from a process that is gone, cannot supersede a newer one. To open the
 // session that is open is no change.
-func (s *Sessions) Apply(cmd machine.Command, next int64) (machine.Outcome, error) {
+func (s *Sessions) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*SessionCommand)
 	n := c.Session
 	if c.Op != "session-open" {
 		if err := s.Holds(n.Node, n.Incarnation); err != nil {
-			return machine.Outcome{}, err
+			return statemachine.Outcome{}, err
 		}
 		delete(s.Open, n.Node)
-		return machine.Outcome{Value: n}, nil
+		return statemachine.Outcome{Value: n}, nil
 	}
 	if err := n.Check(); err != nil {
-		return machine.Outcome{}, err
+		return statemachine.Outcome{}, err
 	}
 	old, open := s.Open[n.Node]
 	if open && n.Process == old.Process {
 		if n.Incarnation != old.Incarnation {
-			return machine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("the process has incarnation %d", old.Incarnation))
+			return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("the process has incarnation %d", old.Incarnation))
 		}
-		return machine.Outcome{Same: true, Value: old}, nil
+		return statemachine.Outcome{Same: true, Value: old}, nil
 	}
 	switch last := s.Last[n.Node]; {
 	case n.Incarnation <= last:
-		return machine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("incarnation %d, and %d has been here", n.Incarnation, last))
+		return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("incarnation %d, and %d has been here", n.Incarnation, last))
 	case n.Incarnation > last+1:
-		return machine.Outcome{}, ErrMalformed.Of(n.Node, fmt.Errorf("incarnation %d after %d", n.Incarnation, last))
+		return statemachine.Outcome{}, ErrMalformed.Of(n.Node, fmt.Errorf("incarnation %d after %d", n.Incarnation, last))
 	}
 	n.Since = next
 	s.Open[n.Node], s.Last[n.Node], s.By[n.Node] = n, n.Incarnation, n.Process
-	return machine.Outcome{Value: n}, nil
+	return statemachine.Outcome{Value: n}, nil
 }
 
 // Holds tells whether a process has its node's session, and why not.
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 // stopGrace is how long a child has between SIGTERM and SIGKILL at the end of a run.
@@ -36,7 +36,7 @@
 	fans         []*Fan             // what the proxies between replicas listen on
 
 	// registryPlans are what befalls the system calls of replicas; one without a plan runs as it is.
-	registryPlans map[int]shim.Plan
+	registryPlans map[int]sysfault.Plan
 
 	chart  chart
 	mu     sync.Mutex
@@ -116,7 +116,7 @@
 
 // underShim is the command line that runs a program under a plan, or as it is where that is nil. The number sets the draws of
 // one child apart from another's.
-func (l *cluster) underShim(plan shim.Plan, number int, argv ...string) []string {
+func (l *cluster) underShim(plan sysfault.Plan, number int, argv ...string) []string {
 	if plan == nil {
 		return argv
 	}
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 // testCluster is a cluster of registry replicas for a test, ended with it.
@@ -20,7 +20,7 @@
 }
 
 // testClusterWith has some of the replicas run under plans.
-func testClusterWith(t *testing.T, registries int, plans map[int]shim.Plan) (*cluster, context.Context) {
+func testClusterWith(t *testing.T, registries int, plans map[int]sysfault.Plan) (*cluster, context.Context) {
 	t.Helper()
 	nodeBinary, hitchvale := binaries(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
@@ -117,9 +117,9 @@
 // is killed in the midst of it. No replica ends by itself, and what was acknowledged is there afterwards at each of them.
 func TestReplicasOnFailingDisksKeepWhatTheyAcknowledged(t *testing.T) {
 	t.Parallel()
-	plan := shim.Plan{{Kind: shim.Disk, From: 2 * time.Second, For: 4 * time.Second, Share: 0.3},
-		{Kind: shim.Clock, From: 3 * time.Second, Step: -time.Hour}}
-	c, ctx := testClusterWith(t, 3, map[int]shim.Plan{0: plan, 1: plan})
+	plan := sysfault.Plan{{Kind: sysfault.Disk, From: 2 * time.Second, For: 4 * time.Second, Share: 0.3},
+		{Kind: sysfault.Clock, From: 3 * time.Second, Step: -time.Hour}}
+	c, ctx := testClusterWith(t, 3, map[int]sysfault.Plan{0: plan, 1: plan})
 	c.log = slog.New(slog.DiscardHandler)
 	var acknowledged []string
 	killed := false
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -15,7 +15,7 @@
 
 	"hitchvale/internal/fleet"
 	"hitchvale/internal/timeline"
-	"hitchvale/internal/tomlconf"
+	"hitchvale/internal/tomlfile"
 )
 
 // Fleet makes a scenario one of the fleet's shared view: nodes with a part in it, over Sites, that report each
@@ -33,21 +33,21 @@
 func (f Fleet) check(s Scenario) error {
 	switch {
 	case s.Registries < 1:
-		return tomlconf.Bad("registries", "a fleet needs at least 1 registry replica")
+		return tomlfile.Bad("registries", "a fleet needs at least 1 registry replica")
 	case f.Interval.Duration < 50*time.Millisecond || f.Interval.Duration > time.Minute:
-		return tomlconf.Bad("fleet.interval", "%s is outside 50ms to 1m", f.Interval)
+		return tomlfile.Bad("fleet.interval", "%s is outside 50ms to 1m", f.Interval)
 	case f.Sites < 1 || f.Sites > 64:
-		return tomlconf.Bad("fleet.sites", "%d is outside 1 to 64", f.Sites)
+		return tomlfile.Bad("fleet.sites", "%d is outside 1 to 64", f.Sites)
 	case f.Schedules < 0 || f.Schedules > 100000:
-		return tomlconf.Bad("fleet.schedules", "%d is outside 0 to 100000", f.Schedules)
+		return tomlfile.Bad("fleet.schedules", "%d is outside 0 to 100000", f.Schedules)
 	case f.Schedules > 0 && len(f.Kinds) == 0:
-		return tomlconf.Bad("fleet.kinds", "none named")
+		return tomlfile.Bad("fleet.kinds", "none named")
 	case len(s.Faults) > 0:
-		return tomlconf.Bad("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
+		return tomlfile.Bad("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
 	}
 	for _, k := range f.Kinds {
 		if !slices.Contains(fleetKinds, k) {
-			return tomlconf.Bad("fleet.kinds", "%q is not one of %s", k, strings.Join(fleetKinds, ", "))
+			return tomlfile.Bad("fleet.kinds", "%q is not one of %s", k, strings.Join(fleetKinds, ", "))
 		}
 	}
 	return nil
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 // loadRun is the experiment of nodes between clients and backends: a load while faults are applied on their times.
@@ -144,12 +144,12 @@
 		if err := os.WriteFile(conf, l.nodeConfig(i, addr, view, admin, replicas), 0o644); err != nil {
 			l.log.Error("node configuration not written", "node", name, "error", err)
 		}
-		var plan shim.Plan
+		var plan sysfault.Plan
 		switch {
 		case l.s.shimmed(i):
 			plan = drawPlan(l.s, i)
 		case l.s.emptyPlan:
-			plan = shim.Plan{}
+			plan = sysfault.Plan{}
 		}
 		return l.underShim(plan, i, l.opts.NodeBinary)
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"hitchvale/internal/tomlconf"
+	"hitchvale/internal/tomlfile"
 )
 
 // Scenario is one experiment, as written in a TOML file.
@@ -59,21 +59,21 @@
 func (d Duty) check(registries int) error {
 	switch {
 	case registries < 1:
-		return tomlconf.Bad("registries", "a duty needs at least 1 registry replica")
+		return tomlfile.Bad("registries", "a duty needs at least 1 registry replica")
 	case d.Candidates < 2 || d.Candidates > 32:
-		return tomlconf.Bad("duty.candidates", "%d is outside 2 to 32", d.Candidates)
+		return tomlfile.Bad("duty.candidates", "%d is outside 2 to 32", d.Candidates)
 	case d.TTL.Duration < 200*time.Millisecond:
-		return tomlconf.Bad("duty.ttl", "%s is shorter than two of the lab's election timeouts (200ms)", d.TTL)
+		return tomlfile.Bad("duty.ttl", "%s is shorter than two of the lab's election timeouts (200ms)", d.TTL)
 	case d.Work.Duration < 0 || d.Work.Duration >= d.TTL.Duration:
-		return tomlconf.Bad("duty.work", "%s is outside 0 to the TTL", d.Work)
+		return tomlfile.Bad("duty.work", "%s is outside 0 to the TTL", d.Work)
 	case d.Schedules < 1 || d.Schedules > 100000:
-		return tomlconf.Bad("duty.schedules", "%d is outside 1 to 100000", d.Schedules)
+		return tomlfile.Bad("duty.schedules", "%d is outside 1 to 100000", d.Schedules)
 	case len(d.Kinds) == 0:
-		return tomlconf.Bad("duty.kinds", "none named")
+		return tomlfile.Bad("duty.kinds", "none named")
 	}
 	for _, k := range d.Kinds {
 		if !dutyKinds[k] {
-			return tomlconf.Bad("duty.kinds", "%q is not one of kill, pause, cut, term, leader, both", k)
+			return tomlfile.Bad("duty.kinds", "%q is not one of kill, pause, cut, term, leader, both", k)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 }
 
 // Duration is a time.Duration written as "2s" or "150ms" in TOML.
-type Duration = tomlconf.Duration
+type Duration = tomlfile.Duration
 
 var faultKinds = map[string]bool{"kill": true, "term": true, "pause": true, "restart": true, "power": true,
 	"partition": true, "delay": true, "reset": true, "drop": true, "drain": true, "fill": true,
@@ -156,46 +156,46 @@
 func ParseScenario(text []byte) (Scenario, error) {
 	s := Scenario{Duration: Duration{Duration: 10 * time.Second}, Grace: Duration{Duration: time.Second},
 		Load: Load{Rate: 100, Count: 100000, Deadline: Duration{Duration: time.Second}}}
-	if err := tomlconf.Decode(text, &s); err != nil {
+	if err := tomlfile.Decode(text, &s); err != nil {
 		return Scenario{}, err
 	}
-	return s, tomlconf.Locate(text, s.check())
+	return s, tomlfile.Locate(text, s.check())
 }
 
 func (s Scenario) check() error {
 	if s.Duty != nil {
 		if s.Nodes != 0 || s.Backends != 0 || len(s.Faults) != 0 {
-			return tomlconf.Bad("duty", "a lease scenario has no nodes, backends or [[fault]]: its faults are drawn")
+			return tomlfile.Bad("duty", "a lease scenario has no nodes, backends or [[fault]]: its faults are drawn")
 		}
 		return s.Duty.check(s.Registries)
 	}
 	switch {
 	case s.Nodes < 1 || s.Nodes > 64:
-		return tomlconf.Bad("nodes", "%d is outside 1 to 64", s.Nodes)
+		return tomlfile.Bad("nodes", "%d is outside 1 to 64", s.Nodes)
 	case s.Backends < 1 || s.Backends > 256:
-		return tomlconf.Bad("backends", "%d is outside 1 to 256", s.Backends)
+		return tomlfile.Bad("backends", "%d is outside 1 to 256", s.Backends)
 	case s.Registries < 0 || s.Registries > 7:
-		return tomlconf.Bad("registries", "%d is outside 0 to 7", s.Registries)
+		return tomlfile.Bad("registries", "%d is outside 0 to 7", s.Registries)
 	case s.Duration.Duration <= 0 || s.Duration.Duration > time.Hour:
-		return tomlconf.Bad("duration", "%s is outside 0 to 1h", s.Duration)
+		return tomlfile.Bad("duration", "%s is outside 0 to 1h", s.Duration)
 	case s.Load.Rate <= 0 || s.Load.Rate > 20000:
-		return tomlconf.Bad("load.rate", "%g is outside 0 to 20000", s.Load.Rate)
+		return tomlfile.Bad("load.rate", "%g is outside 0 to 20000", s.Load.Rate)
 	case s.Load.Count < 1:
-		return tomlconf.Bad("load.count", "%d is below 1", s.Load.Count)
+		return tomlfile.Bad("load.count", "%d is below 1", s.Load.Count)
 	case s.Load.Deadline.Duration < 10*time.Millisecond:
-		return tomlconf.Bad("load.deadline", "%s is below 10ms", s.Load.Deadline)
+		return tomlfile.Bad("load.deadline", "%s is below 10ms", s.Load.Deadline)
 	case s.Load.Unsafe < 0 || s.Load.Unsafe > 1:
-		return tomlconf.Bad("load.unsafe", "%g is outside 0 to 1", s.Load.Unsafe)
+		return tomlfile.Bad("load.unsafe", "%g is outside 0 to 1", s.Load.Unsafe)
 	case s.Load.Keyed < 0 || s.Load.Keyed+s.Load.Unsafe > 1:
-		return tomlconf.Bad("load.keyed", "%g is outside 0 to 1 less unsafe", s.Load.Keyed)
+		return tomlfile.Bad("load.keyed", "%g is outside 0 to 1 less unsafe", s.Load.Keyed)
 	case s.Load.Leave < 0 || s.Load.Leave > 1:
-		return tomlconf.Bad("load.leave", "%g is outside 0 to 1", s.Load.Leave)
+		return tomlfile.Bad("load.leave", "%g is outside 0 to 1", s.Load.Leave)
 	case s.Load.Late < 0 || s.Load.Late > 1:
-		return tomlconf.Bad("load.late", "%g is outside 0 to 1", s.Load.Late)
+		return tomlfile.Bad("load.late", "%g is outside 0 to 1", s.Load.Late)
 	case s.Load.Begun < 0 || s.Load.Late+s.Load.Begun > 1:
-		return tomlconf.Bad("load.begun", "%g is outside 0 to 1 less late", s.Load.Begun)
+		return tomlfile.Bad("load.begun", "%g is outside 0 to 1 less late", s.Load.Begun)
 	case s.Backend.Errors < 0 || s.Backend.Errors > 1:
-		return tomlconf.Bad("backend.errors", "%g is outside 0 to 1", s.Backend.Errors)
+		return tomlfile.Bad("backend.errors", "%g is outside 0 to 1", s.Backend.Errors)
 	}
 	if s.Fleet != nil {
 		if err := s.Fleet.check(s); err != nil {
@@ -222,21 +222,21 @@
 
 func (s Scenario) checkFault(f Fault) error {
 	if !faultKinds[f.Kind] {
-		return tomlconf.Bad("kind", "%q is not a fault kind", f.Kind)
+		return tomlfile.Bad("kind", "%q is not a fault kind", f.Kind)
 	}
 	if f.At.Duration < 0 || f.At.Duration > s.Duration.Duration {
-		return tomlconf.Bad("at", "%s is outside the scenario's duration", f.At)
+		return tomlfile.Bad("at", "%s is outside the scenario's duration", f.At)
 	}
 	if len(f.Target) == 0 {
 		return errors.New("key \"target\": missing")
 	}
 	for _, t := range f.Target {
 		if err := s.checkTarget(f.Kind, t); err != nil {
-			return tomlconf.Bad("target", "%v", err)
+			return tomlfile.Bad("target", "%v", err)
 		}
 	}
 	if f.Kind == "drop" && (f.Share <= 0 || f.Share > 1) {
-		return tomlconf.Bad("share", "%g is outside 0 to 1", f.Share)
+		return tomlfile.Bad("share", "%g is outside 0 to 1", f.Share)
 	}
 	if f.Kind == "delay" && f.Delay.Duration <= 0 {
 		return errors.New("key \"delay\": missing")
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"hitchvale/internal/shim"
-	"hitchvale/internal/tomlconf"
+	"hitchvale/internal/sysfault"
+	"hitchvale/internal/tomlfile"
 )
 
 // Soak has troubles drawn from the seed, several of which overlap, instead of written faults: stops, reloads, restarts, drains,
@@ -57,23 +57,23 @@
 func (s Soak) check(sc Scenario) error {
 	switch {
 	case sc.Registries > 0 || sc.Fleet != nil || sc.Work != nil || len(sc.Faults) > 0:
-		return tomlconf.Bad("soak", "a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
+		return tomlfile.Bad("soak", "a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
 	case s.Seeds < 1 || s.Seeds > 100000:
-		return tomlconf.Bad("soak.seeds", "%d is outside 1 to 100000", s.Seeds)
+		return tomlfile.Bad("soak.seeds", "%d is outside 1 to 100000", s.Seeds)
 	case s.Quiet.Duration < time.Second:
-		return tomlconf.Bad("soak.quiet", "%s is below 1s, before which no node may be told to read its configuration again", s.Quiet)
+		return tomlfile.Bad("soak.quiet", "%s is below 1s, before which no node may be told to read its configuration again", s.Quiet)
 	case s.Every.Duration < boutSpan:
-		return tomlconf.Bad("soak.every", "%s is below %s", s.Every, boutSpan)
+		return tomlfile.Bad("soak.every", "%s is below %s", s.Every, boutSpan)
 	case s.Bout < 1 || s.Bout > 8:
-		return tomlconf.Bad("soak.bout", "%d is outside 1 to 8", s.Bout)
+		return tomlfile.Bad("soak.bout", "%d is outside 1 to 8", s.Bout)
 	case s.Shimmed < 0 || s.Shimmed > 1:
-		return tomlconf.Bad("soak.shimmed", "%g is outside 0 to 1", s.Shimmed)
+		return tomlfile.Bad("soak.shimmed", "%g is outside 0 to 1", s.Shimmed)
 	case s.Crowd < 0 || s.Crowd > 10000:
-		return tomlconf.Bad("soak.crowd", "%d is outside 0 to 10000", s.Crowd)
+		return tomlfile.Bad("soak.crowd", "%d is outside 0 to 10000", s.Crowd)
 	}
 	for _, d := range s.Deadlines {
 		if d.Duration < 10*time.Millisecond {
-			return tomlconf.Bad("soak.deadlines", "%s is below 10ms", d)
+			return tomlfile.Bad("soak.deadlines", "%s is below 10ms", d)
 		}
 	}
 	return nil
@@ -220,17 +220,17 @@
 }
 
 // drawPlan draws what befalls the system calls of a node under the shim.
-func drawPlan(s Scenario, node int) shim.Plan {
+func drawPlan(s Scenario, node int) sysfault.Plan {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x5419+uint64(node)))
 	span := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Float64()*float64(to-from))
 	}
-	kinds := []shim.Kind{shim.Accept, shim.Accept, shim.Connect, shim.Interrupt, shim.Short, shim.Break, shim.Open, shim.Clock, shim.Clock}
+	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt, sysfault.Short, sysfault.Break, sysfault.Open, sysfault.Clock, sysfault.Clock}
 	steps := []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second}
-	var plan shim.Plan
+	var plan sysfault.Plan
 	for range 2 + rng.IntN(4) {
-		f := shim.Fault{Kind: kinds[rng.IntN(len(kinds))], From: span(s.Soak.Quiet.Duration, s.Duration.Duration)}
-		if f.Kind == shim.Clock {
+		f := sysfault.Fault{Kind: kinds[rng.IntN(len(kinds))], From: span(s.Soak.Quiet.Duration, s.Duration.Duration)}
+		if f.Kind == sysfault.Clock {
 			f.Step = steps[rng.IntN(len(steps))]
 		} else {
 			f.For, f.Share = span(100*time.Millisecond, 2*time.Second), 0.05+0.45*rng.Float64()
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hitchvale/internal/shim"
+	"hitchvale/internal/sysfault"
 )
 
 // shortSoak is the soak in seconds, for the ordinary tests: the deadline is one that a busy machine keeps too.
@@ -69,7 +69,7 @@
 				t.Errorf("seed %d: %+v: %v", seed, f, err)
 			}
 		}
-		if _, err := shim.ParsePlan(drawPlan(s, 1).String()); err != nil {
+		if _, err := sysfault.ParsePlan(drawPlan(s, 1).String()); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
--- a/internal/lab/work.go
+++ b/internal/lab/work.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"hitchvale/internal/rota"
+	"hitchvale/internal/maintenance"
 	"hitchvale/internal/timeline"
-	"hitchvale/internal/tomlconf"
+	"hitchvale/internal/tomlfile"
 )
 
 // Work makes a fleet's scenario one of machines taken out for work under load: an operator asks for all backends, at most
@@ -33,15 +33,15 @@
 func (w Work) check(s Scenario) error {
 	switch {
 	case s.Fleet == nil:
-		return tomlconf.Bad("work", "machines are taken out by a [fleet]")
+		return tomlfile.Bad("work", "machines are taken out by a [fleet]")
 	case w.Budget < 1 || w.Budget >= s.Backends:
-		return tomlconf.Bad("work.budget", "%d is outside 1 to one below the backends", w.Budget)
+		return tomlfile.Bad("work.budget", "%d is outside 1 to one below the backends", w.Budget)
 	case len(w.Kinds) > 0 && w.Every.Duration < 100*time.Millisecond:
-		return tomlconf.Bad("work.every", "%s is below 100ms", w.Every)
+		return tomlfile.Bad("work.every", "%s is below 100ms", w.Every)
 	}
 	for _, k := range w.Kinds {
 		if !slices.Contains(workKinds, k) {
-			return tomlconf.Bad("work.kinds", "%q is not one of %s", k, strings.Join(workKinds, ", "))
+			return tomlfile.Bad("work.kinds", "%q is not one of %s", k, strings.Join(workKinds, ", "))
 		}
 	}
 	return nil
@@ -171,7 +171,7 @@
 		return err
 	}
 	for {
-		var b rota.Board
+		var b maintenance.Board
 		if err := l.anyReplica(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
 			return err
 		}
@@ -189,12 +189,12 @@
 }
 
 // look takes down a board.
-func (l *workRun) look(b rota.Board) {
+func (l *workRun) look(b maintenance.Board) {
 	out := 0
 	states := map[string]string{}
 	for _, t := range b.Turns {
 		states[t.Machine] = string(t.State)
-		if t.State != rota.Waiting {
+		if t.State != maintenance.Waiting {
 			out++
 		}
 	}
@@ -211,20 +211,20 @@
 }
 
 // attend does the operator's part of a turn: a quiet machine is taken out, worked on, listed again and done.
-func (l *workRun) attend(ctx context.Context, t rota.Turn) error {
-	step := func(to rota.State) error {
-		var out struct{ Turn rota.Turn }
-		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", rota.Command{Rev: t.Rev, To: to}, &out)
+func (l *workRun) attend(ctx context.Context, t maintenance.Turn) error {
+	step := func(to maintenance.State) error {
+		var out struct{ Turn maintenance.Turn }
+		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", maintenance.Command{Rev: t.Rev, To: to}, &out)
 		if err == nil {
 			t = out.Turn
 		}
 		return err
 	}
-	if t.State != rota.Quiet {
+	if t.State != maintenance.Quiet {
 		return nil
 	}
 	from := time.Now()
-	if err := step(rota.Out); err != nil {
+	if err := step(maintenance.Out); err != nil {
 		return fmt.Errorf("%s out: %w", t.Machine, err)
 	}
 	i := slices.IndexFunc(l.members, func(m Member) bool { return m.ID == t.Machine })
@@ -239,10 +239,10 @@
 	if err := l.anyReplica(ctx, http.MethodPost, "/registry/members", map[string]any{"member": m}, nil); err != nil {
 		return err
 	}
-	for _, to := range []rota.State{rota.Returning, rota.Done} {
+	for _, to := range []maintenance.State{maintenance.Returning, maintenance.Done} {
 		var refused *refusedError
 		err := step(to)
-		if to == rota.Done && errors.As(err, &refused) && refused.status == http.StatusNotFound {
+		if to == maintenance.Done && errors.As(err, &refused) && refused.status == http.StatusNotFound {
 			err = nil // it was done, and the answer was lost
 		}
 		if err != nil {
--- a/internal/rota/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -1,4 +1,4 @@
-package rota
+package maintenance
 
 import (
 	"testing"
--- a/internal/rota/grant.go
+++ b/internal/maintenance/grant.go
@@ -1,4 +1,4 @@
-package rota
+package maintenance
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // ageShare is the part of the greatest cost that each settlement a machine has waited through takes off its own: after
@@ -20,16 +20,16 @@
 
 // request takes in an operator's request. Its machines must be listed, and its floors be ones that can be met with one
 // machine of the site out: otherwise it could never end.
-func (r *Rota) request(q Request, next int64) (machine.Outcome, error) {
+func (r *Rota) request(q Request, next int64) (statemachine.Outcome, error) {
 	switch b := q.Budget; {
 	case q.ID == "" || len(q.ID) > 128:
-		return machine.Outcome{}, ErrMalformed.Of("id", errors.New("1 to 128 bytes are wanted"))
+		return statemachine.Outcome{}, ErrMalformed.Of("id", errors.New("1 to 128 bytes are wanted"))
 	case len(q.Machines) == 0:
-		return machine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("no machine named"))
+		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("no machine named"))
 	case b.All < 0 || b.Site < 0 || b.Cell < 0:
-		return machine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("budget: negative"))
+		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("budget: negative"))
 	case q.LengthMs <= 0:
-		return machine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
+		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
 	}
 	units := map[string]Unit{}
 	capacity := map[string]float64{}
@@ -40,16 +40,16 @@
 	for _, id := range q.Machines {
 		u, ok := units[id]
 		if !ok {
-			return machine.Outcome{}, ErrUnknown.Of(id, nil)
+			return statemachine.Outcome{}, ErrUnknown.Of(id, nil)
 		}
 		if floor := q.Floor[u.Site]; capacity[u.Site]-u.Size < floor {
-			return machine.Outcome{}, ErrFloor.Of(u.Site, fmt.Errorf("%g with %s out and all else ready, and %g is the floor",
+			return statemachine.Outcome{}, ErrFloor.Of(u.Site, fmt.Errorf("%g with %s out and all else ready, and %g is the floor",
 				capacity[u.Site]-u.Size, id, floor))
 		}
 	}
 	for site, floor := range q.Floor {
 		if math.IsNaN(floor) || floor < 0 {
-			return machine.Outcome{}, ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s: %g", site, floor))
+			return statemachine.Outcome{}, ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s: %g", site, floor))
 		}
 	}
 	if _, ok := r.Requests[q.ID]; ok {
@@ -68,20 +68,20 @@
 			slices.Sort(t.Requests)
 		}
 	}
-	return machine.Outcome{Value: q}, nil
+	return statemachine.Outcome{Value: q}, nil
 }
 
 // withdraw ends a request: machines that wait for it alone wait no more; one that is on its way goes on, back to the
 // list, by its steps.
-func (r *Rota) withdraw(id string, next int64) (machine.Outcome, error) {
+func (r *Rota) withdraw(id string, next int64) (statemachine.Outcome, error) {
 	if _, ok := r.Requests[id]; !ok {
-		return machine.Outcome{}, ErrUnknown.Of(id, nil)
+		return statemachine.Outcome{}, ErrUnknown.Of(id, nil)
 	}
 	r.drop(id, next)
 	if !r.asked(id) {
 		delete(r.Requests, id)
 	}
-	return machine.Outcome{}, nil
+	return statemachine.Outcome{}, nil
 }
 
 // drop takes a request off the machines that have not been granted. One that holds a slot keeps the request, so that its
@@ -102,9 +102,9 @@
 
 // settle computes the order of the waiting machines from their costs at one epoch, which travel in the command: a replica
 // that replays its log settles the same. An epoch no newer than the last changes nothing.
-func (r *Rota) settle(c *Command) (machine.Outcome, error) {
+func (r *Rota) settle(c *Command) (statemachine.Outcome, error) {
 	if c.Epoch.Term < r.Epoch.Term || c.Epoch.Term == r.Epoch.Term && c.Epoch.Epoch <= r.Epoch.Epoch {
-		return machine.Outcome{}, ErrChanged.Of("order", fmt.Errorf("settled on %d.%d", r.Epoch.Term, r.Epoch.Epoch))
+		return statemachine.Outcome{}, ErrChanged.Of("order", fmt.Errorf("settled on %d.%d", r.Epoch.Term, r.Epoch.Epoch))
 	}
 	score, greatest := map[string]float64{}, 0.0
 	for _, t := range r.Turns {
@@ -127,7 +127,7 @@
 	r.Order = slices.SortedFunc(maps.Keys(score), func(a, b string) int {
 		return cmp.Or(cmp.Compare(score[a], score[b]), -cmp.Compare(rendezvous(c.Epoch, a), rendezvous(c.Epoch, b)), cmp.Compare(a, b))
 	})
-	return machine.Outcome{Value: r.Order}, nil
+	return statemachine.Outcome{Value: r.Order}, nil
 }
 
 // rendezvous is the weight of a machine at an epoch (Thaler and Ravishankar, "Using name-based mappings to increase hit
--- a/internal/rota/rota.go
+++ b/internal/maintenance/maintenance.go
@@ -1,7 +1,7 @@
-// Package rota takes machines out for work in turns whose order the nodes settle among themselves. All of its rules hold
+// Package maintenance takes machines out for work in turns whose order the nodes settle among themselves. All of its rules hold
 // in the record's Apply: a proposer that is stale or mad can be useless, not harmful. See docs/ROADMAP.md, "A fleet that
 // settles its own affairs".
-package rota
+package maintenance
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"maps"
 	"slices"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // State is where a machine's turn stands.
@@ -149,9 +149,9 @@
 func (r *Rota) Kind() string { return "rota" }
 
 // Commands are the operations of the machine.
-func (r *Rota) Commands() map[string]func() machine.Command {
-	empty := func() machine.Command { return &Command{} }
-	out := map[string]func() machine.Command{}
+func (r *Rota) Commands() map[string]func() statemachine.Command {
+	empty := func() statemachine.Command { return &Command{} }
+	out := map[string]func() statemachine.Command{}
 	for _, op := range []string{"request", "withdraw", "settle", "step", "confirm", "overdue", "free"} {
 		out["rota-"+op] = empty
 	}
@@ -159,7 +159,7 @@
 }
 
 // Apply carries out a command.
-func (r *Rota) Apply(cmd machine.Command, next int64) (machine.Outcome, error) {
+func (r *Rota) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*Command)
 	switch c.Op {
 	case "rota-request":
@@ -171,35 +171,35 @@
 	}
 	t := r.Turns[c.Machine]
 	if t == nil {
-		return machine.Outcome{}, ErrUnknown.Of(c.Machine, nil)
+		return statemachine.Outcome{}, ErrUnknown.Of(c.Machine, nil)
 	}
 	if c.Op == "rota-confirm" {
 		return r.confirm(t, c, next)
 	}
 	if c.Op == "rota-step" && t.State == c.To {
-		return machine.Outcome{Same: true, Value: t.clone()}, nil // the same step twice is no step
+		return statemachine.Outcome{Same: true, Value: t.clone()}, nil // the same step twice is no step
 	}
 	if c.Rev != t.Rev && plant != "cas" {
-		return machine.Outcome{}, ErrChanged.Of(c.Machine, nil)
+		return statemachine.Outcome{}, ErrChanged.Of(c.Machine, nil)
 	}
 	switch c.Op {
 	case "rota-overdue":
 		if !t.State.holds() || t.Overdue {
-			return machine.Outcome{}, ErrStep.Of(c.Machine, fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
+			return statemachine.Outcome{}, ErrStep.Of(c.Machine, fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
 		}
 		t.Overdue, t.Rev = true, next
-		return machine.Outcome{Value: t.clone()}, nil
+		return statemachine.Outcome{Value: t.clone()}, nil
 	case "rota-free":
 		if !t.Overdue {
-			return machine.Outcome{}, ErrStep.Of(c.Machine, errors.New("it is not overdue"))
+			return statemachine.Outcome{}, ErrStep.Of(c.Machine, errors.New("it is not overdue"))
 		}
 		r.finish(t)
-		return machine.Outcome{}, nil
+		return statemachine.Outcome{}, nil
 	}
 	if err := r.step(t, c.To, next); err != nil {
-		return machine.Outcome{}, err
+		return statemachine.Outcome{}, err
 	}
-	return machine.Outcome{Value: t.clone()}, nil
+	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
 // plant names a planted bug for tests: "budget", "confirm" or "cas" leaves out that check.
@@ -294,18 +294,18 @@
 }
 
 // confirm takes in that a node holds the draining and has nothing open there.
-func (r *Rota) confirm(t *Turn, c *Command, next int64) (machine.Outcome, error) {
+func (r *Rota) confirm(t *Turn, c *Command, next int64) (statemachine.Outcome, error) {
 	if err := r.nodes.Holds(c.Node, c.Incarnation); err != nil {
-		return machine.Outcome{}, ErrSession.Of(c.Node, err)
+		return statemachine.Outcome{}, ErrSession.Of(c.Node, err)
 	}
 	if t.State != Draining || c.Held < t.Drained {
-		return machine.Outcome{}, ErrStep.Of(t.Machine, fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.Drained, c.Held))
+		return statemachine.Outcome{}, ErrStep.Of(t.Machine, fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.Drained, c.Held))
 	}
 	if t.Confirmed[c.Node] == c.Incarnation {
-		return machine.Outcome{Same: true}, nil
+		return statemachine.Outcome{Same: true}, nil
 	}
 	t.Confirmed[c.Node] = c.Incarnation // not a step: Rev stays, so that confirmations do not race with one another
-	return machine.Outcome{}, nil
+	return statemachine.Outcome{}, nil
 }
 
 // Encode writes the record.
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hitchvale/internal/lograte"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 const (
@@ -38,7 +38,7 @@
 // front is the client side: it reads requests, has the loop decide and writes the answers.
 type front struct {
 	loop     *loop
-	names    settings.Settings
+	names    siteconfig.Settings
 	log      *slog.Logger
 	complain *lograte.Limited
 	most     int64 // requests at once
@@ -58,7 +58,7 @@
 }
 
 // newFront returns the client side for a node that may hold so many connections of clients.
-func newFront(l *loop, names settings.Settings, conns int, log *slog.Logger) *front {
+func newFront(l *loop, names siteconfig.Settings, conns int, log *slog.Logger) *front {
 	l.shutdown = newShutdown(names)
 	// Each request in flight may need a connection to a backend, beside those of probes.
 	return &front{loop: l, shutdown: l.shutdown, figures: l.figures, kept: newBudget(0), names: names, log: log,
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // Config is what a node is told at its start.
@@ -26,7 +26,7 @@
 	Peers      []string
 	PeersAll   string
 	Known      List
-	Settings   settings.Settings
+	Settings   siteconfig.Settings
 	Fleet      *FleetConfig // nil: this node has no part in the fleet's view
 }
 
@@ -113,7 +113,7 @@
 	if len(raw.Settings) == 0 || bytes.Equal(raw.Settings, []byte("null")) {
 		return Config{}, errors.New("settings: missing")
 	}
-	if cfg.Settings, err = settings.Parse(raw.Settings); err != nil {
+	if cfg.Settings, err = siteconfig.Parse(raw.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(cfg.Settings.Classes) == 0 {
--- a/internal/node/cordon_test.go
+++ b/internal/node/cordon_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// maintenance starts a node on two backends, with a place for its record, and tells which backend served last.
-func maintenance(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
+// startWithRecord starts a node on two backends, with a place for its record, and tells which backend served last.
+func startWithRecord(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
 	t.Helper()
 	var members []listed
 	for _, id := range []string{"s-a", "s-b"} {
@@ -55,8 +55,8 @@
 // A backend is out from the yes until it is put back, through lists that name it, at all processes of the node.
 func TestCordonHolds(t *testing.T) {
 	dir := t.TempDir()
-	n, reg, served := maintenance(t, dir)
-	other, _, servedByOther := maintenance(t, dir)
+	n, reg, served := startWithRecord(t, dir)
+	other, _, servedByOther := startWithRecord(t, dir)
 	for range 2 { // twice out is out once
 		if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
 			t.Fatalf("answered %d", got)
@@ -97,11 +97,11 @@
 // What is out stays out in a process that starts later.
 func TestCordonOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
-	n, _, _ := maintenance(t, dir)
+	n, _, _ := startWithRecord(t, dir)
 	adminPost(t, n, "/admin/cordon/s-a")
 	n.stop()
 	receive(t, "the end of the node", n.err)
-	next, _, served := maintenance(t, dir)
+	next, _, served := startWithRecord(t, dir)
 	if !neverServes(served, "s-a") || stats(t, next)["members_unavailable"] != 1 {
 		t.Error("a backend that is out is used by the next process")
 	}
@@ -115,7 +115,7 @@
 			if err := os.WriteFile(filepath.Join(dir, "glencart-n1.cordons"), []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			n, _, served := maintenance(t, dir)
+			n, _, served := startWithRecord(t, dir)
 			if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
 				t.Errorf("answered %d", got)
 			}
@@ -132,7 +132,7 @@
 
 // No yes where the record can't be written: the next process would not know.
 func TestNoYesWithoutARecord(t *testing.T) {
-	n, _, _ := maintenance(t, filepath.Join(t.TempDir(), "missing"))
+	n, _, _ := startWithRecord(t, filepath.Join(t.TempDir(), "missing"))
 	if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", got)
 	}
--- a/internal/node/counted_test.go
+++ b/internal/node/counted_test.go
@@ -11,7 +11,7 @@
 	"testing/iotest"
 	"time"
 
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // lookingWriter is a client's side that looks at the node's figures as the last byte of an answer leaves.
@@ -59,7 +59,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(newLoop(nil, nil, newFigures([]string{"order"}), quiet()), settings.Settings{}, 64, quiet())
+			f := newFront(newLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
 			r := &request{reply: make(chan answer, 1)}
 			if tc.upload {
 				r.message.open = &upload{src: bytes.NewReader(nil), err: io.EOF}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -16,7 +16,7 @@
 
 	"hitchvale/balance"
 	"hitchvale/internal/lograte"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // discovery keeps the loop's list of backends up to date.
 type discovery struct {
-	names settings.Settings
+	names siteconfig.Settings
 	http  *http.Client
 	log   *slog.Logger
 	wait  time.Duration              // of a watch
@@ -74,7 +74,7 @@
 	asked chan balance.ActionKind
 }
 
-func newDiscovery(addr string, replicas []string, names settings.Settings, log *slog.Logger, news func(List), lost func()) *discovery {
+func newDiscovery(addr string, replicas []string, names siteconfig.Settings, log *slog.Logger, news func(List), lost func()) *discovery {
 	d := &discovery{
 		addr: addr, replicas: replicas, url: registryURL(addr), moved: make(chan struct{}), names: names, log: log, wait: watchWait, news: news, lost: lost,
 		patient: wholeWithin,
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // followed starts following a registry, and returns the lists that come and a count of failed calls.
 func followed(t *testing.T, addr string, change func(*discovery)) (<-chan List, *atomic.Int64) {
 	t.Helper()
-	names, err := settings.Parse([]byte(testSettings))
+	names, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 
 // A list may come indented, and may be spread over any white space.
 func TestListsMayComeIndented(t *testing.T) {
-	names, err := settings.Parse([]byte(testSettings))
+	names, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/heard_test.go
+++ b/internal/node/heard_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // outage is discovery as calls meet it: it fails from one time to another, and has a drain to tell of from its end on. A
@@ -82,7 +82,7 @@
 }
 
 func hearAfter(t *testing.T, fault string, asks bool, instances int, seed uint64, lasts time.Duration) {
-	names, err := settings.Parse([]byte(testSettings))
+	names, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 func TestMoveBetweenCalls(t *testing.T) {
 	for _, asks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			names, err := settings.Parse([]byte(testSettings))
+			names, err := siteconfig.Parse([]byte(testSettings))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/improper_test.go
+++ b/internal/node/improper_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // pipeListener hands out connections that live in memory.
@@ -46,8 +46,8 @@
 }
 
 // testNames are the settings of a node with one class.
-func testNames() settings.Settings {
-	return settings.Settings{Classes: []string{"order"}, Config: balance.Config{
+func testNames() siteconfig.Settings {
+	return siteconfig.Settings{Classes: []string{"order"}, Config: balance.Config{
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
--- a/internal/node/listtext.go
+++ b/internal/node/listtext.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // This file reads lists of backends as discovery words them.
@@ -35,7 +35,7 @@
 
 // parseList decodes a list as discovery words it. One malformed entry spoils the whole list: half a list
 // could hide a drain.
-func parseList(text []byte, names settings.Settings) (List, error) {
+func parseList(text []byte, names siteconfig.Settings) (List, error) {
 	var raw struct {
 		Revision *int64            `json:"revision"`
 		Complete bool              `json:"complete"`
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // This file reads the load reports of backends.
@@ -42,7 +42,7 @@
 		if n, ok := reportNames[name]; ok {
 			name = n
 		}
-		for i, n := range settings.LoadNames {
+		for i, n := range siteconfig.LoadNames {
 			if n != name {
 				continue
 			}
--- a/internal/node/rota.go
+++ b/internal/node/maintenance.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"hitchvale/internal/fleet"
-	"hitchvale/internal/rota"
+	"hitchvale/internal/maintenance"
 )
 
 // turns is a node's part in the rota: with each view that tells of machines with a turn it reads the board, confirms what
-// is quiet here, and proposes what rota.Next says. All of it runs between two reports of the fleet's agent.
+// is quiet here, and proposes what maintenance.Next says. All of it runs between two reports of the fleet's agent.
 type turns struct {
 	n      *Node
 	client *fleet.Client
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, turnWithin)
 	defer cancel()
-	var b rota.Board
+	var b maintenance.Board
 	if err := t.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
 		t.n.log.Warn("rota not read", "error", err)
 		return
@@ -47,7 +47,7 @@
 	if !ok {
 		return // the loop is too busy to say what is open: nothing is confirmed on a guess
 	}
-	for _, c := range rota.Next(b, l) {
+	for _, c := range maintenance.Next(b, l) {
 		if err := t.propose(ctx, c); err != nil && c.Op == "rota-step" {
 			t.n.log.Info("turn not taken", "machine", c.Machine, "to", c.To, "error", err)
 		}
@@ -55,7 +55,7 @@
 }
 
 // count takes in for how many views each turn has stood as it does.
-func (t *turns) count(b rota.Board) {
+func (t *turns) count(b maintenance.Board) {
 	seen, at := map[string]int{}, map[string]int64{}
 	for _, x := range b.Turns {
 		if at[x.Machine] = x.Rev; t.at[x.Machine] == x.Rev {
@@ -66,8 +66,8 @@
 }
 
 // local asks the loop for the list that it holds and what it has open at whom.
-func (t *turns) local(ctx context.Context, v fleet.View, incarnation uint64) (rota.Local, bool) {
-	l := rota.Local{Node: t.n.cfg.Name, Incarnation: incarnation, View: rota.Stamp(v.Stamp), Seen: t.seen}
+func (t *turns) local(ctx context.Context, v fleet.View, incarnation uint64) (maintenance.Local, bool) {
+	l := maintenance.Local{Node: t.n.cfg.Name, Incarnation: incarnation, View: maintenance.Stamp(v.Stamp), Seen: t.seen}
 	for _, n := range v.Nodes {
 		if n.Fresh {
 			l.Nodes = append(l.Nodes, n.Node)
@@ -100,7 +100,7 @@
 }
 
 // propose makes one proposal; the record decides.
-func (t *turns) propose(ctx context.Context, c rota.Command) error {
+func (t *turns) propose(ctx context.Context, c maintenance.Command) error {
 	switch c.Op {
 	case "rota-settle":
 		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.Epoch, nil)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,7 @@
 	"hitchvale/balance"
 	"hitchvale/internal/accept"
 	"hitchvale/internal/admin"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 const (
@@ -315,7 +315,7 @@
 }
 
 // longestDeadline is the longest time for which a request may be in flight.
-func longestDeadline(s settings.Settings) time.Duration {
+func longestDeadline(s siteconfig.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Config.Classes {
 		longest = max(longest, cmp.Or(c.Deadline, defaultDeadline))
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -5,7 +5,7 @@
 
 	"hitchvale/balance"
 	"hitchvale/internal/monotime"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // The spans of a shutdown, from SIGTERM on (PROTOCOL).
@@ -29,7 +29,7 @@
 	told     monotime.Atomic // when the process was told to end; zero: it was not
 }
 
-func newShutdown(s settings.Settings) *shutdown {
+func newShutdown(s siteconfig.Settings) *shutdown {
 	return &shutdown{deadline: min(longestDeadline(s), killDeadlineMost)}
 }
 
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // scripted is discovery as a function of each call's number and query; an answer "" is none, until the caller goes.
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				names, err := settings.Parse([]byte(testSettings))
+				names, err := siteconfig.Parse([]byte(testSettings))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -115,7 +115,7 @@
 // A discovery that is silent altogether is lost, and said to be, once for the watch and the call beside it.
 func TestSilentDiscoveryIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		names, _ := settings.Parse([]byte(testSettings))
+		names, _ := siteconfig.Parse([]byte(testSettings))
 		d := newDiscovery("127.0.0.1:1", nil, names, quiet(), func(List) {}, func() {})
 		d.http = &http.Client{Transport: &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}}
 		start := time.Now()
@@ -172,7 +172,7 @@
 func TestReplicaThatIsBackIsFoundAfterOneWait(t *testing.T) {
 	for range 20 { // waits are drawn
 		synctest.Test(t, func(t *testing.T) {
-			names, err := settings.Parse([]byte(testSettings))
+			names, err := siteconfig.Parse([]byte(testSettings))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/problem/problem.go
+++ b/internal/operror/operror.go
@@ -1,7 +1,7 @@
-// Package problem is what the errors of the product's packages are made of: each has a type of its own in its package,
+// Package operror is what the errors of the product's packages are made of: each has a type of its own in its package,
 // a stable code, what failed, on what, and what an operator can do about it. The table in docs/oncall.md is checked
 // against them.
-package problem
+package operror
 
 import (
 	"errors"
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"hitchvale/internal/tomlconf"
+	"hitchvale/internal/tomlfile"
 )
 
 // Config is a replica's configuration file (TOML; see deploy/registry.toml and docs/registry.md).
@@ -22,24 +22,24 @@
 	// RaftFrom is the host that raft dials its peers from; empty: the system picks.
 	RaftFrom string `toml:"raft_from"`
 	// StaleRead is how long since it last heard from the leader a follower still serves reads.
-	StaleRead tomlconf.Duration `toml:"stale_read"`
+	StaleRead tomlfile.Duration `toml:"stale_read"`
 	Ring      int               `toml:"ring"`      // changes kept for watches
 	MaxCalls  int               `toml:"max_calls"` // calls served at once; more get 503 at once
 	// DefaultTTL applies to members registered without a TTL; 0 keeps them until deregistered.
-	DefaultTTL tomlconf.Duration `toml:"default_ttl"`
+	DefaultTTL tomlfile.Duration `toml:"default_ttl"`
 	// FleetInterval is how often the leader compiles the nodes' reports into a view.
-	FleetInterval tomlconf.Duration `toml:"fleet_interval"`
+	FleetInterval tomlfile.Duration `toml:"fleet_interval"`
 	Timing        Timing            `toml:"raft_timing"`
 	Peers         []Peer            `toml:"peer"`
 }
 
 // Timing are raft's timeouts and snapshot policy (hashicorp/raft's Config of the same names).
 type Timing struct {
-	Heartbeat         tomlconf.Duration `toml:"heartbeat"`
-	Election          tomlconf.Duration `toml:"election"`
-	LeaderLease       tomlconf.Duration `toml:"leader_lease"`
-	Commit            tomlconf.Duration `toml:"commit"`
-	SnapshotInterval  tomlconf.Duration `toml:"snapshot_interval"`
+	Heartbeat         tomlfile.Duration `toml:"heartbeat"`
+	Election          tomlfile.Duration `toml:"election"`
+	LeaderLease       tomlfile.Duration `toml:"leader_lease"`
+	Commit            tomlfile.Duration `toml:"commit"`
+	SnapshotInterval  tomlfile.Duration `toml:"snapshot_interval"`
 	SnapshotThreshold uint64            `toml:"snapshot_threshold"`
 	TrailingLogs      uint64            `toml:"trailing_logs"`
 }
@@ -52,7 +52,7 @@
 }
 
 func defaults() Config {
-	d := func(v time.Duration) tomlconf.Duration { return tomlconf.Duration{Duration: v} }
+	d := func(v time.Duration) tomlfile.Duration { return tomlfile.Duration{Duration: v} }
 	return Config{StaleRead: d(time.Second), Ring: 4096, MaxCalls: 2048, FleetInterval: d(time.Second), Timing: Timing{
 		Heartbeat: d(500 * time.Millisecond), Election: d(500 * time.Millisecond), LeaderLease: d(250 * time.Millisecond),
 		Commit: d(10 * time.Millisecond), SnapshotInterval: d(30 * time.Second), SnapshotThreshold: 8192, TrailingLogs: 10240}}
@@ -77,50 +77,50 @@
 // ParseConfig decodes a configuration strictly and checks it.
 func ParseConfig(text []byte) (Config, error) {
 	c := defaults()
-	if err := tomlconf.Decode(text, &c); err != nil {
+	if err := tomlfile.Decode(text, &c); err != nil {
 		return Config{}, err
 	}
-	return c, tomlconf.Locate(text, c.Check())
+	return c, tomlfile.Locate(text, c.Check())
 }
 
 // Check refuses what cannot work: missing names, bad addresses, a cluster without this replica, timeouts out of
 // order.
 func (c Config) Check() error {
 	if c.ID == "" {
-		return tomlconf.Bad("id", "missing")
+		return tomlfile.Bad("id", "missing")
 	}
 	if c.DataDir == "" {
-		return tomlconf.Bad("data_dir", "missing")
+		return tomlfile.Bad("data_dir", "missing")
 	}
 	for _, a := range []struct{ key, addr string }{{"http", c.HTTP}, {"raft", c.Raft}} {
 		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return tomlconf.Bad(a.key, "%q is not an address with a port", a.addr)
+			return tomlfile.Bad(a.key, "%q is not an address with a port", a.addr)
 		}
 	}
 	if _, err := netip.ParseAddrPort(c.RaftListen); c.RaftListen != "" && err != nil {
-		return tomlconf.Bad("raft_listen", "%q is not an address with a port", c.RaftListen)
+		return tomlfile.Bad("raft_listen", "%q is not an address with a port", c.RaftListen)
 	}
 	if _, err := netip.ParseAddr(c.RaftFrom); c.RaftFrom != "" && err != nil {
-		return tomlconf.Bad("raft_from", "%q is not an address", c.RaftFrom)
+		return tomlfile.Bad("raft_from", "%q is not an address", c.RaftFrom)
 	}
 	t := c.Timing
 	switch {
 	case c.Ring < 16:
-		return tomlconf.Bad("ring", "%d is below 16", c.Ring)
+		return tomlfile.Bad("ring", "%d is below 16", c.Ring)
 	case c.MaxCalls < 1:
-		return tomlconf.Bad("max_calls", "%d is below 1", c.MaxCalls)
+		return tomlfile.Bad("max_calls", "%d is below 1", c.MaxCalls)
 	case t.Heartbeat.Duration < 5*time.Millisecond:
-		return tomlconf.Bad("raft_timing.heartbeat", "%s is below 5ms", t.Heartbeat)
+		return tomlfile.Bad("raft_timing.heartbeat", "%s is below 5ms", t.Heartbeat)
 	case t.Election.Duration < t.Heartbeat.Duration:
-		return tomlconf.Bad("raft_timing.election", "%s is below the heartbeat's %s", t.Election, t.Heartbeat)
+		return tomlfile.Bad("raft_timing.election", "%s is below the heartbeat's %s", t.Election, t.Heartbeat)
 	case t.LeaderLease.Duration <= 0 || t.LeaderLease.Duration > t.Heartbeat.Duration:
-		return tomlconf.Bad("raft_timing.leader_lease", "%s is not within 0 and the heartbeat's %s", t.LeaderLease, t.Heartbeat)
+		return tomlfile.Bad("raft_timing.leader_lease", "%s is not within 0 and the heartbeat's %s", t.LeaderLease, t.Heartbeat)
 	case t.Commit.Duration <= 0:
-		return tomlconf.Bad("raft_timing.commit", "must be above 0")
+		return tomlfile.Bad("raft_timing.commit", "must be above 0")
 	case c.FleetInterval.Duration < 10*time.Millisecond:
-		return tomlconf.Bad("fleet_interval", "%s is below 10ms", c.FleetInterval)
+		return tomlfile.Bad("fleet_interval", "%s is below 10ms", c.FleetInterval)
 	case c.StaleRead.Duration < 0:
-		return tomlconf.Bad("stale_read", "negative")
+		return tomlfile.Bad("stale_read", "negative")
 	}
 	self := false
 	seen := map[string]bool{}
@@ -142,7 +142,7 @@
 		}
 	}
 	if len(c.Peers) > 0 && !self {
-		return tomlconf.Bad("peer", "this replica (%s) is not among the peers", c.ID)
+		return tomlfile.Bad("peer", "this replica (%s) is not among the peers", c.ID)
 	}
 	return nil
 }
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -3,15 +3,15 @@
 import (
 	"net/http"
 
-	"hitchvale/internal/problem"
+	"hitchvale/internal/operror"
 )
 
 type marker struct{}
 
 // Error is an error of the registry; its kinds stand below and, with what an operator can do, in docs/oncall.md.
-type Error = problem.Error[marker]
+type Error = operror.Error[marker]
 
-var problems problem.Set[marker]
+var problems operror.Set[marker]
 
 // The kinds of errors. Each changes nothing in the state.
 var (
@@ -45,4 +45,4 @@
 )
 
 // Problems are the kinds of errors that the registry gives.
-func Problems() []problem.Entry { return problems.Entries() }
+func Problems() []operror.Entry { return problems.Entries() }
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"hitchvale/internal/fleet"
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // fleetSide is the registry's part in the fleet's shared view (docs/ROADMAP.md): sessions go through the log; reports
@@ -196,7 +196,7 @@
 	answer(w, out)
 }
 
-func (r *Replica) openSession(req *http.Request) (machine.Command, error) {
+func (r *Replica) openSession(req *http.Request) (statemachine.Command, error) {
 	var s fleet.Session
 	if err := decodeBody(req, &s); err != nil {
 		return nil, err
@@ -207,7 +207,7 @@
 	return &sessionWrite{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Check()
 }
 
-func (r *Replica) closeSession(req *http.Request) (machine.Command, error) {
+func (r *Replica) closeSession(req *http.Request) (statemachine.Command, error) {
 	n, err := strconv.ParseUint(req.URL.Query().Get("incarnation"), 10, 64)
 	if err != nil {
 		return nil, ErrMalformed.Of("incarnation", err)
@@ -227,8 +227,8 @@
 }
 
 // dueSessions gives the expiry commands of sessions whose reports stopped for their TTL; called with beatMu held.
-func (r *Replica) dueSessions(now time.Time) []machine.Command {
-	var due []machine.Command
+func (r *Replica) dueSessions(now time.Time) []statemachine.Command {
+	var due []statemachine.Command
 	for node, s := range r.sessions.Open {
 		if r.overdue(sessionKey(node), s.TTLms, now) {
 			due = append(due, &fleet.SessionCommand{Op: "session-expire", Session: fleet.Session{Node: node, Incarnation: s.Incarnation}})
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"hitchvale/internal/accept"
-	"hitchvale/internal/machine"
-	"hitchvale/internal/problem"
+	"hitchvale/internal/operror"
+	"hitchvale/internal/statemachine"
 )
 
 // bodyMost bounds a write's body, as PROTOCOL bounds bodies.
@@ -114,7 +114,7 @@
 // fail answers with an error: its code, what failed and on what, and what an operator can do. An error that has no code
 // is one of the input.
 func fail(w http.ResponseWriter, err error) {
-	d, ok := problem.Find(err)
+	d, ok := operror.Find(err)
 	if !ok {
 		d = ErrMalformed.Of("", err)
 	}
@@ -201,7 +201,7 @@
 
 // writeHandler decodes a write and commits it on the leader, or passes it to the leader. It answers with the revision
 // and, where the machine gives one, its value under the given name.
-func (r *Replica) writeHandler(value string, decode func(*http.Request) (machine.Command, error)) http.HandlerFunc {
+func (r *Replica) writeHandler(value string, decode func(*http.Request) (statemachine.Command, error)) http.HandlerFunc {
 	return r.onLeader(func(w http.ResponseWriter, req *http.Request) {
 		begun := time.Now()
 		req.Body = http.MaxBytesReader(w, req.Body, bodyMost)
@@ -271,13 +271,13 @@
 }
 
 // fenced adds the fence that a write of the list carries, if any.
-func fenced(req *http.Request, c *MemberCommand) (machine.Command, error) {
+func fenced(req *http.Request, c *MemberCommand) (statemachine.Command, error) {
 	var err error
 	c.Fence, err = parseFence(req)
 	return c, err
 }
 
-func (r *Replica) register(req *http.Request) (machine.Command, error) {
+func (r *Replica) register(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Member Member `json:"member"`
 		TTLms  int64  `json:"ttl_ms"`
@@ -300,7 +300,7 @@
 	return fenced(req, &MemberCommand{Op: "register", Member: b.Member, TTLms: b.TTLms})
 }
 
-func (r *Replica) phase(req *http.Request) (machine.Command, error) {
+func (r *Replica) phase(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Phase string `json:"phase"`
 	}
@@ -313,7 +313,7 @@
 	return fenced(req, &MemberCommand{Op: "phase", ID: req.PathValue("id"), Phase: b.Phase})
 }
 
-func (r *Replica) deregister(req *http.Request) (machine.Command, error) {
+func (r *Replica) deregister(req *http.Request) (statemachine.Command, error) {
 	return fenced(req, &MemberCommand{Op: "deregister", ID: req.PathValue("id")})
 }
 
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"errors"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // Lease is a duty that one holder has at a time (Chubby's locks with sequencers; etcd's leases). Token is the
@@ -45,36 +45,36 @@
 
 func (s *leases) Kind() string { return "leases" }
 
-func (s *leases) Commands() map[string]func() machine.Command {
-	empty := func() machine.Command { return &LeaseCommand{} }
-	return map[string]func() machine.Command{"acquire": empty, "release": empty, "lease-expire": empty}
+func (s *leases) Commands() map[string]func() statemachine.Command {
+	empty := func() statemachine.Command { return &LeaseCommand{} }
+	return map[string]func() statemachine.Command{"acquire": empty, "release": empty, "lease-expire": empty}
 }
 
 // Apply carries out acquire, release and expire. Acquire by the holder that has it gives the same token.
-func (s *leases) Apply(cmd machine.Command, _ int64) (machine.Outcome, error) {
+func (s *leases) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	c := cmd.(*LeaseCommand)
 	l, held := s.Leases[c.Lease.Name]
 	if c.Op != "acquire" {
 		if !held || l.Token != c.Lease.Token || (c.Op == "release" && l.Holder != c.Lease.Holder) {
-			return machine.Outcome{}, ErrLost.Of(c.Lease.Name, nil)
+			return statemachine.Outcome{}, ErrLost.Of(c.Lease.Name, nil)
 		}
 		delete(s.Leases, l.Name)
-		return machine.Outcome{Value: l}, nil
+		return statemachine.Outcome{Value: l}, nil
 	}
 	switch {
 	case c.Lease.Name == "" || c.Lease.Holder == "":
-		return machine.Outcome{}, ErrMalformed.Of("lease", errors.New("missing name or holder"))
+		return statemachine.Outcome{}, ErrMalformed.Of("lease", errors.New("missing name or holder"))
 	case c.Lease.TTLms <= 0:
-		return machine.Outcome{}, ErrMalformed.Of("lease "+c.Lease.Name, errors.New("ttl_ms must be above 0"))
+		return statemachine.Outcome{}, ErrMalformed.Of("lease "+c.Lease.Name, errors.New("ttl_ms must be above 0"))
 	case held && l.Holder != c.Lease.Holder:
-		return machine.Outcome{}, ErrHeld.Of(c.Lease.Name, nil)
+		return statemachine.Outcome{}, ErrHeld.Of(c.Lease.Name, nil)
 	case held:
-		return machine.Outcome{Same: true, Value: l}, nil
+		return statemachine.Outcome{Same: true, Value: l}, nil
 	}
 	s.Tokens++
 	l = Lease{Name: c.Lease.Name, Holder: c.Lease.Holder, Token: s.Tokens, TTLms: c.Lease.TTLms}
 	s.Leases[l.Name] = l
-	return machine.Outcome{Value: l}, nil
+	return statemachine.Outcome{Value: l}, nil
 }
 
 // Encode writes the leases.
--- a/internal/registry/lease_http.go
+++ b/internal/registry/lease_http.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // fenceHeader carries a write's fence as LEASE:TOKEN; the write is refused (409) below the highest token accepted.
@@ -35,7 +35,7 @@
 	return &Fence{Lease: name, Token: t}, nil
 }
 
-func (r *Replica) acquire(req *http.Request) (machine.Command, error) {
+func (r *Replica) acquire(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Holder string `json:"holder"`
 		TTLms  int64  `json:"ttl_ms"`
@@ -52,7 +52,7 @@
 	return &LeaseCommand{Op: "acquire", Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, TTLms: b.TTLms}}, nil
 }
 
-func (r *Replica) release(req *http.Request) (machine.Command, error) {
+func (r *Replica) release(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Holder string `json:"holder"`
 		Token  uint64 `json:"token"`
@@ -99,8 +99,8 @@
 }
 
 // dueLeases gives the expiry commands of leases whose renewals stopped for their TTL; called with beatMu held.
-func (r *Replica) dueLeases(s *State, now time.Time) []machine.Command {
-	var due []machine.Command
+func (r *Replica) dueLeases(s *State, now time.Time) []statemachine.Command {
+	var due []statemachine.Command
 	for name, l := range s.Leases {
 		if r.overdue(leaseKey(name), l.TTLms, now) {
 			due = append(due, &LeaseCommand{Op: "lease-expire", Lease: Lease{Name: name, Token: l.Token}})
--- a/internal/registry/rota.go
+++ b/internal/registry/maintenance.go
@@ -8,19 +8,19 @@
 	"time"
 
 	"hitchvale/internal/fleet"
-	"hitchvale/internal/machine"
-	"hitchvale/internal/rota"
+	"hitchvale/internal/maintenance"
+	"hitchvale/internal/statemachine"
 )
 
 // listOf is the list as the rota sees it, in the same state.
 type listOf struct{ m *members }
 
 // Units are the machines listed, by id.
-func (l listOf) Units() []rota.Unit {
-	out := make([]rota.Unit, 0, len(l.m.Members))
+func (l listOf) Units() []maintenance.Unit {
+	out := make([]maintenance.Unit, 0, len(l.m.Members))
 	for _, id := range slices.Sorted(maps.Keys(l.m.Members)) {
 		x := l.m.Members[id].Member
-		out = append(out, rota.Unit{ID: id, Site: x.Locality, Cell: x.Cell, Size: x.Size, Ready: x.Phase == Ready})
+		out = append(out, maintenance.Unit{ID: id, Site: x.Locality, Cell: x.Cell, Size: x.Size, Ready: x.Phase == Ready})
 	}
 	return out
 }
@@ -45,7 +45,7 @@
 
 // rotaRequest is an operator's request: machines by id, by a selector, or both.
 type rotaRequest struct {
-	rota.Request
+	maintenance.Request
 	Select *struct {
 		Site   string `json:"site"`
 		Flavor string `json:"flavor"`
@@ -55,8 +55,8 @@
 
 func (r *Replica) routeRota(mux *http.ServeMux) {
 	step := func(op string) http.HandlerFunc {
-		return r.writeHandler("turn", func(req *http.Request) (machine.Command, error) {
-			c := &rota.Command{}
+		return r.writeHandler("turn", func(req *http.Request) (statemachine.Command, error) {
+			c := &maintenance.Command{}
 			if err := decodeBody(req, c); err != nil {
 				return nil, err
 			}
@@ -66,8 +66,8 @@
 	}
 	mux.HandleFunc("GET /registry/rota", r.onLeader(r.serveRota))
 	mux.HandleFunc("POST /registry/rota/requests", r.writeHandler("request", r.requestTurns))
-	mux.HandleFunc("DELETE /registry/rota/requests/{id}", r.writeHandler("", func(req *http.Request) (machine.Command, error) {
-		return &rota.Command{Op: "rota-withdraw", Request: rota.Request{ID: req.PathValue("id")}}, nil
+	mux.HandleFunc("DELETE /registry/rota/requests/{id}", r.writeHandler("", func(req *http.Request) (statemachine.Command, error) {
+		return &maintenance.Command{Op: "rota-withdraw", Request: maintenance.Request{ID: req.PathValue("id")}}, nil
 	}))
 	mux.HandleFunc("POST /registry/rota/settle", r.writeHandler("order", r.settleTurns))
 	for _, op := range []string{"step", "confirm", "overdue", "free"} {
@@ -91,7 +91,7 @@
 }
 
 // requestTurns resolves a request's selector on the list as it is now.
-func (r *Replica) requestTurns(req *http.Request) (machine.Command, error) {
+func (r *Replica) requestTurns(req *http.Request) (statemachine.Command, error) {
 	var q rotaRequest
 	if err := decodeBody(req, &q); err != nil {
 		return nil, err
@@ -107,13 +107,13 @@
 	}
 	slices.Sort(q.Machines)
 	q.Machines = slices.Compact(q.Machines)
-	return &rota.Command{Op: "rota-request", Request: q.Request}, nil
+	return &maintenance.Command{Op: "rota-request", Request: q.Request}, nil
 }
 
 // settleTurns settles the order on the view that the proposer names, which has to be the leader's last: the costs are
 // what that view's nodes said, so no proposer has a word in them. A machine costs what its backends hold now: attempts of
 // live nodes and the estimate of its queue.
-func (r *Replica) settleTurns(req *http.Request) (machine.Command, error) {
+func (r *Replica) settleTurns(req *http.Request) (statemachine.Command, error) {
 	var stamp fleet.Stamp
 	if err := decodeBody(req, &stamp); err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 	if v == nil || v.stamp != stamp {
 		return nil, fleet.ErrNoView.Of("order", fmt.Errorf("view %d.%d is not the last", stamp.Term, stamp.Epoch))
 	}
-	c := &rota.Command{Op: "rota-settle", Epoch: rota.Stamp(stamp), Costs: map[string]float64{}}
+	c := &maintenance.Command{Op: "rota-settle", Epoch: maintenance.Stamp(stamp), Costs: map[string]float64{}}
 	for _, b := range v.backends {
 		c.Costs[b.ID] = b.Outstanding + b.Estimate
 	}
@@ -139,17 +139,17 @@
 
 // dueTurns gives the commands that name turns overdue: out for longer than the work was to take, by this leader's clock; a
 // new leader counts afresh. seen is kept from one call to the next.
-func (r *Replica) dueTurns(seen map[string]turnSeen, now time.Time) []machine.Command {
-	var due []machine.Command
+func (r *Replica) dueTurns(seen map[string]turnSeen, now time.Time) []statemachine.Command {
+	var due []statemachine.Command
 	for id, t := range r.rota.Turns {
-		if t.State != rota.Out || t.Overdue {
+		if t.State != maintenance.Out || t.Overdue {
 			delete(seen, id)
 			continue
 		}
 		if s, ok := seen[id]; !ok || s.rev != t.Rev {
 			seen[id] = turnSeen{t.Rev, now}
 		} else if now.Sub(s.at) > time.Duration(r.rota.Length(t))*time.Millisecond {
-			due = append(due, &rota.Command{Op: "rota-overdue", Machine: id, Rev: t.Rev})
+			due = append(due, &maintenance.Command{Op: "rota-overdue", Machine: id, Rev: t.Rev})
 		}
 	}
 	for id := range seen {
--- a/internal/registry/rota_test.go
+++ b/internal/registry/maintenance_test.go
@@ -7,14 +7,14 @@
 	"net/http"
 	"testing"
 
-	"hitchvale/internal/rota"
+	"hitchvale/internal/maintenance"
 )
 
 // rotaState is what GET /registry/rota answers.
 type rotaState struct {
 	Revision int64
 	Order    []string
-	Turns    []rota.Turn
+	Turns    []maintenance.Turn
 }
 
 func rotaCall(t *testing.T, method, url string, body any, out any) (status int, code string) {
@@ -72,21 +72,21 @@
 	ask["floor"] = map[string]float64{"a": 2}
 	status, code = rotaCall(t, "POST", url("/registry/rota/requests"), ask, nil)
 	expect("the request", status, code, 200, "")
-	step := func(id string, to rota.State, rev int64) (int, string) {
-		return rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/step"), rota.Command{To: to, Rev: rev}, nil)
+	step := func(id string, to maintenance.State, rev int64) (int, string) {
+		return rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{To: to, Rev: rev}, nil)
 	}
 	var s rotaState
-	read := func() map[string]rota.Turn {
+	read := func() map[string]maintenance.Turn {
 		t.Helper()
 		status, code := rotaCall(t, "GET", url("/registry/rota"), nil, &s)
 		expect("read", status, code, 200, "")
-		out := map[string]rota.Turn{}
+		out := map[string]maintenance.Turn{}
 		for _, x := range s.Turns {
 			out[x.Machine] = x
 		}
 		return out
 	}
-	status, code = step("s-0", rota.Granted, read()["s-0"].Rev)
+	status, code = step("s-0", maintenance.Granted, read()["s-0"].Rev)
 	expect("a grant before an order is settled", status, code, 409, "rota.out-of-order")
 	await(t, "a settled order", func() bool {
 		status, _ := rotaCall(t, "POST", url("/registry/rota/settle"), a.Status().View, nil)
@@ -97,13 +97,13 @@
 		t.Fatalf("order %v", s.Order)
 	}
 	id := s.Order[0]
-	status, code = step(s.Order[1], rota.Granted, read()[s.Order[1]].Rev)
+	status, code = step(s.Order[1], maintenance.Granted, read()[s.Order[1]].Rev)
 	expect("the second in order", status, code, 409, "rota.out-of-order")
-	for _, to := range []rota.State{rota.Granted, rota.Draining} {
+	for _, to := range []maintenance.State{maintenance.Granted, maintenance.Draining} {
 		status, code = step(id, to, read()[id].Rev)
 		expect(string(to), status, code, 200, "")
 	}
-	status, code = step(s.Order[0], rota.Granted, read()[s.Order[0]].Rev)
+	status, code = step(s.Order[0], maintenance.Granted, read()[s.Order[0]].Rev)
 	expect("over the budget", status, code, 409, "rota.over-budget")
 	phase := func() string {
 		var l List
@@ -117,24 +117,24 @@
 	}
 	await(t, "the list saying draining", func() bool { return phase() == Draining })
 	for i, n := range []string{"n0", "n1"} {
-		status, code = step(id, rota.Quiet, read()[id].Rev)
+		status, code = step(id, maintenance.Quiet, read()[id].Rev)
 		expect("quiet without "+n, status, code, 409, "rota.unconfirmed")
 		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
-			rota.Command{Node: n, Incarnation: 1, Held: read()[id].Drained - 1}, nil)
+			maintenance.Command{Node: n, Incarnation: 1, Held: read()[id].Drained - 1}, nil)
 		expect("a confirmation of an older list", status, code, 409, "rota.no-such-step")
 		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
-			rota.Command{Node: n, Incarnation: 1, Held: read()[id].Drained}, nil)
+			maintenance.Command{Node: n, Incarnation: 1, Held: read()[id].Drained}, nil)
 		expect(fmt.Sprint("confirmation ", i), status, code, 200, "")
 	}
-	for _, to := range []rota.State{rota.Quiet, rota.Out, rota.Returning} {
+	for _, to := range []maintenance.State{maintenance.Quiet, maintenance.Out, maintenance.Returning} {
 		status, code = step(id, to, read()[id].Rev)
 		expect(string(to), status, code, 200, "")
 	}
 	await(t, "the list saying ready", func() bool { return phase() == Ready })
 	stale := read()[id].Rev - 1
-	status, code = step(id, rota.Done, stale)
+	status, code = step(id, maintenance.Done, stale)
 	expect("a step from what was before", status, code, 409, "rota.changed-since")
-	status, code = step(id, rota.Done, read()[id].Rev)
+	status, code = step(id, maintenance.Done, read()[id].Rev)
 	expect("done", status, code, 200, "")
 	if _, ok := read()[id]; ok {
 		t.Error("a turn that is done is kept")
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // Member is one entry of the list, in PROTOCOL's form.
@@ -95,41 +95,41 @@
 
 func (s *members) Kind() string { return "members" }
 
-func (s *members) Commands() map[string]func() machine.Command {
-	empty := func() machine.Command { return &MemberCommand{} }
-	return map[string]func() machine.Command{"register": empty, "phase": empty, "deregister": empty, "expire": empty}
+func (s *members) Commands() map[string]func() statemachine.Command {
+	empty := func() statemachine.Command { return &MemberCommand{} }
+	return map[string]func() statemachine.Command{"register": empty, "phase": empty, "deregister": empty, "expire": empty}
 }
 
-func (s *members) Apply(cmd machine.Command, next int64) (machine.Outcome, error) {
+func (s *members) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*MemberCommand)
 	if err := s.fence(c.Fence); err != nil {
-		return machine.Outcome{}, err
+		return statemachine.Outcome{}, err
 	}
 	if c.Op == "register" {
 		if err := c.Member.Validate(); err != nil {
-			return machine.Outcome{}, err
+			return statemachine.Outcome{}, err
 		}
 		s.put(entry{Member: c.Member, TTLms: c.TTLms}, next)
-		return machine.Outcome{}, nil
+		return statemachine.Outcome{}, nil
 	}
 	e, ok := s.Members[c.ID]
 	switch {
 	case !ok:
-		return machine.Outcome{}, ErrUnknown.Of(c.ID, nil)
+		return statemachine.Outcome{}, ErrUnknown.Of(c.ID, nil)
 	case c.Op == "phase":
 		if err := checkPhase(c.Phase); err != nil {
-			return machine.Outcome{}, err
+			return statemachine.Outcome{}, err
 		}
 		e.Member.Phase = c.Phase
 		s.put(e, next)
-		return machine.Outcome{}, nil
+		return statemachine.Outcome{}, nil
 	case c.Op == "expire" && e.Changed != c.Seen:
-		return machine.Outcome{}, ErrStale.Of(c.ID, nil)
+		return statemachine.Outcome{}, ErrStale.Of(c.ID, nil)
 	}
 	e.Member.Phase = Gone
 	s.bump(e.Member, next)
 	delete(s.Members, c.ID)
-	return machine.Outcome{}, nil
+	return statemachine.Outcome{}, nil
 }
 
 func checkPhase(phase string) error {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // A watch from a revision that the ring still holds gets each changed member once, as it is now, removals as
@@ -21,7 +21,7 @@
 func TestSinceGivesChangesOrTheWholeList(t *testing.T) {
 	s := NewState(16)
 	m := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: Ready, Size: 1} }
-	for _, c := range []machine.Command{
+	for _, c := range []statemachine.Command{
 		&MemberCommand{Op: "register", Member: m("a")}, &MemberCommand{Op: "register", Member: m("b")}, &MemberCommand{Op: "register", Member: m("c")},
 		&MemberCommand{Op: "phase", ID: "a", Phase: Draining}, &MemberCommand{Op: "deregister", ID: "b"},
 	} {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -18,8 +18,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"hitchvale/internal/fleet"
-	"hitchvale/internal/machine"
-	"hitchvale/internal/rota"
+	"hitchvale/internal/maintenance"
+	"hitchvale/internal/statemachine"
 )
 
 // oneRPC turns raft's pipelining of appends off. Where a follower fails an append, as one does whose disk fails, the leader's
@@ -39,8 +39,8 @@
 	trans   *raft.NetworkTransport
 	metrics *metrics
 
-	sessions *fleet.Sessions // in the state; read under the fsm's lock
-	rota     *rota.Rota      // likewise
+	sessions *fleet.Sessions   // in the state; read under the fsm's lock
+	rota     *maintenance.Rota // likewise
 	fleet    *fleetSide
 
 	watching   atomic.Int64  // watches waiting now
@@ -89,7 +89,7 @@
 	store := newDiskStore(wrap(file), log)
 	sessions := fleet.NewSessions()
 	state := NewState(cfg.Ring, sessions)
-	turns := rota.New(listOf{state.members}, nodesOf{sessions})
+	turns := maintenance.New(listOf{state.members}, nodesOf{sessions})
 	state.add(turns)
 	r := &Replica{cfg: cfg, log: log.With("component", "registry", "node", cfg.ID), store: store, sessions: sessions,
 		rota: turns,
@@ -218,7 +218,7 @@
 
 // Write commits one command through raft and gives its result once applied here. It fails with ErrNotLeader on
 // a follower; an error from raft means the write may or may not be committed later, as with any lost answer.
-func (r *Replica) Write(c machine.Command) (Result, error) {
+func (r *Replica) Write(c statemachine.Command) (Result, error) {
 	if !r.Leader() {
 		return Result{}, ErrNotLeader.Of(r.cfg.ID, nil)
 	}
@@ -319,7 +319,7 @@
 
 func (r *Replica) expire() {
 	now := time.Now()
-	var due []machine.Command
+	var due []statemachine.Command
 	r.fsm.read(func(s *State) {
 		r.beatMu.Lock()
 		defer r.beatMu.Unlock()
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"slices"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // snapshotVersion is the form of the snapshots written. Version 0 had the members and the leases side by side; it is
@@ -23,8 +23,8 @@
 	Revision int64
 	*members
 	*leases
-	machines []machine.Machine
-	byOp     map[string]machine.Machine
+	machines []statemachine.Machine
+	byOp     map[string]statemachine.Machine
 }
 
 // Result is what applying a command gives: the revision after it, what the machine answers, or why nothing changed.
@@ -36,15 +36,15 @@
 
 // NewState is an empty state at revision 0 whose list has a ring of ringCap changes, with the machines of further kinds
 // beside the members and the leases.
-func NewState(ringCap int, more ...machine.Machine) *State {
+func NewState(ringCap int, more ...statemachine.Machine) *State {
 	l := newLeases()
-	s := &State{leases: l, members: newMembers(ringCap, l.fence), byOp: map[string]machine.Machine{}}
-	s.add(append([]machine.Machine{s.members, s.leases}, more...)...)
+	s := &State{leases: l, members: newMembers(ringCap, l.fence), byOp: map[string]statemachine.Machine{}}
+	s.add(append([]statemachine.Machine{s.members, s.leases}, more...)...)
 	return s
 }
 
 // add puts further kinds of records into the state, before the first command.
-func (s *State) add(more ...machine.Machine) {
+func (s *State) add(more ...statemachine.Machine) {
 	for _, m := range more {
 		s.machines = append(s.machines, m)
 		for op := range m.Commands() {
@@ -54,10 +54,10 @@
 }
 
 // EncodeCommand is a command as the log holds it.
-func EncodeCommand(c machine.Command) ([]byte, error) { return json.Marshal(c) }
+func EncodeCommand(c statemachine.Command) ([]byte, error) { return json.Marshal(c) }
 
 // ParseCommand reads a command from the log.
-func (s *State) ParseCommand(text []byte) (machine.Command, error) {
+func (s *State) ParseCommand(text []byte) (statemachine.Command, error) {
 	var head struct {
 		Op string `json:"op"`
 	}
@@ -76,7 +76,7 @@
 }
 
 // Apply carries out one command.
-func (s *State) Apply(c machine.Command) Result {
+func (s *State) Apply(c statemachine.Command) Result {
 	m := s.byOp[c.Operation()]
 	if m == nil {
 		return Result{Revision: s.Revision, Err: ErrOperation.Of(c.Operation(), nil)}
@@ -122,7 +122,7 @@
 		n.Machines = map[string]json.RawMessage{s.members.Kind(): text, s.leases.Kind(): text}
 	}
 	for kind := range n.Machines {
-		if !slices.ContainsFunc(s.machines, func(m machine.Machine) bool { return m.Kind() == kind }) {
+		if !slices.ContainsFunc(s.machines, func(m statemachine.Machine) bool { return m.Kind() == kind }) {
 			return ErrSnapshot.Of(kind, errors.New("records of a kind that this program does not know"))
 		}
 	}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"hitchvale/internal/machine"
+	"hitchvale/internal/statemachine"
 )
 
 // version0 is a snapshot as the program wrote it before machines had parts of their own, and version0Bare one from
@@ -107,16 +107,16 @@
 func (c *count) Operation() string { return c.Op }
 
 func (c *counter) Kind() string { return "counter" }
-func (c *counter) Commands() map[string]func() machine.Command {
-	return map[string]func() machine.Command{"count": func() machine.Command { return &count{} }}
+func (c *counter) Commands() map[string]func() statemachine.Command {
+	return map[string]func() statemachine.Command{"count": func() statemachine.Command { return &count{} }}
 }
-func (c *counter) Apply(cmd machine.Command, _ int64) (machine.Outcome, error) {
+func (c *counter) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	by := cmd.(*count).By
 	if c.N+by == 3 {
-		return machine.Outcome{}, errors.New("three")
+		return statemachine.Outcome{}, errors.New("three")
 	}
 	c.N += by
-	return machine.Outcome{Same: by == 0, Value: c.N}, nil
+	return statemachine.Outcome{Same: by == 0, Value: c.N}, nil
 }
 func (c *counter) Encode() ([]byte, error)           { return fmt.Appendf(nil, `{"N":%d}`, c.N), nil }
 func (c *counter) Decode(text []byte, _ int64) error { *c = counter{}; return json.Unmarshal(text, c) }
--- a/internal/wire/wire.go
+++ b/internal/simproto/simproto.go
@@ -1,7 +1,7 @@
-// Package wire reads and writes the line protocol between the bench and the
+// Package simproto reads and writes the line protocol between the bench and the
 // adapter. It holds no policy. Malformed lines are errors that name the line
 // and the field; unknown messages, fields and settings are skipped.
-package wire
+package simproto
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"time"
 
 	"hitchvale/balance"
-	"hitchvale/internal/settings"
+	"hitchvale/internal/siteconfig"
 )
 
 // Kind says what a message is.
@@ -364,7 +364,7 @@
 			f.fail("load", fmt.Sprintf("%q is not name:value", pair))
 			return l
 		}
-		for i, n := range settings.LoadNames {
+		for i, n := range siteconfig.LoadNames {
 			if n == name {
 				*into[i] = f.parseNumber("load", value)
 				l.Has |= 1 << i
@@ -380,7 +380,7 @@
 	if !ok {
 		return balance.Config{}
 	}
-	parsed, err := settings.Parse([]byte(s))
+	parsed, err := siteconfig.Parse([]byte(s))
 	if err != nil {
 		f.fail(key, err.Error())
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/simproto_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
--- a/internal/settings/settings.go
+++ b/internal/siteconfig/siteconfig.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings object that an instance is given at its
+// Package siteconfig decodes the settings object that an instance is given at its
 // start, on the simulator's wire as in a real node's configuration.
-package settings
+package siteconfig
 
 import (
 	"cmp"
--- a/internal/settings/settings_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -1,4 +1,4 @@
-package settings
+package siteconfig
 
 import (
 	"slices"
--- a/internal/machine/machine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,7 +1,7 @@
-// Package machine is the interface between the registry's replicated log and the kinds of records kept in it. A kind is
+// Package statemachine is the interface between the registry's replicated log and the kinds of records kept in it. A kind is
 // a machine of its own, deterministic, with its own commands and its own part of the snapshot; the registry's State
 // dispatches commands to machines and owns the revision. See docs/ROADMAP.md, "A fleet that settles its own affairs".
-package machine
+package statemachine
 
 // Command is one write. In the log it is JSON: its operation as "op" beside the fields of its own type.
 type Command interface{ Operation() string }
--- a/internal/shim/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -1,4 +1,4 @@
-package shim
+package sysfault
 
 import (
 	"encoding/binary"
--- a/internal/shim/tracer_other.go
+++ b/internal/sysfault/tracer_other.go
@@ -1,6 +1,6 @@
 //go:build !(linux && amd64)
 
-package shim
+package sysfault
 
 import "errors"
 
--- a/internal/tomlconf/tomlconf.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package tomlconf decodes the project's TOML files strictly: an unknown key, a wrong type or a malformed value
+// Package tomlfile decodes the project's TOML files strictly: an unknown key, a wrong type or a malformed value
 // is an error that names the line and the key, so that a typo in a file is refused at start, not ignored.
-package tomlconf
+package tomlfile
 
 import (
 	"bytes"
