--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -15,7 +15,7 @@
 	"hitchvale/internal/sysfault"
 )
 
-func labCmd(g *globals) *cobra.Command {
+func labCmd(g *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "lab", Short: "The fault lab: start processes on loopback, break them, check the history"}
 	c.AddCommand(labRunCmd(g), labCheckCmd(), labBackendCmd(g), labShimCmd(), labCandidateCmd())
 	return c
@@ -29,7 +29,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := lab.LoadScenario(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d nodes, %d backends, %d faults over %s\n", s.Name, s.Nodes, s.Backends,
 				len(s.Faults), s.Duration)
@@ -38,24 +38,24 @@
 	}
 }
 
-func labRunCmd(g *globals) *cobra.Command {
+func labRunCmd(g *globalFlags) *cobra.Command {
 	var out, bin string
 	c := &cobra.Command{
 		Use:   "run SCENARIO.toml",
 		Short: "Play a scenario and write report.json and plots; exit 1 where an invariant fails",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			log, err := g.logger()
+			log, err := g.newLogger()
 			if err != nil {
 				return err
 			}
 			s, err := lab.LoadScenario(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			self, err := os.Executable()
 			if err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			if bin == "" {
 				bin = filepath.Dir(self)
@@ -66,7 +66,7 @@
 			opts := lab.Options{NodeBinary: filepath.Join(bin, "hitchvale-node"), CommandBinary: self, Out: out, Log: log}
 			r, err := lab.Run(cmd.Context(), s, opts)
 			if err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			summary, _ := json.Marshal(struct {
 				Passed bool           `json:"passed"`
@@ -76,7 +76,7 @@
 			fmt.Fprintln(cmd.OutOrStdout(), string(summary))
 			for _, c := range r.Checks {
 				if !c.OK {
-					return failed(fmt.Errorf("%s: %d violations, first %v", c.Name, c.Violations, c.Examples))
+					return failedError(fmt.Errorf("%s: %d violations, first %v", c.Name, c.Violations, c.Examples))
 				}
 			}
 			return nil
@@ -89,7 +89,7 @@
 
 // labBackendCmd is the stand-in backend that the lab starts; it is a command of its own so that it can be killed,
 // paused and restarted as a real process.
-func labBackendCmd(g *globals) *cobra.Command {
+func labBackendCmd(g *globalFlags) *cobra.Command {
 	var id, listen, logPath string
 	var b lab.Behavior
 	var service time.Duration
@@ -101,11 +101,11 @@
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if b.Errors < 0 || b.Errors > 1 {
-				return usage(fmt.Errorf("--errors: %g is outside 0 to 1", b.Errors))
+				return usageError(fmt.Errorf("--errors: %g is outside 0 to 1", b.Errors))
 			}
 			ln, err := net.Listen("tcp", listen)
 			if err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			b.Service.Duration = service
 			return lab.ServeBackend(cmd.Context(), ln, id, b, logPath, seed)
@@ -135,11 +135,11 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			p, err := sysfault.ParsePlan(plan)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			code, err := sysfault.Run(p, seed, args)
 			if err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			os.Exit(code)
 			return nil
@@ -162,10 +162,10 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c.Replicas = strings.Split(replicas, ",")
 			if replicas == "" || c.TTL <= 0 || c.Work < 0 {
-				return usage(fmt.Errorf("--registry, a --ttl above 0 and a --work of 0 or more are needed"))
+				return usageError(fmt.Errorf("--registry, a --ttl above 0 and a --work of 0 or more are needed"))
 			}
 			if err := c.Run(cmd.Context()); err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			return nil
 		},
--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -14,13 +14,13 @@
 	"hitchvale/internal/lease"
 )
 
-func leaseCmd(g *globals) *cobra.Command {
+func leaseCmd(g *globalFlags) *cobra.Command {
 	var replicas []string
 	c := &cobra.Command{Use: "lease", Short: "Leases of the registry: duties one process holds at a time"}
 	c.PersistentFlags().StringSliceVar(&replicas, "registry", nil, "HTTP addresses of the registry's replicas")
 	client := func() (*lease.Client, error) {
 		if len(replicas) == 0 {
-			return nil, usage(errors.New("--registry: no replica named"))
+			return nil, usageError(errors.New("--registry: no replica named"))
 		}
 		return &lease.Client{Replicas: replicas}, nil
 	}
@@ -28,7 +28,7 @@
 	return c
 }
 
-func leaseAcquireCmd(g *globals, client func() (*lease.Client, error)) *cobra.Command {
+func leaseAcquireCmd(g *globalFlags, client func() (*lease.Client, error)) *cobra.Command {
 	var holder string
 	var ttl time.Duration
 	c := &cobra.Command{
@@ -36,7 +36,7 @@
 		Short: "Wait for the lease, print its token, hold it until SIGTERM (then release) or until it is lost (exit 1)",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			log, err := g.logger()
+			log, err := g.newLogger()
 			if err != nil {
 				return err
 			}
@@ -46,19 +46,19 @@
 			}
 			h, err := cl.Acquire(cmd.Context(), args[0], holder, ttl)
 			if err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "{\"lease\":%q,\"holder\":%q,\"token\":%d}\n", h.Name, h.Holder, h.Token)
 			log.Info("lease held", "component", "lease", "lease", h.Name, "holder", h.Holder, "token", h.Token)
 			select {
 			case <-h.Lost:
-				return failed(fmt.Errorf("lease %s lost", h.Name))
+				return failedError(fmt.Errorf("lease %s lost", h.Name))
 			case <-cmd.Context().Done():
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
 			if err := h.Release(ctx); err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			log.Info("lease released", "component", "lease", "lease", h.Name, "token", h.Token)
 			return nil
@@ -76,18 +76,18 @@
 		Short: "Print the leases held, as JSON",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var last error = usage(errors.New("--registry: no replica named"))
+			var last error = usageError(errors.New("--registry: no replica named"))
 			for _, addr := range *replicas {
 				resp, err := (&http.Client{Timeout: 2 * time.Second}).Get("http://" + addr + "/registry/leases")
 				if err != nil {
-					last = failed(err)
+					last = failedError(err)
 					continue
 				}
 				var v any
 				err = json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&v)
 				resp.Body.Close()
 				if err != nil {
-					last = failed(err)
+					last = failedError(err)
 					continue
 				}
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(v)
@@ -111,7 +111,7 @@
 			}
 			h := cl.Adopt(args[0], holder, token)
 			if err := h.Release(cmd.Context()); err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			return nil
 		},
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -24,33 +24,35 @@
 
 // Exit codes that scripts may rely on.
 const (
-	exitOK, exitFailed, exitUsage = 0, 1, 2
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
 )
 
-// failure is an error with its exit code.
-type failure struct {
+// exitError is an error with its exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f failure) Error() string { return f.err.Error() }
-func (f failure) Unwrap() error { return f.err }
+func (f exitError) Error() string { return f.err.Error() }
+func (f exitError) Unwrap() error { return f.err }
 
-func usage(err error) error  { return failure{exitUsage, err} }
-func failed(err error) error { return failure{exitFailed, err} }
+func usageError(err error) error  { return exitError{exitUsage, err} }
+func failedError(err error) error { return exitError{exitFailed, err} }
 
-// logFlush is how long the end of the process waits for whoever reads its log.
-const logFlush = 500 * time.Millisecond
+// logFlushTimeout is how long the end of the process waits for the reader of its log.
+const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
 	sysfault.EnterChild() // first of all: it may become another program
-	// The log's reader may go, or read no further: neither may end a replica or hold it up.
+	// A reader of the log that ends, or stops reading, must neither end a replica nor block it.
 	signal.Ignore(syscall.SIGPIPE)
 	log := asynclog.New(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	code := run(ctx, os.Args[1:], os.Stdout, log)
 	stop()
-	log.Close(logFlush)
+	log.Close(logFlushTimeout)
 	os.Exit(code)
 }
 
@@ -63,24 +65,24 @@
 		return exitOK
 	}
 	fmt.Fprintln(stderr, "hitchvale:", err)
-	var f failure
+	var f exitError
 	if errors.As(err, &f) {
 		return f.code
 	}
 	return exitUsage // cobra's own errors are of usage: an unknown command or flag, a missing argument
 }
 
-// globals are the flags that every subcommand shares.
-type globals struct {
+// globalFlags are the flags that every subcommand shares.
+type globalFlags struct {
 	logFormat, logLevel string
 	stderr              io.Writer
 }
 
-// logger is the one logger passed down; its keys are stable: component, node, revision, term, lease, request.
-func (g *globals) logger() (*slog.Logger, error) {
+// newLogger makes the one logger that is passed down; its keys are stable: component, node, revision, term, lease, request.
+func (g *globalFlags) newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(g.logLevel)); err != nil {
-		return nil, usage(fmt.Errorf("--log-level: %w", err))
+		return nil, usageError(fmt.Errorf("--log-level: %w", err))
 	}
 	opts := &slog.HandlerOptions{Level: level}
 	switch g.logFormat {
@@ -89,11 +91,11 @@
 	case "text":
 		return slog.New(slog.NewTextHandler(g.stderr, opts)), nil
 	}
-	return nil, usage(fmt.Errorf("--log-format: %q is neither json nor text", g.logFormat))
+	return nil, usageError(fmt.Errorf("--log-format: %q is neither json nor text", g.logFormat))
 }
 
 func newRoot(stdout, stderr io.Writer) *cobra.Command {
-	g := &globals{stderr: stderr}
+	g := &globalFlags{stderr: stderr}
 	root := &cobra.Command{
 		Use:           "hitchvale",
 		Short:         "Run, break and check fleets of nodes",
@@ -104,7 +106,7 @@
 	root.SetErr(stderr)
 	root.PersistentFlags().StringVar(&g.logFormat, "log-format", "json", "log format on standard error: json or text")
 	root.PersistentFlags().StringVar(&g.logLevel, "log-level", "info", "least level logged: debug, info, warn or error")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(versionCmd(), labCmd(g), registryCmd(g), leaseCmd(g), recoverCmd())
 	return root
 }
--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -37,7 +37,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := filepath.Join(args[0], registry.SnapshotFolder)
 			if _, err := os.Stat(dir); err != nil {
-				return usage(fmt.Errorf("%s: %w", dir, err))
+				return usageError(fmt.Errorf("%s: %w", dir, err))
 			}
 			s := durable.Snapshots{FS: durable.OS{}, Dir: dir, Keep: 2}
 			e, data, damage, err := s.Latest()
@@ -55,11 +55,11 @@
 			fmt.Fprintln(cmd.OutOrStdout(), string(text))
 			switch {
 			case errors.Is(err, durable.ErrNoSnapshot), errors.Is(err, fs.ErrNotExist):
-				return failed(fmt.Errorf("%s: %w", dir, err))
+				return failedError(fmt.Errorf("%s: %w", dir, err))
 			case err != nil:
-				return failed(err)
+				return failedError(err)
 			case len(rep.Damage) > 0:
-				return failed(fmt.Errorf("%s: %d damaged files, first %v", dir, len(rep.Damage), rep.Damage[0]))
+				return failedError(fmt.Errorf("%s: %d damaged files, first %v", dir, len(rep.Damage), rep.Damage[0]))
 			}
 			return nil
 		},
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -10,26 +10,26 @@
 	"hitchvale/internal/registry"
 )
 
-func registryCmd(g *globals) *cobra.Command {
+func registryCmd(g *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "registry", Short: "The replicated list service (PROTOCOL's discovery)"}
 	c.AddCommand(registryServeCmd(g))
 	return c
 }
 
-func registryServeCmd(g *globals) *cobra.Command {
+func registryServeCmd(g *globalFlags) *cobra.Command {
 	var path string
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run one replica until SIGTERM or Ctrl-C",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log, err := g.logger()
+			log, err := g.newLogger()
 			if err != nil {
 				return err
 			}
 			cfg, err := registry.LoadConfig(path)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			listen := func(addr string) (net.Listener, error) {
 				return accept.Open(func() (net.Listener, error) { return net.Listen("tcp", addr) }, func(err error) {
@@ -38,25 +38,25 @@
 			}
 			raftLn, err := listen(cfg.ListenRaft())
 			if err != nil {
-				return failed(fmt.Errorf("raft: %w", err))
+				return failedError(fmt.Errorf("raft: %w", err))
 			}
 			httpLn, err := listen(cfg.HTTP)
 			if err != nil {
 				raftLn.Close()
-				return failed(fmt.Errorf("http: %w", err))
+				return failedError(fmt.Errorf("http: %w", err))
 			}
 			r, err := registry.Open(cfg, raftLn, log)
 			if err != nil {
 				httpLn.Close()
-				return failed(err)
+				return failedError(err)
 			}
 			log.Info("serving", "component", "registry", "node", cfg.ID, "http", cfg.HTTP, "raft", cfg.Raft)
 			serveErr := r.Serve(cmd.Context(), httpLn)
 			if err := r.Close(); err != nil {
-				return failed(err)
+				return failedError(err)
 			}
 			if serveErr != nil {
-				return failed(serveErr)
+				return failedError(serveErr)
 			}
 			return nil
 		},
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -18,7 +18,7 @@
 		calls := 0
 		var failing bool
 		r := Retry{}
-		r.Failed = func(error) { failing = r.Failing() }
+		r.OnRetry = func(error) { failing = r.Failing() }
 		c, err := r.Accept(func() (net.Conn, error) {
 			if calls++; calls < 3 {
 				return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	retrying := accept.NewListener(l, accept.LogTo(log, "second address"))
+	retrying := accept.NewListener(l, accept.LogRetries(log, "second address"))
 	s := &Server{listener: newListener(retrying, Conns), http: &http.Server{
 		Handler: handler(n, log), ReadHeaderTimeout: callWithin, ReadTimeout: callWithin, WriteTimeout: answerWithin,
 		MaxHeaderBytes: headMost, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog keeps a log from holding its program up. Lines wait in a bounded queue for whoever reads them; what finds it
-// full is dropped and counted.
+// Package asynclog keeps a log from blocking its program. Lines wait in a bounded queue for their reader; a line that finds
+// the queue full is dropped and counted.
 package asynclog
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// queueLines is how many lines may wait.
-const queueLines = 1024
+// queueCapacity is how many lines may wait.
+const queueCapacity = 1024
 
 // Writer is an io.Writer that never waits. It may be used by several goroutines.
 type Writer struct {
@@ -18,12 +18,12 @@
 	lines   chan []byte
 	dropped atomic.Int64
 	closing chan struct{}
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// New returns a Writer that passes lines on to out, in order. What out fails to write is lost.
+// New returns a Writer that writes lines to out, in order. What out fails to write is lost.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), closing: make(chan struct{}), ended: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -38,22 +38,22 @@
 	return len(line), nil
 }
 
-// Close passes on what waits, for so long at the most. A write that is stuck is left to the end of the process. Close is called
+// Close writes the lines that wait, for timeout at the most. A write that blocks for longer is abandoned. Close is called
 // once; lines that are written after it may be lost.
-func (w *Writer) Close(within time.Duration) {
+func (w *Writer) Close(timeout time.Duration) {
 	close(w.closing)
 	select {
-	case <-w.ended:
-	case <-time.After(within):
+	case <-w.done:
+	case <-time.After(timeout):
 	}
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		case <-w.closing:
 			w.flush()
 			return
@@ -61,19 +61,19 @@
 	}
 }
 
-// flush passes on what waits already.
+// flush writes the lines that wait already.
 func (w *Writer) flush() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (w *Writer) pass(line []byte) {
+func (w *Writer) writeLine(line []byte) {
 	w.out.Write(line)
 	if n := w.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w.out, "level=WARN msg=\"log lines dropped, nobody read them\" lines=%d\n", n)
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -26,7 +26,7 @@
 func TestWriterNeverWaits(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	w := New(g)
-	const lines = 3 * queueLines
+	const lines = 3 * queueCapacity
 	began := time.Now()
 	for i := range lines {
 		fmt.Fprintf(w, "line %d\n", i)
@@ -40,7 +40,7 @@
 	if got[0] != "line 0" || !strings.Contains(g.text.String(), "log lines dropped") {
 		t.Errorf("first %q of %d lines, no word of those dropped", got[0], len(got))
 	}
-	if n := len(got); n < queueLines || n > queueLines+2 {
+	if n := len(got); n < queueCapacity || n > queueCapacity+2 {
 		t.Errorf("%d lines passed on", n)
 	}
 }
--- a/internal/lab/chart.go
+++ b/internal/lab/chart.go
@@ -21,7 +21,7 @@
 func (l *cluster) note(who, format string, args ...any) {
 	l.chart.mu.Lock()
 	defer l.chart.mu.Unlock()
-	l.chart.events = append(l.chart.events, timeline.Event{At: time.Since(l.start), Who: who, Text: fmt.Sprintf(format, args...)})
+	l.chart.events = append(l.chart.events, timeline.Event{At: time.Since(l.start), Process: who, Text: fmt.Sprintf(format, args...)})
 }
 
 // say adds to a column where it has something new to say.
--- a/internal/lograte/lograte.go
+++ b/internal/lograte/lograte.go
@@ -1,4 +1,4 @@
-// Package lograte logs complaints at a bounded rate: what comes from outside must not fill the log.
+// Package lograte logs warnings at a bounded rate: what comes from outside must not fill the log.
 package lograte
 
 import (
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// every is the least time between two complaints of one kind.
-const every = time.Second
+// minInterval is the least time between two warnings of one kind.
+const minInterval = time.Second
 
-// Limited logs one kind of complaint. Set Log before use. It may be used by several goroutines.
+// Limited logs one kind of warning. Set Log before use. It may be used by several goroutines.
 type Limited struct {
 	Log *slog.Logger
 
-	mu      sync.Mutex
-	at      time.Time
-	skipped int
+	mu         sync.Mutex
+	lastLogged time.Time
+	skipped    int
 }
 
-// Warn logs a complaint with the number of those skipped since the last one, or skips it if one was logged just now.
+// Warn logs a warning with the number of those skipped since the last one, or skips it within minInterval of that.
 func (l *Limited) Warn(msg string, args ...any) {
 	l.mu.Lock()
 	now := time.Now()
-	if now.Sub(l.at) < every {
+	if now.Sub(l.lastLogged) < minInterval {
 		l.skipped++
 		l.mu.Unlock()
 		return
 	}
 	skipped := l.skipped
-	l.at, l.skipped = now, 0
+	l.lastLogged, l.skipped = now, 0
 	l.mu.Unlock()
 	l.Log.Warn(msg, append(args, "skipped", skipped)...)
 }
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,5 +1,5 @@
 // Package monotime is the clock for spans of time: deadlines, windows, waits and graces. It follows the monotonic clock
-// alone, which runs on whatever becomes of the wall clock, and its type cannot be mixed with a wall time.
+// alone, which a step of the wall clock does not touch, and its type cannot be mixed with a wall time.
 //
 // A time.Time holds a monotonic reading too, but loses it where it is turned into a number: time.Unix(0, t.UnixNano()) is a
 // wall time. An Instant is a number to begin with, so it can be kept in an atomic.
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -4,6 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -32,19 +33,33 @@
 // wallClockCalls are what loses the monotonic reading of a time.
 var wallClockCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Round": true, "Truncate": true}
 
+// wallClockPackages are those that serve nobody: they play experiments, or truncate durations only.
+var wallClockPackages = map[string]bool{"lab": true, "monotime": true, "sysfault": true, "timeline": true}
+
 // No span of time in the packages that serve is kept as a figure of the wall clock.
 func TestSpansAreKeptOffTheWallClock(t *testing.T) {
-	for _, dir := range []string{"accept", "admin", "fleet", "lease", "lograte", "node", "registry", "rota"} {
-		files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
-		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", dir, len(files), err)
+	checked := map[string]bool{} // by the first folder below internal
+	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		name, _ := filepath.Rel("..", path)
+		folder, _, _ := strings.Cut(filepath.ToSlash(name), "/")
+		name = "internal/" + filepath.ToSlash(name)
+		switch {
+		case err != nil:
+			return err
+		case wallClockPackages[folder] || wallClockFiles[name]:
+			return nil
+		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
+			checked[folder] = true
+			checkFile(t, name, path)
 		}
-		for _, file := range files {
-			name := "internal/" + dir + "/" + filepath.Base(file)
-			if strings.HasSuffix(file, "_test.go") || wallClockFiles[name] {
-				continue
-			}
-			checkFile(t, name, file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, folder := range []string{"accept", "admin", "fleet", "lease", "lograte", "maintenance", "node", "registry"} {
+		if !checked[folder] {
+			t.Errorf("no file of %s was checked", folder)
 		}
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -132,7 +132,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	successors := accept.NewListener(l, accept.LogTo(n.log, "hand-over"))
+	successors := accept.NewListener(l, accept.LogRetries(n.log, "hand-over"))
 	for ctx.Err() == nil {
 		accepted, err := successors.Accept()
 		if err != nil {
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -43,7 +43,7 @@
 
 // logFailures has the listener log, at a bounded rate, failed calls of accept. It is called before the first Accept.
 func (l *boundedListener) logFailures(log *slog.Logger) {
-	l.retry.Failed = accept.LogTo(log, "clients")
+	l.retry.OnRetry = accept.LogRetries(log, "clients")
 }
 
 // held is how many connections are open.
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -108,7 +108,7 @@
 
 // retrying has a listener wait out errors of accept that pass, and log them at a bounded rate.
 func retrying(ln net.Listener, log *slog.Logger) net.Listener {
-	return accept.NewListener(ln, accept.LogTo(log, "registry"))
+	return accept.NewListener(ln, accept.LogRetries(log, "registry"))
 }
 
 // fail answers with an error: its code, what failed and on what, and what an operator can do. An error that has no code
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -11,7 +11,7 @@
 	"unicode/utf8"
 )
 
-// Faults is the column of what the lab or a schedule did.
+// Faults is the column of the faults that the lab or a schedule injected.
 const Faults = "faults"
 
 // Event is something that happened at a process. Events with a Revision, of the registry's state, are ordered by it
@@ -19,12 +19,12 @@
 type Event struct {
 	At       time.Duration // since the start of the run, on one clock
 	Revision int64         // 0: none
-	Who      string        // a column
+	Process  string        // a column
 	Text     string
 }
 
-// quiet is how long nothing has to happen for a line that says so.
-const quiet = time.Second
+// minIdleGap is how long nothing has to happen for a line that says so.
+const minIdleGap = time.Second
 
 // Merge orders events: those with a revision by it, each taken up at the latest time that an earlier revision has; all
 // by time, then in the order given.
@@ -61,8 +61,8 @@
 	events = Merge(events)
 	columns = slices.Clone(columns)
 	for _, e := range events {
-		if e.Who != Faults && !slices.Contains(columns, e.Who) {
-			columns = append(columns, e.Who)
+		if e.Process != Faults && !slices.Contains(columns, e.Process) {
+			columns = append(columns, e.Process)
 		}
 	}
 	columns = append(slices.DeleteFunc(columns, func(c string) bool { return c == Faults }), Faults)
@@ -76,7 +76,7 @@
 		width[i] = utf8.RuneCountInString(c)
 	}
 	for _, e := range events {
-		col, at := slices.Index(columns, e.Who), e.At.Truncate(time.Millisecond)
+		col, at := slices.Index(columns, e.Process), e.At.Truncate(time.Millisecond)
 		if n := len(lines); n == 0 || lines[n-1].at != at || lines[n-1].cells[col] != "" {
 			lines = append(lines, line{at, make([]string, len(columns))})
 		}
@@ -94,7 +94,7 @@
 	}
 	row("s", columns)
 	for i, l := range lines {
-		if i > 0 && l.at-lines[i-1].at >= quiet {
+		if i > 0 && l.at-lines[i-1].at >= minIdleGap {
 			fmt.Fprintf(&b, "%9s  (%.1f s of quiet)\n", "", (l.at - lines[i-1].at).Seconds())
 		}
 		row(fmt.Sprintf("%.3f", l.at.Seconds()), l.cells)
@@ -103,26 +103,26 @@
 }
 
 // First is the first event of a process whose text has the given beginning, from a time on; false where there is none.
-func First(events []Event, who, text string, from time.Duration) (Event, bool) {
+func First(events []Event, process, prefix string, since time.Duration) (Event, bool) {
 	for _, e := range Merge(events) {
-		if e.Who == who && e.At >= from && strings.HasPrefix(e.Text, text) {
+		if e.Process == process && e.At >= since && strings.HasPrefix(e.Text, prefix) {
 			return e, true
 		}
 	}
 	return Event{}, false
 }
 
-// Between tells whether any event for which is holds stands after the first event a and before the first event b that
+// Between tells whether an event that matches stands after the first start event and before the first end event that
 // follows it, in the merged order.
-func Between(events []Event, a, b, is func(Event) bool) bool {
+func Between(events []Event, isStart, isEnd, matches func(Event) bool) bool {
 	open := false
 	for _, e := range Merge(events) {
 		switch {
 		case !open:
-			open = a(e)
-		case b(e):
+			open = isStart(e)
+		case isEnd(e):
 			return false
-		case is(e):
+		case matches(e):
 			return true
 		}
 	}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -13,13 +13,13 @@
 
 func sample() []Event {
 	return []Event{
-		{At: 10 * ms, Revision: 1, Who: "node-0", Text: "session 1"},
-		{At: 8 * ms, Revision: 2, Who: "node-1", Text: "session 1"}, // its clock reads early: revisions order it
-		{At: 1500 * ms, Who: Faults, Text: "pause node-1"},
-		{At: 2100 * ms, Who: "node-0", Text: "fresh 1 of 2"},
-		{At: 2100*ms + 300*time.Microsecond, Who: "registry-0", Text: "view 1.21"},
-		{At: 2100*ms + 900*time.Microsecond, Who: "node-0", Text: "alone"},
-		{At: 2400 * ms, Revision: 3, Who: "registry-0", Text: "expires node-1"},
+		{At: 10 * ms, Revision: 1, Process: "node-0", Text: "session 1"},
+		{At: 8 * ms, Revision: 2, Process: "node-1", Text: "session 1"}, // its clock reads early: revisions order it
+		{At: 1500 * ms, Process: Faults, Text: "pause node-1"},
+		{At: 2100 * ms, Process: "node-0", Text: "fresh 1 of 2"},
+		{At: 2100*ms + 300*time.Microsecond, Process: "registry-0", Text: "view 1.21"},
+		{At: 2100*ms + 900*time.Microsecond, Process: "node-0", Text: "alone"},
+		{At: 2400 * ms, Revision: 3, Process: "registry-0", Text: "expires node-1"},
 	}
 }
 
@@ -45,14 +45,14 @@
 			last = e.Revision
 		}
 	}
-	if len(got) != len(sample()) || last != 3 || got[1].Who != "node-1" {
+	if len(got) != len(sample()) || last != 3 || got[1].Process != "node-1" {
 		t.Errorf("%+v", got)
 	}
 }
 
 func TestQuestions(t *testing.T) {
 	is := func(who, text string) func(Event) bool {
-		return func(e Event) bool { return e.Who == who && strings.HasPrefix(e.Text, text) }
+		return func(e Event) bool { return e.Process == who && strings.HasPrefix(e.Text, text) }
 	}
 	if e, ok := First(sample(), "node-0", "fresh", 1500*ms); !ok || e.At != 2100*ms {
 		t.Errorf("%+v %v", e, ok)
