--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -123,7 +123,7 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(raw.Known) > 0 && !bytes.Equal(raw.Known, []byte("null")) {
-		if cfg.Known, err = parseList(raw.Known, cfg.Settings); err != nil {
+		if cfg.Known, err = ParseList(raw.Known, cfg.Settings); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -19,20 +19,20 @@
 )
 
 // followed starts following a registry, and returns the lists that come and a count of failed calls.
-func followed(t *testing.T, addr string, change func(*discovery)) (<-chan List, *atomic.Int64) {
+func followed(t *testing.T, addr string, change func(*Client)) (<-chan List, *atomic.Int64) {
 	t.Helper()
 	names, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	lists, lost := make(chan List, 64), new(atomic.Int64)
-	d := newDiscovery(addr, nil, names, quiet(), func(l List) { lists <- l }, func() { lost.Add(1) })
+	d := NewClient(addr, nil, names, quiet(), func(l List) { lists <- l }, func() { lost.Add(1) })
 	if change != nil {
 		change(d)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { d.run(ctx); close(ended) }()
+	go func() { d.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	return lists, lost
 }
@@ -75,7 +75,7 @@
 	if err := json.Indent(&indented, []byte(listText(41, true, listed{"s", "127.0.0.1:1", "ready", 5})), "\r\n", "\t"); err != nil {
 		t.Fatal(err)
 	}
-	l, err := parseList(indented.Bytes(), names)
+	l, err := ParseList(indented.Bytes(), names)
 	if err != nil || l.Revision != 41 || !l.Complete || len(l.Members) != 1 || l.Members[0].StartedAt != 5*time.Millisecond {
 		t.Fatalf("%v: %+v", err, l)
 	}
@@ -127,7 +127,7 @@
 			}
 		}
 	})
-	lists, lost := followed(t, b.Addr().String(), func(d *discovery) { d.patient = time.Second })
+	lists, lost := followed(t, b.Addr().String(), func(d *Client) { d.fullListTimeout = time.Second })
 	if l := receive(t, "the list", lists); l.Revision != 7 || lost.Load() != 3 {
 		t.Errorf("lost %d, then %+v", lost.Load(), l)
 	}
@@ -138,10 +138,10 @@
 	reg := newRegistry(t, listText(1, true))
 	var slow atomic.Bool
 	slow.Store(true)
-	followed(t, reg.addr, func(d *discovery) {
-		d.news = func(List) {
+	followed(t, reg.addr, func(d *Client) {
+		d.onList = func(List) {
 			if slow.Swap(false) {
-				time.Sleep(2 * watchGap)
+				time.Sleep(2 * maxWatchGap)
 			}
 		}
 	})
@@ -155,7 +155,7 @@
 func TestDiscoveryIsAskedOnTheModulesBehalf(t *testing.T) {
 	reg := newRegistry(t, listText(1, true, listed{"s", "127.0.0.1:1", "ready", 0}))
 	asked := make(chan balance.ActionKind, 16)
-	lists, _ := followed(t, reg.addr, func(d *discovery) { d.asked = asked })
+	lists, _ := followed(t, reg.addr, func(d *Client) { d.requests = asked })
 	select {
 	case <-lists:
 		t.Fatal("called unasked")
@@ -238,19 +238,19 @@
 	for _, onBehalf := range []bool{false, true} {
 		before := newRegistry(t, listText(90, true, listed{"s", "127.0.0.1:1", "ready", 0}))
 		after := newRegistry(t, listText(3, true, listed{"s", "127.0.0.1:2", "ready", 0}))
-		var d *discovery
-		lists, lost := followed(t, before.addr, func(made *discovery) {
+		var d *Client
+		lists, lost := followed(t, before.addr, func(made *Client) {
 			d = made
 			if onBehalf {
-				d.asked = make(chan balance.ActionKind, 16)
-				d.asked <- balance.WatchEndpoints
+				d.requests = make(chan balance.ActionKind, 16)
+				d.requests <- balance.WatchEndpoints
 			}
 		})
 		receive(t, "the first list", lists)
 		eventually(t, "a watch", func() bool { return len(before.asked()) > 1 })
-		d.move(after.addr)
+		d.SetAddress(after.addr)
 		l := awaitList(t, "the list at the new address", lists, func(l List) bool { return l.Complete })
-		if l.Revision != 3 || l.Members[0].Addr != "127.0.0.1:2" {
+		if l.Revision != 3 || l.Members[0].Address != "127.0.0.1:2" {
 			t.Errorf("got %+v", l)
 		}
 		asked := len(before.asked())
@@ -308,7 +308,7 @@
 	lagging := newRegistry(t, listText(30, true))
 	lagging.next <- listText(30, false)
 	lagging.next <- listText(44, false, listed{"s", "127.0.0.1:1", "draining", 0})
-	lists, lost := followed(t, first.addr, func(d *discovery) { d.replicas = []string{first.addr, lagging.addr} })
+	lists, lost := followed(t, first.addr, func(d *Client) { d.replicas = []string{first.addr, lagging.addr} })
 	if l := receive(t, "the whole list", lists); l.Revision != 41 {
 		t.Fatalf("%+v", l)
 	}
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	n.disco.mu.Lock()
-	o := offer{Discovery: n.disco.addr, List: list}
+	o := offer{Discovery: n.disco.address, List: list}
 	n.disco.mu.Unlock()
 	text, err := json.Marshal(o)
 	if err != nil {
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -74,7 +74,7 @@
 	if h.old == nil || len(h.offered.List) == 0 {
 		return List{}, false
 	}
-	list, err := parseList(h.offered.List, cfg.Settings)
+	list, err := ParseList(h.offered.List, cfg.Settings)
 	if err != nil {
 		h.log.Error("the list of the running process can't be read", "error", err)
 		return List{}, false
--- a/internal/node/heard_test.go
+++ b/internal/node/heard_test.go
@@ -96,18 +96,18 @@
 	var heard atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	o := &outage{from: from, until: from.Add(lasts), fault: fault}
-	d := newDiscovery("127.0.0.1:1", nil, names, quiet(), func(list List) {
+	d := NewClient("127.0.0.1:1", nil, names, quiet(), func(list List) {
 		if list.Members[0].Phase == balance.Draining {
 			heard.CompareAndSwap(0, int64(time.Since(o.until)))
 		}
 		l.post(func() { l.list(balance.ListChanges, list) })
 	}, func() { l.post(func() { l.handle(balance.DiscoveryFailed{}) }) })
-	d.http = &http.Client{Transport: o}
-	l.askAbout = d.ask
+	d.httpClient = &http.Client{Transport: o}
+	l.askAbout = d.Request
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() { l.run(ctx.Done()); ended <- struct{}{} }()
-	go func() { d.run(ctx); ended <- struct{}{} }()
+	go func() { d.Run(ctx); ended <- struct{}{} }()
 	l.post(func() { l.list(balance.CachedList, List{Complete: true}) })
 	time.Sleep(time.Until(o.until) + 30*time.Second)
 	cancel()
@@ -129,9 +129,9 @@
 			}
 			names.Config.PollDiscovery = asks
 			lost, calls := make(chan struct{}, 64), make(chan string, 64)
-			d := newDiscovery("127.0.0.1:1", nil, names, quiet(), func(List) {}, func() { lost <- struct{}{} })
-			d.have, d.after = true, 90
-			d.http = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+			d := NewClient("127.0.0.1:1", nil, names, quiet(), func(List) {}, func() { lost <- struct{}{} })
+			d.resumable, d.revision = true, 90
+			d.httpClient = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 				if r.URL.Host == "127.0.0.1:1" {
 					return nil, errors.New("refused")
 				}
@@ -141,13 +141,13 @@
 			})}
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
-			go func() { d.run(ctx); close(ended) }()
+			go func() { d.Run(ctx); close(ended) }()
 			if asks {
-				d.ask(balance.WatchEndpoints)
+				d.Request(balance.WatchEndpoints)
 			}
 			<-lost
 			synctest.Wait()
-			d.move("127.0.0.1:2")
+			d.SetAddress("127.0.0.1:2")
 			moved := time.Now()
 			if query := <-calls; query != "" || time.Since(moved) > 0 {
 				t.Errorf("asks=%v: asked for %q after %v", asks, query, time.Since(moved))
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -28,10 +28,10 @@
 			b = &backend{number: balance.EndpointID(len(l.byNumber)), id: m.ID}
 			l.backends[m.ID] = b
 			l.byNumber = append(l.byNumber, b)
-			l.log.Info("backend named", "number", b.number, "id", b.id, "address", m.Addr)
+			l.log.Info("backend named", "number", b.number, "id", b.id, "address", m.Address)
 			l.cordon(b, l.cordons.Backends[b.id])
 		}
-		to := endpoint{m.Addr, m.StartedAt}
+		to := endpoint{m.Address, m.StartedAt}
 		if m.Phase == balance.Removed {
 			to = b.to // where it was
 		}
@@ -41,7 +41,7 @@
 		if restarted := b.to.launched != to.launched; fresh || restarted {
 			b.start = l.startOf(to.launched)
 		}
-		b.to, b.phase, b.line = to, m.Phase, m.Line
+		b.to, b.phase, b.line = to, m.Phase, m.Raw
 		line := m.Endpoint
 		line.ID, line.StartedAt = b.number, b.start
 		members = append(members, line)
--- a/internal/node/listtext.go
+++ b/internal/node/listtext.go
@@ -24,18 +24,18 @@
 
 // Member is one backend in a List.
 type Member struct {
-	ID   string
-	Addr string
-	Line json.RawMessage // as it was told
+	ID      string
+	Address string
+	Raw     json.RawMessage // as it was told
 	balance.Endpoint
 }
 
 // errMalformed is the error of an answer that can't be read as a list.
-var errMalformed = errors.New("malformed list")
+var ErrMalformed = errors.New("malformed list")
 
 // parseList decodes a list as discovery words it. One malformed entry spoils the whole list: half a list
 // could hide a drain.
-func parseList(text []byte, names siteconfig.Settings) (List, error) {
+func ParseList(text []byte, names siteconfig.Settings) (List, error) {
 	var raw struct {
 		Revision *int64            `json:"revision"`
 		Complete bool              `json:"complete"`
@@ -78,7 +78,7 @@
 		if m.Size != nil {
 			weight = *m.Size
 		}
-		list.Members = append(list.Members, Member{ID: m.ID, Addr: m.HostPort, Line: line, Endpoint: balance.Endpoint{
+		list.Members = append(list.Members, Member{ID: m.ID, Address: m.HostPort, Raw: line, Endpoint: balance.Endpoint{
 			// An unknown locality is some other one than ours.
 			Zone: slices.Index(names.Zones, m.Locality), Cell: m.Cell, MachineKind: slices.Index(names.Kinds, m.Flavor),
 			Weight: weight, StartedAt: time.Duration(m.Up) * time.Millisecond, Phase: balance.Phase(phase),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 	pool     *pool
 	loop     *loop
 	front    *front
-	disco    *discovery
+	disco    *Client
 	figures  *figures
 	metrics  *metrics
 	clients  int           // connections of clients, over all processes of the node
@@ -79,7 +79,7 @@
 	n.loop.back.kept = n.front.kept
 	n.front.most = min(n.front.most, int64(n.backends))
 	n.front.large = cfg.Admin != ""
-	n.disco = newDiscovery(cfg.Discovery, cfg.Registry, cfg.Settings, log,
+	n.disco = NewClient(cfg.Discovery, cfg.Registry, cfg.Settings, log,
 		func(list List) {
 			kind := balance.ListChanges
 			if list.Complete {
@@ -89,11 +89,11 @@
 			n.loop.post(func() { n.loop.list(kind, list) })
 		},
 		func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) })
-	n.disco.have, n.disco.after = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
-	n.disco.timed = n.metrics.called
+	n.disco.resumable, n.disco.revision = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
+	n.disco.onCall = n.metrics.called
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
-	n.loop.askAbout = n.disco.ask
-	n.loop.askedOf = func() int64 { return n.disco.calls.Swap(0) }
+	n.loop.askAbout = n.disco.Request
+	n.loop.askedOf = func() int64 { return n.disco.callCount.Swap(0) }
 	if cfg.PeerListen != "" {
 		n.peers, err = accept.Open(func() (*peers, error) { return listenPeers(&cfg) }, n.waitsFor(cfg.PeerListen))
 		if err != nil {
@@ -167,7 +167,7 @@
 // else is fixed at the start.
 func (n *Node) Reload(cfg Config) {
 	n.log.Info("configuration replaced", "discovery", cfg.Discovery)
-	n.disco.move(cfg.Discovery)
+	n.disco.SetAddress(cfg.Discovery)
 }
 
 // Run serves until ctx ends, then answers all that it has taken and returns.
@@ -191,7 +191,7 @@
 	n.loop.list(balance.CachedList, known)
 	wg.Go(func() { n.loop.run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
-	wg.Go(func() { n.disco.run(work) })
+	wg.Go(func() { n.disco.Run(work) })
 	if n.peers != nil {
 		wg.Go(func() {
 			n.peers.run(work, func(peer int, payload []byte) {
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -43,7 +43,7 @@
 // What a silent watch misses counts as told 6 s after the silence began, or 2 s after the end of its wait if that is
 // later; the drain below is one. The node must have heard of it by then, whichever way lists come. A watch that is only
 // late has no second call beside it.
-func TestSilentWatchIsAskedAnew(t *testing.T) {
+func TestSilentWatchIsHedged(t *testing.T) {
 	const drained = `{"revision":9,"complete":false,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"draining"}]}`
 	first := listText(7, true, listed{"s", "127.0.0.1:1", "ready", 0})
 	for name, tc := range map[string]struct {
@@ -53,9 +53,9 @@
 		beside int           // calls beside the watch
 	}{
 		"pushed, silent": {told: 6 * time.Second, beside: 1},
-		"asked, silent":  {asks: true, told: longWait + 2*time.Second, beside: 1},
-		"pushed, late":   {late: silentAfter - time.Millisecond},
-		"asked, late":    {asks: true, late: silentAfter - time.Millisecond},
+		"asked, silent":  {asks: true, told: pollWatchWait + 2*time.Second, beside: 1},
+		"pushed, late":   {late: silenceTimeout - time.Millisecond},
+		"asked, late":    {asks: true, late: silenceTimeout - time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				names.Config.PollDiscovery = tc.asks
 				var heard time.Duration
 				var start time.Time
-				d := newDiscovery("127.0.0.1:1", nil, names, quiet(), func(l List) {
+				d := NewClient("127.0.0.1:1", nil, names, quiet(), func(l List) {
 					if len(l.Members) == 1 && l.Members[0].Phase == balance.Draining && heard == 0 {
 						heard = time.Since(start)
 					}
@@ -79,7 +79,7 @@
 					case call == 1:
 						start = time.Now()
 						if tc.late > 0 {
-							return d.wait + tc.late, drained
+							return d.watchWait + tc.late, drained
 						}
 						return 0, ""
 					case strings.HasSuffix(query, "wait_ms=0"):
@@ -87,14 +87,14 @@
 					}
 					return 0, ""
 				}
-				d.http = &http.Client{Transport: disco}
+				d.httpClient = &http.Client{Transport: disco}
 				ctx, cancel := context.WithCancel(t.Context())
 				done := make(chan struct{})
-				go func() { d.run(ctx); close(done) }()
+				go func() { d.Run(ctx); close(done) }()
 				if tc.asks {
-					d.asked <- balance.WatchEndpoints
+					d.requests <- balance.WatchEndpoints
 				}
-				time.Sleep(longWait + 4*time.Second)
+				time.Sleep(pollWatchWait + 4*time.Second)
 				cancel()
 				<-done
 				beside := 0
@@ -116,12 +116,12 @@
 func TestSilentDiscoveryIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names, _ := siteconfig.Parse([]byte(testSettings))
-		d := newDiscovery("127.0.0.1:1", nil, names, quiet(), func(List) {}, func() {})
-		d.http = &http.Client{Transport: &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}}
+		d := NewClient("127.0.0.1:1", nil, names, quiet(), func(List) {}, func() {})
+		d.httpClient = &http.Client{Transport: &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}}
 		start := time.Now()
 		const url = "http://127.0.0.1:1/?after=1&wait_ms="
-		_, err := d.callTwice(t.Context(), url+"2000", url+"0", d.wait+silentAfter, d.wait+callSlack)
-		if spent := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || spent != d.wait+silentAfter+callSlack {
+		_, err := d.hedgedGet(t.Context(), url+"2000", url+"0", d.watchWait+silenceTimeout, d.watchWait+responseSlack)
+		if spent := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || spent != d.watchWait+silenceTimeout+responseSlack {
 			t.Errorf("%v after %v", err, spent)
 		}
 	})
@@ -179,8 +179,8 @@
 			var heard atomic.Int64 // since the replica is back, in nanoseconds
 			back := time.Now().Add(time.Minute)
 			replicas := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"}
-			d := newDiscovery(replicas[0], replicas, names, quiet(), func(List) { heard.CompareAndSwap(0, int64(time.Since(back))) }, func() {})
-			d.http = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
+			d := NewClient(replicas[0], replicas, names, quiet(), func(List) { heard.CompareAndSwap(0, int64(time.Since(back))) }, func() {})
+			d.httpClient = &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 				if time.Now().Before(back) || r.URL.Host != replicas[4] {
 					return nil, errors.New("refused")
 				}
@@ -193,11 +193,11 @@
 			})}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { d.run(ctx); close(done) }()
+			go func() { d.Run(ctx); close(done) }()
 			time.Sleep(time.Minute + 20*time.Second)
 			cancel()
 			<-done
-			if took := time.Duration(heard.Load()); took == 0 || took > retryMost*3/2+time.Duration(len(replicas))*retryLeast*3/2 {
+			if took := time.Duration(heard.Load()); took == 0 || took > maxBackoff*3/2+time.Duration(len(replicas))*minBackoff*3/2 {
 				t.Errorf("heard %v after a replica was back", took)
 			}
 		})
