--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,226 @@
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"hitchvale/balance"
+	"hitchvale/internal/discovery/discoverytest"
+)
+
+func TestDiscoveryListsAndThenWatches(t *testing.T) {
+	started := member("ready")
+	started.UpSinceMillis = 1700000000000
+	server := discoverytest.NewServer(t, discoverytest.FormatList(41, true, started))
+	lists, _ := startClient(t, server.Addr, nil)
+	l := receive(t, "the complete list", lists)
+	if !l.Complete || l.Revision != 41 || len(l.Members) != 1 || l.Members[0].Zone != 0 ||
+		l.Members[0].StartedAt != 1700000000000*time.Millisecond {
+		t.Fatalf("%+v", l)
+	}
+	server.Changes <- discoverytest.FormatList(43, false, member("draining"))
+	l = awaitList(t, "the change", lists, func(l List) bool { return len(l.Members) > 0 })
+	if l.Complete || l.Members[0].Phase != balance.Draining {
+		t.Fatalf("%+v", l)
+	}
+	resumed := func(query string) bool { return strings.HasPrefix(query, "after=43&wait_ms=") }
+	eventually(t, "a watch that goes on from there", func() bool {
+		return slices.ContainsFunc(server.Queries(), resumed)
+	})
+}
+
+// A list may come indented, and may be spread over any white space.
+func TestListsMayComeIndented(t *testing.T) {
+	started := member("ready")
+	started.UpSinceMillis = 5
+	text := discoverytest.FormatList(41, true, started)
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, []byte(text), "\r\n", "\t"); err != nil {
+		t.Fatal(err)
+	}
+	l, err := ParseList(indented.Bytes(), testConfig(t, "").Settings)
+	if err != nil || l.Revision != 41 || !l.Complete || len(l.Members) != 1 ||
+		l.Members[0].StartedAt != 5*time.Millisecond {
+		t.Fatalf("%v: %+v", err, l)
+	}
+}
+
+// A malformed list leaves the last good one in place; the complete list is read again.
+func TestMalformedListIsDropped(t *testing.T) {
+	for name, text := range map[string]string{
+		"not JSON":      `{"revision":2,`,
+		"no revision":   `{"complete":false,"members":[]}`,
+		"no id":         `{"revision":2,"members":[{"host_port":"127.0.0.1:1","phase":"ready"}]}`,
+		"unknown phase": `{"revision":2,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"asleep"}]}`,
+		"no address":    `{"revision":2,"members":[{"id":"s","host_port":"here","phase":"ready"}]}`,
+		"time gone by": `{"revision":2,"members":
+			[{"id":"s","host_port":"127.0.0.1:1","phase":"ready","up_since_ms":-5}]}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := discoverytest.NewServer(t, discoverytest.FormatList(1, true, member("ready")))
+			lists, failures := startClient(t, server.Addr, nil)
+			receive(t, "the first list", lists)
+			server.Changes <- text
+			l := awaitList(t, "the complete list again", lists, func(l List) bool { return l.Complete })
+			if failures.Load() == 0 || l.Revision != 1 || len(l.Members) != 1 {
+				t.Errorf("%d failures, then %+v", failures.Load(), l)
+			}
+		})
+	}
+}
+
+// A discovery that is silent, or down, or back at an older version, holds nothing up for good.
+func TestDiscoveryIsReachedAgain(t *testing.T) {
+	var calls atomic.Int64
+	text := discoverytest.FormatList(7, true, member("ready"))
+	addr := serveConnections(t, func(c net.Conn, br *bufio.Reader) {
+		for {
+			if _, err := http.ReadRequest(br); err != nil {
+				return
+			}
+			switch calls.Add(1) {
+			case 1: // silent
+				br.ReadByte()
+				return
+			case 2:
+				reset(c)
+				return
+			case 3:
+				c.Write([]byte("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
+			default:
+				c.Write([]byte(ok200(text)))
+			}
+		}
+	})
+	lists, failures := startClient(t, addr, func(c *Client) { c.fullListTimeout = time.Second })
+	if l := receive(t, "the list", lists); l.Revision != 7 || failures.Load() != 3 {
+		t.Errorf("%d failures, then %+v", failures.Load(), l)
+	}
+}
+
+// When more than the life of a watch has passed between two calls, what changed may be missing.
+func TestLateWatchReadsTheCompleteList(t *testing.T) {
+	server := discoverytest.NewServer(t, discoverytest.FormatList(1, true))
+	var slow atomic.Bool
+	slow.Store(true)
+	startClient(t, server.Addr, func(c *Client) {
+		c.onList = func(List) {
+			if slow.Swap(false) {
+				time.Sleep(2 * maxWatchGap)
+			}
+		}
+	})
+	eventually(t, "two complete lists before the first watch", func() bool {
+		calls := server.Queries()
+		return len(calls) > 2 && calls[0] == "" && calls[1] == "" && calls[2] != ""
+	})
+}
+
+// Where lists are polled, calls are made only on the module's request.
+func TestPollingCallsOnRequestOnly(t *testing.T) {
+	server := discoverytest.NewServer(t, discoverytest.FormatList(1, true, member("ready")))
+	requests := make(chan balance.ActionKind, 16)
+	lists, _ := startClient(t, server.Addr, func(c *Client) { c.requests = requests })
+	select {
+	case <-lists:
+		t.Fatal("called without a request")
+	case <-time.After(50 * time.Millisecond):
+	}
+	requests <- balance.FetchEndpoints
+	receive(t, "the list", lists)
+	if calls := server.Queries(); len(calls) != 1 || calls[0] != "" {
+		t.Fatalf("calls %q", calls)
+	}
+	requests <- balance.WatchEndpoints
+	eventually(t, "a watch", func() bool { return len(server.Queries()) > 2 })
+}
+
+// When discovery moves, the complete list is read at the new address at once, though the old one holds a call open,
+// and what comes from there is watched. The old one is not called again.
+func TestDiscoveryMoves(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		before := discoverytest.NewServer(t, discoverytest.FormatList(90, true, member("ready")))
+		elsewhere := discoverytest.Member{ID: "s", Address: "127.0.0.1:2", Phase: "ready"}
+		after := discoverytest.NewServer(t, discoverytest.FormatList(3, true, elsewhere))
+		var c *Client
+		lists, failures := startClient(t, before.Addr, func(made *Client) {
+			c = made
+			if polled {
+				made.requests = make(chan balance.ActionKind, 16)
+				made.requests <- balance.WatchEndpoints
+			}
+		})
+		receive(t, "the first list", lists)
+		eventually(t, "a watch", func() bool { return len(before.Queries()) > 1 })
+		c.SetAddress(after.Addr)
+		l := awaitList(t, "the list at the new address", lists, func(l List) bool { return l.Complete })
+		if l.Revision != 3 || l.Members[0].Address != "127.0.0.1:2" {
+			t.Errorf("got %+v", l)
+		}
+		calls := len(before.Queries())
+		elsewhere.Phase = "draining"
+		after.Changes <- discoverytest.FormatList(4, false, elsewhere)
+		awaitList(t, "a change there", lists, func(l List) bool { return l.Revision == 4 })
+		if n := len(before.Queries()); n != calls || failures.Load() != 0 {
+			t.Errorf("the old address was called %d times more, %d calls failed", n-calls, failures.Load())
+		}
+	}
+}
+
+// A call that is queued at discovery keeps its place: one that was given up would have been served all the same.
+func TestQueuedCallIsNotAbandoned(t *testing.T) {
+	var calls atomic.Int64
+	text := discoverytest.FormatList(7, true, member("ready"))
+	addr := serveConnections(t, func(c net.Conn, br *bufio.Reader) {
+		for {
+			if _, err := http.ReadRequest(br); err != nil {
+				return
+			}
+			if calls.Add(1) == 1 {
+				time.Sleep(1500 * time.Millisecond)
+			}
+			c.Write([]byte(ok200(text)))
+		}
+	})
+	lists, failures := startClient(t, addr, nil)
+	if receive(t, "the list", lists); failures.Load() != 0 {
+		t.Errorf("%d calls were given up", failures.Load())
+	}
+}
+
+// With replicas, a failed call moves to the next one and the watch goes on from the revision held; a lagging
+// replica's older list is refused, never taken.
+func TestReplicaFailoverNeverGoesBack(t *testing.T) {
+	first := discoverytest.NewServer(t, discoverytest.FormatList(41, true, member("ready")))
+	lagging := discoverytest.NewServer(t, discoverytest.FormatList(30, true))
+	lagging.Changes <- discoverytest.FormatList(30, false)
+	lagging.Changes <- discoverytest.FormatList(44, false, member("draining"))
+	lists, failures := startClient(t, first.Addr, func(c *Client) { c.replicas = []string{first.Addr, lagging.Addr} })
+	if l := receive(t, "the complete list", lists); l.Revision != 41 {
+		t.Fatalf("%+v", l)
+	}
+	first.Server.Close()
+	l := awaitList(t, "the change at the other replica", lists, func(l List) bool {
+		if l.Revision < 41 {
+			t.Fatalf("went back to %d", l.Revision)
+		}
+		return len(l.Members) > 0
+	})
+	if l.Revision != 44 || l.Members[0].Phase != balance.Draining {
+		t.Fatalf("%+v", l)
+	}
+	if failures.Load() < 2 {
+		t.Fatalf("%d failed calls: the first replica's end and the lagging answer", failures.Load())
+	}
+	if queries := lagging.Queries(); len(queries) == 0 || !strings.HasPrefix(queries[0], "after=41&") {
+		t.Fatalf("the other replica was called with %q", queries)
+	}
+}
--- /dev/null
+++ b/internal/discovery/silence_test.go
@@ -0,0 +1,172 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"hitchvale/balance"
+	"hitchvale/internal/discovery/discoverytest"
+)
+
+// scripted is discovery as a function of each call's number and query; an answer "" never comes.
+type scripted struct {
+	mu      sync.Mutex
+	queries []string
+	answer  func(call int, query string) (after time.Duration, text string)
+}
+
+func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+	s.mu.Lock()
+	n := len(s.queries)
+	s.queries = append(s.queries, r.URL.RawQuery)
+	s.mu.Unlock()
+	after, text := s.answer(n, r.URL.RawQuery)
+	if text == "" {
+		after = time.Hour
+	}
+	select {
+	case <-r.Context().Done():
+		return nil, r.Context().Err()
+	case <-time.After(after):
+	}
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
+}
+
+// A change that a silent watch misses counts as notified 6 s after the silence began, or 2 s after the end of its wait
+// if that is later; the drain below is one. It must be passed on by then, whichever way lists come. A watch that is
+// only late is not hedged.
+func TestSilentWatchIsHedged(t *testing.T) {
+	const drained = `{"revision":9,"complete":false,"members":
+		[{"id":"s","host_port":"127.0.0.1:1","phase":"draining"}]}`
+	first := discoverytest.FormatList(7, true, member("ready"))
+	for name, tc := range map[string]struct {
+		polled bool
+		late   time.Duration // of the watch's answer, past its wait; 0: never
+		within time.Duration // from the watch's start, when its silence began
+		hedged int           // hedged calls
+	}{
+		"pushed, silent": {within: 6 * time.Second, hedged: 1},
+		"polled, silent": {polled: true, within: pollWatchWait + 2*time.Second, hedged: 1},
+		"pushed, late":   {late: silenceTimeout - time.Millisecond},
+		"polled, late":   {polled: true, late: silenceTimeout - time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cfg := testConfig(t, "127.0.0.1:1")
+				cfg.Settings.Config.PollDiscovery = tc.polled
+				var notified time.Duration
+				var start time.Time
+				service := &scripted{}
+				cfg.Transport = service
+				cfg.OnList = func(l List) {
+					if len(l.Members) == 1 && l.Members[0].Phase == balance.Draining && notified == 0 {
+						notified = time.Since(start)
+					}
+				}
+				c := NewClient(cfg)
+				service.answer = func(call int, query string) (time.Duration, string) {
+					switch {
+					case call == 0:
+						return 0, first
+					case call == 1:
+						start = time.Now()
+						if tc.late > 0 {
+							return c.watchWait + tc.late, drained
+						}
+						return 0, ""
+					case strings.HasSuffix(query, "wait_ms=0"):
+						return 100 * time.Millisecond, drained
+					}
+					return 0, ""
+				}
+				ctx, cancel := context.WithCancel(t.Context())
+				done := make(chan struct{})
+				go func() {
+					c.Run(ctx)
+					close(done)
+				}()
+				if tc.polled {
+					c.requests <- balance.WatchEndpoints
+				}
+				time.Sleep(pollWatchWait + 4*time.Second)
+				cancel()
+				<-done
+				hedged := 0
+				for _, q := range service.queries {
+					if q == "after=7&wait_ms=0" {
+						hedged++
+					}
+				}
+				if notified == 0 || tc.late == 0 && notified > tc.within || hedged != tc.hedged {
+					t.Errorf("notified of the drain after %v, want %v at most; %d hedged calls, want %d: %q",
+						notified, tc.within, hedged, tc.hedged, service.queries)
+				}
+			})
+		})
+	}
+}
+
+// A discovery that answers nothing fails a call once, for the watch and the hedged call together.
+func TestSilentDiscoveryFailsTheCall(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cfg := testConfig(t, "127.0.0.1:1")
+		cfg.Transport = &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}
+		cfg.Known = List{Revision: 1, Members: []Member{{ID: "s"}}}
+		c := NewClient(cfg)
+		c.position.listReceived = true
+		start := time.Now()
+		_, err := c.hedgedGet(t.Context(), "http://127.0.0.1:1/", c.watchRead())
+		want := c.watchWait + silenceTimeout + responseSlack
+		if spent := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || spent != want {
+			t.Errorf("%v after %v", err, spent)
+		}
+	})
+}
+
+// Through a long outage the client calls all replicas, backs off, and calls all again: once one is back its list comes
+// after one backoff at the most, and not after one for each replica that is still down.
+func TestRecoveredReplicaIsFoundAfterOneBackoff(t *testing.T) {
+	for range 20 { // waits are drawn
+		synctest.Test(t, func(t *testing.T) {
+			var notified atomic.Int64 // since the replica is back, in nanoseconds
+			back := time.Now().Add(time.Minute)
+			replicas := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"}
+			cfg := testConfig(t, replicas[0])
+			cfg.Replicas = replicas
+			cfg.OnList = func(List) { notified.CompareAndSwap(0, int64(time.Since(back))) }
+			cfg.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
+				if time.Now().Before(back) || r.URL.Host != replicas[4] {
+					return nil, errors.New("refused")
+				}
+				if r.URL.RawQuery != "" { // a watch: nothing is new
+					<-r.Context().Done()
+					return nil, r.Context().Err()
+				}
+				text := discoverytest.FormatList(1, true, member("ready"))
+				return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
+			})
+			c := NewClient(cfg)
+			ctx, cancel := context.WithCancel(t.Context())
+			done := make(chan struct{})
+			go func() {
+				c.Run(ctx)
+				close(done)
+			}()
+			time.Sleep(time.Minute + 20*time.Second)
+			cancel()
+			<-done
+			most := maxBackoff*3/2 + time.Duration(len(replicas))*minBackoff*3/2
+			if took := time.Duration(notified.Load()); took == 0 || took > most {
+				t.Errorf("notified %v after a replica was back", took)
+			}
+		})
+	}
+}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,6 +9,7 @@
 	"os"
 	"strconv"
 
+	"hitchvale/internal/discovery"
 	"hitchvale/internal/siteconfig"
 )
 
@@ -25,7 +26,7 @@
 	PeerListen string
 	Peers      []string
 	PeersAll   string
-	Known      List
+	Known      discovery.List
 	Settings   siteconfig.Settings
 	Fleet      *FleetConfig // nil: this node has no part in the fleet's view
 }
@@ -123,7 +124,7 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(raw.Known) > 0 && !bytes.Equal(raw.Known, []byte("null")) {
-		if cfg.Known, err = ParseList(raw.Known, cfg.Settings); err != nil {
+		if cfg.Known, err = discovery.ParseList(raw.Known, cfg.Settings); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -17,6 +17,8 @@
 const (
 	// fleetTop is how many heavy tenants a report names.
 	fleetTop = 8
+	// fleetDialTimeout bounds connecting to a replica of the registry.
+	fleetDialTimeout = time.Second
 	// fleetAsk bounds how long a report waits for the loop.
 	fleetAsk = 500 * time.Millisecond
 )
@@ -41,7 +43,7 @@
 	c := n.cfg.Fleet
 	p := &fleetPart{n: n, conns: map[net.Conn]string{}, work: fleet.NewSketch(c.Tenants), at: time.Now(), cpu: processTime(),
 		http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: 10 * time.Second,
-			DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext}}}
+			DialContext: (&net.Dialer{Timeout: fleetDialTimeout}).DialContext}}}
 	interval := time.Duration(c.IntervalMs) * time.Millisecond
 	client := &fleet.Client{Replicas: c.Registry, HTTP: p.http}
 	p.agent = fleet.NewAgent(fleet.AgentConfig{Node: n.cfg.Name, Site: c.Site, Address: n.cfg.Listen, Interval: interval,
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -77,9 +77,7 @@
 	if err := n.loop.ask(ctx, func() { list = n.loop.listed() }); err != nil {
 		return err
 	}
-	n.disco.mu.Lock()
-	o := offer{Discovery: n.disco.address, List: list}
-	n.disco.mu.Unlock()
+	o := offer{Discovery: n.discovery.Address(), List: list}
 	text, err := json.Marshal(o)
 	if err != nil {
 		return err
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/discovery"
 )
 
 // This file is the side of the process that takes the node over.
@@ -70,14 +71,14 @@
 }
 
 // list returns the list of backends of the old process: what this one is told at its start may be old.
-func (h *handover) list(cfg Config) (List, bool) {
+func (h *handover) list(cfg Config) (discovery.List, bool) {
 	if h.old == nil || len(h.offered.List) == 0 {
-		return List{}, false
+		return discovery.List{}, false
 	}
-	list, err := ParseList(h.offered.List, cfg.Settings)
+	list, err := discovery.ParseList(h.offered.List, cfg.Settings)
 	if err != nil {
 		h.log.Error("the list of the running process can't be read", "error", err)
-		return List{}, false
+		return discovery.List{}, false
 	}
 	if h.offered.Discovery != cfg.Discovery {
 		list.Revision = cfg.Known.Revision // another discovery may number its lists in another way
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/discovery"
 )
 
 // This file passes on what one process of a node has learned to the next.
@@ -18,19 +19,13 @@
 
 // listed words the list of backends in discovery's form.
 func (l *loop) listed() []byte {
-	var list struct {
-		Revision int64             `json:"revision"`
-		Complete bool              `json:"complete"`
-		Members  []json.RawMessage `json:"members"`
-	}
-	list.Revision, list.Complete, list.Members = l.revision, true, []json.RawMessage{}
+	var members []json.RawMessage
 	for _, b := range l.byNumber {
 		if b.phase != balance.Removed {
-			list.Members = append(list.Members, b.line)
+			members = append(members, b.line)
 		}
 	}
-	text, _ := json.Marshal(list) // each line has been read from JSON
-	return text
+	return discovery.FormatList(l.revision, members)
 }
 
 // remember returns what the module has learned.
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -4,12 +4,13 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/discovery"
 )
 
 // This file takes in lists of backends, and what is out by hand.
 
 // list takes in what discovery says.
-func (l *loop) list(kind balance.ListKind, list List) {
+func (l *loop) list(kind balance.ListKind, list discovery.List) {
 	if len(list.Members) > 0 {
 		l.log.Info("list of backends", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,6 +16,7 @@
 	"hitchvale/balance"
 	"hitchvale/internal/accept"
 	"hitchvale/internal/admin"
+	"hitchvale/internal/discovery"
 	"hitchvale/internal/siteconfig"
 )
 
@@ -31,22 +32,22 @@
 
 // Node is one node. New opens its sockets, Run serves.
 type Node struct {
-	cfg      Config
-	log      *slog.Logger
-	listener *boundedListener
-	peers    *peers
-	pool     *pool
-	loop     *loop
-	front    *front
-	disco    *Client
-	figures  *figures
-	metrics  *metrics
-	clients  int           // connections of clients, over all processes of the node
-	backends int           // and to backends
-	admin    *admin.Server // nil: none is told
-	cordons  *cordonFile   // where there is an admin
-	handover *handover     // likewise
-	fleet    *fleetPart    // where the configuration has a part in the fleet
+	cfg       Config
+	log       *slog.Logger
+	listener  *boundedListener
+	peers     *peers
+	pool      *pool
+	loop      *loop
+	front     *front
+	discovery *discovery.Client
+	figures   *figures
+	metrics   *metrics
+	clients   int           // connections of clients, over all processes of the node
+	backends  int           // and to backends
+	admin     *admin.Server // nil: none is told
+	cordons   *cordonFile   // where there is an admin
+	handover  *handover     // likewise
+	fleet     *fleetPart    // where the configuration has a part in the fleet
 
 	firstList time.Duration // how long Run waits for a pushed list before the node is ready without
 }
@@ -79,21 +80,19 @@
 	n.loop.back.kept = n.front.kept
 	n.front.most = min(n.front.most, int64(n.backends))
 	n.front.large = cfg.Admin != ""
-	n.disco = NewClient(cfg.Discovery, cfg.Registry, cfg.Settings, log,
-		func(list List) {
-			kind := balance.ListChanges
-			if list.Complete {
-				kind = balance.CompleteList
-			}
-			n.metrics.revision.Set(float64(list.Revision))
-			n.loop.post(func() { n.loop.list(kind, list) })
-		},
-		func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) })
-	n.disco.resumable, n.disco.revision = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
-	n.disco.onCall = n.metrics.called
+	n.discovery = discovery.NewClient(discovery.Config{
+		Address:   cfg.Discovery,
+		Replicas:  cfg.Registry,
+		Settings:  cfg.Settings,
+		Known:     n.cfg.Known,
+		Log:       log,
+		OnList:    n.onList,
+		OnFailure: func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) },
+		OnCall:    n.metrics.called,
+	})
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
-	n.loop.askAbout = n.disco.Request
-	n.loop.askedOf = func() int64 { return n.disco.callCount.Swap(0) }
+	n.loop.askAbout = n.discovery.Request
+	n.loop.askedOf = n.discovery.TakeCallCount
 	if cfg.PeerListen != "" {
 		n.peers, err = accept.Open(func() (*peers, error) { return listenPeers(&cfg) }, n.waitsFor(cfg.PeerListen))
 		if err != nil {
@@ -111,6 +110,16 @@
 	return n, nil
 }
 
+// onList has the loop take in a list from discovery.
+func (n *Node) onList(list discovery.List) {
+	kind := balance.ListChanges
+	if list.Complete {
+		kind = balance.CompleteList
+	}
+	n.metrics.revision.Set(float64(list.Revision))
+	n.loop.post(func() { n.loop.list(kind, list) })
+}
+
 // listen opens the addresses of the node.
 func (n *Node) listen() (err error) {
 	if n.cfg.Admin != "" {
@@ -167,7 +176,7 @@
 // else is fixed at the start.
 func (n *Node) Reload(cfg Config) {
 	n.log.Info("configuration replaced", "discovery", cfg.Discovery)
-	n.disco.SetAddress(cfg.Discovery)
+	n.discovery.SetAddress(cfg.Discovery)
 }
 
 // Run serves until ctx ends, then answers all that it has taken and returns.
@@ -191,7 +200,7 @@
 	n.loop.list(balance.CachedList, known)
 	wg.Go(func() { n.loop.run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
-	wg.Go(func() { n.disco.Run(work) })
+	wg.Go(func() { n.discovery.Run(work) })
 	if n.peers != nil {
 		wg.Go(func() {
 			n.peers.run(work, func(peer int, payload []byte) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,12 +10,13 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"hitchvale/internal/discovery/discoverytest"
 )
 
 // patience bounds every wait for something that must happen.
@@ -135,65 +136,28 @@
 }
 
 func listText(revision int, complete bool, members ...listed) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, `{"revision":%d,"complete":%t,"members":[`, revision, complete)
-	for i, m := range members {
-		if i > 0 {
-			b.WriteByte(',')
-		}
-		fmt.Fprintf(&b, `{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1.0,"up_since_ms":%d}`,
-			m.id, m.addr, m.phase, m.up)
+	var entries []discoverytest.Member
+	for _, m := range members {
+		entries = append(entries, discoverytest.Member{ID: m.id, Address: m.addr, Phase: m.phase, UpSinceMillis: m.up})
 	}
-	b.WriteString("]}")
-	return b.String()
+	return discoverytest.FormatList(revision, complete, entries...)
 }
 
-// registry is a discovery service that tells what it is given.
+// registry is a discovery service that answers with the texts it is given.
 type registry struct {
-	*http.Server
-	addr string
-	next chan string // answers to watches
-
-	mu    sync.Mutex
-	whole string
-	calls []string
+	*discoverytest.Server
+	addr  string
+	next  chan string // answers to watches
+	whole string      // the answer to calls for the complete list
 }
 
 func newRegistry(t *testing.T, whole string) *registry {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &registry{addr: l.Addr().String(), next: make(chan string, 16), whole: whole}
-	r.Server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
-		r.mu.Lock()
-		r.calls = append(r.calls, hr.URL.RawQuery)
-		whole := r.whole
-		r.mu.Unlock()
-		if hr.URL.RawQuery == "" {
-			io.WriteString(w, whole)
-			return
-		}
-		select {
-		case text := <-r.next:
-			io.WriteString(w, text)
-		case <-hr.Context().Done():
-		case <-time.After(500 * time.Millisecond):
-			after, _ := strconv.Atoi(hr.URL.Query().Get("after"))
-			io.WriteString(w, listText(after, false))
-		}
-	})}
-	go r.Serve(l)
-	t.Cleanup(func() { r.Server.Close() })
-	return r
+	server := discoverytest.NewServer(t, whole)
+	return &registry{Server: server, addr: server.Addr, next: server.Changes, whole: whole}
 }
 
-func (r *registry) asked() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.calls...)
-}
+func (r *registry) asked() []string { return r.Queries() }
 
 func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
 	t.Helper()
--- /dev/null
+++ b/internal/node/outage_test.go
@@ -0,0 +1,126 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"hitchvale/balance"
+	"hitchvale/internal/discovery"
+	"hitchvale/internal/siteconfig"
+)
+
+// outage is a discovery that fails from one time to another, and lists a drain from the end on. A watch that is open when
+// it begins fails with it.
+type outage struct {
+	from, until time.Time
+	fault       string // silent: calls meanwhile are never answered; refused; busy
+}
+
+func (o *outage) RoundTrip(r *http.Request) (*http.Response, error) {
+	const slow = 100 * time.Millisecond
+	sleep(r.Context(), slow)
+	open := time.Now().Before(o.from)
+	down := func() bool { now := time.Now(); return !now.Before(o.from) && (open || now.Before(o.until)) }
+	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); time.Now().Before(end) && !down() && time.Now().Before(o.until); {
+		next := o.until
+		if open {
+			next = o.from
+		}
+		sleep(r.Context(), min(time.Until(end), time.Until(next)))
+	}
+	switch {
+	case r.Context().Err() != nil:
+		return nil, r.Context().Err()
+	case down() && o.fault == "silent":
+		<-r.Context().Done()
+		return nil, r.Context().Err()
+	case down() && o.fault == "refused":
+		return nil, errors.New("refused")
+	case down():
+		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
+	}
+	revision, phase := 7, "ready"
+	if !time.Now().Before(o.until) {
+		revision, phase = 8, "draining"
+	}
+	text := listText(revision, r.URL.RawQuery == "", listed{"s", "127.0.0.1:1", phase, 0})
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+// A change counts as notified 6 s after discovery had it and could be reached, however long it was away, whatever became of
+// calls meanwhile and however large the fleet: the module's backoff and the client's timeouts together have to hold that.
+func TestChangeIsNotifiedSoonAfterAnOutage(t *testing.T) {
+	for _, fault := range []string{"silent", "refused", "busy"} {
+		for _, polled := range []bool{true, false} {
+			for _, instances := range []int{1, 300} {
+				t.Run(fmt.Sprintf("%s,polled=%v,nodes=%d", fault, polled, instances), func(t *testing.T) {
+					for seed := range uint64(4) {
+						for _, lasts := range []time.Duration{0, 4 * time.Second, 11 * time.Second, 63 * time.Second} {
+							synctest.Test(t, func(t *testing.T) { notifiedAfterOutage(t, fault, polled, instances, seed, lasts) })
+						}
+					}
+				})
+			}
+		}
+	}
+}
+
+func notifiedAfterOutage(t *testing.T, fault string, polled bool, instances int, seed uint64, lasts time.Duration) {
+	settings, err := siteconfig.Parse([]byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings.Config.PollDiscovery, settings.Config.Instances = polled, instances
+	settings.Config.Rules.PollInterval = 10 * time.Second
+	bal, err := balance.New(settings.Config, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := newLoop(bal, newExchanges(newPool(1, 0, 0), false, new(atomic.Int64), quiet()), newFigures(nil), quiet())
+	var notified atomic.Int64
+	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
+	service := &outage{from: from, until: from.Add(lasts), fault: fault}
+	client := discovery.NewClient(discovery.Config{
+		Address:   "127.0.0.1:1",
+		Settings:  settings,
+		Transport: service,
+		Log:       quiet(),
+		OnList: func(list discovery.List) {
+			if list.Members[0].Phase == balance.Draining {
+				notified.CompareAndSwap(0, int64(time.Since(service.until)))
+			}
+			l.post(func() { l.list(balance.ListChanges, list) })
+		},
+		OnFailure: func() { l.post(func() { l.handle(balance.DiscoveryFailed{}) }) },
+	})
+	l.askAbout = client.Request
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{}, 2)
+	go func() { l.run(ctx.Done()); ended <- struct{}{} }()
+	go func() { client.Run(ctx); ended <- struct{}{} }()
+	l.post(func() { l.list(balance.CachedList, discovery.List{Complete: true}) })
+	time.Sleep(time.Until(service.until) + 30*time.Second)
+	cancel()
+	<-ended
+	<-ended
+	if took := time.Duration(notified.Load()); took == 0 || took > 6*time.Second {
+		t.Errorf("seed %d, away for %v: notified %v after", seed, lasts, took)
+	}
+}
