--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -11,8 +11,8 @@
 const (
 	// claimPort is the port of a block's first address that its run listens on, so that no other run takes the block.
 	claimPort = 9
-	// claimTries bounds the search for a block that is free: there are 16,384.
-	claimTries = 256
+	// maxClaimAttempts bounds the search for a block that is free: there are 16,384.
+	maxClaimAttempts = 256
 	// firstPort is the first port given out on each address of a block.
 	firstPort = 20000
 	// blockHosts is how many addresses of a block are given out (127.A.B.2 to 127.A.B.254).
@@ -34,7 +34,7 @@
 }
 
 func claimAddresses() (*addresses, error) {
-	for range claimTries {
+	for range maxClaimAttempts {
 		a, b := 64+rand.IntN(64), rand.IntN(256)
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:%d", a, b, claimPort))
 		if err == nil {
@@ -44,8 +44,8 @@
 	return nil, errNoBlock
 }
 
-// take gives a host and port of the block that were not given out before.
-func (a *addresses) take() (host, addr string) {
+// allocate gives a host and port of the block that were not given out before.
+func (a *addresses) allocate() (host, addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := a.next
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -9,11 +9,11 @@
 
 // Attempt is one copy of a request as a node began to send it: the link saw its head, whatever became of it behind.
 type Attempt struct {
-	Trace   string
-	Node    string
-	Backend string
-	At      int64 // Unix time in nanoseconds
-	ToldMs  int64 // the time that it told its backend
+	Trace      string
+	Node       string
+	Backend    string
+	At         int64 // Unix time in nanoseconds
+	DeadlineMs int64 // the time that it told its backend
 }
 
 // attemptLog takes down the attempts that go over links from nodes to backends.
@@ -31,7 +31,7 @@
 		}
 		text, _ := headerValue(piece, "X-Expires-In: ")
 		told, _ := strconv.ParseFloat(text, 64)
-		a := Attempt{Trace: trace, Node: node, Backend: backend, At: time.Now().UnixNano(), ToldMs: int64(told * 1000)}
+		a := Attempt{Trace: trace, Node: node, Backend: backend, At: time.Now().UnixNano(), DeadlineMs: int64(told * 1000)}
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.attempts = append(l.attempts, a)
--- a/internal/lab/backend.go
+++ b/internal/lab/backend.go
@@ -82,7 +82,7 @@
 	}
 	time.Sleep(s.Behavior.Service.Duration)
 	if s.draw(s.Behavior.Hangs) {
-		time.Sleep(hangFor)
+		time.Sleep(hangDuration)
 	}
 	if s.draw(s.Behavior.Resets) {
 		panic(http.ErrAbortHandler)
@@ -94,8 +94,8 @@
 	fmt.Fprintf(w, "ran %s at %s\n", trace, s.ID)
 }
 
-// hangFor is how long a request hangs that is to hang.
-const hangFor = 2 * time.Second
+// hangDuration is how long a request hangs that is to hang.
+const hangDuration = 2 * time.Second
 
 // draw tells whether a share hits this time.
 func (s *BackendServer) draw(share float64) bool {
--- a/internal/lab/fan.go
+++ b/internal/lab/callerrouter.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Fan is one address before a process whose callers each dial from a loopback address of their own: it hands each
+// CallerRouter is one address before a process whose callers each dial from a loopback address of their own: it hands each
 // connection to the fault proxy of its caller's link. Callers that have no link are refused with a reset.
-type Fan struct {
+type CallerRouter struct {
 	ln     net.Listener
 	target string
 
@@ -16,22 +16,22 @@
 	done  chan struct{}
 }
 
-// NewFan listens on a port of 127.0.0.1 that the system picks, for links to target (host:port).
-func NewFan(target string) (*Fan, error) {
+// NewCallerRouter listens on a port of 127.0.0.1 that the system picks, for links to target (host:port).
+func NewCallerRouter(target string) (*CallerRouter, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fan{ln: ln, target: target, links: map[string]*Proxy{}, done: make(chan struct{})}
+	f := &CallerRouter{ln: ln, target: target, links: map[string]*Proxy{}, done: make(chan struct{})}
 	go f.accept()
 	return f, nil
 }
 
 // Addr is where the fan listens.
-func (f *Fan) Addr() string { return f.ln.Addr().String() }
+func (f *CallerRouter) Addr() string { return f.ln.Addr().String() }
 
-// From places the link of the caller that dials from host. Whoever asked for it closes it.
-func (f *Fan) From(host string, seed uint64) *Proxy {
+// LinkFor places the link of the caller that dials from host. Whoever asked for it closes it.
+func (f *CallerRouter) LinkFor(host string, seed uint64) *Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := newProxy(f.target, seed)
@@ -40,12 +40,12 @@
 }
 
 // Close stops accepting; the links stay until they are closed.
-func (f *Fan) Close() {
+func (f *CallerRouter) Close() {
 	f.ln.Close()
 	<-f.done
 }
 
-func (f *Fan) accept() {
+func (f *CallerRouter) accept() {
 	defer close(f.done)
 	for {
 		c, err := f.ln.Accept()
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -29,10 +29,10 @@
 	Log  string // the file that DutyEvents are appended to, one JSON object a line
 }
 
-// DutyEvent is one line of a candidate's log. Event is granted, accepted (a fenced write the registry took, at
+// LeaseEvent is one line of a candidate's log. Event is granted, accepted (a fenced write the registry took, at
 // Revision), refused (a write the registry fenced off), lost (Lost closed) or released (on SIGTERM). At is Unix
 // nanoseconds.
-type DutyEvent struct {
+type LeaseEvent struct {
 	Holder   string `json:"holder"`
 	Event    string `json:"event"`
 	Token    uint64 `json:"token"`
@@ -152,5 +152,5 @@
 func (l *eventLog) put(event string, token uint64, rev int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.enc.Encode(DutyEvent{Holder: l.holder, Event: event, Token: token, Revision: rev, At: time.Now().UnixNano()})
+	return l.enc.Encode(LeaseEvent{Holder: l.holder, Event: event, Token: token, Revision: rev, At: time.Now().UnixNano()})
 }
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Window is a time in which a node was under a fault of its own process or of its clients' link: requests that
+// FaultWindow is a time in which a node was under a fault of its own process or of its clients' link: requests that
 // it held then may go unanswered through no fault of its code, and are counted apart, not excused silently.
-type Window struct {
+type FaultWindow struct {
 	Node       int    `json:"node"`
-	From, Till int64  `json:"-"` // Unix nanoseconds; Till 0: to the end
-	Gone       int64  `json:"-"` // of a kill: when the process had ended, some milliseconds after From
+	Start, End int64  `json:"-"` // Unix nanoseconds; End 0: to the end of the run
+	Exited     int64  `json:"-"` // of a kill: when the process had ended, some milliseconds after Start
 	Kind       string `json:"kind"`
-	// Started is, of a kill, when the killed process was started: what came before that is with another one.
-	Started int64 `json:"-"`
+	// ProcessStart is, of a kill, when the killed process was started: what came before that is with another one.
+	ProcessStart int64 `json:"-"`
 }
 
 // Check is one invariant's verdict over the history.
@@ -30,13 +30,13 @@
 // History is what a run recorded: the driver's outcomes, the backends' executions, the faults' windows and
 // the times at which backends were set draining.
 type History struct {
-	Outcomes   []Outcome
-	Executions []Execution
-	Attempts   []Attempt
-	Windows    []Window
-	Kills      []Kill
-	Drained    map[string]time.Time
-	Grace      time.Duration // drain grace
+	Outcomes     []Outcome
+	Executions   []Execution
+	Attempts     []Attempt
+	FaultWindows []FaultWindow
+	Kills        []Kill
+	DrainedAt    map[string]time.Time
+	DrainGrace   time.Duration // drain grace
 }
 
 // Kill is the SIGKILL of a process that had been told to end, at the earliest. It excuses nothing.
@@ -45,11 +45,11 @@
 	At   int64 // Unix time in nanoseconds
 }
 
-// foundAtKill tells whether a request that its client took for unread was ended by the kill of a process that had been told to
+// unansweredAtKill tells whether a request that its client took for unread was ended by the kill of a process that had been told to
 // end: what that finds unanswered is lost, read or not (PROTOCOL).
-func (h History) foundAtKill(o Outcome) bool {
+func (h History) unansweredAtKill(o Outcome) bool {
 	for _, k := range h.Kills {
-		if o.Resent && k.Node == o.Node && o.Crossed >= k.At && o.Crossed <= k.At+int64(resetWithin) {
+		if o.Resent && k.Node == o.Node && o.Crossed >= k.At && o.Crossed <= k.At+int64(resetTimeout) {
 			return true
 		}
 	}
@@ -62,13 +62,13 @@
 // node touched; no request that is unsafe to repeat ran twice, and none ran that no client sent; nothing reached
 // a draining backend past the grace.
 func Verify(h History) []Check {
-	return []Check{h.finalAnswers(), h.noDoubleEffect(), h.noneAfterDrain()}
+	return []Check{h.finalAnswers(), h.noDoubleEffect(), h.noAttemptAfterDrain()}
 }
 
-// faulted tells whether a fault of node n's own was on at some time between from and till (Unix nanoseconds).
-func (h History) faulted(n int, from, till int64) bool {
-	for _, w := range h.Windows {
-		if w.Node == n && w.From <= till && (w.Till == 0 || w.Till >= from) {
+// inFaultWindow tells whether a fault of node n's own was on at some time between from and till (Unix nanoseconds).
+func (h History) inFaultWindow(n int, from, till int64) bool {
+	for _, w := range h.FaultWindows {
+		if w.Node == n && w.Start <= till && (w.End == 0 || w.End >= from) {
 			return true
 		}
 	}
@@ -82,17 +82,17 @@
 	if end == 0 {
 		end = o.Sent + o.Wait
 	}
-	for _, w := range h.Windows {
+	for _, w := range h.FaultWindows {
 		if w.Node != o.Node {
 			continue
 		}
 		switch w.Kind {
 		case "kill", "power":
-			if o.Dialed >= w.Started && o.Dialed <= max(w.From, w.Gone) && w.From <= end {
+			if o.Dialed >= w.ProcessStart && o.Dialed <= max(w.Start, w.Exited) && w.Start <= end {
 				return w.Kind
 			}
 		default:
-			if w.From <= end && (w.Till == 0 || w.Till >= o.Sent) {
+			if w.Start <= end && (w.End == 0 || w.End >= o.Sent) {
 				return w.Kind
 			}
 		}
@@ -106,7 +106,7 @@
 func (h History) finalAnswers() Check {
 	c := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
 	for _, o := range h.Outcomes {
-		if h.foundAtKill(o) {
+		if h.unansweredAtKill(o) {
 			c.add(fmt.Sprintf("%s at node-%d: unanswered at the kill", o.Trace, o.Node))
 			continue
 		}
@@ -144,19 +144,19 @@
 	return c.done()
 }
 
-func (h History) noneAfterDrain() Check {
+func (h History) noAttemptAfterDrain() Check {
 	c := Check{Name: "nothing reaches a draining backend past the grace"}
 	node := make(map[string]int, len(h.Outcomes))
 	for _, o := range h.Outcomes {
 		node[o.Trace] = o.Node
 	}
 	for _, e := range h.Executions {
-		at, ok := h.Drained[e.Backend]
-		if !ok || e.At <= at.Add(h.Grace).UnixNano() {
+		at, ok := h.DrainedAt[e.Backend]
+		if !ok || e.At <= at.Add(h.DrainGrace).UnixNano() {
 			continue
 		}
 		// A node that was paused or cut off while the drain was told could not hear of it.
-		if n, sent := node[e.Trace]; sent && h.faulted(n, at.UnixNano(), e.At) {
+		if n, sent := node[e.Trace]; sent && h.inFaultWindow(n, at.UnixNano(), e.At) {
 			c.Excused++
 			continue
 		}
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -26,19 +26,19 @@
 	kindUnwritten   = "unwritten"   // the connection broke before its last byte was written: not taken
 )
 
-// crossWithin is how soon a connection ends that a request crosses. One that ends later held the request.
-const crossWithin = 250 * time.Millisecond
+// crossedCloseWindow is how soon a connection ends that a request crosses. One that ends later held the request.
+const crossedCloseWindow = 250 * time.Millisecond
 
-// keepIdle is how long a client keeps a connection without a request.
-const keepIdle = 2 * time.Second
+// clientIdleTimeout is how long a client keeps a connection without a request.
+const clientIdleTimeout = 2 * time.Second
 
 // clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
-	read   *bufio.Reader
-	dialed time.Time
-	idleAt time.Time
-	rest   string // what is left to be written of a request that was begun on it
+	read          *bufio.Reader
+	dialed        time.Time
+	idleAt        time.Time
+	unsentRequest string // what is left to be written of a request that was begun on it
 }
 
 // client is the clients' side of one node: the connections that they keep to it. It does what PROTOCOL says of a client: one
@@ -47,26 +47,26 @@
 	target string
 	link   *Proxy // that the target is; nil: it is the node itself
 
-	mu     sync.Mutex
-	idle   []*clientConn
-	closed bool // the front sends no new connection here
+	mu          sync.Mutex
+	idle        []*clientConn
+	notAdmitted bool // the front sends no new connection here
 }
 
 // admit has the front send new connections to this node, or none.
 func (c *client) admit(admitted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = !admitted
+	c.notAdmitted = !admitted
 }
 
-// kept takes the connection that was used last and that the node has not ended since, or nil.
-func (c *client) kept() *clientConn {
+// takeIdle takes the connection that was used last and that the node has not ended since, or nil.
+func (c *client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.idle) > 0 {
 		conn := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(conn.idleAt) < keepIdle && !ended(conn.Conn) {
+		if time.Since(conn.idleAt) < clientIdleTimeout && !ended(conn.Conn) {
 			return conn
 		}
 		conn.Close()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func (c *client) keep(conn *clientConn) {
+func (c *client) putIdle(conn *clientConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleAt = time.Now()
 	c.mu.Lock()
@@ -97,7 +97,7 @@
 
 func (c *client) dial() (*clientConn, error) {
 	c.mu.Lock()
-	closed := c.closed
+	closed := c.notAdmitted
 	c.mu.Unlock()
 	if closed {
 		return nil, errNotAdmitted
@@ -150,8 +150,10 @@
 
 // send makes one request of the node, and once more on a new connection where it crossed the close of its connection: that ended
 // without a byte, and the node had not read the request, so a reset follows. A new connection may be shut unread too (FLEET), and
-// what was shut so twice, within crossWithin each time, has failed. It tells whether the node accepted it at all.
-func (c *client) send(r *clientRequest, o *Outcome) (accepted bool) { return c.sendOn(c.kept(), r, o) }
+// what was shut so twice, within crossedCloseWindow each time, has failed. It tells whether the node accepted it at all.
+func (c *client) send(r *clientRequest, o *Outcome) (accepted bool) {
+	return c.sendOn(c.takeIdle(), r, o)
+}
 
 // sendOn does so on a connection that there is already; nil: on a new one.
 func (c *client) sendOn(conn *clientConn, r *clientRequest, o *Outcome) (accepted bool) {
@@ -172,7 +174,7 @@
 			return true
 		}
 		o.Error = err.Error()
-		crossed := silent && (o.Kind == kindUnwritten || o.Kind == kindBroken && held <= crossWithin && awaitReset(conn.Conn))
+		crossed := silent && (o.Kind == kindUnwritten || o.Kind == kindBroken && held <= crossedCloseWindow && awaitReset(conn.Conn))
 		refused := silent && c.refused(conn)
 		conn.Close()
 		switch {
@@ -198,8 +200,8 @@
 		until = r.leave
 	}
 	conn.SetDeadline(until)
-	text := conn.rest
-	if conn.rest = ""; text == "" {
+	text := conn.unsentRequest
+	if conn.unsentRequest = ""; text == "" {
 		text = r.text()
 	}
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -242,7 +244,7 @@
 	if resp.Close {
 		conn.Close()
 	} else {
-		c.keep(conn)
+		c.putIdle(conn)
 	}
 	return false, nil
 }
@@ -252,9 +254,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// improper is a peer that sends half a request and stays. It gives how long it took to hear an error or a close, and whether
+// sendImproperRequest is a peer that sends half a request and stays. It gives how long it took to hear an error or a close, and whether
 // it has within a while.
-func (c *client) improper(within time.Duration) (heard time.Duration, ok bool) {
+func (c *client) sendImproperRequest(within time.Duration) (heard time.Duration, ok bool) {
 	conn, err := c.dial()
 	if err != nil {
 		return 0, true
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -23,26 +23,26 @@
 // cluster is what every experiment of the lab runs on: child processes by role, a fault proxy on each link between
 // them, the addresses they listen on, and the end of all of it. An experiment embeds it and adds what it does.
 type cluster struct {
-	opts  Options
-	seed  uint64
-	spawn *spawner
-	space *addresses
-	log   *slog.Logger
-	start time.Time // when the experiment began, once all children were ready
-
-	procs        map[string][]*Proc // by role ("node", "backend", "registry", "candidate"), in the order of their numbers
-	registryAddr []string           // HTTP addresses of the replicas
-	links        map[string]*Proxy  // by "FROM:TO", such as "node-1:backend-2", "registry-0:registry-1", "client-node-1"
-	fans         []*Fan             // what the proxies between replicas listen on
+	opts      Options
+	seed      uint64
+	spawn     *spawner
+	addresses *addresses
+	log       *slog.Logger
+	start     time.Time // when the experiment began, once all children were ready
+
+	procs         map[string][]*Proc // by role ("node", "backend", "registry", "candidate"), in the order of their numbers
+	registryAddr  []string           // HTTP addresses of the replicas
+	links         map[string]*Proxy  // by "FROM:TO", such as "node-1:backend-2", "registry-0:registry-1", "client-node-1"
+	callerRouters []*CallerRouter    // what the proxies between replicas listen on
 
 	// registryPlans are what befalls the system calls of replicas; one without a plan runs as it is.
 	registryPlans map[int]sysfault.Plan
 
-	chart  chart
-	mu     sync.Mutex
-	acks   []ack // writes the registry acknowledged
-	marks  []FaultMark
-	timers sync.WaitGroup
+	timelineLog timelineLog
+	mu          sync.Mutex
+	acks        []ack // writes the registry acknowledged
+	faultMarks  []FaultMark
+	timers      sync.WaitGroup
 }
 
 func newCluster(opts Options, seed uint64) (*cluster, error) {
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &cluster{opts: opts, seed: seed, spawn: newSpawner(), space: space, log: opts.Log,
-		procs: map[string][]*Proc{}, links: map[string]*Proxy{}, chart: chart{said: map[string]string{}}}
+	c := &cluster{opts: opts, seed: seed, spawn: newSpawner(), addresses: space, log: opts.Log,
+		procs: map[string][]*Proc{}, links: map[string]*Proxy{}, timelineLog: timelineLog{lastText: map[string]string{}}}
 	if c.log == nil {
 		c.log = slog.New(slog.DiscardHandler)
 	}
@@ -81,42 +81,42 @@
 func (l *cluster) close() {
 	l.timers.Wait()
 	l.stopAll()
-	for _, f := range l.fans {
+	for _, f := range l.callerRouters {
 		f.Close()
 	}
 	for _, p := range l.links {
 		p.Close()
 	}
 	l.spawn.close()
-	l.space.close()
+	l.addresses.close()
 }
 
 // stopAll ends every child, all at once.
 func (l *cluster) stopAll() {
 	var wg sync.WaitGroup
-	for _, p := range l.all() {
+	for _, p := range l.children() {
 		wg.Go(func() { p.Stop(stopGrace) })
 	}
 	wg.Wait()
 }
 
-// all are the children of every role.
-func (l *cluster) all() []*Proc {
+// children are the children of every role.
+func (l *cluster) children() []*Proc {
 	return slices.Concat(slices.Collect(maps.Values(l.procs))...)
 }
 
 // starts tells how often each child was started.
 func (l *cluster) starts() map[string]int {
 	out := map[string]int{}
-	for _, p := range l.all() {
+	for _, p := range l.children() {
 		out[p.Name] = p.starts()
 	}
 	return out
 }
 
-// underShim is the command line that runs a program under a plan, or as it is where that is nil. The number sets the draws of
+// withSystemCallFaults is the command line that runs a program under a plan, or as it is where that is nil. The number sets the draws of
 // one child apart from another's.
-func (l *cluster) underShim(plan sysfault.Plan, number int, argv ...string) []string {
+func (l *cluster) withSystemCallFaults(plan sysfault.Plan, number int, argv ...string) []string {
 	if plan == nil {
 		return argv
 	}
@@ -138,15 +138,15 @@
 	return p, nil
 }
 
-// mark records a fault as it was applied.
-func (l *cluster) mark(m FaultMark) {
+// recordFault records a fault as it was applied.
+func (l *cluster) recordFault(m FaultMark) {
 	l.mu.Lock()
-	l.marks = append(l.marks, m)
+	l.faultMarks = append(l.faultMarks, m)
 	l.mu.Unlock()
 }
 
 // later runs undo after d, or at once where the run ends first.
-func (l *cluster) later(ctx context.Context, d time.Duration, undo func()) {
+func (l *cluster) undoAfter(ctx context.Context, d time.Duration, undo func()) {
 	l.timers.Go(func() {
 		select {
 		case <-ctx.Done():
@@ -160,7 +160,7 @@
 // The error of one that does not come up names it and ends with the last line of its log.
 func (l *cluster) startChild(ctx context.Context, role string, argv func(addr string) []string, env []string, ready string) (*Proc, string, error) {
 	name := fmt.Sprintf("%s-%d", role, len(l.procs[role]))
-	_, addr := l.space.take()
+	_, addr := l.addresses.allocate()
 	p := &Proc{Name: name, env: append(os.Environ(), env...), log: l.path("%s.log", name), argv: argv(addr)}
 	l.procs[role] = append(l.procs[role], p)
 	if err := p.Start(l.spawn); err != nil {
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -40,7 +40,7 @@
 // until waits for ok, for patience at most.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never came about: %s", what)
 		}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -72,8 +72,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Leave has a node's addresses but one accept nothing more, and returns what ends their connections.
-func (d *Discovery) Leave(node, but string) (end func()) {
+// CloseOtherViews has a node's addresses but one accept nothing more, and returns what ends their connections.
+func (d *Discovery) CloseOtherViews(node, but string) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var left []*view
@@ -98,11 +98,11 @@
 	if !down {
 		d.lastUp = time.Now()
 	}
-	d.tell()
+	d.wakeWatches()
 }
 
 // tell wakes the watches. Called with the lock held.
-func (d *Discovery) tell() {
+func (d *Discovery) wakeWatches() {
 	close(d.notify)
 	d.notify = make(chan struct{})
 }
@@ -118,10 +118,10 @@
 			d.members[i].Phase, d.members[i].UpSince, d.changed[i] = "ready", now.UnixMilli(), d.revision
 		}
 	}
-	if periods := d.drains[id]; len(periods) > 0 && periods[len(periods)-1].till.IsZero() {
-		periods[len(periods)-1].till = now
+	if periods := d.drains[id]; len(periods) > 0 && periods[len(periods)-1].end.IsZero() {
+		periods[len(periods)-1].end = now
 	}
-	d.tell()
+	d.wakeWatches()
 }
 
 // drainPeriods gives when each backend drained, and when discovery last came back.
@@ -141,9 +141,9 @@
 			d.members[i].Phase, d.changed[i] = phase, d.revision
 			if phase == "draining" {
 				d.drained[id] = time.Now()
-				d.drains[id] = append(d.drains[id], &drainPeriod{from: d.drained[id], told: map[string]time.Time{}})
+				d.drains[id] = append(d.drains[id], &drainPeriod{start: d.drained[id], notifiedAt: map[string]time.Time{}})
 			}
-			d.tell()
+			d.wakeWatches()
 		}
 	}
 }
@@ -189,7 +189,7 @@
 			http.Error(w, "wait_ms: not a number of milliseconds", http.StatusBadRequest)
 			return
 		}
-		d.waitPast(r.Context(), after, time.Duration(min(wait, 60000))*time.Millisecond)
+		d.awaitRevision(r.Context(), after, time.Duration(min(wait, 60000))*time.Millisecond)
 	}
 	a, up := d.answer(after, addr)
 	if !up {
@@ -197,11 +197,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(a)
-	d.written(node, a)
+	d.recordNotification(node, a)
 }
 
-// written takes in that an answer has been written to a node.
-func (d *Discovery) written(node string, a listAnswer) {
+// recordNotification takes in that an answer has been written to a node.
+func (d *Discovery) recordNotification(node string, a listAnswer) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -210,14 +210,14 @@
 		if m.Phase != "draining" || len(periods) == 0 {
 			continue
 		}
-		if told := periods[len(periods)-1].told; told[node].IsZero() {
+		if told := periods[len(periods)-1].notifiedAt; told[node].IsZero() {
 			told[node] = now
 		}
 	}
 }
 
-// waitPast holds until the revision passes after, the wait ends or the caller goes.
-func (d *Discovery) waitPast(ctx context.Context, after int64, wait time.Duration) {
+// awaitRevision holds until the revision passes after, the wait ends or the caller goes.
+func (d *Discovery) awaitRevision(ctx context.Context, after int64, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -28,7 +28,7 @@
 	Status int    `json:"status"`            // 0: no answer
 	Kind   string `json:"kind"`
 	Fresh  bool   `json:"fresh,omitempty"`  // it was the first on its connection
-	Early  string `json:"early,omitempty"`  // what its client did long before: an earlyHabit
+	Early  string `json:"early,omitempty"`  // what its client did long before: an earlyAction
 	Resent bool   `json:"resent,omitempty"` // it crossed the close of a kept connection and was sent once more
 	// Crossed is when the close that it crossed was seen, a reset behind it included.
 	Crossed int64  `json:"crossed_ns,omitempty"`
@@ -38,9 +38,9 @@
 // answerGrace is how long after its deadline the driver still waits for a final answer (FLEET: half a second).
 const answerGrace = 500 * time.Millisecond
 
-// improperWithin is how long an improper peer may wait until it hears an error or a close, and improperEvery one in how many
+// improperPeerTimeout is how long an improper peer may wait until it hears an error or a close, and improperPeerInterval one in how many
 // arrivals is such a peer, where the load has some.
-const improperWithin, improperEvery = 3 * time.Second, 100
+const improperPeerTimeout, improperPeerInterval = 3 * time.Second, 100
 
 // maxInFlight bounds the driver's requests under way; a request that finds it full is not sent and is counted.
 const maxInFlight = 2048
@@ -99,15 +99,15 @@
 		if d.Load.Late+d.Load.Begun > 0 {
 			early = d.Load.drawEarly(rng)
 		}
-		misbehaves := d.Load.Improper && i%improperEvery == improperEvery/2
+		misbehaves := d.Load.Improper && i%improperPeerInterval == improperPeerInterval/2
 		wg.Go(func() {
 			defer func() { <-sem }()
 			if misbehaves {
-				d.misbehave(node)
+				d.playImproperPeer(node)
 				return
 			}
-			if early.habit != "" {
-				d.record(d.sendLate(ctx, node, r, early))
+			if early.action != "" {
+				d.record(d.sendAfterEarlyConnect(ctx, node, r, early))
 				return
 			}
 			d.record(d.send(node, r))
@@ -130,13 +130,13 @@
 	}
 	r.deadline = time.Now().Add(d.Load.Deadline.Duration)
 	if rng.Float64() < d.Load.Leave {
-		r.leave = time.Now().Add(time.Duration(rng.Float64() * float64(leaveWithin)))
+		r.leave = time.Now().Add(time.Duration(rng.Float64() * float64(maxLeaveDelay)))
 	}
 	return r
 }
 
-// leaveWithin is the time within which a client that leaves early does so.
-const leaveWithin = 100 * time.Millisecond
+// maxLeaveDelay is the time within which a client that leaves early does so.
+const maxLeaveDelay = 100 * time.Millisecond
 
 // send makes a request of a node, or, where that does not accept it, of the next one that does.
 func (d *Driver) send(node int, r *clientRequest) Outcome {
@@ -151,9 +151,9 @@
 	return o
 }
 
-func (d *Driver) misbehave(node int) {
-	heard, ok := d.Nodes[node].improper(2 * improperWithin)
-	if ok && heard <= improperWithin+improperSlack {
+func (d *Driver) playImproperPeer(node int) {
+	heard, ok := d.Nodes[node].sendImproperRequest(2 * improperPeerTimeout)
+	if ok && heard <= improperPeerTimeout+schedulingSlack {
 		return
 	}
 	d.mu.Lock()
@@ -161,8 +161,8 @@
 	d.improper.add(fmt.Sprintf("at node-%d: heard %v after %s", node, ok, heard.Round(time.Millisecond)))
 }
 
-// improperSlack is what this machine may be late by.
-const improperSlack = 250 * time.Millisecond
+// schedulingSlack is what this machine may be late by.
+const schedulingSlack = 250 * time.Millisecond
 
 func (d *Driver) record(o Outcome) {
 	d.mu.Lock()
--- a/internal/lab/habits.go
+++ b/internal/lab/earlyclients.go
@@ -11,42 +11,42 @@
 
 // This file plays clients that use a connection long after they have opened it.
 
-// earlyHabit is what a client does when it connects, long before it sends the rest of its request.
-type earlyHabit string
+// earlyAction is what a client does when it connects, long before it sends the rest of its request.
+type earlyAction string
 
 const (
-	earlyNothing earlyHabit = "connected" // it only connects
-	earlyHead    earlyHabit = "head"      // it begins a head
-	earlyBody    earlyHabit = "body"      // it sends a head and, where there is a body, half of that
+	earlyConnect earlyAction = "connected" // it only connects
+	earlyHead    earlyAction = "head"      // it begins a head
+	earlyBody    earlyAction = "body"      // it sends a head and, where there is a body, half of that
 )
 
 const (
-	// lateLeast and lateMost are how long such a client waits. Whoever is within a request for longer is an improper peer.
-	lateLeast, lateMost = 200 * time.Millisecond, 2500 * time.Millisecond
-	// bodyLateMost is how long one waits within a body: it has to come at a pace.
-	bodyLateMost = 1500 * time.Millisecond
+	// minEarlyWait and maxEarlyWait are how long such a client waits. Whoever is within a request for longer is an improper peer.
+	minEarlyWait, maxEarlyWait = 200 * time.Millisecond, 2500 * time.Millisecond
+	// maxEarlyBodyWait is how long one waits within a body: it has to come at a pace.
+	maxEarlyBodyWait = 1500 * time.Millisecond
 )
 
 // earlyBegin is what one such client does, and how long it waits.
 type earlyBegin struct {
-	habit earlyHabit
-	wait  time.Duration
+	action earlyAction
+	wait   time.Duration
 }
 
 // drawEarly draws what a client does early; its habit is empty for one that does nothing.
 func (l Load) drawEarly(rng *rand.Rand) (e earlyBegin) {
-	most := lateMost
+	most := maxEarlyWait
 	switch x := rng.Float64(); {
 	case x < l.Late:
-		e.habit = earlyNothing
+		e.action = earlyConnect
 	case x < l.Late+l.Begun/2:
-		e.habit = earlyHead
+		e.action = earlyHead
 	case x < l.Late+l.Begun:
-		e.habit, most = earlyBody, bodyLateMost
+		e.action, most = earlyBody, maxEarlyBodyWait
 	default:
 		return e
 	}
-	e.wait = lateLeast + time.Duration(rng.Float64()*float64(most-lateLeast))
+	e.wait = minEarlyWait + time.Duration(rng.Float64()*float64(most-minEarlyWait))
 	return e
 }
 
@@ -54,7 +54,7 @@
 func (e earlyBegin) split(text string) (begin, rest string) {
 	head := strings.Index(text, "\r\n\r\n") + len("\r\n\r\n")
 	at := 0
-	switch e.habit {
+	switch e.action {
 	case earlyHead:
 		at = head / 2
 	case earlyBody:
@@ -63,13 +63,13 @@
 	return text[:at], text[at:]
 }
 
-// sendLate makes a request of a node on a connection that was opened long before. Its time counts from its last byte.
-func (d *Driver) sendLate(ctx context.Context, node int, r *clientRequest, e earlyBegin) Outcome {
+// sendAfterEarlyConnect makes a request of a node on a connection that was opened long before. Its time counts from its last byte.
+func (d *Driver) sendAfterEarlyConnect(ctx context.Context, node int, r *clientRequest, e earlyBegin) Outcome {
 	c := d.Nodes[node]
 	conn, err := c.dial()
 	if err == nil {
 		var begin string
-		if begin, conn.rest = e.split(r.textFor(d.Load.Deadline.Duration)); begin != "" {
+		if begin, conn.unsentRequest = e.split(r.textFor(d.Load.Deadline.Duration)); begin != "" {
 			io.WriteString(conn, begin) // one that fails is seen when the rest is written
 		}
 	}
@@ -78,33 +78,33 @@
 	case <-time.After(e.wait):
 	}
 	r.deadline, r.leave = time.Now().Add(d.Load.Deadline.Duration), time.Time{}
-	if err != nil || e.habit == earlyNothing && ended(conn.Conn) {
+	if err != nil || e.action == earlyConnect && ended(conn.Conn) {
 		if err == nil {
 			conn.Close() // the node has closed it meanwhile, so nothing is sent there
 		}
 		return d.send(node, r)
 	}
 	o := Outcome{Trace: r.trace, Class: r.class, Sent: time.Now().UnixNano(), Wait: int64(d.Load.Deadline.Duration),
-		Node: node, Early: string(e.habit)}
+		Node: node, Early: string(e.action)}
 	if !c.sendOn(conn, r, &o) {
 		return d.send(node, r)
 	}
 	return o
 }
 
-// crowdAgain is how long a client of a crowd waits before it connects once more.
-const crowdAgain = 500 * time.Millisecond
+// idleReconnectDelay is how long a client of a crowd waits before it connects once more.
+const idleReconnectDelay = 500 * time.Millisecond
 
-// crowd holds so many connections to the node on which nothing, or half a head, comes, until ctx ends.
-func (c *client) crowd(ctx context.Context, size int) {
+// holdIdleConnections holds so many connections to the node on which nothing, or half a head, comes, until ctx ends.
+func (c *client) holdIdleConnections(ctx context.Context, size int) {
 	var wg sync.WaitGroup
 	for i := range size {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				c.loiter(ctx, i%3 == 0)
+				c.holdIdleConnection(ctx, i%3 == 0)
 				select {
 				case <-ctx.Done():
-				case <-time.After(crowdAgain):
+				case <-time.After(idleReconnectDelay):
 				}
 			}
 		})
@@ -113,7 +113,7 @@
 }
 
 // loiter connects and stays until the node ends the connection.
-func (c *client) loiter(ctx context.Context, begins bool) {
+func (c *client) holdIdleConnection(ctx context.Context, begins bool) {
 	conn, err := c.dial()
 	if err != nil {
 		return
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -16,7 +16,7 @@
 )
 
 // timeline applies each fault at its time; faults with a For are undone by a timer that close waits for.
-func (l *loadRun) timeline(ctx context.Context) {
+func (l *loadRun) applyFaults(ctx context.Context) {
 	faults := slices.Clone(l.s.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At.Duration - b.At.Duration) })
 	for _, f := range faults {
@@ -31,7 +31,7 @@
 			mark.Error = err.Error()
 		}
 		l.log.Info("fault", "component", "lab", "kind", f.Kind, "target", f.Target, "error", mark.Error)
-		l.mark(mark)
+		l.recordFault(mark)
 	}
 }
 
@@ -39,12 +39,12 @@
 	switch f.Kind {
 	case "outage":
 		l.disc.SetDown(true)
-		l.later(ctx, f.For.Duration, func() { l.disc.SetDown(false) })
+		l.undoAfter(ctx, f.For.Duration, func() { l.disc.SetDown(false) })
 		return nil
 	case "kill", "term", "power", "pause", "restart", "drain", "fill", "hup", "hold", "rejoin", "upgrade":
 		var errs []error
 		for _, t := range f.Target {
-			errs = append(errs, l.applyProc(ctx, f, t))
+			errs = append(errs, l.applyProcessFault(ctx, f, t))
 		}
 		return errors.Join(errs...)
 	}
@@ -53,36 +53,36 @@
 		return errors.New("no link matches")
 	}
 	for name, p := range links {
-		l.applyLink(ctx, f, name, p)
+		l.applyLinkFault(ctx, f, name, p)
 	}
 	return nil
 }
 
-func (l *loadRun) applyProc(ctx context.Context, f Fault, target string) error {
+func (l *loadRun) applyProcessFault(ctx context.Context, f Fault, target string) error {
 	role, i, _ := parseProc(target) // checked with the scenario
 	p := l.procs[role][i]
 	switch f.Kind {
 	case "kill", "power":
-		l.open(role, i, f.Kind)
+		l.openFaultWindow(role, i, f.Kind)
 		if exited := p.Exited(); exited != nil {
-			l.timers.Go(func() { <-exited; l.gone(role, i) })
+			l.timers.Go(func() { <-exited; l.recordExit(role, i) })
 		}
 		return p.Signal(syscall.SIGKILL)
 	case "term":
-		l.tellToEnd(ctx, role, i)
+		l.startTermination(ctx, role, i)
 		return p.Signal(syscall.SIGTERM)
 	case "pause":
-		l.open(role, i, f.Kind)
+		l.openFaultWindow(role, i, f.Kind)
 		if err := p.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		l.later(ctx, f.For.Duration, func() { p.Signal(syscall.SIGCONT); l.shut(role, i) })
+		l.undoAfter(ctx, f.For.Duration, func() { p.Signal(syscall.SIGCONT); l.closeFaultWindow(role, i) })
 		return nil
 	case "hold":
 		if err := p.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		l.later(ctx, f.For.Duration, func() { p.Signal(syscall.SIGCONT) })
+		l.undoAfter(ctx, f.For.Duration, func() { p.Signal(syscall.SIGCONT) })
 		return nil
 	case "hup":
 		return l.moveDiscovery(ctx, i)
@@ -106,34 +106,34 @@
 // frontDelay is how long after SIGTERM the front still sends new connections to a node (PROTOCOL: 0.2 to 0.4 s).
 const frontDelay = 300 * time.Millisecond
 
-// tellToEnd has the front send nothing new to a node that is told to end. That excuses nothing.
-func (l *loadRun) tellToEnd(ctx context.Context, role string, i int) {
+// startTermination has the front send nothing new to a node that is told to end. That excuses nothing.
+func (l *loadRun) startTermination(ctx context.Context, role string, i int) {
 	if role != "node" || i >= len(l.clients) {
 		return
 	}
 	l.mu.Lock()
-	if l.toldToEnd[i].IsZero() { // a second signal puts no kill off
-		l.toldToEnd[i] = time.Now()
+	if l.terminatedAt[i].IsZero() { // a second signal puts no kill off
+		l.terminatedAt[i] = time.Now()
 	}
 	l.mu.Unlock()
-	l.later(ctx, frontDelay, func() { l.clients[i].admit(false) })
+	l.undoAfter(ctx, frontDelay, func() { l.clients[i].admit(false) })
 }
 
 // mayBeKilled tells whether a node was told to end so long ago that SIGKILL excuses nothing (PROTOCOL).
 func (l *loadRun) mayBeKilled(i int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told := l.toldToEnd[i]
+	told := l.terminatedAt[i]
 	return !told.IsZero() && time.Since(told) >= l.s.killAfter()
 }
 
-// awaitKill waits until a node that was told to end a while ago may be killed, if that is about to be so.
-func (l *loadRun) awaitKill(ctx context.Context, i int) {
+// awaitEarliestKill waits until a node that was told to end a while ago may be killed, if that is about to be so.
+func (l *loadRun) awaitEarliestKill(ctx context.Context, i int) {
 	l.mu.Lock()
-	told := l.toldToEnd[i]
+	told := l.terminatedAt[i]
 	l.mu.Unlock()
 	left := time.Until(told.Add(l.s.killAfter()))
-	if told.IsZero() || left <= 0 || left > judgeSlack {
+	if told.IsZero() || left <= 0 || left > clockSlack {
 		return
 	}
 	select {
@@ -159,7 +159,7 @@
 func (l *loadRun) restart(ctx context.Context, role string, i int) error {
 	p := l.procs[role][i]
 	if role == "node" {
-		l.awaitKill(ctx, i)
+		l.awaitEarliestKill(ctx, i)
 	}
 	switch {
 	case role != "node" || p.Exited() == nil:
@@ -167,14 +167,14 @@
 	case l.mayBeKilled(i):
 		l.killAtEarliest(i, p)
 	default:
-		l.open(role, i, "kill")
+		l.openFaultWindow(role, i, "kill")
 		p.Kill()
 	}
-	l.gone(role, i)
-	defer l.shut(role, i)
+	l.recordExit(role, i)
+	defer l.closeFaultWindow(role, i)
 	if role == "node" {
 		l.mu.Lock()
-		delete(l.toldToEnd, i)
+		delete(l.terminatedAt, i)
 		l.mu.Unlock()
 	}
 	if err := p.Start(l.spawn); err != nil {
@@ -190,17 +190,17 @@
 	return nil
 }
 
-// hupAfter is how long after its start a node may be told to read its configuration again.
-const hupAfter = time.Second
+// minReloadAge is how long after its start a node may be told to read its configuration again.
+const minReloadAge = time.Second
 
-// oldDiscoveryStays is how long discovery keeps the connections of an address that it has left (TERMS).
-const oldDiscoveryStays = 1500 * time.Millisecond
+// oldDiscoveryGrace is how long discovery keeps the connections of an address that it has left (TERMS).
+const oldDiscoveryGrace = 1500 * time.Millisecond
 
 // moveDiscovery has a node find discovery at another address: its file names that, and SIGHUP tells it to read the file.
 func (l *loadRun) moveDiscovery(ctx context.Context, i int) error {
 	name := fmt.Sprintf("node-%d", i)
 	p := l.procs["node"][i]
-	if p.Exited() == nil || p.age() < hupAfter {
+	if p.Exited() == nil || p.age() < minReloadAge {
 		return nil // there is nobody to tell
 	}
 	view, err := l.disc.View(name, func(id string) string { return l.links[name+":"+id].Addr() })
@@ -214,8 +214,8 @@
 	if err := p.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	leave := l.disc.Leave(name, view)
-	l.later(ctx, oldDiscoveryStays, leave)
+	leave := l.disc.CloseOtherViews(name, view)
+	l.undoAfter(ctx, oldDiscoveryGrace, leave)
 	return nil
 }
 
@@ -226,14 +226,14 @@
 	if old.Exited() == nil {
 		return nil // there is nothing to take over
 	}
-	_, admin := l.space.take()
+	_, admin := l.addresses.allocate()
 	p := &Proc{Name: old.Name, argv: old.argv, env: append(slices.Clone(old.env), "BALANCER_ADMIN="+admin), log: old.log}
 	if err := p.Start(l.spawn); err != nil {
 		return err
 	}
 	l.mu.Lock()
 	l.procs["node"][i] = p
-	delete(l.toldToEnd, i) // that was the old one
+	delete(l.terminatedAt, i) // that was the old one
 	l.procs["replaced"] = append(l.procs["replaced"], old)
 	l.mu.Unlock()
 	l.timers.Go(func() {
@@ -287,15 +287,15 @@
 	return err
 }
 
-// heldWithin stands for never in the time until a node holds a change.
-const heldWithin = 20 * time.Second
+// propagationTimeout stands for never in the time until a node holds a change.
+const propagationTimeout = 20 * time.Second
 
 // awaitRevision reads node i's /metrics until it holds revision rev, and records how long after acked that was;
-// a node that does not get there within heldWithin is recorded as that.
+// a node that does not get there within propagationTimeout is recorded as that.
 func (l *loadRun) awaitRevision(ctx context.Context, i int, rev int64, acked time.Time) {
 	url := "http://" + l.adminAddr[i] + "/metrics"
 	c := &http.Client{Timeout: time.Second}
-	for time.Since(acked) < heldWithin && ctx.Err() == nil {
+	for time.Since(acked) < propagationTimeout && ctx.Err() == nil {
 		if held, err := scrapeRevision(c, url); err == nil && held >= rev {
 			break
 		}
@@ -326,54 +326,54 @@
 	return 0, errors.New("no glencart_list_revision")
 }
 
-// open starts a window of a node's own fault, shut ends it.
-func (l *loadRun) open(role string, i int, kind string) {
+// openFaultWindow starts a window of a node's own fault, shut ends it.
+func (l *loadRun) openFaultWindow(role string, i int, kind string) {
 	if role != "node" {
 		return
 	}
 	l.mu.Lock()
-	l.windows = append(l.windows, Window{Node: i, From: time.Now().UnixNano(), Kind: kind, Started: l.procs[role][i].startedAt().UnixNano()})
+	l.windows = append(l.windows, FaultWindow{Node: i, Start: time.Now().UnixNano(), Kind: kind, ProcessStart: l.procs[role][i].startedAt().UnixNano()})
 	l.mu.Unlock()
 }
 
-// gone takes in that a process that was killed has ended.
-func (l *loadRun) gone(role string, i int) {
+// recordExit takes in that a process that was killed has ended.
+func (l *loadRun) recordExit(role string, i int) {
 	if role != "node" {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.windows {
-		if w := &l.windows[k]; w.Node == i && w.Gone == 0 && (w.Kind == "kill" || w.Kind == "power") {
-			w.Gone = time.Now().UnixNano()
+		if w := &l.windows[k]; w.Node == i && w.Exited == 0 && (w.Kind == "kill" || w.Kind == "power") {
+			w.Exited = time.Now().UnixNano()
 		}
 	}
 }
 
-func (l *loadRun) shut(role string, i int) {
+func (l *loadRun) closeFaultWindow(role string, i int) {
 	if role != "node" {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.windows {
-		if w := &l.windows[k]; w.Node == i && w.Till == 0 {
-			w.Till = time.Now().UnixNano()
+		if w := &l.windows[k]; w.Node == i && w.End == 0 {
+			w.End = time.Now().UnixNano()
 		}
 	}
 }
 
-func (l *loadRun) applyLink(ctx context.Context, f Fault, name string, p *Proxy) {
+func (l *loadRun) applyLinkFault(ctx context.Context, f Fault, name string, p *Proxy) {
 	node := -1
 	if rest, ok := strings.CutPrefix(name, "client-node-"); ok {
 		fmt.Sscanf(rest, "%d", &node)
 	}
 	if node >= 0 {
-		l.open("node", node, f.Kind)
+		l.openFaultWindow("node", node, f.Kind)
 	}
 	undo := func(fn func()) {
 		if f.For.Duration > 0 {
-			l.later(ctx, f.For.Duration, func() { fn(); l.shut("node", node) })
+			l.undoAfter(ctx, f.For.Duration, func() { fn(); l.closeFaultWindow("node", node) })
 		}
 	}
 	switch f.Kind {
@@ -388,6 +388,6 @@
 		undo(func() { p.Drop(0) })
 	case "reset":
 		p.Reset()
-		l.shut("node", node)
+		l.closeFaultWindow("node", node)
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -65,8 +65,8 @@
 	forward Check                  // no reader goes back
 }
 
-// lookEvery is the time between two looks at a reader of the view.
-const lookEvery = 20 * time.Millisecond
+// followInterval is the time between two looks at a reader of the view.
+const followInterval = 20 * time.Millisecond
 
 func (l *fleetRun) run(ctx context.Context) (Report, error) {
 	l.drained, l.last, l.texts = map[string]time.Time{}, map[string]fleet.Stamp{}, map[fleet.Stamp]string{}
@@ -115,15 +115,15 @@
 	node := l.procs["node"][i]
 	switch kind {
 	case "kill":
-		l.fault("kill", node.Name)
+		l.noteFault("kill", node.Name)
 		node.Kill()
 		sleepUntil(ctx, time.Now().Add(long/4))
 		return node.Start(l.spawn)
 	case "pause":
-		l.fault("pause", node.Name)
+		l.noteFault("pause", node.Name)
 		node.Signal(syscall.SIGSTOP)
 		sleepUntil(ctx, time.Now().Add(long))
-		l.note(timeline.Faults, "go on %s", node.Name)
+		l.recordEvent(timeline.Faults, "go on %s", node.Name)
 		return node.Signal(syscall.SIGCONT)
 	case "cut":
 		return l.partition(ctx, long, node.Name+":registry-*")
@@ -137,11 +137,11 @@
 		return l.partition(ctx, long, fmt.Sprintf("registry-%d:registry-*", lead), fmt.Sprintf("registry-*:registry-%d", lead))
 	}
 	// both: a node stands still while the registry's leader goes
-	l.fault("pause", node.Name)
+	l.noteFault("pause", node.Name)
 	node.Signal(syscall.SIGSTOP)
 	err := l.killLeader(ctx)
 	sleepUntil(ctx, time.Now().Add(long/2))
-	l.note(timeline.Faults, "go on %s", node.Name)
+	l.recordEvent(timeline.Faults, "go on %s", node.Name)
 	return errors.Join(err, node.Signal(syscall.SIGCONT))
 }
 
@@ -151,7 +151,7 @@
 	if len(links) == 0 {
 		return fmt.Errorf("no link matches %v", targets)
 	}
-	l.fault("cut", targets...)
+	l.noteFault("cut", targets...)
 	for _, p := range links {
 		p.Partition(true)
 	}
@@ -159,7 +159,7 @@
 	for _, p := range links {
 		p.Partition(false)
 	}
-	l.note(timeline.Faults, "heal %s", targets[0])
+	l.recordEvent(timeline.Faults, "heal %s", targets[0])
 	return nil
 }
 
@@ -169,13 +169,13 @@
 	if lead < 0 {
 		return errors.New("no leader to kill")
 	}
-	l.fault("kill", l.procs["registry"][lead].Name)
+	l.noteFault("kill", l.procs["registry"][lead].Name)
 	return l.restartAfterElection(ctx, lead)
 }
 
 // settle waits until every node's view has every node fresh.
 func (l *fleetRun) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, eventTimeout)
 	defer cancel()
 	for i := 0; i < l.s.Nodes; {
 		s, err := l.status(ctx, i)
@@ -186,9 +186,9 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("node-%d has not all nodes fresh in its view: %+v, %v", i, s, err)
 		}
-		sleepUntil(ctx, time.Now().Add(lookEvery))
+		sleepUntil(ctx, time.Now().Add(followInterval))
 	}
-	l.note(timeline.Faults, "all fresh")
+	l.recordEvent(timeline.Faults, "all fresh")
 	return nil
 }
 
@@ -200,9 +200,9 @@
 func (l *fleetRun) follow(ctx context.Context, who string, look func() error) {
 	for ctx.Err() == nil {
 		if err := look(); err != nil && ctx.Err() == nil {
-			l.say(who, "no answer")
+			l.recordChange(who, "no answer")
 		}
-		sleepUntil(ctx, time.Now().Add(lookEvery))
+		sleepUntil(ctx, time.Now().Add(followInterval))
 	}
 }
 
@@ -217,7 +217,7 @@
 	if s.Superseded {
 		text = "superseded"
 	}
-	l.say(fmt.Sprintf("node-%d", i), text)
+	l.recordChange(fmt.Sprintf("node-%d", i), text)
 	if l.procs["node"][i].starts() == starts { // else it may be the word of the process before
 		l.read(fmt.Sprintf("node-%d, start %d", i, starts), s.View, "")
 	}
@@ -234,7 +234,7 @@
 	if err := json.Unmarshal(text, &v); err != nil {
 		return err
 	}
-	l.say(fmt.Sprintf("registry-%d", m), fmt.Sprintf("view of term %d", v.Term))
+	l.recordChange(fmt.Sprintf("registry-%d", m), fmt.Sprintf("view of term %d", v.Term))
 	l.read("", v.Stamp, string(text))
 	return nil
 }
@@ -264,7 +264,7 @@
 	if err != nil {
 		settled.add(err.Error())
 	}
-	r := Report{Scenario: l.s.Name, Passed: true, Faults: l.marks, Starts: l.starts(),
+	r := Report{Scenario: l.s.Name, Passed: true, Faults: l.faultMarks, Starts: l.starts(),
 		Checks: []Check{l.shared.done(), l.forward.done(), settled.done()}}
 	for _, c := range r.Checks {
 		r.Passed = r.Passed && c.OK
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -31,7 +31,7 @@
 	}
 	defer c.close()
 	if s.Duty != nil {
-		return (&dutyRun{cluster: c, s: s}).run(ctx)
+		return (&leaseRun{cluster: c, s: s}).run(ctx)
 	}
 	l := &loadRun{cluster: c, s: s}
 	defer l.closeDiscovery()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -301,7 +301,7 @@
 		}
 	}
 	// Every node came to hold both drains' revisions.
-	if p := r.Propagation; p.N != 3*2 || p.Max >= float64(heldWithin.Milliseconds()) {
+	if p := r.Propagation; p.N != 3*2 || p.Max >= float64(propagationTimeout.Milliseconds()) {
 		t.Errorf("propagation of the drains: %+v", p)
 	}
 	if len(r.Checks) != 4 || r.Counts["served"] == 0 || r.Starts["registry-1"] != 2 {
--- a/internal/lab/dutycheck.go
+++ b/internal/lab/leasecheck.go
@@ -13,15 +13,15 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// DutyFigures are the measurements of a lease scenario. Takeover is, by fault kind, the milliseconds from the
+// LeaseFigures are the measurements of a lease scenario. Takeover is, by fault kind, the milliseconds from the
 // fault until the next holder's grant (for leader: until the duty's next accepted write).
-type DutyFigures struct {
-	Schedules int               `json:"schedules"`
-	Grants    int               `json:"grants"`
-	Accepted  int               `json:"accepted_writes"`
-	Refused   int               `json:"refused_writes"` // stale writes that the fence turned away
-	Lost      int               `json:"leases_lost"`    // holders that saw Lost before any refusal
-	Takeover  map[string]Spread `json:"takeover_ms"`
+type LeaseFigures struct {
+	Schedules int                     `json:"schedules"`
+	Grants    int                     `json:"grants"`
+	Accepted  int                     `json:"accepted_writes"`
+	Refused   int                     `json:"refused_writes"` // stale writes that the fence turned away
+	Lost      int                     `json:"leases_lost"`    // holders that saw Lost before any refusal
+	Takeover  map[string]Distribution `json:"takeover_ms"`
 	// Points are the takeover times in the order the faults were played, for the plot.
 	Points []TakeoverPoint `json:"points"`
 }
@@ -35,13 +35,13 @@
 // handoverBound is the aim for a handover on SIGTERM at the 99th percentile (the leases issue).
 const handoverBound = 100 * time.Millisecond
 
-// judgeDuty checks the merged candidate logs against the faults played: accepted writes, ordered by the
+// checkLeases checks the merged candidate logs against the faults played: accepted writes, ordered by the
 // registry's revision, never carry a lower token than one before them, and no token has two holders; every
 // holder's failure is followed by a successor's grant within the TTL and 1 s; SIGTERM hands over within
 // handoverBound at p99.
-func judgeDuty(events []DutyEvent, plays []play, ttl time.Duration) ([]Check, DutyFigures) {
-	fig := DutyFigures{Schedules: len(plays), Takeover: map[string]Spread{}}
-	var accepted, grants []DutyEvent
+func checkLeases(events []LeaseEvent, plays []playedFault, ttl time.Duration) ([]Check, LeaseFigures) {
+	fig := LeaseFigures{Schedules: len(plays), Takeover: map[string]Distribution{}}
+	var accepted, grants []LeaseEvent
 	for _, e := range events {
 		switch e.Event {
 		case "accepted":
@@ -55,8 +55,8 @@
 		}
 	}
 	fig.Grants, fig.Accepted = len(grants), len(accepted)
-	slices.SortFunc(accepted, func(a, b DutyEvent) int { return cmp.Compare(a.Revision, b.Revision) })
-	slices.SortFunc(grants, func(a, b DutyEvent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(accepted, func(a, b LeaseEvent) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(grants, func(a, b LeaseEvent) int { return cmp.Compare(a.At, b.At) })
 
 	fenced := Check{Name: "accepted duty writes: tokens never go down, one holder a token"}
 	owner := map[uint64]string{}
@@ -89,7 +89,7 @@
 		}
 	}
 	for k, s := range samples {
-		fig.Takeover[k] = newSpread(s)
+		fig.Takeover[k] = newDistribution(s)
 	}
 	if t, ok := fig.Takeover["term"]; ok && t.P99 > float64(handoverBound.Milliseconds()) {
 		handover.add(fmt.Sprintf("p99 %.1f ms over %d handovers", t.P99, t.N))
@@ -99,7 +99,7 @@
 
 // takeover is the milliseconds from the fault until the first grant to another holder (for a leader's kill, the
 // first accepted write); -1 where none came.
-func takeover(p play, grants, accepted []DutyEvent) float64 {
+func takeover(p playedFault, grants, accepted []LeaseEvent) float64 {
 	if p.Kind == "leader" {
 		first := int64(-1)
 		for _, e := range accepted { // in revision order; the earliest in time is wanted
@@ -121,7 +121,7 @@
 }
 
 // plot draws each fault's takeover time against its place in the run, one colour a kind.
-func (f DutyFigures) plot(path, scenario string) error {
+func (f LeaseFigures) plot(path, scenario string) error {
 	p := plot.New()
 	p.Title.Text = scenario + ": time until the duty is held again"
 	p.X.Label.Text, p.Y.Label.Text = "fault", "ms"
--- a/internal/lab/duty.go
+++ b/internal/lab/leaserun.go
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// patience bounds the wait for something that must come about, on a busy machine too.
-const patience = 30 * time.Second
+// eventTimeout bounds the wait for something that must come about, on a busy machine too.
+const eventTimeout = 30 * time.Second
 
-// dutyName is the lease that a scenario's candidates want.
-const dutyName = "duty"
+// leaseName is the lease that a scenario's candidates want.
+const leaseName = "duty"
 
-// play is one fault of a lease scenario: its kind, when it was applied (Unix ns) and the holder at that moment.
-type play struct {
+// playedFault is one fault of a lease scenario: its kind, when it was applied (Unix ns) and the holder at that moment.
+type playedFault struct {
 	Kind   string `json:"kind"`
 	At     int64  `json:"at"`
 	Holder string `json:"holder"`
 	Target string `json:"target"`
 }
 
-// dutyRun is the experiment of candidates for a lease.
-type dutyRun struct {
+// leaseRun is the experiment of candidates for a lease.
+type leaseRun struct {
 	*cluster
 	s Scenario
 }
 
 // run plays a lease scenario: the replicas, then the candidates, then Schedules faults one after another,
 // each waited out (a successor holds, or the registry has a leader again) and undone before the next.
-func (l *dutyRun) run(ctx context.Context) (Report, error) {
+func (l *leaseRun) run(ctx context.Context) (Report, error) {
 	if err := l.startRegistries(ctx, l.s.Registries); err != nil {
 		return Report{}, err
 	}
@@ -44,17 +44,17 @@
 	}
 	rng := rand.New(rand.NewPCG(l.s.Seed, 0xd07))
 	l.start = time.Now()
-	var plays []play
+	var plays []playedFault
 	for n := range l.s.Duty.Schedules {
 		p, err := l.schedule(ctx, rng)
 		if err != nil {
 			return Report{}, fmt.Errorf("schedule %d (%s): %w", n, p.Kind, err)
 		}
 		plays = append(plays, p)
-		l.mark(FaultMark{At: time.Duration(p.At - l.start.UnixNano()).Seconds(), Kind: p.Kind, Target: []string{p.Target}})
+		l.recordFault(FaultMark{At: time.Duration(p.At - l.start.UnixNano()).Seconds(), Kind: p.Kind, Target: []string{p.Target}})
 	}
 	sleepUntil(ctx, time.Now().Add(l.s.Duty.TTL.Duration+time.Second)) // room for the last fault's takeover to show in the logs
-	var events []DutyEvent
+	var events []LeaseEvent
 	for i, p := range l.procs["candidate"] {
 		p.Stop(stopGrace)
 		evs, err := readEvents(l.path("candidate-%d.events", i))
@@ -63,8 +63,8 @@
 		}
 		events = append(events, evs...)
 	}
-	checks, fig := judgeDuty(events, plays, l.s.Duty.TTL.Duration)
-	r := Report{Scenario: l.s.Name, Passed: true, Checks: checks, Faults: l.marks, Starts: l.starts(), Duty: &fig}
+	checks, fig := checkLeases(events, plays, l.s.Duty.TTL.Duration)
+	r := Report{Scenario: l.s.Name, Passed: true, Checks: checks, Faults: l.faultMarks, Starts: l.starts(), Duty: &fig}
 	for _, c := range checks {
 		r.Passed = r.Passed && c.OK
 	}
@@ -72,7 +72,7 @@
 }
 
 // startCandidates starts each candidate with a proxy of its own to every replica (candidate-i:registry-m).
-func (l *dutyRun) startCandidates() error {
+func (l *leaseRun) startCandidates() error {
 	d := l.s.Duty
 	for i := range d.Candidates {
 		name := fmt.Sprintf("candidate-%d", i)
@@ -81,7 +81,7 @@
 			return err
 		}
 		p := &Proc{Name: name, env: os.Environ(), log: l.path("%s.log", name),
-			argv: []string{l.opts.CommandBinary, "lab", "candidate", "--registry", strings.Join(via, ","), "--duty", dutyName,
+			argv: []string{l.opts.CommandBinary, "lab", "candidate", "--registry", strings.Join(via, ","), "--duty", leaseName,
 				"--id", name, "--ttl", d.TTL.String(), "--work", d.Work.String(),
 				"--log", l.path("%s.events", name)}}
 		if err := p.Start(l.spawn); err != nil {
@@ -93,22 +93,22 @@
 }
 
 // schedule draws one fault, applies it, waits for its effect and undoes it.
-func (l *dutyRun) schedule(ctx context.Context, rng *rand.Rand) (play, error) {
+func (l *leaseRun) schedule(ctx context.Context, rng *rand.Rand) (playedFault, error) {
 	d := l.s.Duty
 	ttl := d.TTL.Duration
-	holder, err := l.waitHolder(ctx, "", patience)
+	holder, err := l.waitHolder(ctx, "", eventTimeout)
 	if err != nil {
-		return play{}, err
+		return playedFault{}, err
 	}
 	i := holderIndex(holder)
 	if i < 0 || i >= len(l.procs["candidate"]) {
-		return play{}, fmt.Errorf("holder %q is none of the candidates", holder)
+		return playedFault{}, fmt.Errorf("holder %q is none of the candidates", holder)
 	}
 	p := l.procs["candidate"][i]
 	// Somewhere in the holder's work, not always just after its grant.
 	sleepUntil(ctx, time.Now().Add(time.Duration(rng.Int64N(int64(ttl/2)))))
-	pl := play{Kind: d.Kinds[rng.IntN(len(d.Kinds))], Holder: holder, Target: p.Name, At: time.Now().UnixNano()}
-	settle := patience // far past the takeover bound, so that a miss shows in the check rather than here
+	pl := playedFault{Kind: d.Kinds[rng.IntN(len(d.Kinds))], Holder: holder, Target: p.Name, At: time.Now().UnixNano()}
+	settle := eventTimeout // far past the takeover bound, so that a miss shows in the check rather than here
 	switch pl.Kind {
 	case "kill", "term":
 		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[pl.Kind]
@@ -153,7 +153,7 @@
 }
 
 // killLeader kills the registry's leader, waits for the next, and starts the old one again on its data.
-func (l *dutyRun) killLeader(ctx context.Context, pl play) (play, error) {
+func (l *leaseRun) killLeader(ctx context.Context, pl playedFault) (playedFault, error) {
 	lead := l.leaderIndex(ctx)
 	if lead < 0 {
 		return pl, errors.New("no leader to kill")
@@ -193,7 +193,7 @@
 
 // waitHolder waits, for at most limit, until the duty's lease is held by someone other than not, and gives the
 // holder ("" and an error where none came).
-func (l *dutyRun) waitHolder(ctx context.Context, not string, limit time.Duration) (string, error) {
+func (l *leaseRun) waitHolder(ctx context.Context, not string, limit time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -207,7 +207,7 @@
 				continue
 			}
 			for _, x := range ans.Leases {
-				if x.Name == dutyName && x.Holder != not {
+				if x.Name == leaseName && x.Holder != not {
 					return x.Holder, nil
 				}
 			}
@@ -238,7 +238,7 @@
 
 // readEvents reads a candidate's log; a killed candidate may leave its last line half written, which is skipped,
 // while a bad line before the last is damage and an error that names it.
-func readEvents(path string) ([]DutyEvent, error) {
+func readEvents(path string) ([]LeaseEvent, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -246,9 +246,9 @@
 		return nil, err
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	var out []DutyEvent
+	var out []LeaseEvent
 	for n, line := range lines {
-		var e DutyEvent
+		var e LeaseEvent
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
 			if n == len(lines)-1 {
 				break
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -22,16 +22,16 @@
 
 	drained map[string]time.Time // backends set draining through the registry, when it acknowledged
 	// propagation is, for each node and acknowledged drain, the milliseconds until the node held its revision.
-	propagation []float64
-	windows     []Window
-	kills       []Kill
-	clients     []*client // by node
-	attempts    attemptLog
-	toldToEnd   map[int]time.Time // when a node that has not been started again was told to end
+	propagation  []float64
+	windows      []FaultWindow
+	kills        []Kill
+	clients      []*client // by node
+	attempts     attemptLog
+	terminatedAt map[int]time.Time // when a node that has not been started again was told to end
 }
 
 func (l *loadRun) run(ctx context.Context) (Report, error) {
-	l.drained, l.toldToEnd = map[string]time.Time{}, map[int]time.Time{}
+	l.drained, l.terminatedAt = map[string]time.Time{}, map[int]time.Time{}
 	if err := l.setUp(ctx); err != nil {
 		return Report{}, err
 	}
@@ -139,19 +139,19 @@
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return err
 	}
-	_, admin := l.space.take()
+	_, admin := l.addresses.allocate()
 	argv := func(addr string) []string {
 		if err := os.WriteFile(conf, l.nodeConfig(i, addr, view, admin, replicas), 0o644); err != nil {
 			l.log.Error("node configuration not written", "node", name, "error", err)
 		}
 		var plan sysfault.Plan
 		switch {
-		case l.s.shimmed(i):
-			plan = drawPlan(l.s, i)
+		case l.s.hasSystemCallFaults(i):
+			plan = drawSystemCallPlan(l.s, i)
 		case l.s.emptyPlan:
 			plan = sysfault.Plan{}
 		}
-		return l.underShim(plan, i, l.opts.NodeBinary)
+		return l.withSystemCallFaults(plan, i, l.opts.NodeBinary)
 	}
 	env := []string{"BALANCER_CONFIG=" + conf, "BALANCER_NAME=" + name, "TMPDIR=" + tmp}
 	_, addr, err := l.startChild(ctx, "node", argv, env, "/health/ready")
@@ -225,19 +225,19 @@
 	return class
 }
 
-// play sends the load while the faults are applied on their times, then ends the children and judges.
+// playedFault sends the load while the faults are applied on their times, then ends the children and judges.
 func (l *loadRun) play(ctx context.Context) (Report, error) {
-	d := &Driver{Load: l.s.Load, Nodes: l.newClients(), Seed: l.s.Seed}
+	d := &Driver{Load: l.s.Load, Nodes: l.newNodeClients(), Seed: l.s.Seed}
 	l.start = time.Now()
 	playCtx, stopFaults := context.WithCancel(ctx)
 	var faults sync.WaitGroup
-	faults.Go(func() { l.timeline(playCtx) })
+	faults.Go(func() { l.applyFaults(playCtx) })
 	var starved starvationLog
 	if l.s.Soak != nil {
-		faults.Go(func() { starved.watch(playCtx, l.watched) })
+		faults.Go(func() { starved.run(playCtx, l.watchedProcesses) })
 	}
 	for _, c := range l.clients {
-		faults.Go(func() { c.crowd(playCtx, l.s.crowd) })
+		faults.Go(func() { c.holdIdleConnections(playCtx, l.s.crowd) })
 	}
 	d.Run(ctx, l.s.Duration.Duration)
 	stopFaults()
@@ -253,7 +253,7 @@
 	if l.s.Soak != nil {
 		drained = nil // a backend may drain more than once: see verifySoak
 	}
-	h := History{Drained: drained, Grace: l.s.Grace.Duration, Windows: l.windows, Kills: l.kills, Attempts: l.attempts.all()}
+	h := History{DrainedAt: drained, DrainGrace: l.s.Grace.Duration, FaultWindows: l.windows, Kills: l.kills, Attempts: l.attempts.all()}
 	var unsent int
 	h.Outcomes, unsent = d.Outcomes()
 	for j := range l.s.Backends {
@@ -272,28 +272,28 @@
 		extra = append(extra, h.verifySoak(drains, lastUp)...)
 		extra = append(extra, l.checkNodeLogs())
 	}
-	r := Summarize(l.s.Name, l.start, h, l.marks, unsent, l.starts(), extra...)
-	r.Propagation, r.Starved = newSpread(l.propagation), starved.all()
+	r := Summarize(l.s.Name, l.start, h, l.faultMarks, unsent, l.starts(), extra...)
+	r.Propagation, r.Starved = newDistribution(l.propagation), starved.all()
 	if err := writeOutcomes(l.path("outcomes.jsonl"), h.Outcomes); err != nil {
 		return r, err
 	}
 	return r, r.Write(l.opts.Out)
 }
 
-// watched are the processes of a soak by name, the lab's own among them: what it takes down late it judges wrongly.
-func (l *loadRun) watched() map[string][]int {
+// watchedProcesses are the processes of a soak by name, the lab's own among them: what it takes down late it judges wrongly.
+func (l *loadRun) watchedProcesses() map[string][]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pids := map[string][]int{"lab": {os.Getpid()}}
-	for _, p := range l.all() {
+	for _, p := range l.children() {
 		pids[p.Name] = append(pids[p.Name], p.pids()...)
 	}
 	return pids
 }
 
-// newClients makes the clients' side of each node. A soak has no faults of the clients' links, and its clients reach the nodes
+// newNodeClients makes the clients' side of each node. A soak has no faults of the clients' links, and its clients reach the nodes
 // themselves: a proxy that gets no processor time would pass a client's leaving on late.
-func (l *loadRun) newClients() []*client {
+func (l *loadRun) newNodeClients() []*client {
 	for i := range l.s.Nodes {
 		if l.s.Soak != nil {
 			l.clients = append(l.clients, &client{target: l.listenAddr[i]})
--- a/internal/lab/work.go
+++ b/internal/lab/maintenancerun.go
@@ -18,19 +18,19 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// Work makes a fleet's scenario one of machines taken out for work under load: an operator asks for all backends, at most
+// MaintenanceScenario makes a fleet's scenario one of machines taken out for work under load: an operator asks for all backends, at most
 // Budget of them out at once, and for each that is quiet ends its process, starts it again and has it listed. Meanwhile
 // faults are drawn from Kinds (pause: a node stands still; kill: one is killed and started again; leader: the registry's
 // leader is; outage: all replicas are, and start again a while later), one every Every.
-type Work struct {
+type MaintenanceScenario struct {
 	Budget int      `toml:"budget"`
 	Kinds  []string `toml:"kinds"`
 	Every  Duration `toml:"every"`
 }
 
-var workKinds = []string{"pause", "kill", "leader", "outage"}
+var maintenanceFaultKinds = []string{"pause", "kill", "leader", "outage"}
 
-func (w Work) check(s Scenario) error {
+func (w MaintenanceScenario) check(s Scenario) error {
 	switch {
 	case s.Fleet == nil:
 		return tomlfile.Bad("work", "machines are taken out by a [fleet]")
@@ -40,46 +40,46 @@
 		return tomlfile.Bad("work.every", "%s is below 100ms", w.Every)
 	}
 	for _, k := range w.Kinds {
-		if !slices.Contains(workKinds, k) {
-			return tomlfile.Bad("work.kinds", "%q is not one of %s", k, strings.Join(workKinds, ", "))
+		if !slices.Contains(maintenanceFaultKinds, k) {
+			return tomlfile.Bad("work.kinds", "%q is not one of %s", k, strings.Join(maintenanceFaultKinds, ", "))
 		}
 	}
 	return nil
 }
 
-// workRun is the experiment.
-type workRun struct {
+// maintenanceRun is the experiment.
+type maintenanceRun struct {
 	*loadRun
 	members []Member // as listed, by number
 
-	away []away // while a machine was out, by the operator's own clock
-	over Check  // never more out than the budget
+	away []outPeriod // while a machine was out, by the operator's own clock
+	over Check       // never more out than the budget
 }
 
-// away is a machine's time between quiet, as the registry acknowledged it, and the call that lists it again.
-type away struct {
+// outPeriod is a machine's time between quiet, as the registry acknowledged it, and the call that lists it again.
+type outPeriod struct {
 	machine    string
 	from, till time.Time
 }
 
-func (l *workRun) run(ctx context.Context) (Report, error) {
+func (l *maintenanceRun) run(ctx context.Context) (Report, error) {
 	l.drained = map[string]time.Time{}
 	l.over = Check{Name: "never more machines out than the budget"}
 	l.start = time.Now()
 	stopLoad := make(chan struct{})
-	d := &Driver{Load: l.s.Load, Nodes: l.newClients(), Seed: l.s.Seed}
+	d := &Driver{Load: l.s.Load, Nodes: l.newNodeClients(), Seed: l.s.Seed}
 	var beside sync.WaitGroup
 	d.Stop = stopLoad
 	beside.Go(func() { d.Run(ctx, l.s.Duration.Duration) })
 	faults, stopFaults := context.WithCancel(ctx)
 	beside.Go(func() { l.drawFaults(faults) })
-	err := l.operate(ctx)
+	err := l.runMaintenance(ctx)
 	stopFaults()
 	close(stopLoad)
 	beside.Wait()
 	l.timers.Wait()
 	l.stopAll()
-	h := History{Windows: l.windows}
+	h := History{FaultWindows: l.windows}
 	var unsent int
 	h.Outcomes, unsent = d.Outcomes()
 	for j := range l.s.Backends {
@@ -93,7 +93,7 @@
 	if err != nil {
 		through.add(err.Error())
 	}
-	r := Summarize(l.s.Name, l.start, h, l.marks, unsent, l.starts(), l.noneWhileAway(h), l.over.done(), through.done())
+	r := Summarize(l.s.Name, l.start, h, l.faultMarks, unsent, l.starts(), l.noAttemptWhileOut(h), l.over.done(), through.done())
 	if r.Timeline, err = l.drawTimeline(nil); err != nil {
 		return r, err
 	}
@@ -101,7 +101,7 @@
 }
 
 // drawFaults plays a fault every so often until ctx ends, each undone before the next.
-func (l *workRun) drawFaults(ctx context.Context) {
+func (l *maintenanceRun) drawFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.s.Seed, 0x307a))
 	w := l.s.Work
 	for len(w.Kinds) > 0 {
@@ -114,19 +114,19 @@
 }
 
 // inject plays one fault and undoes it.
-func (l *workRun) inject(ctx context.Context, rng *rand.Rand, kind string) {
+func (l *maintenanceRun) inject(ctx context.Context, rng *rand.Rand, kind string) {
 	long := time.Duration(float64(l.s.Fleet.Interval.Duration) * (0.5 + 7*rng.Float64()))
 	i := rng.IntN(l.s.Nodes)
 	p := l.procs["node"][i]
 	switch kind {
 	case "leader":
 		if lead := l.leaderIndex(ctx); lead >= 0 {
-			l.fault("kill", fmt.Sprintf("registry-%d", lead))
+			l.noteFault("kill", fmt.Sprintf("registry-%d", lead))
 			l.restartAfterElection(context.WithoutCancel(ctx), lead)
 		}
 		return
 	case "outage":
-		l.fault("kill", "registry-*")
+		l.noteFault("kill", "registry-*")
 		for _, r := range l.procs["registry"] {
 			r.Kill()
 		}
@@ -136,34 +136,34 @@
 				l.log.Error("not started again", "child", r.Name, "error", err)
 			}
 		}
-		l.note(timeline.Faults, "start registry-*")
+		l.recordEvent(timeline.Faults, "start registry-*")
 		l.waitLeader(context.WithoutCancel(ctx))
 		return
 	case "kill":
-		l.fault("kill", p.Name)
-		l.open("node", i, "kill")
+		l.noteFault("kill", p.Name)
+		l.openFaultWindow("node", i, "kill")
 		p.Kill()
 		sleepUntil(ctx, time.Now().Add(long/4))
 		if err := p.Start(l.spawn); err != nil {
 			l.log.Error("not started again", "child", p.Name, "error", err)
 		}
 		waitReady(context.WithoutCancel(ctx), p, l.links["client-"+p.Name].target, "/health/ready")
-		l.note(timeline.Faults, "start %s", p.Name)
+		l.recordEvent(timeline.Faults, "start %s", p.Name)
 	default:
-		l.fault("pause", p.Name)
-		l.open("node", i, "pause")
+		l.noteFault("pause", p.Name)
+		l.openFaultWindow("node", i, "pause")
 		p.Signal(syscall.SIGSTOP)
 		sleepUntil(ctx, time.Now().Add(long))
 		p.Signal(syscall.SIGCONT)
-		l.note(timeline.Faults, "go on %s", p.Name)
+		l.recordEvent(timeline.Faults, "go on %s", p.Name)
 	}
 	// What it held is late, and what it has not heard yet it cannot know: a second more.
-	l.later(context.WithoutCancel(ctx), time.Second, func() { l.shut("node", i) })
+	l.undoAfter(context.WithoutCancel(ctx), time.Second, func() { l.closeFaultWindow("node", i) })
 }
 
-// operate is the operator: it asks for all backends and works on each that is quiet, until all have been through.
-func (l *workRun) operate(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*patience)
+// runMaintenance is the operator: it asks for all backends and works on each that is quiet, until all have been through.
+func (l *maintenanceRun) runMaintenance(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, 2*eventTimeout)
 	defer cancel()
 	ask := map[string]any{"id": "work", "reason": "the lab's", "length_ms": 1000, "budget": map[string]int{"all": l.s.Work.Budget},
 		"select": map[string]string{"site": "a"}}
@@ -175,21 +175,21 @@
 		if err := l.anyReplica(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
 			return err
 		}
-		l.look(b)
+		l.recordBoard(b)
 		if len(b.Turns) == 0 {
 			return nil
 		}
 		for _, t := range b.Turns {
-			if err := l.attend(ctx, t); err != nil {
+			if err := l.serveTurn(ctx, t); err != nil {
 				return err
 			}
 		}
-		sleepUntil(ctx, time.Now().Add(lookEvery))
+		sleepUntil(ctx, time.Now().Add(followInterval))
 	}
 }
 
-// look takes down a board.
-func (l *workRun) look(b maintenance.Board) {
+// sample takes down a board.
+func (l *maintenanceRun) recordBoard(b maintenance.Board) {
 	out := 0
 	states := map[string]string{}
 	for _, t := range b.Turns {
@@ -200,9 +200,9 @@
 	}
 	for _, m := range l.members {
 		if s, ok := states[m.ID]; ok {
-			l.say(m.ID, s)
+			l.recordChange(m.ID, s)
 		} else {
-			l.say(m.ID, "done")
+			l.recordChange(m.ID, "done")
 		}
 	}
 	if out > l.s.Work.Budget {
@@ -211,7 +211,7 @@
 }
 
 // attend does the operator's part of a turn: a quiet machine is taken out, worked on, listed again and done.
-func (l *workRun) attend(ctx context.Context, t maintenance.Turn) error {
+func (l *maintenanceRun) serveTurn(ctx context.Context, t maintenance.Turn) error {
 	step := func(to maintenance.State) error {
 		var out struct{ Turn maintenance.Turn }
 		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", maintenance.Command{Rev: t.Rev, To: to}, &out)
@@ -233,7 +233,7 @@
 	if err := errors.Join(p.Start(l.spawn), waitReady(ctx, p, l.backendAddr[i], "/health/live")); err != nil {
 		return err
 	}
-	l.away = append(l.away, away{t.Machine, from, time.Now()})
+	l.away = append(l.away, outPeriod{t.Machine, from, time.Now()})
 	m := l.members[i]
 	m.UpSince, m.Phase = time.Now().UnixMilli(), "draining" // a new process, not to be sent to before its turn says so
 	if err := l.anyReplica(ctx, http.MethodPost, "/registry/members", map[string]any{"member": m}, nil); err != nil {
@@ -255,7 +255,7 @@
 // anyReplica makes a call of one replica after the other until one answers it, for patience at most; a refusal by the
 // rules is final.
 func (l *cluster) anyReplica(ctx context.Context, method, path string, body, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, eventTimeout)
 	defer cancel()
 	var last error
 	for try := 0; ctx.Err() == nil; try++ {
@@ -269,9 +269,9 @@
 	return fmt.Errorf("no replica answered: %w", last)
 }
 
-// noneWhileAway checks that nothing was run by a machine while it was out, but for what a node sent that was paused
+// noAttemptWhileOut checks that nothing was run by a machine while it was out, but for what a node sent that was paused
 // itself and could not hear.
-func (l *workRun) noneWhileAway(h History) Check {
+func (l *maintenanceRun) noAttemptWhileOut(h History) Check {
 	c := Check{Name: "nothing reaches a machine between quiet and returning"}
 	node := map[string]int{}
 	for _, o := range h.Outcomes {
@@ -282,7 +282,7 @@
 			if e.Backend != a.machine || e.At < a.from.UnixNano() || e.At > a.till.UnixNano() {
 				continue
 			}
-			if n, sent := node[e.Trace]; sent && h.faulted(n, a.from.Add(-time.Second).UnixNano(), e.At) {
+			if n, sent := node[e.Trace]; sent && h.inFaultWindow(n, a.from.Add(-time.Second).UnixNano(), e.At) {
 				c.Excused++
 				continue
 			}
@@ -297,7 +297,7 @@
 	if err := l.setUp(ctx); err != nil {
 		return Report{}, err
 	}
-	w := &workRun{loadRun: l}
+	w := &maintenanceRun{loadRun: l}
 	for j := range l.s.Backends {
 		w.members = append(w.members, Member{ID: fmt.Sprintf("backend-%d", j), HostPort: l.links[fmt.Sprintf("node-*:backend-%d", j)].Addr(),
 			Locality: "a", Flavor: "m", Phase: "ready", Size: 1})
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -103,7 +103,7 @@
 	p.workers.Wait()
 }
 
-// watch has a function see each piece that the near side of later connections sends.
+// run has a function see each piece that the near side of later connections sends.
 func (p *Proxy) watch(seen func(piece []byte)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// take serves a connection that has been accepted, or resets it where the link drops it.
+// allocate serves a connection that has been accepted, or resets it where the link drops it.
 func (p *Proxy) take(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -40,19 +40,19 @@
 	var peers strings.Builder
 	for m := range rs {
 		r := &rs[m]
-		_, r.http = l.space.take()
-		r.from, r.raft = l.space.take()
-		f, err := NewFan(r.raft)
+		_, r.http = l.addresses.allocate()
+		r.from, r.raft = l.addresses.allocate()
+		f, err := NewCallerRouter(r.raft)
 		if err != nil {
 			return fmt.Errorf("proxies to registry-%d: %w", m, err)
 		}
-		r.advertised, l.fans = f.Addr(), append(l.fans, f)
+		r.advertised, l.callerRouters = f.Addr(), append(l.callerRouters, f)
 		fmt.Fprintf(&peers, "\n[[peer]]\nid = \"registry-%d\"\nraft = %q\nhttp = %q\n", m, r.advertised, r.http)
 	}
 	for i := range rs {
-		for m, f := range l.fans {
+		for m, f := range l.callerRouters {
 			if m != i {
-				l.links[fmt.Sprintf("registry-%d:registry-%d", i, m)] = f.From(rs[i].from, l.seed+uint64(i*n+m))
+				l.links[fmt.Sprintf("registry-%d:registry-%d", i, m)] = f.LinkFor(rs[i].from, l.seed+uint64(i*n+m))
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 			return err
 		}
 		proc := &Proc{Name: name, env: os.Environ(), log: l.path("%s.log", name),
-			argv: l.underShim(l.registryPlans[i], i, l.opts.CommandBinary, "registry", "serve", "--config", conf)}
+			argv: l.withSystemCallFaults(l.registryPlans[i], i, l.opts.CommandBinary, "registry", "serve", "--config", conf)}
 		l.procs["registry"], l.registryAddr = append(l.procs["registry"], proc), append(l.registryAddr, r.http)
 		if err := proc.Start(l.spawn); err != nil {
 			return err
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -45,29 +45,29 @@
 	Runs     int            `json:"executions"`
 	Starts   map[string]int `json:"starts"` // process starts by name, restarts included
 	// Propagation is the time from a registry change's acknowledgement until each node held its revision.
-	Propagation Spread `json:"propagation_ms"`
-	// Duty holds a lease scenario's figures; such a run has no load, so its only plot is of takeovers.
-	Duty *DutyFigures `json:"duty,omitempty"`
+	Propagation Distribution `json:"propagation_ms"`
+	// LeaseScenario holds a lease scenario's figures; such a run has no load, so its only plot is of takeovers.
+	Duty *LeaseFigures `json:"duty,omitempty"`
 	// Starved is when children of a soak were kept from a processor by a crowded machine. It excuses nothing.
 	Starved []starvation `json:"starved,omitempty"`
 	// Timeline is what each process did, drawn as text; it is written to a file of its own.
 	Timeline string `json:"-"`
 }
 
-// Spread sums up a sample: its size, median, 99th percentile and largest value.
-type Spread struct {
+// Distribution sums up a sample: its size, median, 99th percentile and largest value.
+type Distribution struct {
 	N   int     `json:"n"`
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-func newSpread(sample []float64) Spread {
+func newDistribution(sample []float64) Distribution {
 	if len(sample) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	s := slices.Sorted(slices.Values(sample))
-	return Spread{N: len(s), P50: quantile(s, 0.5), P99: quantile(s, 0.99), Max: s[len(s)-1]}
+	return Distribution{N: len(s), P50: quantile(s, 0.5), P99: quantile(s, 0.99), Max: s[len(s)-1]}
 }
 
 // Summarize builds the report of a run that began at start.
--- a/internal/lab/reset.go
+++ b/internal/lab/reset.go
@@ -10,10 +10,10 @@
 const (
 	// tcpClose is the state of a connection that has been reset (TCP_CLOSE of tcp_states.h).
 	tcpClose = 7
-	// resetWithin is how long a reset may take that answers what came too late.
-	resetWithin = 300 * time.Millisecond
-	// resetLook is how often it is looked for.
-	resetLook = time.Millisecond
+	// resetTimeout is how long a reset may take that answers what came too late.
+	resetTimeout = 300 * time.Millisecond
+	// resetPollInterval is how often it is looked for.
+	resetPollInterval = time.Millisecond
 )
 
 // tcpCloseWait is the state of a connection that the other side has ended in order (TCP_CLOSE_WAIT).
@@ -49,7 +49,7 @@
 // awaitReset tells whether a connection that the other side has ended is reset as well. It is where the other side closed it
 // before it had read all that was written to it, and is not where it had read all.
 func awaitReset(c net.Conn) bool {
-	for end := time.Now().Add(resetWithin); time.Now().Before(end); time.Sleep(resetLook) {
+	for end := time.Now().Add(resetTimeout); time.Now().Before(end); time.Sleep(resetPollInterval) {
 		if state, ok := tcpState(c); !ok || state == tcpClose {
 			return true // a connection without a state is gone altogether
 		}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -23,30 +23,30 @@
 	// Registries is the number of registry replicas (hitchvale registry serve) that discovery comes from; 0: the
 	// lab's stand-in discovery, with a proxy per node and backend.
 	Registries int `toml:"registries"`
-	// Grace is how long a draining backend may still receive requests (the settings' drainGrace).
+	// DrainGrace is how long a draining backend may still receive requests (the settings' drainGrace).
 	Grace   Duration `toml:"grace"`
 	Load    Load     `toml:"load"`
 	Backend Behavior `toml:"backend"`
 	Faults  []Fault  `toml:"fault"`
-	// Duty, where set, makes the run a lease scenario: registry replicas and candidates for one duty, under
+	// LeaseScenario, where set, makes the run a lease scenario: registry replicas and candidates for one duty, under
 	// faults drawn from the seed, instead of nodes under load (see Duty).
-	Duty *Duty `toml:"duty"`
+	Duty *LeaseScenario `toml:"duty"`
 	// Fleet, where set, makes the run one of the fleet's shared view, under faults drawn from the seed (see Fleet).
 	Fleet *Fleet `toml:"fleet"`
 	// Soak, where set, has faults drawn from the seed (see Soak).
 	Soak *Soak `toml:"soak"`
-	// Work, beside a fleet, has machines taken out for work under load (see Work).
-	Work *Work `toml:"work"`
+	// MaintenanceScenario, beside a fleet, has machines taken out for work under load (see Work).
+	Work *MaintenanceScenario `toml:"work"`
 
 	longClass time.Duration // the deadline that the settings give the class of claims; 0: the load's
 	crowd     int           // idle connections of clients to each node
 	emptyPlan bool          // nodes run under the shim, which changes nothing
 }
 
-// Duty is a lease scenario: Candidates processes want one duty with a TTL; each does Work between its check of
+// LeaseScenario is a lease scenario: Candidates processes want one duty with a TTL; each does Work between its check of
 // the lease and its fenced write. Schedules faults are played one after another, each of a kind drawn from Kinds
 // (kill, pause, cut, term, leader; both: the holder paused while the leader is killed) and aimed at the duty's holder or, for leader, the registry's leader.
-type Duty struct {
+type LeaseScenario struct {
 	Candidates int      `toml:"candidates"`
 	TTL        Duration `toml:"ttl"`
 	Work       Duration `toml:"work"`
@@ -54,9 +54,9 @@
 	Kinds      []string `toml:"kinds"`
 }
 
-var dutyKinds = map[string]bool{"kill": true, "pause": true, "cut": true, "term": true, "leader": true, "both": true}
+var leaseFaultKinds = map[string]bool{"kill": true, "pause": true, "cut": true, "term": true, "leader": true, "both": true}
 
-func (d Duty) check(registries int) error {
+func (d LeaseScenario) check(registries int) error {
 	switch {
 	case registries < 1:
 		return tomlfile.Bad("registries", "a duty needs at least 1 registry replica")
@@ -72,7 +72,7 @@
 		return tomlfile.Bad("duty.kinds", "none named")
 	}
 	for _, k := range d.Kinds {
-		if !dutyKinds[k] {
+		if !leaseFaultKinds[k] {
 			return tomlfile.Bad("duty.kinds", "%q is not one of kill, pause, cut, term, leader, both", k)
 		}
 	}
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -38,13 +38,13 @@
 	at := time.Unix(100, 0)
 	late := at.Add(1500 * time.Millisecond).UnixNano()
 	h := History{
-		Outcomes:   []Outcome{{Trace: "a", Node: 0}, {Trace: "b", Node: 1}},
-		Executions: []Execution{{Trace: "a", Backend: "backend-4", At: late}, {Trace: "b", Backend: "backend-4", At: late}},
-		Windows:    []Window{{Node: 1, From: at.Add(-time.Second).UnixNano(), Till: at.Add(time.Second).UnixNano(), Kind: "pause"}},
-		Drained:    map[string]time.Time{"backend-4": at},
-		Grace:      time.Second,
+		Outcomes:     []Outcome{{Trace: "a", Node: 0}, {Trace: "b", Node: 1}},
+		Executions:   []Execution{{Trace: "a", Backend: "backend-4", At: late}, {Trace: "b", Backend: "backend-4", At: late}},
+		FaultWindows: []FaultWindow{{Node: 1, Start: at.Add(-time.Second).UnixNano(), End: at.Add(time.Second).UnixNano(), Kind: "pause"}},
+		DrainedAt:    map[string]time.Time{"backend-4": at},
+		DrainGrace:   time.Second,
 	}
-	c := h.noneAfterDrain()
+	c := h.noAttemptAfterDrain()
 	if c.OK || c.Violations != 1 || c.Excused != 1 || !strings.HasPrefix(c.Examples[0], "a ") {
 		t.Fatalf("%+v", c)
 	}
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -51,8 +51,8 @@
 	return s
 }
 
-// boutSpan is the time within which the troubles of a bout begin: all of them last longer.
-const boutSpan = 300 * time.Millisecond
+// burstSpan is the time within which the troubles of a bout begin: all of them last longer.
+const burstSpan = 300 * time.Millisecond
 
 func (s Soak) check(sc Scenario) error {
 	switch {
@@ -62,8 +62,8 @@
 		return tomlfile.Bad("soak.seeds", "%d is outside 1 to 100000", s.Seeds)
 	case s.Quiet.Duration < time.Second:
 		return tomlfile.Bad("soak.quiet", "%s is below 1s, before which no node may be told to read its configuration again", s.Quiet)
-	case s.Every.Duration < boutSpan:
-		return tomlfile.Bad("soak.every", "%s is below %s", s.Every, boutSpan)
+	case s.Every.Duration < burstSpan:
+		return tomlfile.Bad("soak.every", "%s is below %s", s.Every, burstSpan)
 	case s.Bout < 1 || s.Bout > 8:
 		return tomlfile.Bad("soak.bout", "%d is outside 1 to 8", s.Bout)
 	case s.Shimmed < 0 || s.Shimmed > 1:
@@ -79,13 +79,13 @@
 	return nil
 }
 
-// shimmed tells whether a node runs under the shim.
-func (s Scenario) shimmed(node int) bool {
+// hasSystemCallFaults tells whether a node runs under the shim.
+func (s Scenario) hasSystemCallFaults(node int) bool {
 	return s.Soak != nil && float64(node) < s.Soak.Shimmed*float64(s.Nodes)
 }
 
-// soakDraw draws a soak's troubles. Everything is a function of the scenario and its seed.
-type soakDraw struct {
+// faultDraw draws a soak's troubles. Everything is a function of the scenario and its seed.
+type faultDraw struct {
 	s   Scenario
 	rng *rand.Rand
 	out []Fault
@@ -93,7 +93,7 @@
 
 // drawSoak returns the faults of a soak.
 func drawSoak(s Scenario) []Fault {
-	d := &soakDraw{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x50a1))}
+	d := &faultDraw{s: s, rng: rand.New(rand.NewPCG(s.Seed, 0x50a1))}
 	// The last troubles end before the load does.
 	last := s.Duration.Duration - s.Load.Deadline.Duration
 	for at := s.Soak.Quiet.Duration; at < last; at += s.Soak.Every.Duration {
@@ -103,7 +103,7 @@
 			if d.rng.IntN(2) == 0 {
 				node, backend = d.rng.IntN(s.Nodes), d.rng.IntN(s.Backends)
 			}
-			d.trouble(at+d.span(0, boutSpan), node, backend)
+			d.drawFaultGroup(at+d.span(0, burstSpan), node, backend)
 		}
 	}
 	slices.SortStableFunc(d.out, func(a, b Fault) int { return int(a.At.Duration - b.At.Duration) })
@@ -111,11 +111,11 @@
 }
 
 // span draws a time between two.
-func (d *soakDraw) span(from, to time.Duration) time.Duration {
+func (d *faultDraw) span(from, to time.Duration) time.Duration {
 	return from + time.Duration(d.rng.Float64()*float64(to-from))
 }
 
-func (d *soakDraw) add(at time.Duration, kind, target string, change ...func(*Fault)) {
+func (d *faultDraw) add(at time.Duration, kind, target string, change ...func(*Fault)) {
 	f := Fault{At: Duration{Duration: at}, Kind: kind, Target: []string{target}}
 	for _, c := range change {
 		c(&f)
@@ -123,32 +123,32 @@
 	d.out = append(d.out, f)
 }
 
-// trouble draws one trouble that begins at a time.
-func (d *soakDraw) trouble(at time.Duration, i, j int) {
+// drawFaultGroup draws one trouble that begins at a time.
+func (d *faultDraw) drawFaultGroup(at time.Duration, i, j int) {
 	node, backend := fmt.Sprintf("node-%d", i), fmt.Sprintf("backend-%d", j)
 	lasting := func(from, to time.Duration) func(*Fault) {
 		span := d.span(from, to)
 		return func(f *Fault) { f.For.Duration = span }
 	}
 	stopWithin := d.s.killAfter()
-	kinds := plainTroubles
+	kinds := plainFaultGroups
 	if d.s.Soak.Upgrades {
-		kinds += upgradeTroubles
+		kinds += upgradeFaultGroups
 	}
 	switch kind := d.rng.IntN(kinds); kind {
 	default:
-		d.upgradeTrouble(kind-plainTroubles, at, node)
+		d.drawUpgradeFaults(kind-plainFaultGroups, at, node)
 	case 0:
 		d.add(at, "term", node)
 		d.add(at+stopWithin, "restart", node)
 	case 1: // a reload beside a stop
 		d.add(at, "hup", node)
-		stop := at + d.span(0, boutSpan)
+		stop := at + d.span(0, burstSpan)
 		d.add(stop, "term", node)
 		d.add(stop+stopWithin, "restart", node)
 	case 2:
 		d.add(at, "term", node)
-		d.add(at+d.span(0, boutSpan), "hup", node)
+		d.add(at+d.span(0, burstSpan), "hup", node)
 		d.add(at+stopWithin, "restart", node)
 	case 3:
 		d.add(at, "kill", node)
@@ -171,7 +171,7 @@
 		delay := d.span(20*time.Millisecond, 300*time.Millisecond)
 		d.add(at, kind, link, lasting(300*time.Millisecond, 1500*time.Millisecond), func(f *Fault) { f.Delay.Duration = delay })
 	case 10:
-		if d.s.shimmed(i) {
+		if d.s.hasSystemCallFaults(i) {
 			d.add(at, "hup", node) // a traced process can't be held up by a signal
 			return
 		}
@@ -179,11 +179,11 @@
 	}
 }
 
-// plainTroubles and upgradeTroubles are how many troubles there are of either sort.
-const plainTroubles, upgradeTroubles = 11, 7
+// plainFaultGroups and upgradeFaultGroups are how many troubles there are of either sort.
+const plainFaultGroups, upgradeFaultGroups = 11, 7
 
-// upgradeTrouble draws a trouble that replaces a node's process. Backends hang in half of them.
-func (d *soakDraw) upgradeTrouble(kind int, at time.Duration, node string) {
+// drawUpgradeFaults draws a trouble that replaces a node's process. Backends hang in half of them.
+func (d *faultDraw) drawUpgradeFaults(kind int, at time.Duration, node string) {
 	if d.rng.IntN(2) == 0 {
 		from, span := at+d.span(0, 800*time.Millisecond), d.span(time.Second, 2500*time.Millisecond)
 		for j := d.rng.IntN(2); j < d.s.Backends; j += 2 {
@@ -211,16 +211,16 @@
 	}
 }
 
-// The earliest kill of a process that was told to end (PROTOCOL): the longest deadline, killDeadlineMost at most, and killGrace.
-const killDeadlineMost, killGrace = 3 * time.Second, 700 * time.Millisecond
+// The earliest kill of a process that was told to end (PROTOCOL): the longest deadline, maxKillDeadline at most, and killGrace.
+const maxKillDeadline, killGrace = 3 * time.Second, 700 * time.Millisecond
 
 // killAfter is how long after SIGTERM SIGKILL comes.
 func (s Scenario) killAfter() time.Duration {
-	return min(max(s.Load.Deadline.Duration, s.longClass), killDeadlineMost) + killGrace
+	return min(max(s.Load.Deadline.Duration, s.longClass), maxKillDeadline) + killGrace
 }
 
-// drawPlan draws what befalls the system calls of a node under the shim.
-func drawPlan(s Scenario, node int) sysfault.Plan {
+// drawSystemCallPlan draws what befalls the system calls of a node under the shim.
+func drawSystemCallPlan(s Scenario, node int) sysfault.Plan {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x5419+uint64(node)))
 	span := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Float64()*float64(to-from))
@@ -240,8 +240,8 @@
 	return plan
 }
 
-// seedLine is what seeds.jsonl holds of each seed.
-type seedLine struct {
+// seedResult is what seeds.jsonl holds of each seed.
+type seedResult struct {
 	Seed   uint64         `json:"seed"`
 	Passed bool           `json:"passed"`
 	Counts map[string]int `json:"counts"`
@@ -266,7 +266,7 @@
 		one := opts
 		one.Out = filepath.Join(opts.Out, fmt.Sprintf("seed-%d", s.Seed))
 		r, err := runLoad(ctx, s.forSeed(), one)
-		line := seedLine{Seed: s.Seed, Passed: r.Passed, Counts: r.Counts}
+		line := seedResult{Seed: s.Seed, Passed: r.Passed, Counts: r.Counts}
 		for _, st := range r.Starved {
 			line.StarvedMs = max(line.StarvedMs, st.For.Milliseconds())
 		}
@@ -316,8 +316,8 @@
 	}
 }
 
-// nodeTroubles are lines of a node's log that tell of a fault of the program.
-var nodeTroubles = []string{"invariant violated", "panic:", "fatal error:", "SIGSEGV", "hitchvale-node: "}
+// logFaultMarkers are lines of a node's log that tell of a fault of the program.
+var logFaultMarkers = []string{"invariant violated", "panic:", "fatal error:", "SIGSEGV", "hitchvale-node: "}
 
 // checkNodeLogs looks for such lines.
 func (l *loadRun) checkNodeLogs() Check {
@@ -329,7 +329,7 @@
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
-			if slices.ContainsFunc(nodeTroubles, func(t string) bool { return strings.Contains(line, t) }) {
+			if slices.ContainsFunc(logFaultMarkers, func(t string) bool { return strings.Contains(line, t) }) {
 				c.add(fmt.Sprintf("node-%d: %s", i, strings.TrimSpace(line)))
 			}
 		}
--- a/internal/lab/soak_check.go
+++ b/internal/lab/soak_check.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// judgeSlack is what the clocks and queues of a busy machine may add to a time that a check compares.
-const judgeSlack = 100 * time.Millisecond
+// clockSlack is what the clocks and queues of a busy machine may add to a time that a check compares.
+const clockSlack = 100 * time.Millisecond
 
 const (
-	// goneGrace is how long after its client has left an attempt may still begin.
-	goneGrace = 100 * time.Millisecond
-	// toldSlack is how much more than its client has left an attempt may tell its backend.
-	toldSlack = 150 * time.Millisecond
-	// toldWithin is when a change counts as told at the latest, from when discovery had it and could be reached.
-	toldWithin = 6 * time.Second
+	// disconnectGrace is how long after its client has left an attempt may still begin.
+	disconnectGrace = 100 * time.Millisecond
+	// deadlineSlack is how much more than its client has left an attempt may tell its backend.
+	deadlineSlack = 150 * time.Millisecond
+	// notificationDeadline is when a change counts as told at the latest, from when discovery had it and could be reached.
+	notificationDeadline = 6 * time.Second
 )
 
 // drainPeriod is a time in which a backend wants nothing new.
 type drainPeriod struct {
-	from, till time.Time            // till zero: to the end
-	told       map[string]time.Time // by node: when it was written to it
+	start, end time.Time            // till zero: to the end
+	notifiedAt map[string]time.Time // by node: when it was written to it
 }
 
 // verifySoak checks what a soak's history has beside that of a plain run.
@@ -29,22 +29,22 @@
 	for _, o := range h.Outcomes {
 		outcomes[o.Trace] = o
 	}
-	return []Check{h.noneForGoneClients(outcomes), h.deadlinesTold(outcomes), h.keyedWithinWindow(outcomes),
-		h.noneInDrains(drains, lastUp)}
+	return []Check{h.noAttemptAfterDisconnect(outcomes), h.deadlinesForwarded(outcomes), h.keyedWithinWindow(outcomes),
+		h.noAttemptInDrain(drains, lastUp)}
 }
 
-func (h History) noneForGoneClients(outcomes map[string]Outcome) Check {
+func (h History) noAttemptAfterDisconnect(outcomes map[string]Outcome) Check {
 	c := Check{Name: "no attempt begins after its client has left"}
 	for _, a := range h.Attempts {
 		o, ok := outcomes[a.Trace]
-		if ok && o.Left > 0 && a.At > o.Left+int64(goneGrace+judgeSlack) {
+		if ok && o.Left > 0 && a.At > o.Left+int64(disconnectGrace+clockSlack) {
 			c.add(fmt.Sprintf("%s at %s by %s: %s after its client left", a.Trace, a.Backend, a.Node, time.Duration(a.At-o.Left)))
 		}
 	}
 	return c.done()
 }
 
-func (h History) deadlinesTold(outcomes map[string]Outcome) Check {
+func (h History) deadlinesForwarded(outcomes map[string]Outcome) Check {
 	c := Check{Name: "no attempt tells more time than its client has left"}
 	for _, a := range h.Attempts {
 		o, ok := outcomes[a.Trace]
@@ -52,7 +52,7 @@
 			continue
 		}
 		left := time.Duration(o.Sent + o.Wait - a.At)
-		if told := time.Duration(a.ToldMs) * time.Millisecond; told > max(left, 0)+toldSlack+judgeSlack {
+		if told := time.Duration(a.DeadlineMs) * time.Millisecond; told > max(left, 0)+deadlineSlack+clockSlack {
 			c.add(fmt.Sprintf("%s at %s by %s: told %s with %s left", a.Trace, a.Backend, a.Node, told, left))
 		}
 	}
@@ -82,25 +82,25 @@
 				came = at
 			}
 		}
-		if at, seen := first[e.Trace]; seen && came > at+int64(keyWindow+judgeSlack) {
+		if at, seen := first[e.Trace]; seen && came > at+int64(keyWindow+clockSlack) {
 			c.add(fmt.Sprintf("%s at %s: sent %s after its first run", e.Trace, e.Backend, time.Duration(came-at)))
 		}
 	}
 	return c.done()
 }
 
-// noneInDrains checks that nothing begins at a draining backend past the grace, counted from when the drain was written to the
+// noAttemptInDrain checks that nothing begins at a draining backend past the grace, counted from when the drain was written to the
 // node, or counts as told to it.
-func (h History) noneInDrains(drains map[string][]*drainPeriod, lastUp time.Time) Check {
+func (h History) noAttemptInDrain(drains map[string][]*drainPeriod, lastUp time.Time) Check {
 	c := Check{Name: "nothing begins at a draining backend past the grace"}
 	for _, a := range h.Attempts {
 		for _, d := range drains[a.Backend] {
-			told, written := d.told[a.Node]
-			if latest := maxTime(d.from, lastUp).Add(toldWithin); !written || told.After(latest) {
+			told, written := d.notifiedAt[a.Node]
+			if latest := maxTime(d.start, lastUp).Add(notificationDeadline); !written || told.After(latest) {
 				told = latest
 			}
 			begin := time.Unix(0, a.At)
-			if begin.After(told.Add(h.Grace+judgeSlack)) && (d.till.IsZero() || begin.Before(d.till)) {
+			if begin.After(told.Add(h.DrainGrace+clockSlack)) && (d.end.IsZero() || begin.Before(d.end)) {
 				c.add(fmt.Sprintf("%s at %s by %s: %s after it was told, written %v", a.Trace, a.Backend, a.Node,
 					begin.Sub(told).Round(time.Millisecond), written))
 			}
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -57,7 +57,7 @@
 	for seed := range uint64(100) {
 		s.Seed = seed
 		faults := drawSoak(s)
-		if !reflect.DeepEqual(faults, drawSoak(s)) || !reflect.DeepEqual(drawPlan(s, 1), drawPlan(s, 1)) {
+		if !reflect.DeepEqual(faults, drawSoak(s)) || !reflect.DeepEqual(drawSystemCallPlan(s, 1), drawSystemCallPlan(s, 1)) {
 			t.Fatalf("seed %d: drawn otherwise the second time", seed)
 		}
 		for _, f := range faults {
@@ -69,7 +69,7 @@
 				t.Errorf("seed %d: %+v: %v", seed, f, err)
 			}
 		}
-		if _, err := sysfault.ParsePlan(drawPlan(s, 1).String()); err != nil {
+		if _, err := sysfault.ParsePlan(drawSystemCallPlan(s, 1).String()); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
@@ -84,8 +84,8 @@
 func TestSoakChecksFindWhatBreaksThem(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(after time.Duration) int64 { return start.Add(after).UnixNano() }
-	drains := map[string][]*drainPeriod{"backend-1": {{from: start, till: start.Add(20 * time.Second),
-		told: map[string]time.Time{"node-0": start.Add(time.Second)}}}}
+	drains := map[string][]*drainPeriod{"backend-1": {{start: start, end: start.Add(20 * time.Second),
+		notifiedAt: map[string]time.Time{"node-0": start.Add(time.Second)}}}}
 	claim := Outcome{Trace: "x", Class: classClaim, Sent: at(0), Dialed: at(0), Wait: int64(time.Second), Kind: kindServed, Done: at(time.Second)}
 	change := func(f func(*Outcome)) Outcome {
 		o := claim
@@ -96,12 +96,12 @@
 	token := change(func(o *Outcome) { o.Class = classToken })
 	broken := change(func(o *Outcome) { o.Kind = kindBroken })
 	attempt := func(backend string, after time.Duration, toldMs int64) []Attempt {
-		return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: at(after), ToldMs: toldMs}}
+		return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: at(after), DeadlineMs: toldMs}}
 	}
 	runs := func(second time.Duration) []Execution {
 		return []Execution{{Trace: "x", Backend: "backend-0", At: at(0)}, {Trace: "x", Backend: "backend-1", At: at(second)}}
 	}
-	kill := []Window{{Node: 0, Kind: "kill", From: at(500 * time.Millisecond)}}
+	kill := []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond)}}
 	late := change(func(o *Outcome) { o.Kind, o.Dialed = kindBroken, at(600*time.Millisecond) })
 	for name, tc := range map[string]struct {
 		h      History
@@ -114,15 +114,15 @@
 		"repeat in window":       {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow)}, ""},
 		"repeat after window":    {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second)}, "no keyed request runs again after its window"},
 		"unsafe twice":           {History{Outcomes: []Outcome{claim}, Executions: runs(time.Second)}, "no request runs twice or unasked"},
-		"drain, not told yet":    {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 1900*time.Millisecond, 0), Grace: time.Second}, ""},
-		"drain, told":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 2200*time.Millisecond, 0), Grace: time.Second}, "nothing begins at a draining backend past the grace"},
-		"drain, over":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 21*time.Second, 0), Grace: time.Second}, ""},
-		"held at a kill":         {History{Outcomes: []Outcome{broken}, Windows: kill}, ""},
-		"after a kill":           {History{Outcomes: []Outcome{late}, Windows: kill}, "every request gets its final answer"},
+		"drain, not told yet":    {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 1900*time.Millisecond, 0), DrainGrace: time.Second}, ""},
+		"drain, told":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 2200*time.Millisecond, 0), DrainGrace: time.Second}, "nothing begins at a draining backend past the grace"},
+		"drain, over":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 21*time.Second, 0), DrainGrace: time.Second}, ""},
+		"held at a kill":         {History{Outcomes: []Outcome{broken}, FaultWindows: kill}, ""},
+		"after a kill":           {History{Outcomes: []Outcome{late}, FaultWindows: kill}, "every request gets its final answer"},
 		"unread, not at a kill":  {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.Crossed = true, at(0) })}, Kills: []Kill{{At: at(time.Second)}}}, ""},
 		"found by the kill":      {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.Crossed = true, at(time.Second) })}, Kills: []Kill{{At: at(time.Second)}}}, "every request gets its final answer"},
-		"run late, sent in time": {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second), Attempts: attempt("backend-1", keyWindow, 0), Grace: 5 * time.Second}, ""},
-		"before the killed one":  {History{Outcomes: []Outcome{broken}, Windows: []Window{{Node: 0, Kind: "kill", From: at(500 * time.Millisecond), Started: at(time.Millisecond)}}}, "every request gets its final answer"},
+		"run late, sent in time": {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second), Attempts: attempt("backend-1", keyWindow, 0), DrainGrace: 5 * time.Second}, ""},
+		"before the killed one":  {History{Outcomes: []Outcome{broken}, FaultWindows: []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond), ProcessStart: at(time.Millisecond)}}}, "every request gets its final answer"},
 		"no answer":              {History{Outcomes: []Outcome{broken}}, "every request gets its final answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/starved.go
+++ b/internal/lab/starved.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// starvedLook is how often the lab looks for children that wait for a processor, and starvedLeast how long a thread of one
+	// starvationInterval is how often the lab looks for children that wait for a processor, and minStarvation how long a thread of one
 	// has to have waited since the last look to count as starved: more than a node may be held up by.
-	starvedLook, starvedLeast = 100 * time.Millisecond, 60 * time.Millisecond
+	starvationInterval, minStarvation = 100 * time.Millisecond, 60 * time.Millisecond
 )
 
 // starvation is a time in which a child was kept from a processor, as the kernel tells of each thread (schedstat). It excuses
@@ -31,10 +31,10 @@
 	found []starvation
 }
 
-// watch looks at the processes that it is told of until ctx ends.
-func (s *starvationLog) watch(ctx context.Context, processes func() map[string][]int) {
+// run looks at the processes that it is told of until ctx ends.
+func (s *starvationLog) run(ctx context.Context, processes func() map[string][]int) {
 	waited := map[string]time.Duration{} // by the thread's file
-	tick := time.NewTicker(starvedLook)
+	tick := time.NewTicker(starvationInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -43,13 +43,13 @@
 		case <-tick.C:
 		}
 		for name, pids := range processes() {
-			s.look(name, pids, waited)
+			s.sample(name, pids, waited)
 		}
 	}
 }
 
-// look takes down how long the threads of a child's processes have waited since the last look.
-func (s *starvationLog) look(name string, pids []int, waited map[string]time.Duration) {
+// sample takes down how long the threads of a child's processes have waited since the last look.
+func (s *starvationLog) sample(name string, pids []int, waited map[string]time.Duration) {
 	var longest time.Duration
 	for _, pid := range pids {
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -61,7 +61,7 @@
 			waited[file] = total
 		}
 	}
-	if longest < starvedLeast {
+	if longest < minStarvation {
 		return
 	}
 	s.mu.Lock()
@@ -83,7 +83,7 @@
 	return time.Duration(ns), err == nil
 }
 
-// all is what was taken down.
+// children is what was taken down.
 func (s *starvationLog) all() []starvation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
