--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -20,7 +20,11 @@
 	open, budget := r.message.open != nil, max(time.Until(r.deadline), 0)
 	if open {
 		budget = r.message.left
-		r.message.written = func() time.Time { return l.sentWhole(r) }
+		r.message.written = func() time.Time {
+			deadline := l.shutdown.bound(time.Now().Add(r.message.left))
+			l.post(requestWritten{request: r, deadline: deadline})
+			return deadline
+		}
 	}
 	l.handle(balance.RequestArrived{
 		Request: r.id, Class: r.class, Tenant: r.tenant, RoutingKey: r.key, HasRoutingKey: r.hasKey,
@@ -75,24 +79,19 @@
 		l.figures.retries.Add(1)
 	}
 	at.call = l.back.attempt(b.to, &r.message, begin, deadline, func(res result) {
-		if !l.post(func() { l.outcome(r, n, res) }) && res.stream != nil {
+		if !l.post(attemptFinished{request: r, attempt: n, result: res}) && res.stream != nil {
 			res.stream.end(false)
 		}
 	})
 }
 
-// sentWhole takes in, from any goroutine, that the last byte of a streamed request has gone, and returns its deadline.
-func (l *loop) sentWhole(r *request) time.Time {
-	deadline := l.shutdown.bound(time.Now().Add(r.message.left))
-	l.post(func() {
-		r.deadline = deadline
-		if n := len(r.attempts) - 1; !r.answered && n >= 0 && !r.attempts[n].over {
-			r.attempts[n].sent = l.now()
-			l.handle(balance.RequestWritten{Request: r.id, Attempt: n,
-				TimeLeft: max(time.Until(deadline), 0)})
-		}
-	})
-	return deadline
+// sentWhole takes in that the last byte of a streamed request has been written, and the deadline that follows from it.
+func (l *loop) sentWhole(r *request, deadline time.Time) {
+	r.deadline = deadline
+	if n := len(r.attempts) - 1; !r.answered && n >= 0 && !r.attempts[n].over {
+		r.attempts[n].sent = l.now()
+		l.handle(balance.RequestWritten{Request: r.id, Attempt: n, TimeLeft: max(time.Until(deadline), 0)})
+	}
 }
 
 // outcome tells the Balancer how an attempt ended, once. What comes after it was given up changes nothing.
@@ -147,7 +146,7 @@
 	end := s.end
 	s.end = func(whole bool) {
 		end(whole)
-		l.post(func() { l.streams[id]-- })
+		l.post(responseStreamEnded{id})
 	}
 }
 
@@ -207,16 +206,24 @@
 		return
 	}
 	sent := l.now()
-	told := func(res result) {
-		l.handle(balance.HealthChecked{Endpoint: number, Elapsed: l.now() - sent,
-			Status: res.status, Load: res.load})
-	}
 	if !b.takes() {
-		told(result{status: balance.StatusNotSent})
+		l.probed(number, sent, result{status: balance.StatusNotSent})
 		return
 	}
 	l.counts.probes++
-	l.back.probe(b.to, func(res result) { l.post(func() { told(res) }) })
+	l.back.probe(b.to, func(res result) {
+		l.post(healthCheckFinished{endpoint: number, sent: sent, result: res})
+	})
+}
+
+// probed notifies the Balancer of the result of a health check.
+func (l *loop) probed(number balance.EndpointID, sent time.Duration, res result) {
+	l.handle(balance.HealthChecked{
+		Endpoint: number,
+		Elapsed:  l.now() - sent,
+		Status:   res.status,
+		Load:     res.load,
+	})
 }
 
 // unsend stops attempts that have not begun to write to a backend that takes nothing new. Left alone, one that
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -209,7 +209,7 @@
 		}
 	}
 	defer func() { count(end) }()
-	f.loop.post(func() { f.loop.arrive(r) })
+	f.loop.post(requestArrived{r})
 	select {
 	case a := <-r.reply:
 		if end = a.kind; a.stream != nil {
@@ -235,7 +235,7 @@
 		if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok && c.endedHere() {
 			f.loop.guard.violated(ruleAnswer, r.id, "trouble", "connection ended under it")
 		}
-		f.loop.post(func() { f.loop.gone(r) })
+		f.loop.post(clientDisconnected{r})
 		// Returning would have the library word an empty 200.
 		panic(http.ErrAbortHandler)
 	case <-f.loop.done: // the node is ending
--- a/internal/node/cordon.go
+++ b/internal/node/cordon.go
@@ -213,40 +213,19 @@
 // Cordon leaves a backend out, or puts it back. It returns when that stands in the file and the module knows.
 func (v adminView) Cordon(ctx context.Context, id string, out bool) error {
 	l := v.n.loop
-	heard := false
-	var known cordons
-	if err := l.ask(ctx, func() {
-		known = l.cordons
-		heard = l.backends[id] != nil || known.Backends[id].Since > 0
-	}); err != nil {
+	reply := make(chan cordonState, 1)
+	state, err := query(ctx, l, cordonQuery{backendID: id, reply: reply}, reply)
+	if err != nil {
 		return err
 	}
-	if !heard {
+	if !state.known {
 		return admin.ErrUnknown
 	}
-	c, err := v.n.cordons.change(ctx, known, id, out, wallClock())
+	c, err := v.n.cordons.change(ctx, state.cordons, id, out, wallClock())
 	if err != nil {
 		return err
 	}
-	return l.ask(ctx, func() { l.maintain(c) })
-}
-
-// ask has f run on the loop and waits for it.
-func (l *loop) ask(ctx context.Context, f func()) error {
-	done := make(chan struct{})
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-l.done:
-		return errors.New("the node is ending")
-	case l.inbox <- func() { f(); close(done) }:
-	}
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-l.done:
-		return errors.New("the node is ending")
-	case <-done:
-		return nil
-	}
+	applied := make(chan struct{}, 1)
+	_, err = query(ctx, l, cordonsChanged{cordons: c, applied: applied}, applied)
+	return err
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -119,24 +119,14 @@
 
 // backends asks the loop what the module has found of them; none where the loop is too busy to say.
 func (p *fleetPart) backends() []fleet.BackendLoad {
-	told := make(chan []fleet.BackendLoad, 1)
-	go p.n.loop.post(func() {
-		var out []fleet.BackendLoad
-		for _, s := range p.n.loop.bal.EndpointLoads() {
-			out = append(out, backendLoad(p.n.loop.byNumber[s.ID].id, s))
-		}
-		told <- out
-	})
-	t := time.NewTimer(fleetAsk)
-	defer t.Stop()
-	select {
-	case out := <-told:
-		return out
-	case <-t.C:
-		return nil
-	case <-p.n.loop.done:
+	ctx, cancel := context.WithTimeout(context.Background(), fleetAsk)
+	defer cancel()
+	reply := make(chan []fleet.BackendLoad, 1)
+	loads, err := query(ctx, p.n.loop, endpointLoadQuery{reply}, reply)
+	if err != nil {
 		return nil
 	}
+	return loads
 }
 
 func backendLoad(id string, s balance.EndpointLoad) fleet.BackendLoad {
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -10,8 +10,6 @@
 	"net"
 	"syscall"
 	"time"
-
-	"hitchvale/balance"
 )
 
 // This file is the side of the process that hands the node over.
@@ -33,8 +31,9 @@
 	if string(line) != "take\n" {
 		return false, fmt.Errorf("asked %q", line)
 	}
-	var known learned
-	if err := n.loop.ask(ctx, func() { known = n.loop.remember() }); err != nil {
+	reply := make(chan learned, 1)
+	known, err := query(ctx, n.loop, learnedQuery{reply}, reply)
+	if err != nil {
 		return false, err
 	}
 	n.handed(true)
@@ -60,7 +59,7 @@
 func (n *Node) handed(out bool) {
 	n.front.handed.Store(out)
 	n.listener.rest(out)
-	n.loop.post(func() { n.loop.handle(balance.HandoverChanged{HandedOver: out}) })
+	n.loop.post(handoverChanged{handedOver: out})
 }
 
 // offer passes the listener and the list on.
@@ -73,8 +72,9 @@
 	if err != nil {
 		return err
 	}
-	var list []byte
-	if err := n.loop.ask(ctx, func() { list = n.loop.listed() }); err != nil {
+	reply := make(chan []byte, 1)
+	list, err := query(ctx, n.loop, endpointListQuery{reply}, reply)
+	if err != nil {
 		return err
 	}
 	n.disco.mu.Lock()
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -9,8 +9,6 @@
 	"os"
 	"syscall"
 	"time"
-
-	"hitchvale/balance"
 )
 
 // This file is the side of the process that takes the node over.
@@ -108,7 +106,7 @@
 		pause(ctx, lookEvery)
 	}
 	known, left, err := h.take()
-	n.loop.post(func() { n.loop.handle(balance.TookOver{State: n.loop.recall(known)}) })
+	n.loop.post(nodeTakenOver{known})
 	n.allow(left)
 	n.listener.rest(false)
 	n.log.Info("took over", "old", left, "error", err)
--- a/internal/node/heard_test.go
+++ b/internal/node/heard_test.go
@@ -100,15 +100,15 @@
 		if list.Members[0].Phase == balance.Draining {
 			heard.CompareAndSwap(0, int64(time.Since(o.until)))
 		}
-		l.post(func() { l.list(balance.ListChanges, list) })
-	}, func() { l.post(func() { l.handle(balance.DiscoveryFailed{}) }) })
+		l.post(endpointListReceived{kind: balance.ListChanges, list: list})
+	}, func() { l.post(discoveryFailed{}) })
 	d.http = &http.Client{Transport: o}
 	l.askAbout = d.ask
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() { l.run(ctx.Done()); ended <- struct{}{} }()
 	go func() { d.run(ctx); ended <- struct{}{} }()
-	l.post(func() { l.list(balance.CachedList, List{Complete: true}) })
+	l.post(endpointListReceived{kind: balance.CachedList, list: List{Complete: true}})
 	time.Sleep(time.Until(o.until) + 30*time.Second)
 	cancel()
 	<-ended
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -15,7 +15,7 @@
 // post what came of it. So whoever posts waits for the loop, and the loop for nobody.
 type loop struct {
 	bal    *balance.Balancer
-	inbox  chan func()
+	inbox  chan loopMessage
 	done   chan struct{} // closed when the loop has ended
 	start  time.Time
 	origin time.Duration // the clock at start: Unix time then, which discovery's start times are in
@@ -67,7 +67,7 @@
 	start := time.Now()
 	return &loop{
 		bal: bal, back: back, figures: figures, log: log, guard: newGuard(balance.Config{}, log), unserved: &lograte.Limited{Log: log},
-		inbox: make(chan func(), inboxSize), done: make(chan struct{}),
+		inbox: make(chan loopMessage, inboxSize), done: make(chan struct{}),
 		start: start, origin: wallClock(),
 		askAbout:  func(balance.ActionKind) {},
 		tellPeers: func(int, []byte) {},
@@ -76,12 +76,13 @@
 	}
 }
 
-// post has f run on the loop, after all that was posted before. It tells whether the loop still takes any.
-func (l *loop) post(f func()) bool {
+// post sends a message to the loop, which handles it after all that were sent before. It waits while the inbox is full, and
+// returns false if the loop has ended.
+func (l *loop) post(message loopMessage) bool {
 	select {
 	case <-l.done:
 		return false
-	case l.inbox <- f:
+	case l.inbox <- message:
 		return true
 	}
 }
@@ -105,9 +106,9 @@
 		select {
 		case <-quit:
 			return
-		case f := <-l.inbox:
+		case message := <-l.inbox:
 			began = l.now()
-			f()
+			message.handle(l)
 		case <-alarm.C:
 			began = l.now()
 		}
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"maps"
 	"net/http"
 	"net/url"
 	"strings"
@@ -73,30 +72,13 @@
 			l.Nodes = append(l.Nodes, n.Node)
 		}
 	}
-	type held struct {
-		revision int64
-		open     map[string]int
+	reply := make(chan openWork, 1)
+	open, err := query(ctx, t.n.loop, openWorkQuery{reply}, reply)
+	if err != nil {
+		return l, false
 	}
-	told := make(chan held, 1)
-	go t.n.loop.post(func() {
-		open := maps.Clone(t.n.loop.streams)
-		for _, r := range t.n.loop.requests {
-			for _, at := range r.attempts {
-				if !at.over {
-					open[at.to.id]++
-				}
-			}
-		}
-		told <- held{t.n.loop.revision, open}
-	})
-	select {
-	case h := <-told:
-		l.Held, l.Open = h.revision, h.open
-		return l, true
-	case <-ctx.Done():
-	case <-t.n.loop.done:
-	}
-	return l, false
+	l.Held, l.Open = open.revision, open.inFlight
+	return l, true
 }
 
 // propose makes one proposal; the record decides.
--- /dev/null
+++ b/internal/node/messages.go
@@ -0,0 +1,203 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"time"
+
+	"hitchvale/balance"
+	"hitchvale/internal/fleet"
+)
+
+// loopMessage is what the rest of the node sends to the event loop: something that has happened, or a query with a channel
+// for its reply. The loop handles one message at a time, in the order in which they were sent.
+type loopMessage interface {
+	// handle runs on the event loop, which owns all of l, and must not block.
+	handle(l *loop)
+}
+
+// errLoopEnded is the error of a query that the event loop has not answered before it ended.
+var errLoopEnded = errors.New("the node is ending")
+
+// query sends a message to the event loop and waits for its reply, which the message's handler sends on a buffered channel.
+// It returns the context's error if that ends first, and errLoopEnded if the loop does.
+func query[T any](ctx context.Context, l *loop, message loopMessage, reply <-chan T) (T, error) {
+	var none T
+	select {
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-l.done:
+		return none, errLoopEnded
+	case l.inbox <- message:
+	}
+	select {
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-l.done:
+		return none, errLoopEnded
+	case answer := <-reply:
+		return answer, nil
+	}
+}
+
+// requestArrived is a client's request that has been read: all of it, or its head where the body is streamed.
+type requestArrived struct{ request *request }
+
+func (m requestArrived) handle(l *loop) { l.arrive(m.request) }
+
+// clientDisconnected says that a client has closed its connection before the final response.
+type clientDisconnected struct{ request *request }
+
+func (m clientDisconnected) handle(l *loop) { l.gone(m.request) }
+
+// requestWritten says that the last byte of a streamed request has been written to its backend.
+type requestWritten struct {
+	request  *request
+	deadline time.Time // of the request, which begins with that byte
+}
+
+func (m requestWritten) handle(l *loop) { l.sentWhole(m.request, m.deadline) }
+
+// attemptFinished is the result of one attempt of a request.
+type attemptFinished struct {
+	request *request
+	attempt int // its index in the request's attempts
+	result  result
+}
+
+func (m attemptFinished) handle(l *loop) { l.outcome(m.request, m.attempt, m.result) }
+
+// responseStreamEnded says that a streamed response of a backend has been passed on, or has broken off.
+type responseStreamEnded struct{ backendID string }
+
+func (m responseStreamEnded) handle(l *loop) { l.streams[m.backendID]-- }
+
+// healthCheckFinished is the result of a health check.
+type healthCheckFinished struct {
+	endpoint balance.EndpointID
+	sent     time.Duration // when it was sent, on the loop's clock
+	result   result
+}
+
+func (m healthCheckFinished) handle(l *loop) { l.probed(m.endpoint, m.sent, m.result) }
+
+// endpointListReceived is an endpoint list from discovery, or changes to the last one.
+type endpointListReceived struct {
+	kind balance.ListKind
+	list List
+}
+
+func (m endpointListReceived) handle(l *loop) { l.list(m.kind, m.list) }
+
+// discoveryFailed says that a call of discovery has failed.
+type discoveryFailed struct{}
+
+func (discoveryFailed) handle(l *loop) { l.handle(balance.DiscoveryFailed{}) }
+
+// firstListOverdue says that discovery has had its time to push a first endpoint list.
+type firstListOverdue struct{}
+
+func (firstListOverdue) handle(l *loop) { l.waitNoLonger() }
+
+// cordonsChanged is the record of cordons as it stands in the file now.
+type cordonsChanged struct {
+	cordons cordons
+	applied chan<- struct{} // buffered; receives when the Balancer has been notified; nil: nobody waits
+}
+
+func (m cordonsChanged) handle(l *loop) {
+	l.maintain(m.cordons)
+	if m.applied != nil {
+		m.applied <- struct{}{}
+	}
+}
+
+// peerMessageReceived is a gossip datagram of another node.
+type peerMessageReceived struct {
+	peer    int
+	payload []byte
+}
+
+func (m peerMessageReceived) handle(l *loop) {
+	l.handle(balance.PeerMessage{Peer: m.peer, Payload: m.payload})
+}
+
+// handoverChanged says whether another process of the node accepts its connections now.
+type handoverChanged struct{ handedOver bool }
+
+func (m handoverChanged) handle(l *loop) { l.handle(balance.HandoverChanged{HandedOver: m.handedOver}) }
+
+// nodeTakenOver is what this process has been handed by the one that it replaces.
+type nodeTakenOver struct{ learned learned }
+
+func (m nodeTakenOver) handle(l *loop) { l.handle(balance.TookOver{State: l.recall(m.learned)}) }
+
+// finalResponsesDue says that, in a shutdown, every request has to have its final response now.
+type finalResponsesDue struct{}
+
+func (finalResponsesDue) handle(l *loop) { l.answerOpen() }
+
+// shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
+type shutdownCheckDue struct{}
+
+func (shutdownCheckDue) handle(l *loop) { l.checkShutdown() }
+
+// cordonState is what the event loop knows of cordons.
+type cordonState struct {
+	cordons cordons
+	known   bool // the backend that was asked for has been listed, or cordoned, before
+}
+
+// cordonQuery asks for the cordons, and whether a backend is known.
+type cordonQuery struct {
+	backendID string
+	reply     chan<- cordonState
+}
+
+func (m cordonQuery) handle(l *loop) {
+	known := l.backends[m.backendID] != nil || l.cordons.Backends[m.backendID].Since > 0
+	m.reply <- cordonState{cordons: l.cordons, known: known}
+}
+
+// learnedQuery asks for what a successor of this process should know.
+type learnedQuery struct{ reply chan<- learned }
+
+func (m learnedQuery) handle(l *loop) { m.reply <- l.remember() }
+
+// endpointListQuery asks for the endpoint list in discovery's form.
+type endpointListQuery struct{ reply chan<- []byte }
+
+func (m endpointListQuery) handle(l *loop) { m.reply <- l.listed() }
+
+// endpointLoadQuery asks for the Balancer's estimates of each endpoint's load.
+type endpointLoadQuery struct{ reply chan<- []fleet.BackendLoad }
+
+func (m endpointLoadQuery) handle(l *loop) {
+	var loads []fleet.BackendLoad
+	for _, load := range l.bal.EndpointLoads() {
+		loads = append(loads, backendLoad(l.byNumber[load.ID].id, load))
+	}
+	m.reply <- loads
+}
+
+// openWork is what this node still has in flight, by backend.
+type openWork struct {
+	revision int64          // of the endpoint list that the node holds
+	inFlight map[string]int // attempts and streamed responses, by the backend's id
+}
+
+// openWorkQuery asks for what is in flight at each backend.
+type openWorkQuery struct{ reply chan<- openWork }
+
+func (m openWorkQuery) handle(l *loop) {
+	inFlight := maps.Clone(l.streams)
+	for _, r := range l.requests {
+		for _, at := range r.attempts {
+			if !at.over {
+				inFlight[at.to.id]++
+			}
+		}
+	}
+	m.reply <- openWork{revision: l.revision, inFlight: inFlight}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -86,9 +86,9 @@
 				kind = balance.CompleteList
 			}
 			n.metrics.revision.Set(float64(list.Revision))
-			n.loop.post(func() { n.loop.list(kind, list) })
+			n.loop.post(endpointListReceived{kind: kind, list: list})
 		},
-		func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) })
+		func() { n.loop.post(discoveryFailed{}) })
 	n.disco.have, n.disco.after = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
 	n.disco.timed = n.metrics.called
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
@@ -179,12 +179,12 @@
 	if n.cordons != nil {
 		n.loop.maintain(n.cordons.start())
 		wg.Go(func() {
-			n.cordons.follow(work, func(c cordons) { n.loop.post(func() { n.loop.maintain(c) }) })
+			n.cordons.follow(work, func(c cordons) { n.loop.post(cordonsChanged{cordons: c}) })
 		})
 	}
 	// A pushed list counts as told from the first moment of a process, so it must not serve on an older one.
 	n.loop.untold = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inherited == nil)
-	first := time.AfterFunc(n.firstList, func() { n.loop.post(n.loop.waitNoLonger) })
+	first := time.AfterFunc(n.firstList, func() { n.loop.post(firstListOverdue{}) })
 	defer first.Stop()
 	known := n.cfg.Known
 	known.Complete = true
@@ -195,9 +195,7 @@
 	if n.peers != nil {
 		wg.Go(func() {
 			n.peers.run(work, func(peer int, payload []byte) {
-				n.loop.post(func() {
-					n.loop.handle(balance.PeerMessage{Peer: peer, Payload: payload})
-				})
+				n.loop.post(peerMessageReceived{peer: peer, payload: payload})
 			})
 		})
 	}
@@ -305,11 +303,11 @@
 	schedule := n.front.shutdown
 	pause(ctx, time.Until(schedule.answerBy().Time()))
 	for checked := false; ctx.Err() == nil; {
-		n.loop.post(n.loop.answerOpen)
+		n.loop.post(finalResponsesDue{})
 		pause(ctx, lookEvery)
 		if !checked && schedule.over() {
 			checked = true
-			n.loop.post(n.loop.checkShutdown)
+			n.loop.post(shutdownCheckDue{})
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -258,11 +258,16 @@
 	return start(t, testConfig(t, newRegistry(t, text).addr, text))
 }
 
+// loopFunc is a message of the tests' own: a function that the event loop runs.
+type loopFunc func()
+
+func (f loopFunc) handle(*loop) { f() }
+
 // onLoop runs f on the node's loop and waits for it.
 func (s *started) onLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
-	if !s.loop.post(func() { f(); close(done) }) {
+	if !s.loop.post(loopFunc(func() { f(); close(done) })) {
 		t.Fatal("the loop has ended")
 	}
 	receive(t, "the loop", done)
