--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -19,25 +19,25 @@
 	"hitchvale/balance"
 )
 
-// exchangesFor returns exchanges with a pool of their own.
-func exchangesFor(t *testing.T) *exchanges {
-	p := newPool(16, 2*time.Second, 5*time.Second)
+// newTestTransport returns exchanges with a pool of their own.
+func newTestTransport(t *testing.T) *upstreamTransport {
+	p := newConnPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.run(ctx)
 	t.Cleanup(cancel)
-	return newExchanges(p, true, new(atomic.Int64), quiet())
+	return newUpstreamTransport(p, true, new(atomic.Int64), quiet())
 }
 
-func get(id string) *message {
-	return &message{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
+func get(id string) *forwardedRequest {
+	return &forwardedRequest{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
 
-// try makes one attempt and waits for how it ends.
-func try(t *testing.T, x *exchanges, to endpoint, m *message) result {
+// attemptOnce makes one attempt and waits for how it ends.
+func attemptOnce(t *testing.T, x *upstreamTransport, to backendProcess, m *forwardedRequest) attemptResult {
 	t.Helper()
-	done := make(chan result, 1)
-	x.attempt(to, m, time.Time{}, time.Now().Add(patience/2), func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	x.start(to, m, time.Time{}, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
 	return receive(t, "the outcome", done)
 }
 
@@ -59,11 +59,11 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
-	if r := try(t, x, to, get("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	if r := attemptOnce(t, x, to, get("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
 		t.Fatalf("the first: %v", r)
 	}
-	if r := try(t, x, to, get("second")); r.status != balance.StatusConnectionLost {
+	if r := attemptOnce(t, x, to, get("second")); r.status != balance.StatusConnectionLost {
 		t.Errorf("the second: status %v, want Dropped: it may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
@@ -73,7 +73,7 @@
 
 // Outcomes by what the backend does with the request once it has it.
 func TestOutcomes(t *testing.T) {
-	big := strings.Repeat("x", bodyMost)
+	big := strings.Repeat("x", maxBodyBytes)
 	for name, tc := range map[string]struct {
 		answer string
 		want   balance.Status
@@ -96,7 +96,7 @@
 		"no, to its end":     {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nabc", balance.StatusRejected, "abc"},
 		"not HTTP":           {"hello\r\n\r\n", balance.StatusConnectionLost, ""},
 		"too long":           {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big, balance.StatusConnectionLost, ""},
-		"head without end":   {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(headMost+bodyMost)), balance.StatusConnectionLost, ""},
+		"head without end":   {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBodyBytes)), balance.StatusConnectionLost, ""},
 		"1xx without end":    {strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000), balance.StatusConnectionLost, ""},
 		"chunks without end": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40), balance.StatusConnectionLost, ""},
 	} {
@@ -106,7 +106,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := try(t, exchangesFor(t), endpoint{addr: b.Addr().String()}, get("id"))
+			r := attemptOnce(t, newTestTransport(t), backendProcess{addr: b.Addr().String()}, get("id"))
 			if r.stream != nil {
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status, r.body = balance.StatusConnectionLost, nil // its client can tell
@@ -127,7 +127,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	if r := try(t, exchangesFor(t), endpoint{addr: addr}, get("refused")); r.status != balance.StatusConnectFailed {
+	if r := attemptOnce(t, newTestTransport(t), backendProcess{addr: addr}, get("refused")); r.status != balance.StatusConnectFailed {
 		t.Errorf("refused connection: %v", r.status)
 	}
 
@@ -152,11 +152,11 @@
 		io.ReadFull(c, make([]byte, 1000))
 		reset(c)
 	}()
-	x := exchangesFor(t)
+	x := newTestTransport(t)
 	x.pool.dialer.Control = small
 	m := get("partial")
-	m.method, m.body = "POST", make([]byte, bodyMost)
-	if r := try(t, x, endpoint{addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
+	m.method, m.body = "POST", make([]byte, maxBodyBytes)
+	if r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
 		t.Errorf("broken before the last byte: %v", r.status)
 	}
 }
@@ -167,14 +167,14 @@
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	x, to := exchangesFor(t), endpoint{addr: addr}
-	if r := try(t, x, to, get("old")); r.status != balance.StatusSucceeded {
+	x, to := newTestTransport(t), backendProcess{addr: addr}
+	if r := attemptOnce(t, x, to, get("old")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
 	b.Close()
 	reset(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
-	if r := try(t, x, to, get("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
+	if r := attemptOnce(t, x, to, get("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
 		t.Errorf("after the restart: %v %q", r.status, r.body)
 	}
 }
@@ -182,9 +182,9 @@
 // An idle connection is not used near the end of its life: a request that crosses its close may have run.
 func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 	for i := range 2 {
-		if r := try(t, x, to, get(fmt.Sprint(i))); r.status != balance.StatusSucceeded {
+		if r := attemptOnce(t, x, to, get(fmt.Sprint(i))); r.status != balance.StatusSucceeded {
 			t.Fatalf("%v", r.status)
 		}
 	}
@@ -192,9 +192,9 @@
 		t.Fatalf("a fresh idle connection was not reused: %d connections", n)
 	}
 	x.pool.mu.Lock()
-	x.pool.idle[to][0].idleAt = time.Now().Add(-x.pool.keep)
+	x.pool.idle[to][0].idleSince = time.Now().Add(-x.pool.maxIdle)
 	x.pool.mu.Unlock()
-	if r := try(t, x, to, get("later")); r.status != balance.StatusSucceeded {
+	if r := attemptOnce(t, x, to, get("later")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
 	if n := b.accepted.Load(); n != 2 {
@@ -207,9 +207,9 @@
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
-	x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := try(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: %v %q", id, r.status, r.body)
 		}
 	}
@@ -236,12 +236,12 @@
 			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
 		}
 	})
-	x := exchangesFor(t)
-	x.pool.settle = time.Second
-	x.pool.beWary()
-	to := endpoint{addr: b.Addr().String()}
+	x := newTestTransport(t)
+	x.pool.quarantine = time.Second
+	x.pool.startQuarantine()
+	to := backendProcess{addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := try(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
 		}
 	}
@@ -263,15 +263,15 @@
 			wrote <- struct{}{}
 			br.ReadByte()
 		})
-		x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
-		if x.pool.rest() != 0 {
+		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+		if x.pool.currentQuarantine() != 0 {
 			t.Error("wary from the start")
 		}
-		try(t, x, to, get("one"))
+		attemptOnce(t, x, to, get("one"))
 		<-wrote
 		eventually(t, name+": rest", func() bool {
-			try(t, x, to, get("another"))
-			return x.pool.rest() == settleFor
+			attemptOnce(t, x, to, get("another"))
+			return x.pool.currentQuarantine() == quarantineTime
 		})
 	}
 }
@@ -287,8 +287,8 @@
 			ended <- struct{}{}
 		}
 	})
-	x, done := exchangesFor(t), make(chan result, 2)
-	c := x.attempt(endpoint{addr: b.Addr().String()}, get("id"), time.Time{}, time.Now().Add(patience), func(r result) { done <- r })
+	x, done := newTestTransport(t), make(chan attemptResult, 2)
+	c := x.start(backendProcess{addr: b.Addr().String()}, get("id"), time.Time{}, time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -306,41 +306,41 @@
 func TestPoolIsBounded(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	x := exchangesFor(t)
-	x.pool.most = 1
+	x := newTestTransport(t)
+	x.pool.maxOpen = 1
 	for _, l := range []*rawBackend{a, b} {
-		if r := try(t, x, endpoint{addr: l.Addr().String()}, get("id")); r.status != balance.StatusSucceeded {
+		if r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, get("id")); r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
 	}
-	c, err := x.pool.get(context.Background(), endpoint{addr: b.Addr().String()})
+	c, err := x.pool.acquire(context.Background(), backendProcess{addr: b.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := try(t, x, endpoint{addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
+	if r := attemptOnce(t, x, backendProcess{addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
 		t.Errorf("with no room: %v", r.status)
 	}
 	x.pool.discard(c)
 }
 
-func TestReports(t *testing.T) {
-	l, err := parseReport("TEXT inflight=7, queue=2, util=0.61, other=3")
+func TestLoadReports(t *testing.T) {
+	l, err := parseLoadReport("TEXT inflight=7, queue=2, util=0.61, other=3")
 	if err != nil || l.Active != 7 || l.Waiting != 2 || l.CPU != 0.61 ||
 		l.Has != balance.HasActive|balance.HasWaiting|balance.HasCPU {
 		t.Errorf("%+v %v", l, err)
 	}
-	if l, err := parseReport(" \n"); err != nil || l.Has != 0 {
+	if l, err := parseLoadReport(" \n"); err != nil || l.Has != 0 {
 		t.Errorf("empty: %+v %v", l, err)
 	}
 	for _, text := range []string{"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff"} {
-		if l, err := parseReport(text); err == nil || l.Has != 0 {
+		if l, err := parseLoadReport(text); err == nil || l.Has != 0 {
 			t.Errorf("%q: %+v %v", text, l, err)
 		}
 	}
 }
 
 // A probe brings the backend's report, and one that can't be read is none.
-func TestProbes(t *testing.T) {
+func TestHealthChecks(t *testing.T) {
 	var body atomic.Value // a probe of the module's own may come at any time
 	body.Store("TEXT inflight=7, util=0.5")
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -349,13 +349,13 @@
 		}
 		return ok200(body.Load().(string))
 	}))
-	x, done := exchangesFor(t), make(chan result, 1)
-	x.probe(endpoint{addr: b.Addr().String()}, func(r result) { done <- r })
+	x, done := newTestTransport(t), make(chan attemptResult, 1)
+	x.checkHealth(backendProcess{addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	if r := receive(t, "the probe", done); r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
 		t.Errorf("%+v", r)
 	}
 	body.Store("\x00\x01")
-	x.probe(endpoint{addr: b.Addr().String()}, func(r result) { done <- r })
+	x.checkHealth(backendProcess{addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	if r := receive(t, "the probe", done); r.load.Has != 0 {
 		t.Errorf("%+v", r)
 	}
@@ -367,9 +367,9 @@
 	for errno, want := range map[syscall.Errno]balance.Status{syscall.EADDRNOTAVAIL: balance.StatusNotSent, syscall.ENFILE: balance.StatusNotSent,
 		syscall.EMFILE: balance.StatusNotSent, syscall.ENOBUFS: balance.StatusNotSent, syscall.ENETUNREACH: balance.StatusConnectFailed,
 		syscall.EHOSTUNREACH: balance.StatusConnectFailed, syscall.ETIMEDOUT: balance.StatusConnectFailed} {
-		x := exchangesFor(t)
+		x := newTestTransport(t)
 		x.pool.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
-		if r := try(t, x, endpoint{addr: b.Addr().String()}, get("id")); r.status != want {
+		if r := attemptOnce(t, x, backendProcess{addr: b.Addr().String()}, get("id")); r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
 	}
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -48,7 +48,7 @@
 		memoryMB = usualMemory
 	}
 	all := memoryMB << 20 / bodyParts
-	b := &budget{one: max(bodyMost, all/keepParts)}
+	b := &budget{one: max(maxBodyBytes, all/keepParts)}
 	b.left.Store(all)
 	return b
 }
@@ -68,7 +68,7 @@
 	if had+n <= b.one && b.take(n) {
 		return true
 	}
-	if must && had+n <= bodyMost {
+	if must && had+n <= maxBodyBytes {
 		b.force(n)
 		return true
 	}
@@ -181,7 +181,7 @@
 }
 
 // copyTo sends the body on. It returns nil when the last byte has been written; wrote tells an error of writing.
-func (u *upload) copyTo(cn *conn) (wrote bool, err error) {
+func (u *upload) copyTo(cn *backendConn) (wrote bool, err error) {
 	p := pieces.Get().(*[pieceSize]byte)
 	defer pieces.Put(p)
 	var w io.WriteCloser = nopCloser{cn}
@@ -218,7 +218,7 @@
 	head []byte // what has been read of it
 	size int64  // -1: it is not told
 	body io.Reader
-	cn   *conn
+	cn   *backendConn
 	end  func(whole bool) // takes back the connection
 }
 
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -56,7 +56,7 @@
 // A request over bodyMost that can be kept whole goes to another backend when the first one breaks off, in both forms and
 // without a second address, and long answers and such without a length come through.
 func TestLongRequestsAreSentAgain(t *testing.T) {
-	text := noise(3 * bodyMost)
+	text := noise(3 * maxBodyBytes)
 	for name, size := range map[string]int64{"sized": int64(len(text)), "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
 			var heads atomic.Int64
@@ -98,11 +98,11 @@
 	cfg := testConfig(t, reg.addr, reg.whole)
 	cfg.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept
 	n := start(t, cfg)
-	for _, size := range []int64{bodyMost, -1} {
+	for _, size := range []int64{maxBodyBytes, -1} {
 		resp, body := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(bodyMost))), size
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(maxBodyBytes))), size
 		}))
-		if resp.StatusCode != 200 || !strings.HasPrefix(body, fmt.Sprint(bodyMost, " ")) {
+		if resp.StatusCode != 200 || !strings.HasPrefix(body, fmt.Sprint(maxBodyBytes, " ")) {
 			t.Errorf("length %d: %d %.60q", size, resp.StatusCode, body)
 		}
 	}
@@ -111,7 +111,7 @@
 // Bodies of any length reach a backend unchanged, in every form, and a large one is never whole in memory.
 func TestLargeRequestsAreStreamed(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
-	for _, size := range []int{0, 1, bodyMost, bodyMost + 1, 200 << 10, 3 << 20, 20 << 20} {
+	for _, size := range []int{0, 1, maxBodyBytes, maxBodyBytes + 1, 200 << 10, 3 << 20, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
 			text := noise(size)
 			sum := sha256.Sum256(text)
@@ -192,7 +192,7 @@
 // An answer that breaks when some of it has been passed on is one that the client can tell is not whole, and it is
 // counted as failed.
 func TestBrokenAnswerCanBeTold(t *testing.T) {
-	part := strings.Repeat("x", 2*bodyMost)
+	part := strings.Repeat("x", 2*maxBodyBytes)
 	for name, answer := range map[string]string{
 		"sized":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + part,
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + part + "\r\n",
@@ -416,7 +416,7 @@
 	if !b.take(1<<20/bodyParts) || b.take(1) {
 		t.Error("the budget is not kept")
 	}
-	if b.room(0, 1, false) || !b.room(0, bodyMost, true) || b.room(bodyMost, 1, true) {
+	if b.room(0, 1, false) || !b.room(0, maxBodyBytes, true) || b.room(maxBodyBytes, 1, true) {
 		t.Error("short bodies are kept, and others only where there is room")
 	}
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -23,7 +23,7 @@
 	idleWithin = 30 * time.Second
 	// lingerMost is how much of a body is read that nobody wants: closing on unread bytes is a reset, which may
 	// overtake the answer.
-	lingerMost = 4 * bodyMost
+	lingerMost = 4 * maxBodyBytes
 	// answerWithin is how long a client may take to read its answer.
 	answerWithin = 5 * time.Second
 	// early is how much sooner than the client's deadline a request ends: its way here and the answer's way
@@ -37,7 +37,7 @@
 
 // front is the client side: it reads requests, has the loop decide and writes the answers.
 type front struct {
-	loop     *loop
+	loop     *eventLoop
 	names    siteconfig.Settings
 	log      *slog.Logger
 	complain *lograte.Limited
@@ -58,7 +58,7 @@
 }
 
 // newFront returns the client side for a node that may hold so many connections of clients.
-func newFront(l *loop, names siteconfig.Settings, conns int, log *slog.Logger) *front {
+func newFront(l *eventLoop, names siteconfig.Settings, conns int, log *slog.Logger) *front {
 	l.shutdown = newShutdown(names)
 	// Each request in flight may need a connection to a backend, beside those of probes.
 	return &front{loop: l, shutdown: l.shutdown, figures: l.figures, kept: newBudget(0), names: names, log: log,
@@ -73,7 +73,7 @@
 		ReadHeaderTimeout: headWithin,
 		IdleTimeout:       idleWithin,
 		WriteTimeout:      messageWithin + longestDeadline(f.names) + answerWithin,
-		MaxHeaderBytes:    headMost,
+		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
 		ConnState:         f.track,
 		ConnContext:       withFramed,
@@ -144,7 +144,7 @@
 		w.Header().Set("Connection", "close")
 		refuse(w, fullRetry)
 		if class := slices.Index(f.names.Classes, hr.Header.Get("X-Qos")); class >= 0 {
-			f.figures.count(class, refused)
+			f.figures.count(class, responseRejected)
 		}
 		return
 	}
@@ -158,9 +158,9 @@
 		reject(w, hr, status, err.Error())
 		return
 	}
-	defer f.kept.give(r.taken)
+	defer f.kept.give(r.bodyBytes)
 	if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok {
-		if r.message.open == nil && c.gone() {
+		if r.forwarded.upload == nil && c.gone() {
 			panic(http.ErrAbortHandler) // while it waited to be read: nobody wants what would be done for it
 		}
 		if f.fleet != nil {
@@ -169,11 +169,11 @@
 	}
 	if late {
 		f.complain.Warn("request refused: this process is about to end", "request", r.id, "class", r.class)
-		f.figures.count(r.class, refused)
+		f.figures.count(r.class, responseRejected)
 		reject(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
-	if r.message.open != nil {
+	if r.forwarded.upload != nil {
 		// The answer may come before the body's end, and nothing can follow it then.
 		w.Header().Set("Connection", "close")
 		http.NewResponseController(w).EnableFullDuplex()
@@ -192,7 +192,7 @@
 
 // serve has the loop decide on a request and passes on the one final answer.
 func (f *front) serve(w http.ResponseWriter, hr *http.Request, r *request) {
-	end, u := failed, r.message.open
+	end, u := responseFailed, r.forwarded.upload
 	begin, over := f.figures.pend()
 	if u == nil {
 		begin()
@@ -201,7 +201,7 @@
 		defer u.discard() // which may take its time: the request has been counted by then
 	}
 	var counted bool
-	count := func(kind answerKind) {
+	count := func(kind responseKind) {
 		if !counted {
 			counted = true
 			over()
@@ -211,9 +211,9 @@
 	defer func() { count(end) }()
 	f.loop.post(requestArrived{r})
 	select {
-	case a := <-r.reply:
+	case a := <-r.response:
 		if end = a.kind; a.stream != nil {
-			end = failed // until all of it has been passed on
+			end = responseFailed // until all of it has been passed on
 		}
 		if f.shutdown.begun() || f.handed.Load() {
 			w.Header().Set("Connection", "close")
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -71,10 +71,10 @@
 		"safe as a POST":  {"read", func(r *http.Request) { r.Method = "POST" }, 405},
 		"other method":    {"order", func(r *http.Request) { r.Method = "DELETE" }, 405},
 		"body too long": {"order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", bodyMost+1))), bodyMost+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
 		"chunked body too long": {"order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", bodyMost+1))), -1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), -1
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 		"no HTTP":         "\x16\x03\x01 hello\r\n\r\n",
 		"negative length": "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
 		"two lengths":     "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
-		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*headMost) + "\r\n\r\n",
+		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*maxHeadBytes) + "\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", n.Addr().String())
--- a/internal/node/counted_test.go
+++ b/internal/node/counted_test.go
@@ -39,32 +39,34 @@
 	streamOf := func(t *testing.T, src io.Reader, size int64) *stream {
 		here, there := net.Pipe()
 		t.Cleanup(func() { here.Close(); there.Close() })
-		return &stream{head: body[:1000], size: size, body: src, cn: &conn{Conn: here}, end: func(bool) {}}
+		return &stream{head: body[:1000], size: size, body: src, cn: &backendConn{Conn: here}, end: func(bool) {}}
 	}
 	rest := func() io.Reader { return bytes.NewReader(body[1000:]) }
 	for name, tc := range map[string]struct {
-		answer func(t *testing.T) answer
+		answer func(t *testing.T) finalResponse
 		upload bool
 		broken bool // what comes of it is not whole
 	}{
-		"kept whole":      {answer: func(*testing.T) answer { return answer{kind: served, body: body} }},
-		"after an upload": {upload: true, answer: func(*testing.T) answer { return answer{kind: served, body: body} }},
-		"streamed":        {answer: func(t *testing.T) answer { return answer{kind: served, stream: streamOf(t, rest(), int64(len(body)))} }},
-		"streamed in bits": {answer: func(t *testing.T) answer {
-			return answer{kind: served, stream: streamOf(t, iotest.HalfReader(rest()), int64(len(body)))}
+		"kept whole":      {answer: func(*testing.T) finalResponse { return finalResponse{kind: responseServed, body: body} }},
+		"after an upload": {upload: true, answer: func(*testing.T) finalResponse { return finalResponse{kind: responseServed, body: body} }},
+		"streamed": {answer: func(t *testing.T) finalResponse {
+			return finalResponse{kind: responseServed, stream: streamOf(t, rest(), int64(len(body)))}
 		}},
-		"broken off": {broken: true, answer: func(t *testing.T) answer {
+		"streamed in bits": {answer: func(t *testing.T) finalResponse {
+			return finalResponse{kind: responseServed, stream: streamOf(t, iotest.HalfReader(rest()), int64(len(body)))}
+		}},
+		"broken off": {broken: true, answer: func(t *testing.T) finalResponse {
 			cut := io.MultiReader(bytes.NewReader(body[1000:5000]), iotest.ErrReader(errors.New("reset")))
-			return answer{kind: served, stream: streamOf(t, cut, int64(len(body)))}
+			return finalResponse{kind: responseServed, stream: streamOf(t, cut, int64(len(body)))}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(newLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
-			r := &request{reply: make(chan answer, 1)}
+			f := newFront(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
+			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
-				r.message.open = &upload{src: bytes.NewReader(nil), err: io.EOF}
+				r.forwarded.upload = &upload{src: bytes.NewReader(nil), err: io.EOF}
 			}
-			r.reply <- tc.answer(t)
+			r.response <- tc.answer(t)
 			ends, looked := &f.figures.ends[0], false
 			w := &lookingWriter{header: http.Header{}, size: len(body)}
 			w.look = func() {
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -7,18 +7,18 @@
 	"hitchvale/balance"
 )
 
-// countEvery is how often the loop logs what it has counted.
-const countEvery = 5 * time.Second
+// statisticsInterval is how often the loop logs what it has counted.
+const statisticsInterval = 5 * time.Second
 
-// counts is what the loop has seen since it last told.
-type counts struct {
+// statistics is what the loop has seen since it last told.
+type statistics struct {
 	since    time.Duration
 	arrived  int
 	sent     int
 	probes   int
 	dials    int64                          // connections to backends that were asked for
 	calls    int64                          // of discovery
-	answers  [doubled + 1]int               // final answers, by kind
+	answers  [responseDuplicate + 1]int     // final answers, by kind
 	late     int                            // those at or after the deadline, served ones aside
 	gone     int                            // clients that went away first
 	outcomes [balance.StatusNotSent + 1]int // attempts, by status
@@ -26,19 +26,19 @@
 }
 
 // due tells whether it is time to tell.
-func (c *counts) due(now time.Duration) bool { return now-c.since >= countEvery }
+func (c *statistics) due(now time.Duration) bool { return now-c.since >= statisticsInterval }
 
-// tell logs the counts and begins anew. Nothing is logged for a span without requests.
-func (c *counts) tell(now time.Duration, log *slog.Logger, open int, state balance.Stats) {
+// log logs the counts and begins anew. Nothing is logged for a span without requests.
+func (c *statistics) log(now time.Duration, log *slog.Logger, open int, state balance.Stats) {
 	if c.arrived+c.sent > 0 {
 		o := &c.outcomes
 		log.Info("counts", "arrived", c.arrived, "open", open, "sent", c.sent, "probes", c.probes,
-			"dials", c.dials, "calls", c.calls, "served", c.answers[served],
-			"refused", c.answers[refused], "failed", c.answers[failed], "late", c.late, "gone", c.gone,
+			"dials", c.dials, "calls", c.calls, "served", c.answers[responseServed],
+			"refused", c.answers[responseRejected], "failed", c.answers[responseFailed], "late", c.late, "gone", c.gone,
 			"delivered", o[balance.StatusSucceeded], "errors", o[balance.StatusApplicationError], "shed", o[balance.StatusRejected],
 			"expired", o[balance.StatusTimedOut], "unconnected", o[balance.StatusConnectFailed], "dropped", o[balance.StatusConnectionLost],
 			"revoked", o[balance.StatusCancelled], "unsent", o[balance.StatusNotSent], "slowest", c.slowest,
 			"ready", state.UsableEndpoints, "part", state.QueueBudget, "base", state.UnloadedLatency, "least_wait", state.ShortestWait)
 	}
-	*c = counts{since: now}
+	*c = statistics{since: now}
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -53,7 +53,7 @@
 // quarter of its time.
 func TestWhoGivesWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 		f.large = true
 		conn := func() *boundedConn {
 			framed := &framedConn{opened: time.Now()}
@@ -119,7 +119,7 @@
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFront(newLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+			f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
 			within := func() {}
@@ -163,7 +163,7 @@
 // Before the server's own end, which closes everything, who is being served has the answer, and who is not is ended for good.
 func TestDrainWaitsForWhoIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 		conn := func() *boundedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -206,7 +206,7 @@
 	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0},
 		listed{"new", other.Addr().String(), "ready", 0})
 	eventually(t, "the news", func() (told bool) {
-		s.onLoop(t, func() { told = n.loop.backends["old"].phase == balance.Draining })
+		s.onLoop(t, func() { told = n.loop.backendsByID["old"].phase == balance.Draining })
 		return told
 	})
 	close(dial)
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -74,13 +74,13 @@
 			eventually(t, "a node full of idle clients", func() bool { return n.front.held() >= n.clients*3/4 })
 			close(back)
 			eventually(t, "the drain", func() (heard bool) {
-				n.onLoop(t, func() { heard = n.loop.backends["old"].phase == balance.Draining })
+				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 				return heard
 			})
 			if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK || body != "fresh" {
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
-			open, _ := n.pool.held()
+			open, _ := n.pool.size()
 			if held := n.listener.held(); held+open+otherSockets > cfg.Limits.Sockets {
 				t.Errorf("%d connections of clients and %d to backends, of %d descriptors", held, open, cfg.Limits.Sockets)
 			}
@@ -112,8 +112,8 @@
 	reg.next <- listText(2, true, listed{"new", echo(t).Addr().String(), "ready", 0})
 	eventually(t, "the end of what is left out", func() (gone bool) {
 		n.onLoop(t, func() {
-			old, fresh := n.loop.backends["old"], n.loop.backends["new"]
-			gone = fresh != nil && fresh.takes() && !old.takes() && old.phase == balance.Removed
+			old, fresh := n.loop.backendsByID["old"], n.loop.backendsByID["new"]
+			gone = fresh != nil && fresh.available() && !old.available() && old.phase == balance.Removed
 		})
 		return gone
 	})
@@ -141,7 +141,7 @@
 	receive(t, "the request at the backend", held)
 	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0}, listed{"new", echo(t).Addr().String(), "ready", 0})
 	eventually(t, "the drain", func() (heard bool) {
-		n.onLoop(t, func() { heard = n.loop.backends["old"].phase == balance.Draining })
+		n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 		return heard
 	})
 	if resp, body := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK || body == "old" {
@@ -174,14 +174,14 @@
 					br.ReadByte()
 					ended <- struct{}{}
 				})
-				x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
-				done := make(chan result, 1)
-				x.attempt(to, get("id"), time.Time{}, time.Now().Add(300*time.Millisecond), func(r result) { done <- r })
+				x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+				done := make(chan attemptResult, 1)
+				x.start(to, get("id"), time.Time{}, time.Now().Add(300*time.Millisecond), func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
-					t.Errorf("status %v with %q after %v", r.status, r.body, r.spent)
+					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
 				receive(t, "the end of the connection", ended)
-				if open, _ := x.pool.held(); open != 0 {
+				if open, _ := x.pool.size(); open != 0 {
 					t.Errorf("%d connections held", open)
 				}
 			})
@@ -201,9 +201,9 @@
 			}
 			br.ReadByte()
 		})
-		x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
+		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
-			if r := try(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+			if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
 			}
 			<-wrote
@@ -229,17 +229,17 @@
 				<-over
 				tc.end(c)
 			})
-			x, to := exchangesFor(t), endpoint{addr: b.Addr().String()}
+			x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 			nc, err := net.Dial("tcp", to.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
-			cn := &conn{Conn: held, to: to}
-			cn.limit.R, cn.read = held, bufio.NewReader(&cn.limit)
-			x.pool.reserve()
-			x.pool.put(cn)
-			r := try(t, x, to, get("id"))
+			cn := &backendConn{Conn: held, process: to}
+			cn.limit.R, cn.reader = held, bufio.NewReader(&cn.limit)
+			x.pool.reserveSlot()
+			x.pool.release(cn)
+			r := attemptOnce(t, x, to, get("id"))
 			if r.stream != nil { // held for longer than the node waits: what comes next is passed on
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -31,12 +31,12 @@
 }
 
 // count takes in the end of a request.
-func (f *figures) count(class int, kind answerKind) {
+func (f *figures) count(class int, kind responseKind) {
 	e := &f.ends[class]
 	switch kind {
-	case served:
+	case responseServed:
 		e.completed.Add(1)
-	case refused:
+	case responseRejected:
 		e.rejected.Add(1)
 	default:
 		e.failed.Add(1)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -46,7 +46,7 @@
 	client := &fleet.Client{Replicas: c.Registry, HTTP: p.http}
 	p.agent = fleet.NewAgent(fleet.AgentConfig{Node: n.cfg.Name, Site: c.Site, Address: n.cfg.Listen, Interval: interval,
 		OnView: newTurns(n, client).follow}, rand.Text(), client, p.report, n.log)
-	n.front.fleet, n.loop.worked, n.loop.streams = p, p.worked, map[string]int{}
+	n.front.fleet, n.loop.onServed, n.loop.openStreams = p, p.worked, map[string]int{}
 	return p
 }
 
@@ -102,7 +102,7 @@
 		InFlight: float64(p.n.front.inFlight.Load()),
 		Refused:  float64(refused-p.refused) / span, Failed: float64(failed-p.failed) / span,
 	}
-	toBackends, _ := p.n.pool.held()
+	toBackends, _ := p.n.pool.size()
 	r.Figures.Descriptors = r.Figures.Connections + float64(toBackends)
 	p.at, p.cpu, p.refused, p.failed = now, cpu, refused, failed
 
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -17,9 +17,9 @@
 
 const (
 	// lineMost bounds a line of a head; the HTTP server bounds the whole.
-	lineMost = 2 * headMost
+	lineMost = 2 * maxHeadBytes
 	// aheadMost bounds what is read behind a request that is being served.
-	aheadMost = headMost + bodyMost
+	aheadMost = maxHeadBytes + maxBodyBytes
 )
 
 // errFlood ends the connection of a peer that sends on and on behind a request that is being served: no client does.
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -59,7 +59,7 @@
 // that it is being told of, is refused and breaks nothing.
 func (g *guard) maySend(r *request, to *backend, now time.Duration) bool {
 	switch {
-	case !to.takes() || r.answered:
+	case !to.available() || r.answered:
 		return false
 	case len(r.attempts) >= g.attempts:
 		g.violated(ruleAttempts, r.id, "attempts", len(r.attempts))
@@ -80,7 +80,7 @@
 		if at.over && at.status.NeverRan() {
 			continue
 		}
-		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= at.sent+c.KeyWindow {
+		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= at.sentAt+c.KeyWindow {
 			return true
 		}
 	}
@@ -89,10 +89,10 @@
 
 // began checks, on the loop, an attempt that began to go at a time: what it was sent for still stood then.
 func (g *guard) began(r *request, at *attempt, begin time.Duration) {
-	if stopped := at.to.stoppedAt; stopped > 0 && begin > stopped+g.grace {
-		g.violated(ruleRecipient, r.id, "backend", at.to.id, "after", begin-stopped)
+	if stopped := at.backend.unavailableSince; stopped > 0 && begin > stopped+g.grace {
+		g.violated(ruleRecipient, r.id, "backend", at.backend.id, "after", begin-stopped)
 	}
-	if r.goneAt > 0 && begin > r.goneAt+goneGrace {
-		g.violated(ruleOwner, r.id, "backend", at.to.id, "after", begin-r.goneAt)
+	if r.disconnectedAt > 0 && begin > r.disconnectedAt+goneGrace {
+		g.violated(ruleOwner, r.id, "backend", at.backend.id, "after", begin-r.disconnectedAt)
 	}
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -14,7 +14,7 @@
 	const unsafe, keyed, safe = 0, 1, 2
 	cfg := balance.Config{Limits: balance.Limits{MaxAttempts: 3}, Classes: []balance.Class{
 		{Repeatability: balance.NonIdempotent}, {Repeatability: balance.IdempotencyKey, KeyWindow: time.Second}, {Repeatability: balance.Idempotent}}}
-	over := func(st balance.Status) *attempt { return &attempt{over: true, status: st, sent: time.Second} }
+	over := func(st balance.Status) *attempt { return &attempt{over: true, status: st, sentAt: time.Second} }
 	ready, draining := &backend{phase: balance.Ready}, &backend{phase: balance.Draining}
 	for name, tc := range map[string]struct {
 		r      *request
@@ -51,13 +51,13 @@
 // An attempt that began late, after its client had gone or its backend had stopped taking, is counted.
 func TestGuardCountsWhatBeganTooLate(t *testing.T) {
 	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, quiet())
-	stopped := &attempt{to: &backend{stoppedAt: time.Second}}
-	g.began(&request{goneAt: time.Second}, stopped, time.Second+goneGrace)
+	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
+	g.began(&request{disconnectedAt: time.Second}, stopped, time.Second+goneGrace)
 	g.began(&request{}, stopped, 0)
 	if g.broken[ruleOwner].Load()+g.broken[ruleRecipient].Load() > 0 {
 		t.Error("what began in time counts")
 	}
-	g.began(&request{goneAt: time.Second}, stopped, 2*time.Second)
+	g.began(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
 	if g.broken[ruleOwner].Load() != 1 || g.broken[ruleRecipient].Load() != 1 {
 		t.Error("what began late does not count")
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -163,5 +163,5 @@
 	clients := max(n.clients-other.Clients, 1)
 	n.listener.allow(clients)
 	n.front.allow(clients)
-	n.pool.allow(max(n.backends-other.Backends, 1))
+	n.pool.setMaxOpen(max(n.backends-other.Backends, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -110,10 +110,10 @@
 		// What begins here now may not end in time. Who asks on a kept connection as it is closed asks again.
 		n.front.endIdle(idleLeast, closedForHandOver)
 		n.front.shed(n.clients / 4)
-		inUse, idle := n.pool.held()
+		inUse, idle := n.pool.size()
 		// Never more than before: the new process uses what this one has told that it left.
 		open = max(min(open, inUse), min(keepBackends, n.backends/4))
-		n.pool.allow(open)
+		n.pool.setMaxOpen(open)
 		now := holds{Clients: n.listener.held(), Backends: open, Busy: n.front.busy()}
 		if now != told {
 			text, _ := json.Marshal(now)
@@ -126,7 +126,7 @@
 			busyAt = time.Now()
 		}
 		if time.Since(busyAt) >= leaveAfter {
-			n.pool.allow(0)
+			n.pool.setMaxOpen(0)
 			*done = true
 			return nil
 		}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -92,7 +92,7 @@
 	eventually(t, "the new process is ready", func() bool { return healthy(t, next) })
 	var knows float64
 	next.onLoop(t, func() {
-		for _, s := range next.loop.bal.HandoverState().Endpoints {
+		for _, s := range next.loop.balancer.HandoverState().Endpoints {
 			knows += s.MeanLatency
 		}
 	})
@@ -114,7 +114,7 @@
 		defer next.listener.mu.Unlock()
 		next.pool.mu.Lock()
 		defer next.pool.mu.Unlock()
-		return next.listener.most == next.clients && next.pool.most == next.backends
+		return next.listener.most == next.clients && next.pool.maxOpen == next.backends
 	})
 }
 
--- a/internal/node/heard_test.go
+++ b/internal/node/heard_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLoop(bal, newExchanges(newPool(1, 0, 0), false, new(atomic.Int64), quiet()), newFigures(nil), quiet())
+	l := newEventLoop(bal, newUpstreamTransport(newConnPool(1, 0, 0), false, new(atomic.Int64), quiet()), newFigures(nil), quiet())
 	var heard atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	o := &outage{from: from, until: from.Add(lasts), fault: fault}
@@ -103,7 +103,7 @@
 		l.post(endpointListReceived{kind: balance.ListChanges, list: list})
 	}, func() { l.post(discoveryFailed{}) })
 	d.http = &http.Client{Transport: o}
-	l.askAbout = d.ask
+	l.requestDiscovery = d.ask
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() { l.run(ctx.Done()); ended <- struct{}{} }()
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -17,16 +17,16 @@
 }
 
 // listed words the list of backends in discovery's form.
-func (l *loop) listed() []byte {
+func (l *eventLoop) listed() []byte {
 	var list struct {
 		Revision int64             `json:"revision"`
 		Complete bool              `json:"complete"`
 		Members  []json.RawMessage `json:"members"`
 	}
-	list.Revision, list.Complete, list.Members = l.revision, true, []json.RawMessage{}
-	for _, b := range l.byNumber {
+	list.Revision, list.Complete, list.Members = l.listRevision, true, []json.RawMessage{}
+	for _, b := range l.backendsByEndpointID {
 		if b.phase != balance.Removed {
-			list.Members = append(list.Members, b.line)
+			list.Members = append(list.Members, b.listEntry)
 		}
 	}
 	text, _ := json.Marshal(list) // each line has been read from JSON
@@ -34,11 +34,11 @@
 }
 
 // remember returns what the module has learned.
-func (l *loop) remember() learned {
-	k := learned{Memory: l.bal.HandoverState(), Now: l.now()}
+func (l *eventLoop) remember() learned {
+	k := learned{Memory: l.balancer.HandoverState(), Now: l.now()}
 	for i := range k.Memory.Endpoints {
-		b := l.byNumber[k.Memory.Endpoints[i].ID]
-		k.Memory.Endpoints[i].StartedAt = b.to.launched
+		b := l.backendsByEndpointID[k.Memory.Endpoints[i].ID]
+		k.Memory.Endpoints[i].StartedAt = b.process.startedAt
 		k.IDs = append(k.IDs, b.id)
 	}
 	return k
@@ -46,7 +46,7 @@
 
 // recall returns what another process has learned, in this one's numbers. Backends that this one has not heard of are
 // left out.
-func (l *loop) recall(k learned) *balance.HandoverState {
+func (l *eventLoop) recall(k learned) *balance.HandoverState {
 	if len(k.IDs) != len(k.Memory.Endpoints) {
 		return nil
 	}
@@ -57,11 +57,11 @@
 	k.Memory.WindowStart += ahead
 	var own []balance.EndpointHandoverState
 	for i, s := range k.Memory.Endpoints {
-		b := l.backends[k.IDs[i]]
-		if b == nil || b.to.launched != s.StartedAt {
+		b := l.backendsByID[k.IDs[i]]
+		if b == nil || b.process.startedAt != s.StartedAt {
 			continue // unheard of, or another process by now
 		}
-		s.ID, s.StartedAt = b.number, b.start
+		s.ID, s.StartedAt = b.endpointID, b.startedAt
 		s.ReportedAt += ahead
 		s.LastAnswerAt += ahead
 		own = append(own, s)
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -8,117 +8,117 @@
 
 // This file takes in lists of backends, and what is out by hand.
 
-// list takes in what discovery says.
-func (l *loop) list(kind balance.ListKind, list List) {
+// updateEndpoints takes in what discovery says.
+func (l *eventLoop) updateEndpoints(kind balance.ListKind, list List) {
 	if len(list.Members) > 0 {
 		l.log.Info("list of backends", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
 	}
-	l.revision = list.Revision
-	l.untold = l.untold && kind == balance.CachedList
+	l.listRevision = list.Revision
+	l.awaitingFirstList = l.awaitingFirstList && kind == balance.CachedList
 	if list.Complete {
-		for _, b := range l.backends {
+		for _, b := range l.backendsByID {
 			b.phase = balance.Removed // unless the list names it
 		}
 	}
 	members := make([]balance.Endpoint, 0, len(list.Members))
 	for _, m := range list.Members {
-		b := l.backends[m.ID]
+		b := l.backendsByID[m.ID]
 		fresh := b == nil
 		if fresh {
-			b = &backend{number: balance.EndpointID(len(l.byNumber)), id: m.ID}
-			l.backends[m.ID] = b
-			l.byNumber = append(l.byNumber, b)
-			l.log.Info("backend named", "number", b.number, "id", b.id, "address", m.Addr)
-			l.cordon(b, l.cordons.Backends[b.id])
+			b = &backend{endpointID: balance.EndpointID(len(l.backendsByEndpointID)), id: m.ID}
+			l.backendsByID[m.ID] = b
+			l.backendsByEndpointID = append(l.backendsByEndpointID, b)
+			l.log.Info("backend named", "number", b.endpointID, "id", b.id, "address", m.Addr)
+			l.applyCordon(b, l.cordons.Backends[b.id])
 		}
-		to := endpoint{m.Addr, m.StartedAt}
+		to := backendProcess{m.Addr, m.StartedAt}
 		if m.Phase == balance.Removed {
-			to = b.to // where it was
+			to = b.process // where it was
 		}
-		if b.to != to {
-			l.back.pool.drop(b.to)
+		if b.process != to {
+			l.upstream.pool.closeIdleTo(b.process)
 		}
-		if restarted := b.to.launched != to.launched; fresh || restarted {
-			b.start = l.startOf(to.launched)
+		if restarted := b.process.startedAt != to.startedAt; fresh || restarted {
+			b.startedAt = l.startOf(to.startedAt)
 		}
-		b.to, b.phase, b.line = to, m.Phase, m.Line
+		b.process, b.phase, b.listEntry = to, m.Phase, m.Line
 		line := m.Endpoint
-		line.ID, line.StartedAt = b.number, b.start
+		line.ID, line.StartedAt = b.endpointID, b.startedAt
 		members = append(members, line)
 	}
 	if kind != balance.CachedList {
-		l.listedAt = l.now()
+		l.lastListAt = l.now()
 	}
 	l.handle(balance.EndpointsListed{Kind: kind, Endpoints: members})
-	l.changed()
+	l.availabilityChanged()
 }
 
-// changed follows a change of what may be sent to.
-func (l *loop) changed() {
+// availabilityChanged follows a change of what may be sent to.
+func (l *eventLoop) availabilityChanged() {
 	ready := false
-	for _, b := range l.backends {
+	for _, b := range l.backendsByID {
 		switch {
-		case b.takes():
-			ready, b.stoppedAt = true, 0
+		case b.available():
+			ready, b.unavailableSince = true, 0
 			continue
-		case b.stoppedAt == 0:
-			b.stoppedAt = l.now()
+		case b.unavailableSince == 0:
+			b.unavailableSince = l.now()
 		}
-		l.back.pool.drop(b.to)
+		l.upstream.pool.closeIdleTo(b.process)
 	}
-	l.ready.Store(ready && !l.untold)
-	l.unsend()
-	l.show(l.now())
+	l.ready.Store(ready && !l.awaitingFirstList)
+	l.cancelUnsentAttempts()
+	l.publishGauges(l.now())
 }
 
-// waitNoLonger has the node serve on the list that it remembers: the agent has not answered.
-func (l *loop) waitNoLonger() {
-	if l.untold {
+// stopAwaitingList has the node serve on the list that it remembers: the agent has not answered.
+func (l *eventLoop) stopAwaitingList() {
+	if l.awaitingFirstList {
 		l.log.Warn("no list from discovery yet: serving on the one remembered")
-		l.untold = false
-		l.changed()
+		l.awaitingFirstList = false
+		l.availabilityChanged()
 	}
 }
 
-// maintain takes in what is out by hand now, and what has been put back.
-func (l *loop) maintain(now cordons) {
+// applyCordons takes in what is out by hand now, and what has been put back.
+func (l *eventLoop) applyCordons(now cordons) {
 	if now.Version <= l.cordons.Version {
 		return // it came late
 	}
 	l.placeCordons(now)
 	l.cordons = now
-	for id, b := range l.backends {
-		l.cordon(b, now.Backends[id])
+	for id, b := range l.backendsByID {
+		l.applyCordon(b, now.Backends[id])
 	}
-	l.changed()
+	l.availabilityChanged()
 }
 
-// cordon tells the module what is so of one backend. What it knows already changes nothing.
-func (l *loop) cordon(b *backend, c cordon) {
-	if c.Since == 0 || c.Out == b.out && (c.Out || c.Back == b.back) {
+// applyCordon tells the module what is so of one backend. What it knows already changes nothing.
+func (l *eventLoop) applyCordon(b *backend, c cordon) {
+	if c.Since == 0 || c.Out == b.cordoned && (c.Out || c.Back == b.uncordonedAt) {
 		return
 	}
 	l.log.Info("maintenance", "backend", b.id, "out", c.Out)
-	b.out, b.back = c.Out, c.Back
+	b.cordoned, b.uncordonedAt = c.Out, c.Back
 	at := l.cordonTimes[b.id]
-	l.handle(balance.CordonChanged{Endpoint: b.number, Cordoned: true, At: at.since})
+	l.handle(balance.CordonChanged{Endpoint: b.endpointID, Cordoned: true, At: at.since})
 	if !c.Out {
-		l.handle(balance.CordonChanged{Endpoint: b.number, At: at.back})
+		l.handle(balance.CordonChanged{Endpoint: b.endpointID, At: at.back})
 	}
 }
 
-// show publishes, for the second address, what only the loop knows.
-func (l *loop) show(now time.Duration) {
-	l.shownAt = now
+// publishGauges publishes, for the second address, what only the loop knows.
+func (l *eventLoop) publishGauges(now time.Duration) {
+	l.gaugesPublishedAt = now
 	listed := int64(0)
-	for _, b := range l.backends {
+	for _, b := range l.backendsByID {
 		if b.phase != balance.Removed {
 			listed++
 		}
 	}
 	l.figures.members.Store(listed)
-	l.figures.avoided.Store(int64(l.bal.UnavailableEndpoints()))
+	l.figures.avoided.Store(int64(l.balancer.UnavailableEndpoints()))
 }
 
-// showEvery is the least time between two looks at what the module avoids.
-const showEvery = 50 * time.Millisecond
+// gaugeInterval is the least time between two looks at what the module avoids.
+const gaugeInterval = 50 * time.Millisecond
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -11,22 +11,22 @@
 
 // This file reads the load reports of backends.
 
-// report reads a load report and complains, at a bounded rate, of one that can't be read.
-func (x *exchanges) report(text string) balance.Load {
-	l, err := parseReport(text)
+// readLoadReport reads a load report and complains, at a bounded rate, of one that can't be read.
+func (x *upstreamTransport) readLoadReport(text string) balance.Load {
+	l, err := parseLoadReport(text)
 	if err != nil {
-		x.complain.Warn("malformed load report", "error", err)
+		x.loadReportLog.Warn("malformed load report", "error", err)
 	}
 	return l
 }
 
-// reportNames are the names of the values on sockets where they differ from those of the settings.
-var reportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
+// loadReportNames are the names of the values on sockets where they differ from those of the settings.
+var loadReportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
 	"latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps"}
 
-// parseReport reads "TEXT name=value, name=value". Values of other names are skipped; one malformed value
+// parseLoadReport reads "TEXT name=value, name=value". Values of other names are skipped; one malformed value
 // spoils the report.
-func parseReport(text string) (balance.Load, error) {
+func parseLoadReport(text string) (balance.Load, error) {
 	var l balance.Load
 	into := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
 	text = strings.TrimSpace(text)
@@ -39,7 +39,7 @@
 		if !ok {
 			return balance.Load{}, fmt.Errorf("%.40q is not name=value", pair)
 		}
-		if n, ok := reportNames[name]; ok {
+		if n, ok := loadReportNames[name]; ok {
 			name = n
 		}
 		for i, n := range siteconfig.LoadNames {
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -14,7 +14,7 @@
 // for its reply. The loop handles one message at a time, in the order in which they were sent.
 type loopMessage interface {
 	// handle runs on the event loop, which owns all of l, and must not block.
-	handle(l *loop)
+	handle(l *eventLoop)
 }
 
 // errLoopEnded is the error of a query that the event loop has not answered before it ended.
@@ -22,14 +22,14 @@
 
 // query sends a message to the event loop and waits for its reply, which the message's handler sends on a buffered channel.
 // It returns the context's error if that ends first, and errLoopEnded if the loop does.
-func query[T any](ctx context.Context, l *loop, message loopMessage, reply <-chan T) (T, error) {
+func query[T any](ctx context.Context, l *eventLoop, message loopMessage, reply <-chan T) (T, error) {
 	var none T
 	select {
 	case <-ctx.Done():
 		return none, ctx.Err()
 	case <-l.done:
 		return none, errLoopEnded
-	case l.inbox <- message:
+	case l.messages <- message:
 	}
 	select {
 	case <-ctx.Done():
@@ -44,12 +44,12 @@
 // requestArrived is a client's request that has been read: all of it, or its head where the body is streamed.
 type requestArrived struct{ request *request }
 
-func (m requestArrived) handle(l *loop) { l.arrive(m.request) }
+func (m requestArrived) handle(l *eventLoop) { l.startRequest(m.request) }
 
 // clientDisconnected says that a client has closed its connection before the final response.
 type clientDisconnected struct{ request *request }
 
-func (m clientDisconnected) handle(l *loop) { l.gone(m.request) }
+func (m clientDisconnected) handle(l *eventLoop) { l.disconnectClient(m.request) }
 
 // requestWritten says that the last byte of a streamed request has been written to its backend.
 type requestWritten struct {
@@ -57,30 +57,30 @@
 	deadline time.Time // of the request, which begins with that byte
 }
 
-func (m requestWritten) handle(l *loop) { l.sentWhole(m.request, m.deadline) }
+func (m requestWritten) handle(l *eventLoop) { l.recordWritten(m.request, m.deadline) }
 
 // attemptFinished is the result of one attempt of a request.
 type attemptFinished struct {
 	request *request
 	attempt int // its index in the request's attempts
-	result  result
+	result  attemptResult
 }
 
-func (m attemptFinished) handle(l *loop) { l.outcome(m.request, m.attempt, m.result) }
+func (m attemptFinished) handle(l *eventLoop) { l.finishAttempt(m.request, m.attempt, m.result) }
 
 // responseStreamEnded says that a streamed response of a backend has been passed on, or has broken off.
 type responseStreamEnded struct{ backendID string }
 
-func (m responseStreamEnded) handle(l *loop) { l.streams[m.backendID]-- }
+func (m responseStreamEnded) handle(l *eventLoop) { l.openStreams[m.backendID]-- }
 
 // healthCheckFinished is the result of a health check.
 type healthCheckFinished struct {
 	endpoint balance.EndpointID
 	sent     time.Duration // when it was sent, on the loop's clock
-	result   result
+	result   attemptResult
 }
 
-func (m healthCheckFinished) handle(l *loop) { l.probed(m.endpoint, m.sent, m.result) }
+func (m healthCheckFinished) handle(l *eventLoop) { l.finishHealthCheck(m.endpoint, m.sent, m.result) }
 
 // endpointListReceived is an endpoint list from discovery, or changes to the last one.
 type endpointListReceived struct {
@@ -88,17 +88,17 @@
 	list List
 }
 
-func (m endpointListReceived) handle(l *loop) { l.list(m.kind, m.list) }
+func (m endpointListReceived) handle(l *eventLoop) { l.updateEndpoints(m.kind, m.list) }
 
 // discoveryFailed says that a call of discovery has failed.
 type discoveryFailed struct{}
 
-func (discoveryFailed) handle(l *loop) { l.handle(balance.DiscoveryFailed{}) }
+func (discoveryFailed) handle(l *eventLoop) { l.handle(balance.DiscoveryFailed{}) }
 
 // firstListOverdue says that discovery has had its time to push a first endpoint list.
 type firstListOverdue struct{}
 
-func (firstListOverdue) handle(l *loop) { l.waitNoLonger() }
+func (firstListOverdue) handle(l *eventLoop) { l.stopAwaitingList() }
 
 // cordonsChanged is the record of cordons as it stands in the file now.
 type cordonsChanged struct {
@@ -106,8 +106,8 @@
 	applied chan<- struct{} // buffered; receives when the Balancer has been notified; nil: nobody waits
 }
 
-func (m cordonsChanged) handle(l *loop) {
-	l.maintain(m.cordons)
+func (m cordonsChanged) handle(l *eventLoop) {
+	l.applyCordons(m.cordons)
 	if m.applied != nil {
 		m.applied <- struct{}{}
 	}
@@ -119,29 +119,31 @@
 	payload []byte
 }
 
-func (m peerMessageReceived) handle(l *loop) {
+func (m peerMessageReceived) handle(l *eventLoop) {
 	l.handle(balance.PeerMessage{Peer: m.peer, Payload: m.payload})
 }
 
 // handoverChanged says whether another process of the node accepts its connections now.
 type handoverChanged struct{ handedOver bool }
 
-func (m handoverChanged) handle(l *loop) { l.handle(balance.HandoverChanged{HandedOver: m.handedOver}) }
+func (m handoverChanged) handle(l *eventLoop) {
+	l.handle(balance.HandoverChanged{HandedOver: m.handedOver})
+}
 
 // nodeTakenOver is what this process has been handed by the one that it replaces.
 type nodeTakenOver struct{ learned learned }
 
-func (m nodeTakenOver) handle(l *loop) { l.handle(balance.TookOver{State: l.recall(m.learned)}) }
+func (m nodeTakenOver) handle(l *eventLoop) { l.handle(balance.TookOver{State: l.recall(m.learned)}) }
 
 // finalResponsesDue says that, in a shutdown, every request has to have its final response now.
 type finalResponsesDue struct{}
 
-func (finalResponsesDue) handle(l *loop) { l.answerOpen() }
+func (finalResponsesDue) handle(l *eventLoop) { l.answerOpen() }
 
 // shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
 type shutdownCheckDue struct{}
 
-func (shutdownCheckDue) handle(l *loop) { l.checkShutdown() }
+func (shutdownCheckDue) handle(l *eventLoop) { l.checkShutdown() }
 
 // cordonState is what the event loop knows of cordons.
 type cordonState struct {
@@ -155,28 +157,28 @@
 	reply     chan<- cordonState
 }
 
-func (m cordonQuery) handle(l *loop) {
-	known := l.backends[m.backendID] != nil || l.cordons.Backends[m.backendID].Since > 0
+func (m cordonQuery) handle(l *eventLoop) {
+	known := l.backendsByID[m.backendID] != nil || l.cordons.Backends[m.backendID].Since > 0
 	m.reply <- cordonState{cordons: l.cordons, known: known}
 }
 
 // learnedQuery asks for what a successor of this process should know.
 type learnedQuery struct{ reply chan<- learned }
 
-func (m learnedQuery) handle(l *loop) { m.reply <- l.remember() }
+func (m learnedQuery) handle(l *eventLoop) { m.reply <- l.remember() }
 
 // endpointListQuery asks for the endpoint list in discovery's form.
 type endpointListQuery struct{ reply chan<- []byte }
 
-func (m endpointListQuery) handle(l *loop) { m.reply <- l.listed() }
+func (m endpointListQuery) handle(l *eventLoop) { m.reply <- l.listed() }
 
 // endpointLoadQuery asks for the Balancer's estimates of each endpoint's load.
 type endpointLoadQuery struct{ reply chan<- []fleet.BackendLoad }
 
-func (m endpointLoadQuery) handle(l *loop) {
+func (m endpointLoadQuery) handle(l *eventLoop) {
 	var loads []fleet.BackendLoad
-	for _, load := range l.bal.EndpointLoads() {
-		loads = append(loads, backendLoad(l.byNumber[load.ID].id, load))
+	for _, load := range l.balancer.EndpointLoads() {
+		loads = append(loads, backendLoad(l.backendsByEndpointID[load.ID].id, load))
 	}
 	m.reply <- loads
 }
@@ -190,14 +192,14 @@
 // openWorkQuery asks for what is in flight at each backend.
 type openWorkQuery struct{ reply chan<- openWork }
 
-func (m openWorkQuery) handle(l *loop) {
-	inFlight := maps.Clone(l.streams)
+func (m openWorkQuery) handle(l *eventLoop) {
+	inFlight := maps.Clone(l.openStreams)
 	for _, r := range l.requests {
 		for _, at := range r.attempts {
 			if !at.over {
-				inFlight[at.to.id]++
+				inFlight[at.backend.id]++
 			}
 		}
 	}
-	m.reply <- openWork{revision: l.revision, inFlight: inFlight}
+	m.reply <- openWork{revision: l.listRevision, inFlight: inFlight}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,8 +35,8 @@
 	log      *slog.Logger
 	listener *boundedListener
 	peers    *peers
-	pool     *pool
-	loop     *loop
+	pool     *connPool
+	loop     *eventLoop
 	front    *front
 	disco    *discovery
 	figures  *figures
@@ -68,15 +68,15 @@
 		}
 	}
 	n.clients, n.backends = cfg.Limits.share(cfg.Admin != "")
-	n.pool = newPool(n.backends, limits.ConnectTimeout, limits.IdleClose)
+	n.pool = newConnPool(n.backends, limits.ConnectTimeout, limits.IdleClose)
 	n.pool.closes = &n.figures.closes
-	n.loop = newLoop(bal, newExchanges(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.figures.upstream, log),
+	n.loop = newEventLoop(bal, newUpstreamTransport(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.figures.upstream, log),
 		n.figures, log)
 	n.loop.guard = newGuard(cfg.Settings.Config, log)
 	n.metrics.guard = n.loop.guard
 	n.front = newFront(n.loop, cfg.Settings, n.clients, log)
 	n.front.kept = newBudget(cfg.Limits.MemoryMB)
-	n.loop.back.kept = n.front.kept
+	n.loop.upstream.bodyMemory = n.front.kept
 	n.front.most = min(n.front.most, int64(n.backends))
 	n.front.large = cfg.Admin != ""
 	n.disco = newDiscovery(cfg.Discovery, cfg.Registry, cfg.Settings, log,
@@ -92,14 +92,14 @@
 	n.disco.have, n.disco.after = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
 	n.disco.timed = n.metrics.called
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
-	n.loop.askAbout = n.disco.ask
-	n.loop.askedOf = func() int64 { return n.disco.calls.Swap(0) }
+	n.loop.requestDiscovery = n.disco.ask
+	n.loop.takeDiscoveryCalls = func() int64 { return n.disco.calls.Swap(0) }
 	if cfg.PeerListen != "" {
 		n.peers, err = accept.Open(func() (*peers, error) { return listenPeers(&cfg) }, n.waitsFor(cfg.PeerListen))
 		if err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
-		n.loop.tellPeers = n.peers.tell
+		n.loop.sendToPeer = n.peers.tell
 	}
 	if cfg.Fleet != nil {
 		n.fleet = newFleetPart(n)
@@ -177,18 +177,18 @@
 	defer wg.Wait()
 	defer stop()
 	if n.cordons != nil {
-		n.loop.maintain(n.cordons.start())
+		n.loop.applyCordons(n.cordons.start())
 		wg.Go(func() {
 			n.cordons.follow(work, func(c cordons) { n.loop.post(cordonsChanged{cordons: c}) })
 		})
 	}
 	// A pushed list counts as told from the first moment of a process, so it must not serve on an older one.
-	n.loop.untold = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inherited == nil)
+	n.loop.awaitingFirstList = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inherited == nil)
 	first := time.AfterFunc(n.firstList, func() { n.loop.post(firstListOverdue{}) })
 	defer first.Stop()
 	known := n.cfg.Known
 	known.Complete = true
-	n.loop.list(balance.CachedList, known)
+	n.loop.updateEndpoints(balance.CachedList, known)
 	wg.Go(func() { n.loop.run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
 	wg.Go(func() { n.disco.run(work) })
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -261,7 +261,7 @@
 // loopFunc is a message of the tests' own: a function that the event loop runs.
 type loopFunc func()
 
-func (f loopFunc) handle(*loop) { f() }
+func (f loopFunc) handle(*eventLoop) { f() }
 
 // onLoop runs f on the node's loop and waits for it.
 func (s *started) onLoop(t *testing.T, f func()) {
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -15,121 +15,121 @@
 	"hitchvale/internal/monotime"
 )
 
-// endpoint is one process of a backend: the address, and when it started.
-type endpoint struct {
-	addr     string
-	launched time.Duration
+// backendProcess is one process of a backend: the address, and when it started.
+type backendProcess struct {
+	addr      string
+	startedAt time.Duration
 }
 
-// conn is a connection to a backend. It carries one request at a time.
-type conn struct {
+// backendConn is a connection to a backend. It carries one request at a time.
+type backendConn struct {
 	net.Conn
-	to     endpoint
-	limit  io.LimitedReader // bounds what one answer may hold
-	read   *bufio.Reader
-	idleAt time.Time
+	process   backendProcess
+	limit     io.LimitedReader // bounds what one answer may hold
+	reader    *bufio.Reader
+	idleSince time.Time
 }
 
-// settleFor is how long a connection rests before it is used again. A backend may have more to say a moment after its
+// quarantineTime is how long a connection rests before it is used again. A backend may have more to say a moment after its
 // answer, another one even, and what is asked meanwhile would take that for its own. A rest costs time and, with little
 // to spare, processor: it is kept for waryFor after some connection has had more than its answer.
-const settleFor, waryFor = 6 * time.Millisecond, 2 * time.Minute
+const quarantineTime, quarantinePeriod = 6 * time.Millisecond, 2 * time.Minute
 
-// errNoRoom says that the node may open no more connections now.
-var errNoRoom = errors.New("no descriptor left for a connection to a backend")
+// errPoolExhausted says that the node may open no more connections now.
+var errPoolExhausted = errors.New("no descriptor left for a connection to a backend")
 
-// pool keeps the connections to backends: the idle ones, and a count of all.
-type pool struct {
-	dialer net.Dialer
-	keep   time.Duration // how long one may stand idle
-	settle time.Duration // how long one rests at the least
+// connPool keeps the connections to backends: the idle ones, and a count of all.
+type connPool struct {
+	dialer     net.Dialer
+	maxIdle    time.Duration // how long one may stand idle
+	quarantine time.Duration // how long one rests at the least
 
-	dials  atomic.Int64 // since the loop last counted them
-	closes *closeCounts
-	wary   monotime.Atomic // until which connections rest
+	dials           atomic.Int64 // since the loop last counted them
+	closes          *closeCounts
+	quarantineUntil monotime.Atomic // until which connections rest
 
-	mu   sync.Mutex
-	most int                  // connections, idle or not
-	idle map[endpoint][]*conn // the one used last is at the end
-	open int
+	mu      sync.Mutex
+	maxOpen int                               // connections, idle or not
+	idle    map[backendProcess][]*backendConn // the one used last is at the end
+	open    int
 }
 
-func newPool(most int, connectTimeout, idleClose time.Duration) *pool {
+func newConnPool(most int, connectTimeout, idleClose time.Duration) *connPool {
 	if connectTimeout <= 0 {
 		connectTimeout = time.Second
 	}
 	if idleClose <= 0 {
 		idleClose = 5 * time.Second
 	}
-	return &pool{
+	return &connPool{
 		// A silent machine answers no SYN, and keep-alive packets notice nothing.
-		dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
-		most:   most,
+		dialer:  net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
+		maxOpen: most,
 		// A backend closes an idle connection at idleClose at the latest, and a request that crosses that is
 		// a reset that may have run: stay well below.
-		keep: idleClose * 7 / 10, settle: min(settleFor, idleClose/10),
-		idle: map[endpoint][]*conn{}, closes: new(closeCounts),
+		maxIdle: idleClose * 7 / 10, quarantine: min(quarantineTime, idleClose/10),
+		idle: map[backendProcess][]*backendConn{}, closes: new(closeCounts),
 	}
 }
 
-// get returns an idle connection, or dials one.
-func (p *pool) get(ctx context.Context, to endpoint) (*conn, error) {
+// acquire returns an idle connection, or dials one.
+func (p *connPool) acquire(ctx context.Context, to backendProcess) (*backendConn, error) {
 	for {
-		c := p.take(to)
+		c := p.takeIdle(to)
 		if c == nil {
 			break
 		}
-		if pause(ctx, p.rest()-time.Since(c.idleAt)); ctx.Err() != nil {
-			p.idled(c)
+		if pause(ctx, p.currentQuarantine()-time.Since(c.idleSince)); ctx.Err() != nil {
+			p.addIdle(c)
 			return nil, ctx.Err()
 		}
-		switch c.peek() {
+		switch c.check() {
 		case nothingWaits:
 			return c, nil
 		case bytesWait:
-			p.beWary()
+			p.startQuarantine()
 		}
 		p.closes.add(closedStale)
-		p.end(c)
+		p.close(c)
 	}
-	if !p.reserve() {
-		return nil, errNoRoom
+	if !p.reserveSlot() {
+		return nil, errPoolExhausted
 	}
 	p.dials.Add(1)
 	nc, err := p.dialer.DialContext(ctx, "tcp", to.addr)
 	if err != nil {
-		p.release()
+		p.releaseSlot()
 		return nil, err
 	}
-	c := &conn{Conn: nc, to: to}
+	c := &backendConn{Conn: nc, process: to}
 	c.limit.R = nc
-	c.read = bufio.NewReaderSize(&c.limit, 2<<10)
+	c.reader = bufio.NewReaderSize(&c.limit, 2<<10)
 	return c, nil
 }
 
-// beWary takes in that a backend has sent more than an answer.
-func (p *pool) beWary() { p.wary.Store(monotime.Now().Add(waryFor)) }
+// startQuarantine takes in that a backend has sent more than an answer.
+func (p *connPool) startQuarantine() { p.quarantineUntil.Store(monotime.Now().Add(quarantinePeriod)) }
 
-// rest is how long a connection rests now.
-func (p *pool) rest() time.Duration {
-	if monotime.Now() < p.wary.Load() {
-		return p.settle
+// currentQuarantine is how long a connection rests now.
+func (p *connPool) currentQuarantine() time.Duration {
+	if monotime.Now() < p.quarantineUntil.Load() {
+		return p.quarantine
 	}
 	return 0
 }
 
-// take takes the idle connection that was used last of those that have rested, or else the first one that will have.
-func (p *pool) take(to endpoint) *conn {
+// takeIdle takes the idle connection that was used last of those that have rested, or else the first one that will have.
+func (p *connPool) takeIdle(to backendProcess) *backendConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	list := p.kept(p.idle[to], now, p.keep)
+	list := p.withoutExpired(p.idle[to], now, p.maxIdle)
 	if len(list) == 0 {
 		p.setIdle(to, nil)
 		return nil
 	}
-	i, rest := len(list)-1, p.rest()
-	for i > 0 && now.Sub(list[i].idleAt) < rest {
+	i, rest := len(list)-1, p.currentQuarantine()
+	for i > 0 && now.Sub(list[i].idleSince) < rest {
 		i--
 	}
 	c := list[i]
@@ -137,7 +137,7 @@
 	return c
 }
 
-func (p *pool) setIdle(to endpoint, list []*conn) {
+func (p *connPool) setIdle(to backendProcess, list []*backendConn) {
 	if len(list) == 0 {
 		delete(p.idle, to)
 	} else {
@@ -145,35 +145,35 @@
 	}
 }
 
-// reserve counts a connection to be dialed. At the limit the one that has been idle longest makes room.
-func (p *pool) reserve() bool {
+// reserveSlot counts a connection to be dialed. At the limit the one that has been idle longest makes room.
+func (p *connPool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open < p.most {
+	if p.open < p.maxOpen {
 		p.open++
 		return true
 	}
-	var oldest *conn
+	var oldest *backendConn
 	for _, list := range p.idle {
-		if oldest == nil || list[0].idleAt.Before(oldest.idleAt) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			oldest = list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.setIdle(oldest.to, p.idle[oldest.to][1:])
+	p.setIdle(oldest.process, p.idle[oldest.process][1:])
 	oldest.Close()
 	return true
 }
 
-// allow sets how many connections there may be from now on. Idle ones beyond that are closed.
-func (p *pool) allow(most int) {
+// setMaxOpen sets how many connections there may be from now on. Idle ones beyond that are closed.
+func (p *connPool) setMaxOpen(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
+	p.maxOpen = most
 	for to, list := range p.idle {
-		for len(list) > 0 && p.open > p.most {
+		for len(list) > 0 && p.open > p.maxOpen {
 			list[0].Close()
 			list = list[1:]
 			p.open--
@@ -182,8 +182,8 @@
 	}
 }
 
-// held is how many connections there are, and how many of them are idle.
-func (p *pool) held() (open, idle int) {
+// size is how many connections there are, and how many of them are idle.
+func (p *connPool) size() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
@@ -192,40 +192,40 @@
 	return p.open, idle
 }
 
-func (p *pool) release() {
+func (p *connPool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// put takes back a connection whose last answer came whole.
-func (p *pool) put(c *conn) {
-	c.idleAt = time.Now()
-	p.idled(c)
+// release takes back a connection whose last answer came whole.
+func (p *connPool) release(c *backendConn) {
+	c.idleSince = time.Now()
+	p.addIdle(c)
 }
 
-// idled counts a connection among the idle ones, in the order of their last use.
-func (p *pool) idled(c *conn) {
+// addIdle counts a connection among the idle ones, in the order of their last use.
+func (p *connPool) addIdle(c *backendConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[c.to]
-	at, _ := slices.BinarySearchFunc(list, c, func(a, b *conn) int { return a.idleAt.Compare(b.idleAt) })
-	p.idle[c.to] = slices.Insert(list, at, c)
+	list := p.idle[c.process]
+	at, _ := slices.BinarySearchFunc(list, c, func(a, b *backendConn) int { return a.idleSince.Compare(b.idleSince) })
+	p.idle[c.process] = slices.Insert(list, at, c)
 }
 
 // discard ends a connection that can't be used again.
-func (p *pool) discard(c *conn) {
+func (p *connPool) discard(c *backendConn) {
 	p.closes.add(closedUsed)
-	p.end(c)
+	p.close(c)
 }
 
-func (p *pool) end(c *conn) {
+func (p *connPool) close(c *backendConn) {
 	c.Close()
-	p.release()
+	p.releaseSlot()
 }
 
-// drop ends the idle connections to an endpoint.
-func (p *pool) drop(to endpoint) {
+// closeIdleTo ends the idle connections to an endpoint.
+func (p *connPool) closeIdleTo(to backendProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[to] {
@@ -237,31 +237,31 @@
 }
 
 // run ends connections that have been idle for long, until ctx ends, and then all idle ones.
-func (p *pool) run(ctx context.Context) {
-	t := time.NewTicker(max(p.keep/8, time.Millisecond))
+func (p *connPool) run(ctx context.Context) {
+	t := time.NewTicker(max(p.maxIdle/8, time.Millisecond))
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-			p.sweep(0)
+			p.closeExpired(0)
 		case <-t.C:
-			p.sweep(p.keep)
+			p.closeExpired(p.maxIdle)
 		}
 	}
 }
 
-func (p *pool) sweep(keep time.Duration) {
+func (p *connPool) closeExpired(keep time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for to, list := range p.idle {
-		p.setIdle(to, p.kept(list, now, keep))
+		p.setIdle(to, p.withoutExpired(list, now, keep))
 	}
 }
 
 // kept ends the connections of a list that have been idle for so long, and returns the others.
-func (p *pool) kept(list []*conn, now time.Time, keep time.Duration) []*conn {
-	for len(list) > 0 && now.Sub(list[0].idleAt) >= keep {
+func (p *connPool) withoutExpired(list []*backendConn, now time.Time, keep time.Duration) []*backendConn {
+	for len(list) > 0 && now.Sub(list[0].idleSince) >= keep {
 		list[0].Close()
 		p.closes.add(closedIdle)
 		p.open--
@@ -270,10 +270,10 @@
 	return list
 }
 
-// peek tells whether an idle connection is still up, with nothing unread on it. A backend that was restarted under its
+// check tells whether an idle connection is still up, with nothing unread on it. A backend that was restarted under its
 // old address leaves connections behind that would swallow a request.
-func (c *conn) peek() peeked {
-	if c.read.Buffered() > 0 {
+func (c *backendConn) check() peeked {
+	if c.reader.Buffered() > 0 {
 		return bytesWait
 	}
 	if sc, ok := c.Conn.(syscall.Conn); ok {
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -35,7 +35,7 @@
 			return bad("%s: given more than once", name)
 		}
 	}
-	r := &request{id: h.Get("X-Trace-Id"), reply: make(chan answer, 1), repeat: h.Get("X-Second-Try") == "1"}
+	r := &request{id: h.Get("X-Trace-Id"), response: make(chan finalResponse, 1), clientRetry: h.Get("X-Second-Try") == "1"}
 	if r.id == "" {
 		return bad("X-Trace-Id: missing")
 	}
@@ -71,15 +71,15 @@
 		left = min(left, time.Duration(min(s, 1e6)*float64(time.Second)))
 	}
 	if us, err := strconv.ParseFloat(h.Get("X-Size-Hint"), 64); err == nil && us > 0 && us < 1e12 {
-		r.hint = time.Duration(us * float64(time.Microsecond))
+		r.expectedWork = time.Duration(us * float64(time.Microsecond))
 	}
 	if subject := path.Base(hr.URL.Path); subject != "/" && subject != "." {
 		sum := fnv.New64a()
 		io.WriteString(sum, subject)
-		r.key, r.hasKey = sum.Sum64()>>11, true
+		r.routingKey, r.hasRoutingKey = sum.Sum64()>>11, true
 	}
 	body, open, taken, err := f.body(w, hr, since)
-	r.taken = taken
+	r.bodyBytes = taken
 	switch {
 	case errors.Is(err, errTooLong):
 		return nil, http.StatusRequestEntityTooLarge, err
@@ -99,7 +99,7 @@
 	if key != "" {
 		h.Set("Idempotency-Key", key)
 	}
-	r.message = message{method: method, url: hr.URL, host: hr.Host, header: h, body: body, open: open, left: left - early}
+	r.forwarded = forwardedRequest{method: method, url: hr.URL, host: hr.Host, header: h, body: body, upload: open, timeLeft: left - early}
 	return r, 0, nil
 }
 
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -34,12 +34,12 @@
 
 // write words an answer, and calls whole before the last byte of it may go. Its error tells that a client was not given
 // all of one that was streamed.
-func write(w http.ResponseWriter, a answer, whole func()) error {
+func write(w http.ResponseWriter, a finalResponse, whole func()) error {
 	if a.stream == nil {
 		whole()
 	}
 	switch a.kind {
-	case served:
+	case responseServed:
 		if a.contentType != "" {
 			w.Header().Set("Content-Type", a.contentType)
 		} else {
@@ -55,15 +55,15 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		w.WriteHeader(http.StatusOK)
 		w.Write(a.body)
-	case refused:
-		refuse(w, a.retryIn)
-	case failed:
+	case responseRejected:
+		refuse(w, a.retryAfter)
+	case responseFailed:
 		status := http.StatusBadGateway
-		if a.late {
+		if a.deadlineExceeded {
 			status = http.StatusGatewayTimeout
 		}
 		fail(w, status)
-	case doubled:
+	case responseDuplicate:
 		http.Error(w, "another request with this id is open", http.StatusConflict)
 	}
 	return nil
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -72,7 +72,7 @@
 
 // answerOpen gives every request that has no answer yet its final one, at the time by which that has to be written: also those
 // that were taken before the process was told to end and have more time than that. Answers that are being passed on go on.
-func (l *loop) answerOpen() {
+func (l *eventLoop) answerOpen() {
 	var open []*request
 	for _, r := range l.requests {
 		if !r.answered {
@@ -81,12 +81,12 @@
 	}
 	for _, r := range open {
 		l.handle(balance.ClientDisconnected{Request: r.id}) // nothing more is to be done for it
-		l.finish(r, answer{kind: failed})
+		l.respond(r, finalResponse{kind: responseFailed})
 	}
 }
 
 // checkShutdown counts the requests that the earliest kill would find unanswered.
-func (l *loop) checkShutdown() {
+func (l *eventLoop) checkShutdown() {
 	for id, r := range l.requests {
 		if !r.answered {
 			l.guard.violated(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -41,7 +41,7 @@
 			eventually(t, "ready", s.loop.ready.Load)
 			var known, ready int
 			s.onLoop(t, func() {
-				for _, x := range s.loop.backends {
+				for _, x := range s.loop.backendsByID {
 					if known++; x.phase == balance.Ready {
 						ready++
 					}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -8,9 +8,9 @@
 
 // timer is a Timer event to come.
 type timer struct {
-	at   time.Duration
-	seq  uint64
-	mark uint64
+	at       time.Duration
+	sequence uint64
+	id       uint64
 }
 
 // timers is a heap by time; what is due at the same time keeps its order.
@@ -19,7 +19,7 @@
 func (t timers) Len() int { return len(t) }
 
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -16,11 +16,11 @@
 // told, which did not have it: a backend that joins or restarts while the node runs is cold, whatever the clocks say. That is
 // late by as much as discovery is, which errs on the side of sending less. What the first list of a process tells has only
 // the wall clock to go by.
-func (l *loop) startOf(told time.Duration) time.Duration {
+func (l *eventLoop) startOf(told time.Duration) time.Duration {
 	if told == 0 {
 		return 0
 	}
-	return max(min(told, l.now()), l.listedAt)
+	return max(min(told, l.now()), l.lastListAt)
 }
 
 // cordonTimes are when a backend was last taken out and put back by hand, on the loop's clock.
@@ -29,7 +29,7 @@
 // placeCordons places the times of a record of maintenance that the loop is about to take in. What has changed since the one
 // that it holds has happened just now, as the record is looked at many times a second; what the first one tells has only the
 // wall clock to go by, and does not lie ahead.
-func (l *loop) placeCordons(record cordons) {
+func (l *eventLoop) placeCordons(record cordons) {
 	now := l.now()
 	for id, c := range record.Backends {
 		known, at := l.cordons.Backends[id], l.cordonTimes[id]
@@ -43,7 +43,7 @@
 	}
 }
 
-func (l *loop) placeCordon(wall int64, now time.Duration) time.Duration {
+func (l *eventLoop) placeCordon(wall int64, now time.Duration) time.Duration {
 	if l.running {
 		return now
 	}
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -15,7 +15,7 @@
 	eventually(t, "readiness", n.loop.ready.Load)
 	deadlines := make(chan time.Time, 1)
 	n.onLoop(t, func() {
-		n.loop.worked = func(r *request, _ time.Duration) { deadlines <- r.deadline }
+		n.loop.onServed = func(r *request, _ time.Duration) { deadlines <- r.deadline }
 	})
 	n.stop()
 	eventually(t, "the drain", n.front.shutdown.begun)
@@ -29,12 +29,12 @@
 func (s *started) launchedOf(t *testing.T, id string) (launched time.Duration, ok bool) {
 	t.Helper()
 	s.onLoop(t, func() {
-		b := s.loop.backends[id]
+		b := s.loop.backendsByID[id]
 		if b == nil {
 			return
 		}
-		for _, m := range s.loop.bal.HandoverState().Endpoints {
-			if m.ID == b.number {
+		for _, m := range s.loop.balancer.HandoverState().Endpoints {
+			if m.ID == b.endpointID {
 				launched, ok = m.StartedAt, true
 			}
 		}
@@ -84,9 +84,9 @@
 			var at []time.Duration
 			n.onLoop(t, func() {
 				before := n.loop.now()
-				n.loop.maintain(cordons{Version: 1, Backends: map[string]cordon{"s-0": {Out: true, Since: stamp}}})
-				n.loop.maintain(cordons{Version: 2, Backends: map[string]cordon{"s-0": {Since: stamp, Back: stamp + 1}}})
-				at = []time.Duration{before, n.loop.bal.UncordonedAt(balance.EndpointID(0)), n.loop.now()}
+				n.loop.applyCordons(cordons{Version: 1, Backends: map[string]cordon{"s-0": {Out: true, Since: stamp}}})
+				n.loop.applyCordons(cordons{Version: 2, Backends: map[string]cordon{"s-0": {Since: stamp, Back: stamp + 1}}})
+				at = []time.Duration{before, n.loop.balancer.UncordonedAt(balance.EndpointID(0)), n.loop.now()}
 			})
 			if at[1] < at[0] || at[1] > at[2] {
 				t.Errorf("put back %v after it was, %v before now", at[1]-at[0], at[2]-at[1])
