--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,49 +7,6 @@
 	"hitchvale/internal/monotime"
 )
 
-// This file carries out attempts and probes, and gives requests their final answers.
-
-// startRequest takes in a request. One whose id is still in use is turned away: backends could not tell the two apart.
-func (l *eventLoop) startRequest(r *request) {
-	if l.requests[r.id] != nil {
-		r.response <- finalResponse{kind: responseDuplicate}
-		return
-	}
-	l.requests[r.id] = r
-	l.statistics.arrived++
-	open, budget := r.forwarded.upload != nil, max(time.Until(r.deadline), 0)
-	if open {
-		budget = r.forwarded.timeLeft
-		r.forwarded.onWritten = func() time.Time {
-			deadline := l.shutdown.bound(time.Now().Add(r.forwarded.timeLeft))
-			l.post(requestWritten{request: r, deadline: deadline})
-			return deadline
-		}
-	}
-	l.handle(balance.RequestArrived{
-		Request: r.id, Class: r.class, Tenant: r.tenant, RoutingKey: r.routingKey, HasRoutingKey: r.hasRoutingKey,
-		TimeLeft: budget, ExpectedWork: r.expectedWork, ClientRetry: r.clientRetry, Incomplete: open,
-	})
-}
-
-// disconnectClient takes in that a client has closed its connection before its answer.
-func (l *eventLoop) disconnectClient(r *request) {
-	select {
-	case a := <-r.response: // nobody takes it
-		if a.stream != nil {
-			a.stream.end(false)
-		}
-	default:
-	}
-	if l.requests[r.id] != r || r.answered {
-		return
-	}
-	r.answered, r.disconnectedAt = true, l.now()
-	l.statistics.gone++
-	l.handle(balance.ClientDisconnected{Request: r.id})
-	l.cancelAttempts(r, balance.StatusCancelled)
-}
-
 func (l *eventLoop) startAttempt(a *balance.Action) {
 	r, b := l.requests[a.Request], l.backendFor(a.Endpoint)
 	if r == nil || b == nil {
@@ -85,15 +42,6 @@
 	})
 }
 
-// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows from it.
-func (l *eventLoop) recordWritten(r *request, deadline time.Time) {
-	r.deadline = deadline
-	if n := len(r.attempts) - 1; !r.answered && n >= 0 && !r.attempts[n].over {
-		r.attempts[n].sentAt = l.now()
-		l.handle(balance.RequestWritten{Request: r.id, Attempt: n, TimeLeft: max(time.Until(deadline), 0)})
-	}
-}
-
 // finishAttempt tells the Balancer how an attempt ended, once. What comes after it was given up changes nothing.
 func (l *eventLoop) finishAttempt(r *request, n int, res attemptResult) {
 	at := r.attempts[n]
@@ -165,27 +113,6 @@
 	l.finishAttempt(r, n, attemptResult{status: st})
 }
 
-// respond gives a request its final answer. Nothing that was sent for it can be of use any more.
-func (l *eventLoop) respond(r *request, a finalResponse) {
-	if r == nil || r.answered {
-		return
-	}
-	r.answered = true
-	a.deadlineExceeded = !r.deadline.IsZero() && !time.Now().Before(r.deadline)
-	l.statistics.answers[a.kind]++
-	if a.deadlineExceeded {
-		l.statistics.late++
-	}
-	l.unservedLog.Warn("request not served", "request", r.id, "class", r.class, "refused", a.kind == responseRejected, "late", a.deadlineExceeded,
-		"attempts", len(r.attempts), "last", r.lastStatus(), "retry_in", a.retryAfter)
-	r.response <- a
-	st := balance.StatusCancelled
-	if a.deadlineExceeded {
-		st = balance.StatusTimedOut
-	}
-	l.cancelAttempts(r, st)
-}
-
 func (l *eventLoop) cancelAttempts(r *request, st balance.Status) {
 	for n := range r.attempts {
 		l.cancelAttempt(r, n, st)
@@ -193,56 +120,12 @@
 	l.releaseRequest(r)
 }
 
-// releaseRequest drops a request from the table once it is answered and nothing is out for it.
-func (l *eventLoop) releaseRequest(r *request) {
-	if r.answered && r.pending == 0 && l.requests[r.id] == r {
-		delete(l.requests, r.id)
-	}
-}
-
-func (l *eventLoop) startHealthCheck(number balance.EndpointID) {
-	b := l.backendFor(number)
-	if b == nil {
-		return
-	}
-	sent := l.now()
-	if !b.available() {
-		l.finishHealthCheck(number, sent, attemptResult{status: balance.StatusNotSent})
-		return
-	}
-	l.statistics.probes++
-	l.upstream.checkHealth(b.process, func(res attemptResult) {
-		l.post(healthCheckFinished{endpoint: number, sent: sent, result: res})
-	})
-}
-
-// finishHealthCheck notifies the Balancer of the result of a health check.
-func (l *eventLoop) finishHealthCheck(number balance.EndpointID, sent time.Duration, res attemptResult) {
-	l.handle(balance.HealthChecked{
-		Endpoint: number,
-		Elapsed:  l.now() - sent,
-		Status:   res.status,
-		Load:     res.load,
-	})
-}
-
-// cancelUnsentAttempts stops attempts that have not begun to write to a backend that takes nothing new. Left alone, one that
-// hangs in a dial would go out when the grace is long over.
-func (l *eventLoop) cancelUnsentAttempts() {
-	type one struct {
-		r *request
-		n int
-	}
-	var out []one
-	for _, r := range l.requests {
-		for n, at := range r.attempts {
-			if !at.over && !at.backend.available() && at.call != nil && at.call.cancelUnsent() {
-				out = append(out, one{r, n})
-			}
-		}
-	}
-	for _, o := range out {
-		o.r.attempts[o.n].call.cancel()
-		l.finishAttempt(o.r, o.n, attemptResult{status: balance.StatusNotSent})
-	}
+// attempt is one copy of a request on its way to a backend.
+type attempt struct {
+	call    *upstreamCall
+	backend *backend
+	sentAt  time.Duration
+	over    bool // its outcome has been told
+	// status is how it ended, where it is over.
+	status balance.Status
 }
--- a/internal/node/pool.go
+++ b/internal/node/connpool.go
@@ -4,32 +4,15 @@
 	"bufio"
 	"context"
 	"errors"
-	"io"
 	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"hitchvale/internal/monotime"
 )
 
-// backendProcess is one process of a backend: the address, and when it started.
-type backendProcess struct {
-	addr      string
-	startedAt time.Duration
-}
-
-// backendConn is a connection to a backend. It carries one request at a time.
-type backendConn struct {
-	net.Conn
-	process   backendProcess
-	limit     io.LimitedReader // bounds what one answer may hold
-	reader    *bufio.Reader
-	idleSince time.Time
-}
-
 // quarantineTime is how long a connection rests before it is used again. A backend may have more to say a moment after its
 // answer, another one even, and what is asked meanwhile would take that for its own. A rest costs time and, with little
 // to spare, processor: it is kept for waryFor after some connection has had more than its answer.
@@ -269,15 +252,3 @@
 	}
 	return list
 }
-
-// check tells whether an idle connection is still up, with nothing unread on it. A backend that was restarted under its
-// old address leaves connections behind that would swallow a request.
-func (c *backendConn) check() peeked {
-	if c.reader.Buffered() > 0 {
-		return bytesWait
-	}
-	if sc, ok := c.Conn.(syscall.Conn); ok {
-		return peekAt(sc)
-	}
-	return peerLeft // nobody can tell
-}
--- /dev/null
+++ b/internal/node/connpool_test.go
@@ -0,0 +1,180 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"hitchvale/balance"
+)
+
+// Each attempt reaches one connection, once. http.Transport would send these again by itself when the reused
+// connection breaks: they are GETs and bear an Idempotency-Key.
+func TestBrokenReusedConnectionIsNotTriedAgain(t *testing.T) {
+	seen := make(chan string, 8)
+	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+		for i := 0; ; i++ {
+			r, err := http.ReadRequest(br)
+			if err != nil {
+				return
+			}
+			seen <- r.Header.Get("X-Trace-Id")
+			if i > 0 {
+				reset(c) // the second request on a connection breaks it
+				return
+			}
+			io.WriteString(c, ok200("x"))
+		}
+	})
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	if r := attemptOnce(t, x, to, get("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
+		t.Fatalf("the first: %v", r)
+	}
+	if r := attemptOnce(t, x, to, get("second")); r.status != balance.StatusConnectionLost {
+		t.Errorf("the second: status %v, want Dropped: it may have run", r.status)
+	}
+	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
+		t.Errorf("%d connections, %d requests", n, len(seen))
+	}
+}
+
+// A backend restarted under its address leaves connections that look open here. None may swallow a request.
+func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
+	serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
+	conns := make(chan net.Conn, 8)
+	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
+	addr := b.Addr().String()
+	x, to := newTestTransport(t), backendProcess{addr: addr}
+	if r := attemptOnce(t, x, to, get("old")); r.status != balance.StatusSucceeded {
+		t.Fatalf("%v", r.status)
+	}
+	b.Close()
+	reset(receive(t, "the old connection", conns))
+	newRawBackend(t, addr, serve)
+	if r := attemptOnce(t, x, to, get("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
+		t.Errorf("after the restart: %v %q", r.status, r.body)
+	}
+}
+
+// An idle connection is not used near the end of its life: a request that crosses its close may have run.
+func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	for i := range 2 {
+		if r := attemptOnce(t, x, to, get(fmt.Sprint(i))); r.status != balance.StatusSucceeded {
+			t.Fatalf("%v", r.status)
+		}
+	}
+	if n := b.accepted.Load(); n != 1 {
+		t.Fatalf("a fresh idle connection was not reused: %d connections", n)
+	}
+	x.pool.mu.Lock()
+	x.pool.idle[to][0].idleSince = time.Now().Add(-x.pool.maxIdle)
+	x.pool.mu.Unlock()
+	if r := attemptOnce(t, x, to, get("later")); r.status != balance.StatusSucceeded {
+		t.Fatalf("%v", r.status)
+	}
+	if n := b.accepted.Load(); n != 2 {
+		t.Errorf("an old idle connection was used: %d connections", n)
+	}
+}
+
+// What follows an answer unasked spoils the connection: it would be read as the answer to the next request.
+func TestSurplusAfterAnAnswerReachesNobody(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
+	}))
+	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	for _, id := range []string{"one", "two"} {
+		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+			t.Errorf("%s: %v %q", id, r.status, r.body)
+		}
+	}
+}
+
+// A second answer that comes a moment late is nobody's either: once a backend has sent more than an answer, be it with one or
+// while a connection was idle, connections rest before they carry another request.
+func TestLateSecondAnswerReachesNobody(t *testing.T) {
+	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+		first, err := http.ReadRequest(br)
+		if err != nil {
+			return
+		}
+		io.WriteString(c, ok200(first.Header.Get("X-Trace-Id")))
+		c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+		br.Peek(1) // the next request may come first
+		io.WriteString(c, ok200(first.Header.Get("X-Trace-Id")))
+		c.SetReadDeadline(time.Time{})
+		for {
+			r, err := http.ReadRequest(br)
+			if err != nil {
+				return
+			}
+			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
+		}
+	})
+	x := newTestTransport(t)
+	x.pool.quarantine = time.Second
+	x.pool.startQuarantine()
+	to := backendProcess{addr: b.Addr().String()}
+	for _, id := range []string{"one", "two"} {
+		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
+		}
+	}
+}
+
+func TestSurplusMakesThePoolWary(t *testing.T) {
+	for name, late := range map[string]bool{"with the answer": false, "while idle": true} {
+		wrote := make(chan struct{}, 1)
+		b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+			if _, err := http.ReadRequest(br); err != nil {
+				return
+			}
+			if late {
+				io.WriteString(c, ok200(""))
+				io.WriteString(c, "x")
+			} else {
+				io.WriteString(c, ok200("")+"x")
+			}
+			wrote <- struct{}{}
+			br.ReadByte()
+		})
+		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+		if x.pool.currentQuarantine() != 0 {
+			t.Error("wary from the start")
+		}
+		attemptOnce(t, x, to, get("one"))
+		<-wrote
+		eventually(t, name+": rest", func() bool {
+			attemptOnce(t, x, to, get("another"))
+			return x.pool.currentQuarantine() == quarantineTime
+		})
+	}
+}
+
+// The pool holds no more connections than it may, and what is idle makes room.
+func TestPoolIsBounded(t *testing.T) {
+	serve := answering(func(*http.Request) string { return ok200("x") })
+	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
+	x := newTestTransport(t)
+	x.pool.maxOpen = 1
+	for _, l := range []*rawBackend{a, b} {
+		if r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, get("id")); r.status != balance.StatusSucceeded {
+			t.Errorf("%v", r.status)
+		}
+	}
+	c, err := x.pool.acquire(context.Background(), backendProcess{addr: b.Addr().String()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r := attemptOnce(t, x, backendProcess{addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
+		t.Errorf("with no room: %v", r.status)
+	}
+	x.pool.discard(c)
+}
--- /dev/null
+++ b/internal/node/healthcheck_test.go
@@ -0,0 +1,31 @@
+package node
+
+import (
+	"net/http"
+	"sync/atomic"
+	"testing"
+
+	"hitchvale/balance"
+)
+
+// A probe brings the backend's report, and one that can't be read is none.
+func TestHealthChecks(t *testing.T) {
+	var body atomic.Value // a probe of the module's own may come at any time
+	body.Store("TEXT inflight=7, util=0.5")
+	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		if r.Method != "GET" || r.URL.Path != "/stats" {
+			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"
+		}
+		return ok200(body.Load().(string))
+	}))
+	x, done := newTestTransport(t), make(chan attemptResult, 1)
+	x.checkHealth(backendProcess{addr: b.Addr().String()}, func(r attemptResult) { done <- r })
+	if r := receive(t, "the probe", done); r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
+		t.Errorf("%+v", r)
+	}
+	body.Store("\x00\x01")
+	x.checkHealth(backendProcess{addr: b.Addr().String()}, func(r attemptResult) { done <- r })
+	if r := receive(t, "the probe", done); r.load.Has != 0 {
+		t.Errorf("%+v", r)
+	}
+}
