--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -46,7 +46,7 @@
 	client := &fleet.Client{Replicas: c.Registry, HTTP: p.http}
 	p.agent = fleet.NewAgent(fleet.AgentConfig{Node: n.cfg.Name, Site: c.Site, Address: n.cfg.Listen, Interval: interval,
 		OnView: newTurns(n, client).follow}, rand.Text(), client, p.report, n.log)
-	n.front.fleet, n.loop.worked, n.loop.streams = p, p.worked, map[string]int{}
+	n.front.fleet, n.loop.onServed, n.loop.openStreams = p, p.worked, map[string]int{}
 	return p
 }
 
@@ -102,7 +102,7 @@
 		InFlight: float64(p.n.front.inFlight.Load()),
 		Refused:  float64(refused-p.refused) / span, Failed: float64(failed-p.failed) / span,
 	}
-	toBackends, _ := p.n.pool.held()
+	toBackends, _ := p.n.pool.size()
 	r.Figures.Descriptors = r.Figures.Connections + float64(toBackends)
 	p.at, p.cpu, p.refused, p.failed = now, cpu, refused, failed
 
@@ -119,24 +119,14 @@
 
 // backends asks the loop what the module has found of them; none where the loop is too busy to say.
 func (p *fleetPart) backends() []fleet.BackendLoad {
-	told := make(chan []fleet.BackendLoad, 1)
-	go p.n.loop.post(func() {
-		var out []fleet.BackendLoad
-		for _, s := range p.n.loop.bal.EndpointLoads() {
-			out = append(out, backendLoad(p.n.loop.byNumber[s.ID].id, s))
-		}
-		told <- out
-	})
-	t := time.NewTimer(fleetAsk)
-	defer t.Stop()
-	select {
-	case out := <-told:
-		return out
-	case <-t.C:
-		return nil
-	case <-p.n.loop.done:
+	ctx, cancel := context.WithTimeout(context.Background(), fleetAsk)
+	defer cancel()
+	reply := make(chan []fleet.BackendLoad, 1)
+	loads, err := query(ctx, p.n.loop, endpointLoadQuery{reply}, reply)
+	if err != nil {
 		return nil
 	}
+	return loads
 }
 
 func backendLoad(id string, s balance.EndpointLoad) fleet.BackendLoad {
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -10,8 +10,6 @@
 	"net"
 	"syscall"
 	"time"
-
-	"hitchvale/balance"
 )
 
 // This file is the side of the process that hands the node over.
@@ -33,8 +31,9 @@
 	if string(line) != "take\n" {
 		return false, fmt.Errorf("asked %q", line)
 	}
-	var known learned
-	if err := n.loop.ask(ctx, func() { known = n.loop.remember() }); err != nil {
+	reply := make(chan learned, 1)
+	known, err := query(ctx, n.loop, learnedQuery{reply}, reply)
+	if err != nil {
 		return false, err
 	}
 	n.handed(true)
@@ -60,7 +59,7 @@
 func (n *Node) handed(out bool) {
 	n.front.handed.Store(out)
 	n.listener.rest(out)
-	n.loop.post(func() { n.loop.handle(balance.HandoverChanged{HandedOver: out}) })
+	n.loop.post(handoverChanged{handedOver: out})
 }
 
 // offer passes the listener and the list on.
@@ -73,8 +72,9 @@
 	if err != nil {
 		return err
 	}
-	var list []byte
-	if err := n.loop.ask(ctx, func() { list = n.loop.listed() }); err != nil {
+	reply := make(chan []byte, 1)
+	list, err := query(ctx, n.loop, endpointListQuery{reply}, reply)
+	if err != nil {
 		return err
 	}
 	n.disco.mu.Lock()
@@ -110,10 +110,10 @@
 		// What begins here now may not end in time. Who asks on a kept connection as it is closed asks again.
 		n.front.endIdle(idleLeast, closedForHandOver)
 		n.front.shed(n.clients / 4)
-		inUse, idle := n.pool.held()
+		inUse, idle := n.pool.size()
 		// Never more than before: the new process uses what this one has told that it left.
 		open = max(min(open, inUse), min(keepBackends, n.backends/4))
-		n.pool.allow(open)
+		n.pool.setMaxOpen(open)
 		now := holds{Clients: n.listener.held(), Backends: open, Busy: n.front.busy()}
 		if now != told {
 			text, _ := json.Marshal(now)
@@ -126,7 +126,7 @@
 			busyAt = time.Now()
 		}
 		if time.Since(busyAt) >= leaveAfter {
-			n.pool.allow(0)
+			n.pool.setMaxOpen(0)
 			*done = true
 			return nil
 		}
