--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -35,7 +35,7 @@
 		Short: short,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			dir := filepath.Join(args[0], registry.SnapshotFolder)
+			dir := filepath.Join(args[0], registry.SnapshotDir)
 			if _, err := os.Stat(dir); err != nil {
 				return usageError(fmt.Errorf("%s: %w", dir, err))
 			}
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -40,7 +40,7 @@
 			if err != nil {
 				return failedError(fmt.Errorf("raft: %w", err))
 			}
-			httpLn, err := listen(cfg.HTTP)
+			httpLn, err := listen(cfg.HTTPAddr)
 			if err != nil {
 				raftLn.Close()
 				return failedError(fmt.Errorf("http: %w", err))
@@ -50,7 +50,7 @@
 				httpLn.Close()
 				return failedError(err)
 			}
-			log.Info("serving", "component", "registry", "node", cfg.ID, "http", cfg.HTTP, "raft", cfg.Raft)
+			log.Info("serving", "component", "registry", "node", cfg.ID, "http", cfg.HTTPAddr, "raft", cfg.RaftAddr)
 			serveErr := r.Serve(cmd.Context(), httpLn)
 			if err := r.Close(); err != nil {
 				return failedError(err)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -99,7 +99,7 @@
 func (w *world) apply(op string, s Session) (Session, error) {
 	before := w.sessions.Last[s.Node]
 	out, err := w.sessions.Apply(&SessionCommand{op, s}, w.revision+1)
-	if err == nil && !out.Same {
+	if err == nil && !out.Unchanged {
 		w.revision++
 	}
 	if w.sessions.Last[s.Node] < before {
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -101,7 +101,7 @@
 		if n.Incarnation != old.Incarnation {
 			return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("the process has incarnation %d", old.Incarnation))
 		}
-		return statemachine.Outcome{Same: true, Value: old}, nil
+		return statemachine.Outcome{Unchanged: true, Value: old}, nil
 	}
 	switch last := s.Last[n.Node]; {
 	case n.Incarnation <= last:
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -37,8 +37,8 @@
 				}
 			}
 			out, err := s.Apply(&tc.cmd, 3)
-			if !errors.Is(err, tc.want) || out.Same != tc.same {
-				t.Fatalf("%v, same %v", err, out.Same)
+			if !errors.Is(err, tc.want) || out.Unchanged != tc.same {
+				t.Fatalf("%v, same %v", err, out.Unchanged)
 			}
 			if o, ok := s.Open["n"]; err != nil && (!ok || o.Process != "p2" || s.Last["n"] != 2) {
 				t.Errorf("changed by what was refused: %+v", s)
@@ -64,7 +64,7 @@
 			if s.Last["n"] < before {
 				t.Fatalf("%+v: the last went from %d to %d", c, before, s.Last["n"])
 			}
-			if err == nil && c.Op == "session-open" && !out.Same {
+			if err == nil && c.Op == "session-open" && !out.Unchanged {
 				if given[n.Incarnation] != "" || n.Incarnation != before+1 {
 					t.Fatalf("incarnation %d given to %s after %d, had by %q", n.Incarnation, n.Process, before, given[n.Incarnation])
 				}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -177,7 +177,7 @@
 		return r.confirm(t, c, next)
 	}
 	if c.Op == "rota-step" && t.State == c.To {
-		return statemachine.Outcome{Same: true, Value: t.clone()}, nil // the same step twice is no step
+		return statemachine.Outcome{Unchanged: true, Value: t.clone()}, nil // the same step twice is no step
 	}
 	if c.Rev != t.Rev && plant != "cas" {
 		return statemachine.Outcome{}, ErrChanged.Of(c.Machine, nil)
@@ -302,7 +302,7 @@
 		return statemachine.Outcome{}, ErrStep.Of(t.Machine, fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.Drained, c.Held))
 	}
 	if t.Confirmed[c.Node] == c.Incarnation {
-		return statemachine.Outcome{Same: true}, nil
+		return statemachine.Outcome{Unchanged: true}, nil
 	}
 	t.Confirmed[c.Node] = c.Incarnation // not a step: Rev stays, so that confirmations do not race with one another
 	return statemachine.Outcome{}, nil
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -66,7 +66,7 @@
 
 func (r *rig) do(c Command) error {
 	out, err := r.rota.Apply(&c, r.rev+1)
-	if err == nil && !out.Same {
+	if err == nil && !out.Unchanged {
 		r.rev++
 	}
 	return err
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -29,7 +29,7 @@
 			i++
 			id := fmt.Sprintf("s-%d", i%5000)
 			n.Unlock()
-			m := Member{ID: id, HostPort: "127.0.0.1:9000", Phase: Ready, Size: 1}
+			m := Member{ID: id, HostPort: "127.0.0.1:9000", Phase: PhaseReady, Size: 1}
 			if res, err := r.Write(&MemberCommand{Op: "register", Member: m}); err != nil || res.Err != nil {
 				b.Error(err, res.Err)
 				return
@@ -73,7 +73,7 @@
 		waitWatches(b, r, watchers)
 		runtime.ReadMemStats(&ms1)
 		perWatch = float64(ms1.HeapInuse+ms1.StackInuse-ms0.HeapInuse-ms0.StackInuse) / watchers
-		if _, err := r.Write(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("w-%d", i), HostPort: "127.0.0.1:1", Phase: Ready}}); err != nil {
+		if _, err := r.Write(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("w-%d", i), HostPort: "127.0.0.1:1", Phase: PhaseReady}}); err != nil {
 			b.Fatal(err)
 		}
 		acked := time.Now()
@@ -93,9 +93,9 @@
 func waitWatches(b *testing.B, r *Replica, n int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	for r.watching.Load() < n {
+	for r.openWatches.Load() < n {
 		if ctx.Err() != nil {
-			b.Fatalf("%d of %d watches open", r.watching.Load(), n)
+			b.Fatalf("%d of %d watches open", r.openWatches.Load(), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -109,9 +109,9 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := NewState(64)
 			for i := range n {
-				s.Apply(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("s-%d", i), HostPort: "10.0.0.1:9000", Phase: Ready, Size: 1}})
+				s.Apply(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("s-%d", i), HostPort: "10.0.0.1:9000", Phase: PhaseReady, Size: 1}})
 			}
-			store, err := newSnapStore(b.TempDir(), slog.New(slog.DiscardHandler))
+			store, err := newSnapshotStore(b.TempDir(), slog.New(slog.DiscardHandler))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/registry/disk_test.go
+++ b/internal/registry/disk_test.go
@@ -70,7 +70,7 @@
 func (c *cluster) holds(t *testing.T, i int, ids []string) bool {
 	t.Helper()
 	code, text := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
-	var l List
+	var l MemberList
 	if code != http.StatusOK || json.Unmarshal([]byte(text), &l) != nil {
 		return false
 	}
@@ -142,7 +142,7 @@
 	i := (lead + 1) % 3
 	c.disks[i].oneIn.Store(1)
 	c.stop(lead) // an election at which the term can't be saved
-	await(t, "a failed write", func() bool { return c.replicas[i].store.failing() != nil })
+	await(t, "a failed write", func() bool { return c.replicas[i].store.lastError() != nil })
 	stopped := make(chan struct{})
 	go func() { c.stop(i); close(stopped) }()
 	select {
--- a/internal/registry/diskstore.go
+++ b/internal/registry/diskstore.go
@@ -13,7 +13,7 @@
 
 // diskRetryLeast and diskRetryMost bound the wait after a failed write that has to be made, which doubles from one to the
 // other.
-const diskRetryLeast, diskRetryMost = 20 * time.Millisecond, 500 * time.Millisecond
+const minRetryDelay, maxRetryDelay = 20 * time.Millisecond, 500 * time.Millisecond
 
 // diskStore lets raft outlive a disk that fails for a while. Raft panics where it can't save its term, and after a cut of its
 // log's end that is followed by a failed append it holds an entry for the last one that is not there.
@@ -25,106 +25,106 @@
 // Any error of the store counts as one that may pass. Nothing is read anew after a failed sync: the store (bbolt) writes each
 // transaction to pages that no durable one refers to, and syncs them before it writes the page that refers to them. What a
 // failed transaction left in the cache is therefore never taken for written; it is overwritten by the next one.
-type diskStore struct {
+type retryingStore struct {
 	raftStore
-	complain *lograte.Limited
+	warnings *lograte.Limited
 	stopped  chan struct{}
 
-	mu      sync.Mutex
-	failure error // of the last write; nil: it succeeded
-	cut     bool  // the log's end has been cut and nothing appended since
+	mu             sync.Mutex
+	lastWriteError error // of the last write; nil: it succeeded
+	tailTruncated  bool  // the log's end has been cut and nothing appended since
 }
 
-func newDiskStore(s raftStore, log *slog.Logger) *diskStore {
-	return &diskStore{raftStore: s, complain: &lograte.Limited{Log: log}, stopped: make(chan struct{})}
+func newRetryingStore(s raftStore, log *slog.Logger) *retryingStore {
+	return &retryingStore{raftStore: s, warnings: &lograte.Limited{Log: log}, stopped: make(chan struct{})}
 }
 
 // failing is the error of the last write; nil where it succeeded.
-func (s *diskStore) failing() error {
+func (s *retryingStore) lastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failure
+	return s.lastWriteError
 }
 
 // stop ends the writes that are still tried. It is called once, before raft is shut down.
-func (s *diskStore) stop() { close(s.stopped) }
+func (s *retryingStore) stop() { close(s.stopped) }
 
 // StoreLog is part of raft.LogStore.
-func (s *diskStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *retryingStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs is part of raft.LogStore.
-func (s *diskStore) StoreLogs(logs []*raft.Log) error {
+func (s *retryingStore) StoreLogs(logs []*raft.Log) error {
 	write := func() error { return s.raftStore.StoreLogs(logs) }
-	if !s.wasCut() {
-		return s.try("append", write)
+	if !s.isTailTruncated() {
+		return s.writeOnce("append", write)
 	}
-	err := s.insist("append after a cut", write)
-	s.setCut(false)
+	err := s.writeUntilSuccess("append after a cut", write)
+	s.setTailTruncated(false)
 	return err
 }
 
 // DeleteRange is part of raft.LogStore. Raft cuts the log's start after a snapshot, which may fail, and its end where it
 // differs from the leader's.
-func (s *diskStore) DeleteRange(from, to uint64) error {
+func (s *retryingStore) DeleteRange(from, to uint64) error {
 	last, err := s.raftStore.LastIndex()
 	if err != nil {
 		return err
 	}
-	if err := s.try("cut the log", func() error { return s.raftStore.DeleteRange(from, to) }); err != nil {
+	if err := s.writeOnce("cut the log", func() error { return s.raftStore.DeleteRange(from, to) }); err != nil {
 		return err
 	}
 	if to >= last {
-		s.setCut(true)
+		s.setTailTruncated(true)
 	}
 	return nil
 }
 
 // Set is part of raft.StableStore.
-func (s *diskStore) Set(key, value []byte) error {
-	return s.try("save "+string(key), func() error { return s.raftStore.Set(key, value) })
+func (s *retryingStore) Set(key, value []byte) error {
+	return s.writeOnce("save "+string(key), func() error { return s.raftStore.Set(key, value) })
 }
 
 // SetUint64 is part of raft.StableStore.
-func (s *diskStore) SetUint64(key []byte, value uint64) error {
+func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	write := func() error { return s.raftStore.SetUint64(key, value) }
 	if string(key) == currentTermKey {
-		return s.insist("save "+currentTermKey, write)
+		return s.writeUntilSuccess("save "+currentTermKey, write)
 	}
-	return s.try("save "+string(key), write)
+	return s.writeOnce("save "+string(key), write)
 }
 
 // currentTermKey is the key under which raft saves its term, the one write whose failure it does not bear.
 const currentTermKey = "CurrentTerm"
 
-func (s *diskStore) wasCut() bool {
+func (s *retryingStore) isTailTruncated() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut
+	return s.tailTruncated
 }
 
-func (s *diskStore) setCut(cut bool) {
+func (s *retryingStore) setTailTruncated(cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut = cut
+	s.tailTruncated = cut
 }
 
 // try makes a write once.
-func (s *diskStore) try(what string, write func() error) error {
+func (s *retryingStore) writeOnce(what string, write func() error) error {
 	err := write()
 	s.mu.Lock()
-	s.failure = err
+	s.lastWriteError = err
 	s.mu.Unlock()
 	if err != nil {
-		s.complain.Warn("the disk fails: out of votes and of leadership until it works", "write", what, "error", err)
+		s.warnings.Warn("the disk fails: out of votes and of leadership until it works", "write", what, "error", err)
 	}
 	return err
 }
 
 // insist makes a write until it succeeds. When the replica stops first it ends the goroutine of raft that asked: raft takes
 // an error here for the end of the process.
-func (s *diskStore) insist(what string, write func() error) error {
-	for wait := diskRetryLeast; ; wait = min(2*wait, diskRetryMost) {
-		if s.try(what, write) == nil {
+func (s *retryingStore) writeUntilSuccess(what string, write func() error) error {
+	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
+		if s.writeOnce(what, write) == nil {
 			return nil
 		}
 		select {
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -17,30 +17,30 @@
 var (
 	ErrMalformed = problems.Define("registry.malformed", http.StatusBadRequest,
 		"the call is not well formed", "correct the field that the error names; docs/registry.md has the calls")
-	ErrUnknown = problems.Define("registry.unknown-member", http.StatusNotFound,
+	ErrMemberNotFound = problems.Define("registry.unknown-member", http.StatusNotFound,
 		"no such member", "read GET /registry/instances for the ids there are; register the member first")
-	ErrStale = problems.Define("registry.changed-since", http.StatusConflict,
+	ErrMemberChanged = problems.Define("registry.changed-since", http.StatusConflict,
 		"changed since it was read", "read it again and decide anew")
-	ErrHeld = problems.Define("registry.lease-held", http.StatusConflict,
+	ErrLeaseHeld = problems.Define("registry.lease-held", http.StatusConflict,
 		"the lease is held by another", "wait for its TTL, or end its holder with SIGTERM so that it steps down")
-	ErrLost = problems.Define("registry.lease-lost", http.StatusConflict,
+	ErrLeaseLost = problems.Define("registry.lease-lost", http.StatusConflict,
 		"the lease is not held with that token", "acquire it anew; what the old token wrote since is refused")
-	ErrFenced = problems.Define("registry.fenced", http.StatusConflict,
+	ErrStaleFencingToken = problems.Define("registry.fenced", http.StatusConflict,
 		"the fencing token is lower than one already accepted", "a successor acts already: end the process that sent this")
-	ErrOperation = problems.Define("registry.unknown-operation", http.StatusBadRequest,
+	ErrUnknownOperation = problems.Define("registry.unknown-operation", http.StatusBadRequest,
 		"no such operation", "run one version of the program on all replicas")
-	ErrSnapshot = problems.Define("registry.snapshot", http.StatusServiceUnavailable,
+	ErrSnapshotUnreadable = problems.Define("registry.snapshot", http.StatusServiceUnavailable,
 		"the snapshot cannot be taken in", "run hitchvale recover check DIR; start the newest version of the program that ran here")
 	ErrNotLeader = problems.Define("registry.not-leader", http.StatusServiceUnavailable,
 		"this replica does not lead", "ask the leader that the error names; if there is none, see that a majority of replicas runs")
 	ErrNotCommitted = problems.Define("registry.not-committed", http.StatusServiceUnavailable,
 		"the write may or may not be committed later", "read before writing again; see that a majority of replicas runs")
-	ErrNotFresh = problems.Define("registry.not-fresh", http.StatusServiceUnavailable,
+	ErrReplicaStale = problems.Define("registry.not-fresh", http.StatusServiceUnavailable,
 		"this replica has not heard from a leader lately", "ask another replica; see that this one reaches its peers")
-	ErrDisk = problems.Define("registry.disk", http.StatusServiceUnavailable,
+	ErrDiskFailed = problems.Define("registry.disk", http.StatusServiceUnavailable,
 		"this replica can't write to its folder; a write that it was asked for may or may not be committed later",
 		"make room on the disk of data_dir, or replace the disk; the replica comes back by itself; ask another one meanwhile")
-	ErrBusy = problems.Define("registry.busy", http.StatusServiceUnavailable,
+	ErrTooManyCalls = problems.Define("registry.busy", http.StatusServiceUnavailable,
 		"too many calls at once", "ask again after Retry-After; raise max_calls or add replicas")
 )
 
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -18,39 +18,39 @@
 
 // fleetSide is the registry's part in the fleet's shared view (docs/ROADMAP.md): sessions go through the log; reports
 // are kept by the leader alone, which compiles them into a view once an interval while there are sessions.
-type fleetSide struct {
-	interval time.Duration
-	start    time.Time // of the monotonic clock that the collector's times are on
+type viewPublisher struct {
+	interval   time.Duration
+	clockStart time.Time // of the monotonic clock that the collector's times are on
 
 	mu        sync.Mutex
 	collector *fleet.Collector // of the term that this replica leads in; nil where it does not
-	view      *publishedView   // the last one of that term; nil: none yet
-	next      chan struct{}    // closed when view changes; then there is a new one
+	latest    *publishedView   // the last one of that term; nil: none yet
+	changed   chan struct{}    // closed when view changes; then there is a new one
 }
 
 // publishedView is a view as all its readers get it.
 type publishedView struct {
-	stamp        fleet.Stamp
-	text, zipped []byte
-	at           time.Time
-	backends     []fleet.BackendView
+	version       fleet.Stamp
+	json, gzipped []byte
+	publishedAt   time.Time
+	backends      []fleet.BackendView
 }
 
-func newFleetSide(interval time.Duration) *fleetSide {
-	return &fleetSide{interval: interval, start: time.Now(), next: make(chan struct{})}
+func newViewPublisher(interval time.Duration) *viewPublisher {
+	return &viewPublisher{interval: interval, clockStart: time.Now(), changed: make(chan struct{})}
 }
 
 // stampHeader names the view that an answer holds, as TERM.EPOCH.
-const stampHeader = "X-Fleet-View"
+const viewHeader = "X-Fleet-View"
 
 // reportBody bounds a report's body, which is longer than what fleet allows by its echo.
-const reportBody = fleet.ReportMost + 8<<10
+const maxReportBodyBytes = fleet.ReportMost + 8<<10
 
 func sessionKey(node string) string { return "session:" + node }
 
 // compileViews publishes a view an interval while this replica leads, until ctx ends.
-func (r *Replica) compileViews(ctx context.Context) {
-	tick := time.NewTicker(r.fleet.interval)
+func (r *Replica) publishViews(ctx context.Context) {
+	tick := time.NewTicker(r.views.interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -63,23 +63,23 @@
 }
 
 func (r *Replica) publishView() {
-	f := r.fleet
-	leading, term := r.Leader() && r.fresh(), r.raft.CurrentTerm()
+	f := r.views
+	leading, term := r.Leader() && r.canServeReads(), r.raft.CurrentTerm()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !leading {
-		f.collector, f.view = nil, nil
+		f.collector, f.latest = nil, nil
 		return
 	}
 	if f.collector == nil || f.collector.Term() != term {
-		f.collector, f.view = fleet.NewCollector(term, f.interval), nil
+		f.collector, f.latest = fleet.NewCollector(term, f.interval), nil
 	}
 	var v fleet.View
 	sessions := 0
 	r.fsm.read(func(s *State) {
-		if sessions = len(r.sessions.Open); sessions > 0 || f.view != nil {
-			v = f.collector.Compile(r.sessions, s.Revision, time.Since(f.start))
-			v.Turns = len(r.rota.Turns)
+		if sessions = len(r.sessions.Open); sessions > 0 || f.latest != nil {
+			v = f.collector.Compile(r.sessions, s.Revision, time.Since(f.clockStart))
+			v.Turns = len(r.maintenance.Turns)
 		}
 	})
 	if v.Epoch == 0 {
@@ -90,13 +90,13 @@
 		r.log.Error("view not encoded", "error", err)
 		return
 	}
-	f.view = &publishedView{stamp: v.Stamp, text: text, zipped: zipped(text), at: time.Now(), backends: v.Backends}
-	close(f.next)
-	f.next = make(chan struct{})
+	f.latest = &publishedView{version: v.Stamp, json: text, gzipped: gzipText(text), publishedAt: time.Now(), backends: v.Backends}
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // zipped is a text in gzip's quickest form: it is sent to every node.
-func zipped(text []byte) []byte {
+func gzipText(text []byte) []byte {
 	var b bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // the level is a valid one
 	w.Write(text)
@@ -109,25 +109,25 @@
 func (r *Replica) serveReport(w http.ResponseWriter, req *http.Request) {
 	waitMs, err := strconv.ParseInt(req.URL.Query().Get("wait_ms"), 10, 64)
 	if err != nil || waitMs < 0 {
-		fail(w, ErrMalformed.Of("wait_ms", fmt.Errorf("%q is not a number of milliseconds", req.URL.Query().Get("wait_ms"))))
+		writeError(w, ErrMalformed.Of("wait_ms", fmt.Errorf("%q is not a number of milliseconds", req.URL.Query().Get("wait_ms"))))
 		return
 	}
 	var rep fleet.Echoed
-	req.Body = http.MaxBytesReader(w, req.Body, reportBody)
+	req.Body = http.MaxBytesReader(w, req.Body, maxReportBodyBytes)
 	if err := decodeBody(req, &rep); err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	if err := r.takeReport(rep); err != nil {
-		fail(w, err)
+	if err := r.addReport(rep); err != nil {
+		writeError(w, err)
 		return
 	}
-	r.beat(sessionKey(rep.Node))
-	r.answerView(w, req, rep.Echo, min(time.Duration(waitMs)*time.Millisecond, maxWait))
+	r.recordHeartbeat(sessionKey(rep.Node))
+	r.answerView(w, req, rep.Echo, min(time.Duration(waitMs)*time.Millisecond, maxWatchWait))
 }
 
-func (r *Replica) takeReport(rep fleet.Echoed) error {
-	f := r.fleet
+func (r *Replica) addReport(rep fleet.Echoed) error {
+	f := r.views
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.collector == nil || f.collector.Term() != r.raft.CurrentTerm() {
@@ -143,10 +143,10 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
-		r.fleet.mu.Lock()
-		v, next := r.fleet.view, r.fleet.next
-		r.fleet.mu.Unlock()
-		if v != nil && v.stamp != not {
+		r.views.mu.Lock()
+		v, next := r.views.latest, r.views.changed
+		r.views.mu.Unlock()
+		if v != nil && v.version != not {
 			writeView(w, req, v)
 			return
 		}
@@ -162,12 +162,12 @@
 }
 
 func writeView(w http.ResponseWriter, req *http.Request, v *publishedView) {
-	h, text := w.Header(), v.text
+	h, text := w.Header(), v.json
 	h.Set("Content-Type", "application/json")
-	h.Set(stampHeader, fmt.Sprintf("%d.%d", v.stamp.Term, v.stamp.Epoch))
+	h.Set(viewHeader, fmt.Sprintf("%d.%d", v.version.Term, v.version.Epoch))
 	if strings.Contains(req.Header.Get("Accept-Encoding"), "gzip") {
 		h.Set("Content-Encoding", "gzip")
-		text = v.zipped
+		text = v.gzipped
 	}
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	w.Write(text)
@@ -175,11 +175,11 @@
 
 // serveView answers with the last view.
 func (r *Replica) serveView(w http.ResponseWriter, req *http.Request) {
-	r.fleet.mu.Lock()
-	v := r.fleet.view
-	r.fleet.mu.Unlock()
-	if v == nil || !r.fresh() {
-		fail(w, fleet.ErrNoView.Of(r.cfg.ID, nil))
+	r.views.mu.Lock()
+	v := r.views.latest
+	r.views.mu.Unlock()
+	if v == nil || !r.canServeReads() {
+		writeError(w, fleet.ErrNoView.Of(r.cfg.ID, nil))
 		return
 	}
 	writeView(w, req, v)
@@ -187,39 +187,39 @@
 
 // serveSession answers with the highest incarnation under a name, and its open session if there is one.
 func (r *Replica) serveSession(w http.ResponseWriter, req *http.Request) {
-	if !r.fresh() {
-		fail(w, r.whyNotFresh())
+	if !r.canServeReads() {
+		writeError(w, r.staleReadError())
 		return
 	}
 	var out fleet.Held
 	r.fsm.read(func(*State) { out = r.sessions.Told(req.PathValue("node")) })
-	answer(w, out)
+	writeJSON(w, out)
 }
 
-func (r *Replica) openSession(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeOpenSession(req *http.Request) (statemachine.Command, error) {
 	var s fleet.Session
 	if err := decodeBody(req, &s); err != nil {
 		return nil, err
 	}
-	if ttl := time.Duration(s.TTLms) * time.Millisecond; ttl < r.leastTTL() {
-		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", s.TTLms, r.leastTTL()))
+	if ttl := time.Duration(s.TTLms) * time.Millisecond; ttl < r.minTTL() {
+		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", s.TTLms, r.minTTL()))
 	}
-	return &sessionWrite{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Check()
+	return &openSessionCommand{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Check()
 }
 
-func (r *Replica) closeSession(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeCloseSession(req *http.Request) (statemachine.Command, error) {
 	n, err := strconv.ParseUint(req.URL.Query().Get("incarnation"), 10, 64)
 	if err != nil {
 		return nil, ErrMalformed.Of("incarnation", err)
 	}
-	return &sessionWrite{fleet.SessionCommand{Op: "session-close",
+	return &openSessionCommand{fleet.SessionCommand{Op: "session-close",
 		Session: fleet.Session{Node: req.PathValue("node"), Incarnation: n}}}, nil
 }
 
 // sessionWrite is a session's command that starts its TTL on the leader's clock.
-type sessionWrite struct{ fleet.SessionCommand }
+type openSessionCommand struct{ fleet.SessionCommand }
 
-func (c *sessionWrite) beats() string {
+func (c *openSessionCommand) heartbeatKey() string {
 	if c.Op == "session-open" {
 		return sessionKey(c.Session.Node)
 	}
@@ -227,10 +227,10 @@
 }
 
 // dueSessions gives the expiry commands of sessions whose reports stopped for their TTL; called with beatMu held.
-func (r *Replica) dueSessions(now time.Time) []statemachine.Command {
+func (r *Replica) expiredSessions(now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for node, s := range r.sessions.Open {
-		if r.overdue(sessionKey(node), s.TTLms, now) {
+		if r.ttlElapsed(sessionKey(node), s.TTLms, now) {
 			due = append(due, &fleet.SessionCommand{Op: "session-expire", Session: fleet.Session{Node: node, Incarnation: s.Incarnation}})
 		}
 	}
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -84,7 +84,7 @@
 			}
 			text, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			stamp := resp.Header.Get(stampHeader)
+			stamp := resp.Header.Get(viewHeader)
 			if was, ok := texts[stamp]; resp.StatusCode != 200 || ok && was != string(text) {
 				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, stamp, was, text)
 			}
@@ -113,7 +113,7 @@
 // remedy.
 func TestSessionsExpireAndErrorsTellTheRemedy(t *testing.T) {
 	c := newClusterWith(t, 1, false)
-	await(t, "a leader", func() bool { return c.replicas[0].Leader() && c.replicas[0].fresh() })
+	await(t, "a leader", func() bool { return c.replicas[0].Leader() && c.replicas[0].canServeReads() })
 	ctx, client := t.Context(), fleetClient(c.http...)
 	defer client.HTTP.CloseIdleConnections()
 	s := fleet.Session{Node: "n1", Site: "a", Process: "p", Incarnation: 1, Address: "127.0.0.1:1", TTLms: 300}
@@ -191,12 +191,12 @@
 		mu.Unlock()
 		b.ReportMetric(used.Seconds()/5, "cores")
 		for _, r := range c.replicas {
-			r.fleet.mu.Lock()
-			if v := r.fleet.view; v != nil {
-				b.ReportMetric(float64(len(v.text)), "view-B")
-				b.ReportMetric(float64(len(v.zipped)), "zipped-B")
+			r.views.mu.Lock()
+			if v := r.views.latest; v != nil {
+				b.ReportMetric(float64(len(v.json)), "view-B")
+				b.ReportMetric(float64(len(v.gzipped)), "zipped-B")
 			}
-			r.fleet.mu.Unlock()
+			r.views.mu.Unlock()
 		}
 		cancel()
 		wg.Wait()
@@ -214,11 +214,11 @@
 	v, came, err := t.Client.Report(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
-		r.fleet.mu.Lock()
-		if p := r.fleet.view; came && p != nil && p.stamp == v.Stamp {
-			t.took(now.Sub(p.at))
+		r.views.mu.Lock()
+		if p := r.views.latest; came && p != nil && p.version == v.Stamp {
+			t.took(now.Sub(p.publishedAt))
 		}
-		r.fleet.mu.Unlock()
+		r.views.mu.Unlock()
 	}
 	return v, came, err
 }
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -12,9 +12,9 @@
 
 // fsm is the raft state machine over State: it applies committed commands and tells waiting watches.
 type fsm struct {
-	mu     sync.RWMutex
-	st     *State
-	notify chan struct{} // closed and replaced at each change
+	mu      sync.RWMutex
+	state   *State
+	changed chan struct{} // closed and replaced at each change
 }
 
 func (f *fsm) Apply(l *raft.Log) any {
@@ -23,29 +23,29 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c, err := f.st.ParseCommand(l.Data)
+	c, err := f.state.ParseCommand(l.Data)
 	if err != nil {
 		// Written by a replica of ours, so never expected; refused the same on every replica of one version.
-		return Result{Revision: f.st.Revision, Err: fmt.Errorf("log entry %d: %w", l.Index, err)}
+		return Result{Revision: f.state.Revision, Err: fmt.Errorf("log entry %d: %w", l.Index, err)}
 	}
-	r := f.st.Apply(c)
-	f.broadcast()
+	r := f.state.Apply(c)
+	f.notifyWatches()
 	return r
 }
 
-func (f *fsm) broadcast() {
-	close(f.notify)
-	f.notify = make(chan struct{})
+func (f *fsm) notifyWatches() {
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	text, err := f.st.Encode()
+	text, err := f.state.Encode()
 	if err != nil {
 		return nil, err
 	}
-	return snapshot(text), nil
+	return encodedSnapshot(text), nil
 }
 
 func (f *fsm) Restore(rc io.ReadCloser) error {
@@ -56,10 +56,10 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.st.Decode(text); err != nil {
+	if err := f.state.Decode(text); err != nil {
 		return err
 	}
-	f.broadcast()
+	f.notifyWatches()
 	return nil
 }
 
@@ -67,13 +67,13 @@
 func (f *fsm) read(fn func(*State)) <-chan struct{} {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	fn(f.st)
-	return f.notify
+	fn(f.state)
+	return f.changed
 }
 
-type snapshot []byte
+type encodedSnapshot []byte
 
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s encodedSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		sink.Cancel()
 		return err
@@ -81,4 +81,4 @@
 	return sink.Close()
 }
 
-func (snapshot) Release() {}
+func (encodedSnapshot) Release() {}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -10,9 +10,9 @@
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[MemberCommand](t, "memberCommand")
 	goldenfile.RoundTrip[LeaseCommand](t, "leaseCommand")
-	goldenfile.RoundTrip[image](t, "image")
-	goldenfile.RoundTrip[members](t, "members")
-	goldenfile.RoundTrip[leases](t, "leases")
-	goldenfile.RoundTrip[List](t, "list")
-	goldenfile.RoundTrip[rotaRequest](t, "rotaRequest")
+	goldenfile.RoundTrip[snapshotImage](t, "image")
+	goldenfile.RoundTrip[memberStore](t, "members")
+	goldenfile.RoundTrip[leaseStore](t, "leases")
+	goldenfile.RoundTrip[MemberList](t, "list")
+	goldenfile.RoundTrip[maintenanceRequest](t, "rotaRequest")
 }
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -19,10 +19,10 @@
 )
 
 // bodyMost bounds a write's body, as PROTOCOL bounds bodies.
-const bodyMost = 64 << 10
+const maxBodyBytes = 64 << 10
 
 // maxWait is PROTOCOL's bound on a watch's wait_ms.
-const maxWait = 60 * time.Second
+const maxWatchWait = 60 * time.Second
 
 // forwardedHeader marks a write that a follower passed to the leader, so that it is never passed on twice.
 const forwardedHeader = "X-Registry-Forwarded"
@@ -46,38 +46,38 @@
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", r.serveList)
-	mux.HandleFunc("POST /registry/members", r.writeHandler("", r.register))
-	mux.HandleFunc("PUT /registry/members/{id}/phase", r.writeHandler("", r.phase))
-	mux.HandleFunc("DELETE /registry/members/{id}", r.writeHandler("", r.deregister))
-	mux.HandleFunc("POST /registry/members/{id}/heartbeat", r.onLeader(r.serveHeartbeat))
+	mux.HandleFunc("POST /registry/members", r.writeHandler("", r.decodeRegister))
+	mux.HandleFunc("PUT /registry/members/{id}/phase", r.writeHandler("", r.decodeSetPhase))
+	mux.HandleFunc("DELETE /registry/members/{id}", r.writeHandler("", r.decodeDeregister))
+	mux.HandleFunc("POST /registry/members/{id}/heartbeat", r.leaderOnly(r.serveHeartbeat))
 	mux.HandleFunc("GET /registry/status", r.serveStatus)
 	mux.Handle("GET /metrics", r.metrics.handler())
-	mux.HandleFunc("GET /registry/leases", r.onLeader(r.serveLeases))
-	mux.HandleFunc("POST /registry/leases/{name}/acquire", r.writeHandler("lease", r.acquire))
-	mux.HandleFunc("POST /registry/leases/{name}/release", r.writeHandler("lease", r.release))
-	mux.HandleFunc("POST /registry/leases/{name}/renew", r.onLeader(r.serveRenew))
-	mux.HandleFunc("GET /registry/fleet/view", r.onLeader(r.serveView))
-	mux.HandleFunc("POST /registry/fleet/reports", r.onLeader(r.serveReport))
-	mux.HandleFunc("GET /registry/fleet/sessions/{node}", r.onLeader(r.serveSession))
-	mux.HandleFunc("POST /registry/fleet/sessions", r.writeHandler("session", r.openSession))
-	mux.HandleFunc("DELETE /registry/fleet/sessions/{node}", r.writeHandler("", r.closeSession))
-	r.routeRota(mux)
-	calls := make(chan struct{}, r.cfg.MaxCalls)
+	mux.HandleFunc("GET /registry/leases", r.leaderOnly(r.serveLeases))
+	mux.HandleFunc("POST /registry/leases/{name}/acquire", r.writeHandler("lease", r.decodeAcquire))
+	mux.HandleFunc("POST /registry/leases/{name}/release", r.writeHandler("lease", r.decodeRelease))
+	mux.HandleFunc("POST /registry/leases/{name}/renew", r.leaderOnly(r.serveRenew))
+	mux.HandleFunc("GET /registry/fleet/view", r.leaderOnly(r.serveView))
+	mux.HandleFunc("POST /registry/fleet/reports", r.leaderOnly(r.serveReport))
+	mux.HandleFunc("GET /registry/fleet/sessions/{node}", r.leaderOnly(r.serveSession))
+	mux.HandleFunc("POST /registry/fleet/sessions", r.writeHandler("session", r.decodeOpenSession))
+	mux.HandleFunc("DELETE /registry/fleet/sessions/{node}", r.writeHandler("", r.decodeCloseSession))
+	r.routeMaintenance(mux)
+	calls := make(chan struct{}, r.cfg.MaxConcurrentCalls)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
 		case calls <- struct{}{}:
 			defer func() { <-calls }()
 			mux.ServeHTTP(w, req)
 		default:
-			r.metrics.shed.Inc()
+			r.metrics.rejectedCalls.Inc()
 			w.Header().Set("Retry-After", "1")
-			fail(w, ErrBusy)
+			writeError(w, ErrTooManyCalls)
 		}
 	})
 }
 
 // endWithin is how long a replica that ends waits for the calls that it has taken: a write may wait for a majority that has gone.
-const endWithin = time.Second
+const shutdownTimeout = time.Second
 
 // Serve answers on ln until ctx ends, and then what it has taken. Watches end at once.
 func (r *Replica) Serve(ctx context.Context, ln net.Listener) error {
@@ -90,13 +90,13 @@
 		case <-lost:
 		}
 		r.endWatches()
-		last, cancel := context.WithTimeout(context.Background(), endWithin)
+		last, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if err := srv.Shutdown(last); err != nil {
 			srv.Close()
 		}
 	}()
-	err := srv.Serve(retrying(ln, r.log))
+	err := srv.Serve(retryingListener(ln, r.log))
 	if errors.Is(err, http.ErrServerClosed) {
 		err = nil
 	} else {
@@ -107,13 +107,13 @@
 }
 
 // retrying has a listener wait out errors of accept that pass, and log them at a bounded rate.
-func retrying(ln net.Listener, log *slog.Logger) net.Listener {
+func retryingListener(ln net.Listener, log *slog.Logger) net.Listener {
 	return accept.NewListener(ln, accept.LogRetries(log, "registry"))
 }
 
 // fail answers with an error: its code, what failed and on what, and what an operator can do. An error that has no code
 // is one of the input.
-func fail(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	d, ok := operror.Find(err)
 	if !ok {
 		d = ErrMalformed.Of("", err)
@@ -134,7 +134,7 @@
 	return "follower"
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
@@ -143,56 +143,56 @@
 func (r *Replica) serveList(w http.ResponseWriter, req *http.Request) {
 	q := req.URL.Query()
 	if !q.Has("after") {
-		if !r.fresh() {
-			fail(w, r.whyNotFresh())
+		if !r.canServeReads() {
+			writeError(w, r.staleReadError())
 			return
 		}
-		var l List
+		var l MemberList
 		role := r.role()
-		r.fsm.read(func(s *State) { l = s.Whole() })
+		r.fsm.read(func(s *State) { l = s.CompleteList() })
 		w.Header().Set(roleHeader, role)
-		answer(w, l)
+		writeJSON(w, l)
 		return
 	}
 	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
 	if err != nil {
-		fail(w, ErrMalformed.Of("after", fmt.Errorf("%q is not a revision", q.Get("after"))))
+		writeError(w, ErrMalformed.Of("after", fmt.Errorf("%q is not a revision", q.Get("after"))))
 		return
 	}
 	waitMs, err := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
 	if err != nil || waitMs < 0 {
-		fail(w, ErrMalformed.Of("wait_ms", fmt.Errorf("%q is not a number of milliseconds", q.Get("wait_ms"))))
+		writeError(w, ErrMalformed.Of("wait_ms", fmt.Errorf("%q is not a number of milliseconds", q.Get("wait_ms"))))
 		return
 	}
-	l, ok := r.watch(req.Context(), after, min(time.Duration(waitMs)*time.Millisecond, maxWait))
+	l, ok := r.watch(req.Context(), after, min(time.Duration(waitMs)*time.Millisecond, maxWatchWait))
 	if !ok {
-		fail(w, r.whyNotFresh())
+		writeError(w, r.staleReadError())
 		return
 	}
-	answer(w, l)
+	writeJSON(w, l)
 }
 
 // watch waits until the list passes after, the wait ends or the caller goes, then gives what changed. It fails
 // where this replica is not fresh when it would answer.
-func (r *Replica) watch(ctx context.Context, after int64, wait time.Duration) (List, bool) {
+func (r *Replica) watch(ctx context.Context, after int64, wait time.Duration) (MemberList, bool) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	r.watching.Add(1)
-	defer r.watching.Add(-1)
+	r.openWatches.Add(1)
+	defer r.openWatches.Add(-1)
 	for {
-		var l List
+		var l MemberList
 		// Revisions of other records than the list's are no news to a watch.
 		var rev, last int64
-		next := r.fsm.read(func(s *State) { rev, last, l = s.Revision, s.members.last, s.Since(after) })
+		next := r.fsm.read(func(s *State) { rev, last, l = s.Revision, s.memberStore.lastRevision, s.ChangesSince(after) })
 		if last > after || after > rev {
-			return l, r.fresh()
+			return l, r.canServeReads()
 		}
 		select {
 		case <-next:
 		case <-t.C:
-			return l, r.fresh()
-		case <-r.ending:
-			return l, r.fresh()
+			return l, r.canServeReads()
+		case <-r.watchesEnded:
+			return l, r.canServeReads()
 		case <-ctx.Done():
 			return l, false
 		}
@@ -202,39 +202,39 @@
 // writeHandler decodes a write and commits it on the leader, or passes it to the leader. It answers with the revision
 // and, where the machine gives one, its value under the given name.
 func (r *Replica) writeHandler(value string, decode func(*http.Request) (statemachine.Command, error)) http.HandlerFunc {
-	return r.onLeader(func(w http.ResponseWriter, req *http.Request) {
+	return r.leaderOnly(func(w http.ResponseWriter, req *http.Request) {
 		begun := time.Now()
-		req.Body = http.MaxBytesReader(w, req.Body, bodyMost)
+		req.Body = http.MaxBytesReader(w, req.Body, maxBodyBytes)
 		c, err := decode(req)
 		if err != nil {
-			r.metrics.wrote(begun, "refused")
-			fail(w, err)
+			r.metrics.observeWrite(begun, "refused")
+			writeError(w, err)
 			return
 		}
 		res, err := r.Write(c)
 		switch {
 		case err != nil:
-			r.metrics.wrote(begun, "failed")
-			fail(w, err)
+			r.metrics.observeWrite(begun, "failed")
+			writeError(w, err)
 		case res.Err != nil:
-			r.metrics.wrote(begun, "refused")
-			fail(w, res.Err)
+			r.metrics.observeWrite(begun, "refused")
+			writeError(w, res.Err)
 		default:
-			r.metrics.wrote(begun, "ok")
+			r.metrics.observeWrite(begun, "ok")
 			text := map[string]any{"revision": res.Revision}
 			if value != "" {
 				text[value] = res.Value
 			}
-			answer(w, text)
+			writeJSON(w, text)
 		}
 	})
 }
 
 // onLeader has the leader answer: a follower passes the call on.
-func (r *Replica) onLeader(answer http.HandlerFunc) http.HandlerFunc {
+func (r *Replica) leaderOnly(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if !r.Leader() {
-			r.forward(w, req)
+			r.forwardToLeader(w, req)
 			return
 		}
 		answer(w, req)
@@ -242,16 +242,16 @@
 }
 
 // forward passes a write to the leader's HTTP address, once.
-func (r *Replica) forward(w http.ResponseWriter, req *http.Request) {
-	leader := r.leaderHTTP()
+func (r *Replica) forwardToLeader(w http.ResponseWriter, req *http.Request) {
+	leader := r.leaderHTTPAddr()
 	if leader == "" || req.Header.Get(forwardedHeader) != "" {
 		w.Header().Set("Retry-After", "1")
-		fail(w, ErrNotLeader.Of(r.cfg.ID, fmt.Errorf("leader at %q", leader)))
+		writeError(w, ErrNotLeader.Of(r.cfg.ID, fmt.Errorf("leader at %q", leader)))
 		return
 	}
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: leader})
 	p.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, err error) {
-		fail(w, ErrNotLeader.Of(r.cfg.ID, fmt.Errorf("leader at %s: %w", leader, err)))
+		writeError(w, ErrNotLeader.Of(r.cfg.ID, fmt.Errorf("leader at %s: %w", leader, err)))
 	}
 	req.Header.Set(forwardedHeader, r.cfg.ID)
 	p.ServeHTTP(w, req)
@@ -263,7 +263,7 @@
 	if err := dec.Decode(v); err != nil {
 		var tooBig *http.MaxBytesError
 		if errors.As(err, &tooBig) {
-			return ErrMalformed.Of("body", fmt.Errorf("over %d bytes", bodyMost))
+			return ErrMalformed.Of("body", fmt.Errorf("over %d bytes", maxBodyBytes))
 		}
 		return ErrMalformed.Of("body", err)
 	}
@@ -271,13 +271,13 @@
 }
 
 // fenced adds the fence that a write of the list carries, if any.
-func fenced(req *http.Request, c *MemberCommand) (statemachine.Command, error) {
+func withFencingToken(req *http.Request, c *MemberCommand) (statemachine.Command, error) {
 	var err error
-	c.Fence, err = parseFence(req)
+	c.FencingToken, err = parseFencingToken(req)
 	return c, err
 }
 
-func (r *Replica) register(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeRegister(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Member Member `json:"member"`
 		TTLms  int64  `json:"ttl_ms"`
@@ -286,7 +286,7 @@
 		return nil, err
 	}
 	if b.Member.Phase == "" {
-		b.Member.Phase = Ready
+		b.Member.Phase = PhaseReady
 	}
 	if b.TTLms < 0 {
 		return nil, ErrMalformed.Of("ttl_ms", errors.New("negative"))
@@ -297,10 +297,10 @@
 	if err := b.Member.Validate(); err != nil {
 		return nil, err
 	}
-	return fenced(req, &MemberCommand{Op: "register", Member: b.Member, TTLms: b.TTLms})
+	return withFencingToken(req, &MemberCommand{Op: "register", Member: b.Member, TTLms: b.TTLms})
 }
 
-func (r *Replica) phase(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeSetPhase(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Phase string `json:"phase"`
 	}
@@ -310,16 +310,16 @@
 	if err := checkPhase(b.Phase); err != nil {
 		return nil, err
 	}
-	return fenced(req, &MemberCommand{Op: "phase", ID: req.PathValue("id"), Phase: b.Phase})
+	return withFencingToken(req, &MemberCommand{Op: "phase", ID: req.PathValue("id"), Phase: b.Phase})
 }
 
-func (r *Replica) deregister(req *http.Request) (statemachine.Command, error) {
-	return fenced(req, &MemberCommand{Op: "deregister", ID: req.PathValue("id")})
+func (r *Replica) decodeDeregister(req *http.Request) (statemachine.Command, error) {
+	return withFencingToken(req, &MemberCommand{Op: "deregister", ID: req.PathValue("id")})
 }
 
 func (r *Replica) serveHeartbeat(w http.ResponseWriter, req *http.Request) {
 	if err := r.Heartbeat(req.PathValue("id")); err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -337,13 +337,13 @@
 }
 
 func (r *Replica) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	answer(w, r.Status())
+	writeJSON(w, r.Status())
 }
 
 // Status reports this replica's role and state.
 func (r *Replica) Status() Status {
-	s := Status{ID: r.cfg.ID, State: r.raft.State().String(), Leader: r.leaderHTTP(), Term: r.raft.Stats()["term"],
-		Applied: r.raft.AppliedIndex(), Fresh: r.fresh()}
+	s := Status{ID: r.cfg.ID, State: r.raft.State().String(), Leader: r.leaderHTTPAddr(), Term: r.raft.Stats()["term"],
+		Applied: r.raft.AppliedIndex(), Fresh: r.canServeReads()}
 	r.fsm.read(func(st *State) { s.Revision = st.Revision })
 	return s
 }
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -17,7 +17,7 @@
 }
 
 // Fence is what a write made on a duty's behalf carries: the lease and the token its holder was granted.
-type Fence struct {
+type FencingToken struct {
 	Lease string `json:"lease"`
 	Token uint64 `json:"token"`
 }
@@ -33,32 +33,32 @@
 
 // leases is the machine of the leases: by name, the token counter, and for each lease the highest token that a fenced
 // write carried and that was accepted.
-type leases struct {
-	Leases map[string]Lease  `json:"leases"`
-	Tokens uint64            `json:"tokens"`
-	Fenced map[string]uint64 `json:"fenced"`
+type leaseStore struct {
+	ByName         map[string]Lease  `json:"leases"`
+	LastToken      uint64            `json:"tokens"`
+	AcceptedTokens map[string]uint64 `json:"fenced"`
 }
 
-func newLeases() *leases {
-	return &leases{Leases: map[string]Lease{}, Fenced: map[string]uint64{}}
+func newLeaseStore() *leaseStore {
+	return &leaseStore{ByName: map[string]Lease{}, AcceptedTokens: map[string]uint64{}}
 }
 
-func (s *leases) Kind() string { return "leases" }
+func (s *leaseStore) Kind() string { return "leases" }
 
-func (s *leases) Commands() map[string]func() statemachine.Command {
+func (s *leaseStore) Commands() map[string]func() statemachine.Command {
 	empty := func() statemachine.Command { return &LeaseCommand{} }
 	return map[string]func() statemachine.Command{"acquire": empty, "release": empty, "lease-expire": empty}
 }
 
 // Apply carries out acquire, release and expire. Acquire by the holder that has it gives the same token.
-func (s *leases) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
+func (s *leaseStore) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	c := cmd.(*LeaseCommand)
-	l, held := s.Leases[c.Lease.Name]
+	l, held := s.ByName[c.Lease.Name]
 	if c.Op != "acquire" {
 		if !held || l.Token != c.Lease.Token || (c.Op == "release" && l.Holder != c.Lease.Holder) {
-			return statemachine.Outcome{}, ErrLost.Of(c.Lease.Name, nil)
+			return statemachine.Outcome{}, ErrLeaseLost.Of(c.Lease.Name, nil)
 		}
-		delete(s.Leases, l.Name)
+		delete(s.ByName, l.Name)
 		return statemachine.Outcome{Value: l}, nil
 	}
 	switch {
@@ -67,27 +67,27 @@
 	case c.Lease.TTLms <= 0:
 		return statemachine.Outcome{}, ErrMalformed.Of("lease "+c.Lease.Name, errors.New("ttl_ms must be above 0"))
 	case held && l.Holder != c.Lease.Holder:
-		return statemachine.Outcome{}, ErrHeld.Of(c.Lease.Name, nil)
+		return statemachine.Outcome{}, ErrLeaseHeld.Of(c.Lease.Name, nil)
 	case held:
-		return statemachine.Outcome{Same: true, Value: l}, nil
+		return statemachine.Outcome{Unchanged: true, Value: l}, nil
 	}
-	s.Tokens++
-	l = Lease{Name: c.Lease.Name, Holder: c.Lease.Holder, Token: s.Tokens, TTLms: c.Lease.TTLms}
-	s.Leases[l.Name] = l
+	s.LastToken++
+	l = Lease{Name: c.Lease.Name, Holder: c.Lease.Holder, Token: s.LastToken, TTLms: c.Lease.TTLms}
+	s.ByName[l.Name] = l
 	return statemachine.Outcome{Value: l}, nil
 }
 
 // Encode writes the leases.
-func (s *leases) Encode() ([]byte, error) { return json.Marshal(s) }
+func (s *leaseStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
 // Decode takes the leases of a snapshot.
-func (s *leases) Decode(text []byte, _ int64) error {
-	n := newLeases()
+func (s *leaseStore) Decode(text []byte, _ int64) error {
+	n := newLeaseStore()
 	if err := json.Unmarshal(text, n); err != nil {
 		return err
 	}
-	if n.Leases == nil || n.Fenced == nil { // version 0 wrote null before the first lease
-		n.Leases, n.Fenced = map[string]Lease{}, map[string]uint64{}
+	if n.ByName == nil || n.AcceptedTokens == nil { // version 0 wrote null before the first lease
+		n.ByName, n.AcceptedTokens = map[string]Lease{}, map[string]uint64{}
 	}
 	*s = *n
 	return nil
@@ -98,13 +98,13 @@
 var plantUnfenced string
 
 // fence checks a fenced write and records its token; nil where there is no fence.
-func (s *leases) fence(f *Fence) error {
+func (s *leaseStore) checkToken(f *FencingToken) error {
 	if f == nil || plantUnfenced != "" {
 		return nil
 	}
-	if f.Token < s.Fenced[f.Lease] {
-		return ErrFenced.Of(f.Lease, nil)
+	if f.Token < s.AcceptedTokens[f.Lease] {
+		return ErrStaleFencingToken.Of(f.Lease, nil)
 	}
-	s.Fenced[f.Lease] = f.Token
+	s.AcceptedTokens[f.Lease] = f.Token
 	return nil
 }
--- a/internal/registry/lease_http.go
+++ b/internal/registry/lease_http.go
@@ -12,30 +12,30 @@
 )
 
 // fenceHeader carries a write's fence as LEASE:TOKEN; the write is refused (409) below the highest token accepted.
-const fenceHeader = "X-Fencing-Token"
+const fencingTokenHeader = "X-Fencing-Token"
 
 // leaseKey keeps a lease's renewals apart from members' heartbeats in the leader's table.
 func leaseKey(name string) string { return "lease:" + name }
 
 // leastTTL is the shortest lease TTL a replica grants: two election timeouts, so that a lease outlives the time a
 // new leader takes to be elected, and the successor's wait of a full TTL means something.
-func (r *Replica) leastTTL() time.Duration { return 2 * r.cfg.Timing.Election.Duration }
+func (r *Replica) minTTL() time.Duration { return 2 * r.cfg.Timing.Election.Duration }
 
 // parseFence reads the fence header of a write; nil where there is none.
-func parseFence(req *http.Request) (*Fence, error) {
-	v := req.Header.Get(fenceHeader)
+func parseFencingToken(req *http.Request) (*FencingToken, error) {
+	v := req.Header.Get(fencingTokenHeader)
 	if v == "" {
 		return nil, nil
 	}
 	name, token, ok := strings.Cut(v, ":")
 	t, err := strconv.ParseUint(token, 10, 64)
 	if !ok || name == "" || err != nil {
-		return nil, ErrMalformed.Of(fenceHeader, fmt.Errorf("%q is not LEASE:TOKEN", v))
+		return nil, ErrMalformed.Of(fencingTokenHeader, fmt.Errorf("%q is not LEASE:TOKEN", v))
 	}
-	return &Fence{Lease: name, Token: t}, nil
+	return &FencingToken{Lease: name, Token: t}, nil
 }
 
-func (r *Replica) acquire(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeAcquire(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Holder string `json:"holder"`
 		TTLms  int64  `json:"ttl_ms"`
@@ -46,13 +46,13 @@
 	if b.Holder == "" {
 		return nil, ErrMalformed.Of("holder", errors.New("missing"))
 	}
-	if ttl := time.Duration(b.TTLms) * time.Millisecond; ttl < r.leastTTL() {
-		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", b.TTLms, r.leastTTL()))
+	if ttl := time.Duration(b.TTLms) * time.Millisecond; ttl < r.minTTL() {
+		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", b.TTLms, r.minTTL()))
 	}
 	return &LeaseCommand{Op: "acquire", Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, TTLms: b.TTLms}}, nil
 }
 
-func (r *Replica) release(req *http.Request) (statemachine.Command, error) {
+func (r *Replica) decodeRelease(req *http.Request) (statemachine.Command, error) {
 	var b struct {
 		Holder string `json:"holder"`
 		Token  uint64 `json:"token"`
@@ -69,20 +69,20 @@
 		Holder string `json:"holder"`
 		Token  uint64 `json:"token"`
 	}
-	req.Body = http.MaxBytesReader(w, req.Body, bodyMost)
+	req.Body = http.MaxBytesReader(w, req.Body, maxBodyBytes)
 	if err := decodeBody(req, &b); err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	name := req.PathValue("name")
 	var l Lease
 	var held bool
-	r.fsm.read(func(s *State) { l, held = s.Leases[name] })
+	r.fsm.read(func(s *State) { l, held = s.ByName[name] })
 	if !held || l.Holder != b.Holder || l.Token != b.Token {
-		fail(w, ErrLost.Of(name, nil))
+		writeError(w, ErrLeaseLost.Of(name, nil))
 		return
 	}
-	r.beat(leaseKey(name))
+	r.recordHeartbeat(leaseKey(name))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -91,18 +91,18 @@
 func (r *Replica) serveLeases(w http.ResponseWriter, req *http.Request) {
 	var out []Lease
 	r.fsm.read(func(s *State) {
-		for _, l := range s.Leases {
+		for _, l := range s.ByName {
 			out = append(out, l)
 		}
 	})
-	answer(w, map[string]any{"leases": out})
+	writeJSON(w, map[string]any{"leases": out})
 }
 
 // dueLeases gives the expiry commands of leases whose renewals stopped for their TTL; called with beatMu held.
-func (r *Replica) dueLeases(s *State, now time.Time) []statemachine.Command {
+func (r *Replica) expiredLeases(s *State, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
-	for name, l := range s.Leases {
-		if r.overdue(leaseKey(name), l.TTLms, now) {
+	for name, l := range s.ByName {
+		if r.ttlElapsed(leaseKey(name), l.TTLms, now) {
 			due = append(due, &LeaseCommand{Op: "lease-expire", Lease: Lease{Name: name, Token: l.Token}})
 		}
 	}
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -27,7 +27,7 @@
 		issued := map[uint64]bool{}
 		name := rapid.SampledFrom([]string{"release-controller", "reaper"})
 		holder := rapid.SampledFrom([]string{"p1", "p2", "p3"})
-		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "m", HostPort: "127.0.0.1:1", Phase: Ready}})
+		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "m", HostPort: "127.0.0.1:1", Phase: PhaseReady}})
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": func(t *rapid.T) {
 				n, h := name.Draw(t, "name"), holder.Draw(t, "holder")
@@ -35,7 +35,7 @@
 				l, ok := m.held[n]
 				switch {
 				case ok && l.Holder != h:
-					if !errors.Is(r.Err, ErrHeld) {
+					if !errors.Is(r.Err, ErrLeaseHeld) {
 						t.Fatalf("acquire of a held lease: %+v", r)
 					}
 				case ok:
@@ -62,16 +62,16 @@
 						t.Fatalf("%s: %v", op, r.Err)
 					}
 					delete(m.held, n)
-				} else if !errors.Is(r.Err, ErrLost) {
+				} else if !errors.Is(r.Err, ErrLeaseLost) {
 					t.Fatalf("%s of a lease not so held: %+v", op, r)
 				}
 			},
 			"fenced write": func(t *rapid.T) {
 				n := name.Draw(t, "name")
 				token := rapid.Uint64Range(0, m.tokens).Draw(t, "token")
-				r := s.Apply(&MemberCommand{Op: "phase", ID: "m", Phase: Draining, Fence: &Fence{Lease: n, Token: token}})
+				r := s.Apply(&MemberCommand{Op: "phase", ID: "m", Phase: PhaseDraining, FencingToken: &FencingToken{Lease: n, Token: token}})
 				if token < m.fenced[n] {
-					if !errors.Is(r.Err, ErrFenced) {
+					if !errors.Is(r.Err, ErrStaleFencingToken) {
 						t.Fatalf("token %d below %d accepted: %+v", token, m.fenced[n], r)
 					}
 					return
@@ -93,12 +93,12 @@
 				s = n
 			},
 			"": func(t *rapid.T) {
-				if len(s.Leases) != len(m.held) || s.Tokens != m.tokens {
-					t.Fatalf("state %d leases, token %d; model %d, %d", len(s.Leases), s.Tokens, len(m.held), m.tokens)
+				if len(s.ByName) != len(m.held) || s.LastToken != m.tokens {
+					t.Fatalf("state %d leases, token %d; model %d, %d", len(s.ByName), s.LastToken, len(m.held), m.tokens)
 				}
 				for n, l := range m.held {
-					if s.Leases[n] != l {
-						t.Fatalf("lease %s: %+v, model %+v", n, s.Leases[n], l)
+					if s.ByName[n] != l {
+						t.Fatalf("lease %s: %+v, model %+v", n, s.ByName[n], l)
 					}
 				}
 			},
@@ -137,7 +137,7 @@
 	}
 	fenced := func(token string) int {
 		req, _ := http.NewRequest("POST", url(lead, "/registry/members"), strings.NewReader(`{"member":{"id":"s","host_port":"127.0.0.1:1"}}`))
-		req.Header.Set(fenceHeader, token)
+		req.Header.Set(fencingTokenHeader, token)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/registry/linear_test.go
+++ b/internal/registry/linear_test.go
@@ -75,7 +75,7 @@
 		wg.Go(func() {
 			for range 8 {
 				in := regInput{key: keys[crng.IntN(len(keys))], write: crng.IntN(2) == 0,
-					phase: []string{Ready, Draining}[crng.IntN(2)]}
+					phase: []string{PhaseReady, PhaseDraining}[crng.IntN(2)]}
 				if op, ok := do(c.http[crng.IntN(len(c.http))], in); ok {
 					op.ClientId = client
 					h.add(op)
@@ -111,7 +111,7 @@
 		return op, false
 	}
 	defer resp.Body.Close()
-	var l List
+	var l MemberList
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(roleHeader) != "leader" || json.NewDecoder(resp.Body).Decode(&l) != nil {
 		return op, false
 	}
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -106,7 +106,7 @@
 	status, code = step(s.Order[0], maintenance.Granted, read()[s.Order[0]].Rev)
 	expect("over the budget", status, code, 409, "rota.over-budget")
 	phase := func() string {
-		var l List
+		var l MemberList
 		rotaCall(t, "GET", url("/registry/instances"), nil, &l)
 		for _, m := range l.Members {
 			if m.ID == id {
@@ -115,7 +115,7 @@
 		}
 		return ""
 	}
-	await(t, "the list saying draining", func() bool { return phase() == Draining })
+	await(t, "the list saying draining", func() bool { return phase() == PhaseDraining })
 	for i, n := range []string{"n0", "n1"} {
 		status, code = step(id, maintenance.Quiet, read()[id].Rev)
 		expect("quiet without "+n, status, code, 409, "rota.unconfirmed")
@@ -130,7 +130,7 @@
 		status, code = step(id, to, read()[id].Rev)
 		expect(string(to), status, code, 200, "")
 	}
-	await(t, "the list saying ready", func() bool { return phase() == Ready })
+	await(t, "the list saying ready", func() bool { return phase() == PhaseReady })
 	stale := read()[id].Rev - 1
 	status, code = step(id, maintenance.Done, stale)
 	expect("a step from what was before", status, code, 409, "rota.changed-since")
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -25,7 +25,7 @@
 
 // Phases a member may be set to; "gone" appears only among changes.
 const (
-	Ready, Draining, Gone = "ready", "draining", "gone"
+	PhaseReady, PhaseDraining, PhaseGone = "ready", "draining", "gone"
 )
 
 // Validate checks a member as a write would store it.
@@ -35,7 +35,7 @@
 		return ErrMalformed.Of("member", errors.New("missing id"))
 	case len(m.ID) > 256:
 		return ErrMalformed.Of("member", errors.New("id longer than 256 bytes"))
-	case m.Phase != Ready && m.Phase != Draining:
+	case m.Phase != PhaseReady && m.Phase != PhaseDraining:
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("phase %q is neither ready nor draining", m.Phase))
 	case m.Size < 0:
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("negative size"))
@@ -49,10 +49,10 @@
 }
 
 // entry is a member as the state keeps it.
-type entry struct {
-	Member  Member `json:"member"`
-	TTLms   int64  `json:"ttl_ms"`  // 0: no TTL
-	Changed int64  `json:"changed"` // revision of its last change
+type memberRecord struct {
+	Member   Member `json:"member"`
+	TTLms    int64  `json:"ttl_ms"`  // 0: no TTL
+	Revision int64  `json:"changed"` // revision of its last change
 }
 
 // MemberCommand is a write of the list: register, phase, deregister or expire.
@@ -64,147 +64,147 @@
 	Phase  string `json:"phase,omitempty"`
 	// Seen is, for expire, the revision of the member's last change that the leader saw: a member registered again
 	// since is not expired.
-	Seen int64 `json:"seen,omitempty"`
+	SeenRevision int64 `json:"seen,omitempty"`
 	// Fence, where set, makes the write conditional on its token (see leases.fence).
-	Fence *Fence `json:"fence,omitempty"`
+	FencingToken *FencingToken `json:"fence,omitempty"`
 }
 
 // Operation is the command's operation.
 func (c *MemberCommand) Operation() string { return c.Op }
 
 // change is one entry of the ring of recent changes.
-type change struct {
+type memberChange struct {
 	Revision int64
 	Member   Member // as it was after the change; phase gone for a removal
 }
 
 // members is the machine of the list, with a ring of its recent changes for watches.
-type members struct {
-	Members map[string]entry `json:"members"`
-	fence   func(*Fence) error
-	ring    []change // a circular buffer of the last changes, the oldest at ring[head]; not in snapshots
-	head    int
+type memberStore struct {
+	Records    map[string]memberRecord `json:"members"`
+	checkToken func(*FencingToken) error
+	changes    []memberChange // a circular buffer of the last changes, the oldest at ring[head]; not in snapshots
+	oldest     int
 	// floor is the revision before the oldest change the ring holds: a watch from below it gets the whole list.
-	floor int64
-	last  int64 // revision of the last change of the list; not in snapshots
+	compactedRevision int64
+	lastRevision      int64 // revision of the last change of the list; not in snapshots
 }
 
-func newMembers(ringCap int, fence func(*Fence) error) *members {
-	return &members{Members: map[string]entry{}, fence: fence, ring: make([]change, 0, max(ringCap, 1))}
+func newMemberStore(ringCap int, fence func(*FencingToken) error) *memberStore {
+	return &memberStore{Records: map[string]memberRecord{}, checkToken: fence, changes: make([]memberChange, 0, max(ringCap, 1))}
 }
 
-func (s *members) Kind() string { return "members" }
+func (s *memberStore) Kind() string { return "members" }
 
-func (s *members) Commands() map[string]func() statemachine.Command {
+func (s *memberStore) Commands() map[string]func() statemachine.Command {
 	empty := func() statemachine.Command { return &MemberCommand{} }
 	return map[string]func() statemachine.Command{"register": empty, "phase": empty, "deregister": empty, "expire": empty}
 }
 
-func (s *members) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
+func (s *memberStore) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*MemberCommand)
-	if err := s.fence(c.Fence); err != nil {
+	if err := s.checkToken(c.FencingToken); err != nil {
 		return statemachine.Outcome{}, err
 	}
 	if c.Op == "register" {
 		if err := c.Member.Validate(); err != nil {
 			return statemachine.Outcome{}, err
 		}
-		s.put(entry{Member: c.Member, TTLms: c.TTLms}, next)
+		s.store(memberRecord{Member: c.Member, TTLms: c.TTLms}, next)
 		return statemachine.Outcome{}, nil
 	}
-	e, ok := s.Members[c.ID]
+	e, ok := s.Records[c.ID]
 	switch {
 	case !ok:
-		return statemachine.Outcome{}, ErrUnknown.Of(c.ID, nil)
+		return statemachine.Outcome{}, ErrMemberNotFound.Of(c.ID, nil)
 	case c.Op == "phase":
 		if err := checkPhase(c.Phase); err != nil {
 			return statemachine.Outcome{}, err
 		}
 		e.Member.Phase = c.Phase
-		s.put(e, next)
+		s.store(e, next)
 		return statemachine.Outcome{}, nil
-	case c.Op == "expire" && e.Changed != c.Seen:
-		return statemachine.Outcome{}, ErrStale.Of(c.ID, nil)
+	case c.Op == "expire" && e.Revision != c.SeenRevision:
+		return statemachine.Outcome{}, ErrMemberChanged.Of(c.ID, nil)
 	}
-	e.Member.Phase = Gone
-	s.bump(e.Member, next)
-	delete(s.Members, c.ID)
+	e.Member.Phase = PhaseGone
+	s.appendChange(e.Member, next)
+	delete(s.Records, c.ID)
 	return statemachine.Outcome{}, nil
 }
 
 func checkPhase(phase string) error {
-	if phase != Ready && phase != Draining {
+	if phase != PhaseReady && phase != PhaseDraining {
 		return ErrMalformed.Of("phase", fmt.Errorf("%q is neither ready nor draining", phase))
 	}
 	return nil
 }
 
 // put stores a member as it is from revision next on.
-func (s *members) put(e entry, next int64) {
-	e.Changed = next
-	s.Members[e.Member.ID] = e
-	s.bump(e.Member, next)
+func (s *memberStore) store(e memberRecord, next int64) {
+	e.Revision = next
+	s.Records[e.Member.ID] = e
+	s.appendChange(e.Member, next)
 }
 
 // bump records a change in the ring.
-func (s *members) bump(m Member, next int64) {
-	s.last = next
-	c := change{Revision: next, Member: m}
-	if len(s.ring) < cap(s.ring) {
-		s.ring = append(s.ring, c)
+func (s *memberStore) appendChange(m Member, next int64) {
+	s.lastRevision = next
+	c := memberChange{Revision: next, Member: m}
+	if len(s.changes) < cap(s.changes) {
+		s.changes = append(s.changes, c)
 		return
 	}
-	s.floor = s.ring[s.head].Revision
-	s.ring[s.head] = c
-	s.head = (s.head + 1) % len(s.ring)
+	s.compactedRevision = s.changes[s.oldest].Revision
+	s.changes[s.oldest] = c
+	s.oldest = (s.oldest + 1) % len(s.changes)
 }
 
 // Encode writes the members; the ring is not kept.
-func (s *members) Encode() ([]byte, error) { return json.Marshal(s) }
+func (s *memberStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
 // Decode takes the members of a snapshot. The ring starts empty at its revision, so watches from before it get the
 // whole list.
-func (s *members) Decode(text []byte, revision int64) error {
-	n := members{}
+func (s *memberStore) Decode(text []byte, revision int64) error {
+	n := memberStore{}
 	if err := json.Unmarshal(text, &n); err != nil {
 		return err
 	}
-	if n.Members == nil {
-		n.Members = map[string]entry{}
+	if n.Records == nil {
+		n.Records = map[string]memberRecord{}
 	}
-	s.Members, s.ring, s.head, s.floor, s.last = n.Members, s.ring[:0], 0, revision, revision
+	s.Records, s.changes, s.oldest, s.compactedRevision, s.lastRevision = n.Records, s.changes[:0], 0, revision, revision
 	return nil
 }
 
 // List is an answer in PROTOCOL's form.
-type List struct {
+type MemberList struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
 // Whole is the whole list, by id.
-func (s *State) Whole() List {
-	l := List{Revision: s.Revision, Complete: true, Members: make([]Member, 0, len(s.Members))}
-	for _, id := range slices.Sorted(maps.Keys(s.Members)) {
-		l.Members = append(l.Members, s.Members[id].Member)
+func (s *State) CompleteList() MemberList {
+	l := MemberList{Revision: s.Revision, Complete: true, Members: make([]Member, 0, len(s.Records))}
+	for _, id := range slices.Sorted(maps.Keys(s.Records)) {
+		l.Members = append(l.Members, s.Records[id].Member)
 	}
 	return l
 }
 
 // Since is what changed after revision r: each changed member once, as it is now (gone where removed). Where r
 // is older than the ring or newer than the list, it is the whole list: never a gap.
-func (s *State) Since(r int64) List {
-	if r < 1 || r < s.floor || r > s.Revision {
-		return s.Whole()
+func (s *State) ChangesSince(r int64) MemberList {
+	if r < 1 || r < s.compactedRevision || r > s.Revision {
+		return s.CompleteList()
 	}
 	latest := map[string]Member{}
-	for i := range s.ring {
-		if c := s.ring[(s.head+i)%len(s.ring)]; c.Revision > r {
+	for i := range s.changes {
+		if c := s.changes[(s.oldest+i)%len(s.changes)]; c.Revision > r {
 			latest[c.Member.ID] = c.Member
 		}
 	}
-	l := List{Revision: s.Revision, Members: make([]Member, 0, len(latest))}
+	l := MemberList{Revision: s.Revision, Members: make([]Member, 0, len(latest))}
 	for _, id := range slices.Sorted(maps.Keys(latest)) {
 		l.Members = append(l.Members, latest[id])
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -20,28 +20,28 @@
 // gone; from one older than the ring, the whole list.
 func TestSinceGivesChangesOrTheWholeList(t *testing.T) {
 	s := NewState(16)
-	m := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: Ready, Size: 1} }
+	m := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: PhaseReady, Size: 1} }
 	for _, c := range []statemachine.Command{
 		&MemberCommand{Op: "register", Member: m("a")}, &MemberCommand{Op: "register", Member: m("b")}, &MemberCommand{Op: "register", Member: m("c")},
-		&MemberCommand{Op: "phase", ID: "a", Phase: Draining}, &MemberCommand{Op: "deregister", ID: "b"},
+		&MemberCommand{Op: "phase", ID: "a", Phase: PhaseDraining}, &MemberCommand{Op: "deregister", ID: "b"},
 	} {
 		if r := s.Apply(c); r.Err != nil {
 			t.Fatal(r.Err)
 		}
 	}
-	got := s.Since(3)
+	got := s.ChangesSince(3)
 	if got.Revision != 5 || got.Complete || len(got.Members) != 2 ||
-		got.Members[0].Phase != Draining || got.Members[1].ID != "b" || got.Members[1].Phase != Gone {
+		got.Members[0].Phase != PhaseDraining || got.Members[1].ID != "b" || got.Members[1].Phase != PhaseGone {
 		t.Fatalf("since 3: %+v", got)
 	}
 	for range 20 { // push revision 1 to 5 out of the ring
-		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: Draining})
-		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: Ready})
+		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: PhaseDraining})
+		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: PhaseReady})
 	}
-	if w := s.Since(3); !w.Complete || len(w.Members) != 2 {
+	if w := s.ChangesSince(3); !w.Complete || len(w.Members) != 2 {
 		t.Fatalf("since a compacted revision: %+v", w)
 	}
-	if r := s.Apply(&MemberCommand{Op: "phase", ID: "zz", Phase: Ready}); !errors.Is(r.Err, ErrUnknown) || r.Revision != s.Revision {
+	if r := s.Apply(&MemberCommand{Op: "phase", ID: "zz", Phase: PhaseReady}); !errors.Is(r.Err, ErrMemberNotFound) || r.Revision != s.Revision {
 		t.Fatalf("unknown member: %+v", r)
 	}
 }
@@ -57,7 +57,7 @@
 }
 
 func testConfig(id, dir string) Config {
-	c := defaults()
+	c := defaultConfig()
 	c.ID, c.DataDir, c.Bootstrap = id, dir, true
 	c.Timing.Heartbeat.Duration, c.Timing.Election.Duration, c.Timing.LeaderLease.Duration = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 	return c
@@ -78,13 +78,13 @@
 	for i := range n {
 		rl, hl := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
 		raftLn, httpLn = append(raftLn, rl), append(httpLn, hl)
-		peers = append(peers, Peer{ID: fmt.Sprintf("r%d", i), Raft: rl.Addr().String(), HTTP: hl.Addr().String()})
+		peers = append(peers, Peer{ID: fmt.Sprintf("r%d", i), RaftAddr: rl.Addr().String(), HTTPAddr: hl.Addr().String()})
 	}
 	for i := range n {
 		cfg := testConfig(peers[i].ID, t.TempDir())
-		cfg.Raft, cfg.HTTP, cfg.Peers = peers[i].Raft, peers[i].HTTP, peers
+		cfg.RaftAddr, cfg.HTTPAddr, cfg.Peers = peers[i].RaftAddr, peers[i].HTTPAddr, peers
 		cfg.FleetInterval.Duration = interval
-		c.cfgs, c.http = append(c.cfgs, cfg), append(c.http, cfg.HTTP)
+		c.cfgs, c.http = append(c.cfgs, cfg), append(c.http, cfg.HTTPAddr)
 		c.open(i, raftLn[i], httpLn[i])
 	}
 	t.Cleanup(func() {
@@ -108,11 +108,11 @@
 	if len(c.disks) <= i {
 		c.disks = append(c.disks, &flakyDisk{})
 	}
-	r, err := openWith(c.cfgs[i], raftLn, slog.New(slog.DiscardHandler), c.disks[i].wrap)
+	r, err := openWithStore(c.cfgs[i], raftLn, slog.New(slog.DiscardHandler), c.disks[i].wrap)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	r.ackEarly = c.ackEarly
+	r.acknowledgeEarly = c.ackEarly
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan struct{})
 	go func() { r.Serve(ctx, httpLn); close(served) }()
@@ -124,7 +124,7 @@
 func TestReplicaToldToEndAnswersWhatItHas(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
-	await(t, "a leader", func() bool { return r.Leader() && r.fresh() })
+	await(t, "a leader", func() bool { return r.Leader() && r.canServeReads() })
 	var revision int64
 	r.fsm.read(func(s *State) { revision = s.Revision })
 	answered := make(chan error, 1)
@@ -136,7 +136,7 @@
 		}
 		answered <- err
 	}()
-	await(t, "the watch", func() bool { return r.watching.Load() > 0 })
+	await(t, "the watch", func() bool { return r.openWatches.Load() > 0 })
 	c.stop(0)
 	if err := <-answered; err != nil {
 		t.Errorf("the watch was cut off: %v", err)
@@ -155,7 +155,7 @@
 
 // restart opens replica i again from its folder, on its addresses.
 func (c *cluster) restart(i int) {
-	c.open(i, listen(c.t, c.cfgs[i].Raft), listen(c.t, c.cfgs[i].HTTP))
+	c.open(i, listen(c.t, c.cfgs[i].RaftAddr), listen(c.t, c.cfgs[i].HTTPAddr))
 }
 
 // leader waits for a leader among the replicas still open.
@@ -194,7 +194,7 @@
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	follower := c.http[(lead+1)%3]
-	await(t, "a follower that knows the leader", func() bool { return c.replicas[(lead+1)%3].leaderHTTP() != "" })
+	await(t, "a follower that knows the leader", func() bool { return c.replicas[(lead+1)%3].leaderHTTPAddr() != "" })
 	for i := range 20 {
 		body := fmt.Sprintf(`{"member":{"id":"s-%d","host_port":"127.0.0.1:%d","size":1}}`, i, 9000+i)
 		if code, text := call(t, "POST", "http://"+follower+"/registry/members", body); code != 200 {
@@ -217,7 +217,7 @@
 		}
 		code, text = call(t, "GET", "http://"+c.http[next]+"/registry/instances", "")
 	}
-	var l List
+	var l MemberList
 	if err := json.Unmarshal([]byte(text), &l); code != 200 || err != nil {
 		t.Fatalf("read: %d %s", code, text)
 	}
--- a/internal/registry/snapstore.go
+++ b/internal/registry/snapstore.go
@@ -20,55 +20,55 @@
 // checksummed record at its log index, holding raft's meta (JSON, after its 4-byte length) and the state; a
 // snapshot counts as taken only once it and the manifest are durable; a damaged newest one is logged with file and
 // offset, and the one before it serves.
-type snapStore struct {
-	snaps durable.Snapshots
+type snapshotStore struct {
+	files durable.Snapshots
 	log   *slog.Logger
 
 	// listed is the snapshot that List last read and verified, kept for the Open that raft makes of it next, so
 	// that a start reads and checks the snapshot once, not twice.
 	mu          sync.Mutex
-	listed      *raft.SnapshotMeta
-	listedState []byte
+	cachedMeta  *raft.SnapshotMeta
+	cachedState []byte
 }
 
 // SnapshotFolder is where a replica's snapshots live inside its data_dir.
-const SnapshotFolder = "snap"
+const SnapshotDir = "snap"
 
-func newSnapStore(dataDir string, log *slog.Logger) (*snapStore, error) {
-	dir := filepath.Join(dataDir, SnapshotFolder)
+func newSnapshotStore(dataDir string, log *slog.Logger) (*snapshotStore, error) {
+	dir := filepath.Join(dataDir, SnapshotDir)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("snapshots: %w", err)
 	}
-	return &snapStore{snaps: durable.Snapshots{FS: durable.OS{}, Dir: dir, Keep: 2}, log: log}, nil
+	return &snapshotStore{files: durable.Snapshots{FS: durable.OS{}, Dir: dir, Keep: 2}, log: log}, nil
 }
 
-func (s *snapStore) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration,
+func (s *snapshotStore) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration,
 	confIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
-	meta := raft.SnapshotMeta{Version: version, ID: fileOf(index), Index: index, Term: term,
+	meta := raft.SnapshotMeta{Version: version, ID: snapshotFileName(index), Index: index, Term: term,
 		Configuration: conf, ConfigurationIndex: confIndex}
-	return &snapSink{store: s, meta: meta}, nil
+	return &snapshotSink{store: s, meta: meta}, nil
 }
 
-func (s *snapStore) List() ([]*raft.SnapshotMeta, error) {
-	meta, state, err := s.latest()
+func (s *snapshotStore) List() ([]*raft.SnapshotMeta, error) {
+	meta, state, err := s.readLatest()
 	if err != nil || meta == nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	s.listed, s.listedState = meta, state
+	s.cachedMeta, s.cachedState = meta, state
 	s.mu.Unlock()
 	return []*raft.SnapshotMeta{meta}, nil
 }
 
-func (s *snapStore) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
+func (s *snapshotStore) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	s.mu.Lock()
-	meta, state := s.listed, s.listedState
-	s.listed, s.listedState = nil, nil
+	meta, state := s.cachedMeta, s.cachedState
+	s.cachedMeta, s.cachedState = nil, nil
 	s.mu.Unlock()
 	if meta != nil && meta.ID == id {
 		return meta, io.NopCloser(bytes.NewReader(state)), nil
 	}
-	meta, state, err := s.latest()
+	meta, state, err := s.readLatest()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -79,19 +79,19 @@
 }
 
 // latest reads the newest snapshot that verifies; nil meta where there is none yet.
-func (s *snapStore) latest() (*raft.SnapshotMeta, []byte, error) {
-	e, data, damage, err := s.snaps.Latest()
+func (s *snapshotStore) readLatest() (*raft.SnapshotMeta, []byte, error) {
+	e, data, damage, err := s.files.Latest()
 	for _, d := range damage {
 		s.log.Warn("snapshot damaged, an older one serves", "file", d.File, "offset", d.Offset, "reason", d.Reason)
 	}
 	if err != nil || e.File == "" {
 		return nil, nil, err
 	}
-	return splitSnapshot(e.File, data)
+	return decodeSnapshotRecord(e.File, data)
 }
 
 // splitSnapshot reads a record's meta and state.
-func splitSnapshot(file string, data []byte) (*raft.SnapshotMeta, []byte, error) {
+func decodeSnapshotRecord(file string, data []byte) (*raft.SnapshotMeta, []byte, error) {
 	if len(data) < 4 || int(binary.BigEndian.Uint32(data)) > len(data)-4 {
 		return nil, nil, fmt.Errorf("snapshot %s: meta length beyond the record", file)
 	}
@@ -105,22 +105,22 @@
 	return &meta, state, nil
 }
 
-func fileOf(index uint64) string { return fmt.Sprintf("snap-%020d.bin", index) }
+func snapshotFileName(index uint64) string { return fmt.Sprintf("snap-%020d.bin", index) }
 
 // snapSink gathers raft's snapshot in memory (the registry's state is small beside it) and writes it on Close.
-type snapSink struct {
-	store *snapStore
+type snapshotSink struct {
+	store *snapshotStore
 	meta  raft.SnapshotMeta
 	buf   bytes.Buffer
 }
 
-func (k *snapSink) Write(p []byte) (int, error) { return k.buf.Write(p) }
+func (k *snapshotSink) Write(p []byte) (int, error) { return k.buf.Write(p) }
 
-func (k *snapSink) ID() string { return k.meta.ID }
+func (k *snapshotSink) ID() string { return k.meta.ID }
 
-func (k *snapSink) Cancel() error { return nil }
+func (k *snapshotSink) Cancel() error { return nil }
 
-func (k *snapSink) Close() error {
+func (k *snapshotSink) Close() error {
 	k.meta.Size = int64(k.buf.Len())
 	meta, err := json.Marshal(k.meta)
 	if err != nil {
@@ -128,5 +128,5 @@
 	}
 	rec := binary.BigEndian.AppendUint32(nil, uint32(len(meta)))
 	rec = append(append(rec, meta...), k.buf.Bytes()...)
-	return k.store.snaps.Write(int64(k.meta.Index), rec)
+	return k.store.files.Write(int64(k.meta.Index), rec)
 }
--- a/internal/registry/snapstore_test.go
+++ b/internal/registry/snapstore_test.go
@@ -33,7 +33,7 @@
 	}
 	want := c.replicas[0].Status().Revision
 	c.stop(0)
-	names, _ := os.ReadDir(filepath.Join(c.cfgs[0].DataDir, SnapshotFolder))
+	names, _ := os.ReadDir(filepath.Join(c.cfgs[0].DataDir, SnapshotDir))
 	if len(names) != 3 {
 		t.Fatalf("snapshot folder: %v", names)
 	}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -21,10 +21,10 @@
 // concurrent use.
 type State struct {
 	Revision int64
-	*members
-	*leases
-	machines []statemachine.Machine
-	byOp     map[string]statemachine.Machine
+	*memberStore
+	*leaseStore
+	machines           []statemachine.Machine
+	machineByOperation map[string]statemachine.Machine
 }
 
 // Result is what applying a command gives: the revision after it, what the machine answers, or why nothing changed.
@@ -37,18 +37,18 @@
 // NewState is an empty state at revision 0 whose list has a ring of ringCap changes, with the machines of further kinds
 // beside the members and the leases.
 func NewState(ringCap int, more ...statemachine.Machine) *State {
-	l := newLeases()
-	s := &State{leases: l, members: newMembers(ringCap, l.fence), byOp: map[string]statemachine.Machine{}}
-	s.add(append([]statemachine.Machine{s.members, s.leases}, more...)...)
+	l := newLeaseStore()
+	s := &State{leaseStore: l, memberStore: newMemberStore(ringCap, l.checkToken), machineByOperation: map[string]statemachine.Machine{}}
+	s.addMachines(append([]statemachine.Machine{s.memberStore, s.leaseStore}, more...)...)
 	return s
 }
 
 // add puts further kinds of records into the state, before the first command.
-func (s *State) add(more ...statemachine.Machine) {
+func (s *State) addMachines(more ...statemachine.Machine) {
 	for _, m := range more {
 		s.machines = append(s.machines, m)
 		for op := range m.Commands() {
-			s.byOp[op] = m
+			s.machineByOperation[op] = m
 		}
 	}
 }
@@ -64,9 +64,9 @@
 	if err := json.Unmarshal(text, &head); err != nil {
 		return nil, fmt.Errorf("command: %w", err)
 	}
-	m := s.byOp[head.Op]
+	m := s.machineByOperation[head.Op]
 	if m == nil {
-		return nil, ErrOperation.Of(head.Op, nil)
+		return nil, ErrUnknownOperation.Of(head.Op, nil)
 	}
 	c := m.Commands()[head.Op]()
 	if err := json.Unmarshal(text, c); err != nil {
@@ -77,19 +77,19 @@
 
 // Apply carries out one command.
 func (s *State) Apply(c statemachine.Command) Result {
-	m := s.byOp[c.Operation()]
+	m := s.machineByOperation[c.Operation()]
 	if m == nil {
-		return Result{Revision: s.Revision, Err: ErrOperation.Of(c.Operation(), nil)}
+		return Result{Revision: s.Revision, Err: ErrUnknownOperation.Of(c.Operation(), nil)}
 	}
 	out, err := m.Apply(c, s.Revision+1)
-	if err == nil && !out.Same {
+	if err == nil && !out.Unchanged {
 		s.Revision++
 	}
 	return Result{Revision: s.Revision, Err: err, Value: out.Value}
 }
 
 // image is a snapshot of version 1.
-type image struct {
+type snapshotImage struct {
 	Version  int                        `json:"version"`
 	Revision int64                      `json:"revision"`
 	Machines map[string]json.RawMessage `json:"machines"`
@@ -97,7 +97,7 @@
 
 // Encode writes the state for a snapshot (JSON: version, revision, and each machine's part under its kind).
 func (s *State) Encode() ([]byte, error) {
-	n := image{Version: snapshotVersion, Revision: s.Revision, Machines: map[string]json.RawMessage{}}
+	n := snapshotImage{Version: snapshotVersion, Revision: s.Revision, Machines: map[string]json.RawMessage{}}
 	for _, m := range s.machines {
 		text, err := m.Encode()
 		if err != nil {
@@ -111,19 +111,19 @@
 // Decode replaces the state with a snapshot's. A kind that the snapshot lacks starts empty; one that this program does
 // not know is refused, since dropping it would lose acknowledged writes, and so is a version newer than its own.
 func (s *State) Decode(text []byte) error {
-	var n image
+	var n snapshotImage
 	if err := json.Unmarshal(text, &n); err != nil {
-		return ErrSnapshot.Of("", err)
+		return ErrSnapshotUnreadable.Of("", err)
 	}
 	switch {
 	case n.Version > snapshotVersion:
-		return ErrSnapshot.Of("", fmt.Errorf("version %d, this program reads up to %d", n.Version, snapshotVersion))
+		return ErrSnapshotUnreadable.Of("", fmt.Errorf("version %d, this program reads up to %d", n.Version, snapshotVersion))
 	case n.Version == 0: // members and leases side by side: each reads its own fields of the whole
-		n.Machines = map[string]json.RawMessage{s.members.Kind(): text, s.leases.Kind(): text}
+		n.Machines = map[string]json.RawMessage{s.memberStore.Kind(): text, s.leaseStore.Kind(): text}
 	}
 	for kind := range n.Machines {
 		if !slices.ContainsFunc(s.machines, func(m statemachine.Machine) bool { return m.Kind() == kind }) {
-			return ErrSnapshot.Of(kind, errors.New("records of a kind that this program does not know"))
+			return ErrSnapshotUnreadable.Of(kind, errors.New("records of a kind that this program does not know"))
 		}
 	}
 	for _, m := range s.machines {
@@ -132,7 +132,7 @@
 			part = json.RawMessage("{}")
 		}
 		if err := m.Decode(part, n.Revision); err != nil {
-			return ErrSnapshot.Of(m.Kind(), err)
+			return ErrSnapshotUnreadable.Of(m.Kind(), err)
 		}
 	}
 	s.Revision = n.Revision
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	for _, s := range []*State{s, n} {
-		m := s.Members["a"]
-		if s.Revision != 7 || m.Member.Phase != Draining || m.TTLms != 500 || m.Changed != 4 ||
-			s.Leases["reaper"].Token != 3 || s.Tokens != 3 || s.Fenced["reaper"] != 2 {
-			t.Errorf("%d %+v %+v", s.Revision, s.members, s.leases)
+		m := s.Records["a"]
+		if s.Revision != 7 || m.Member.Phase != PhaseDraining || m.TTLms != 500 || m.Revision != 4 ||
+			s.ByName["reaper"].Token != 3 || s.LastToken != 3 || s.AcceptedTokens["reaper"] != 2 {
+			t.Errorf("%d %+v %+v", s.Revision, s.memberStore, s.leaseStore)
 		}
-		if w := s.Since(6); !w.Complete || len(w.Members) != 1 {
+		if w := s.ChangesSince(6); !w.Complete || len(w.Members) != 1 {
 			t.Errorf("a watch from before the snapshot: %+v", w)
 		}
 	}
@@ -60,9 +60,9 @@
 		"not JSON":     `{"version":1`,
 	} {
 		s := NewState(16)
-		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "a", HostPort: "127.0.0.1:1", Phase: Ready}})
-		if err := s.Decode([]byte(text)); !errors.Is(err, ErrSnapshot) || s.Revision != 1 || len(s.Members) != 1 {
-			t.Errorf("%s: %v, then %d %v", name, err, s.Revision, s.Members)
+		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "a", HostPort: "127.0.0.1:1", Phase: PhaseReady}})
+		if err := s.Decode([]byte(text)); !errors.Is(err, ErrSnapshotUnreadable) || s.Revision != 1 || len(s.Records) != 1 {
+			t.Errorf("%s: %v, then %d %v", name, err, s.Revision, s.Records)
 		}
 	}
 }
@@ -88,10 +88,10 @@
 			t.Errorf("written again: %s %v", text, err)
 		}
 	}
-	if len(s.Members) != 0 || len(s.Leases) != 0 || s.Fenced["reaper"] != 1 {
-		t.Errorf("%+v %+v", s.members, s.leases)
+	if len(s.Records) != 0 || len(s.ByName) != 0 || s.AcceptedTokens["reaper"] != 1 {
+		t.Errorf("%+v %+v", s.memberStore, s.leaseStore)
 	}
-	if _, err := s.ParseCommand([]byte(`{"op":"levitate"}`)); !errors.Is(err, ErrOperation) {
+	if _, err := s.ParseCommand([]byte(`{"op":"levitate"}`)); !errors.Is(err, ErrUnknownOperation) {
 		t.Errorf("an unknown operation: %v", err)
 	}
 }
@@ -116,7 +116,7 @@
 		return statemachine.Outcome{}, errors.New("three")
 	}
 	c.N += by
-	return statemachine.Outcome{Same: by == 0, Value: c.N}, nil
+	return statemachine.Outcome{Unchanged: by == 0, Value: c.N}, nil
 }
 func (c *counter) Encode() ([]byte, error)           { return fmt.Appendf(nil, `{"N":%d}`, c.N), nil }
 func (c *counter) Decode(text []byte, _ int64) error { *c = counter{}; return json.Unmarshal(text, c) }
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -16,16 +16,16 @@
 // streamLayer is raft's TCP stream layer over a listener that the caller opened (so a test may use port 0).
 type streamLayer struct {
 	net.Listener
-	from       net.Addr // what peers are dialled from; nil: the system picks
+	localAddr  net.Addr // what peers are dialled from; nil: the system picks
 	advertised net.Addr // what peers dial
 }
 
 func newStreamLayer(cfg Config, ln net.Listener) streamLayer {
 	s := streamLayer{Listener: ln, advertised: ln.Addr()}
-	if host, err := netip.ParseAddr(cfg.RaftFrom); err == nil {
-		s.from = net.TCPAddrFromAddrPort(netip.AddrPortFrom(host, 0))
+	if host, err := netip.ParseAddr(cfg.RaftDialHost); err == nil {
+		s.localAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(host, 0))
 	}
-	if addr, err := netip.ParseAddrPort(cfg.Raft); err == nil && cfg.RaftListen != "" {
+	if addr, err := netip.ParseAddrPort(cfg.RaftAddr); err == nil && cfg.RaftListenAddr != "" {
 		s.advertised = net.TCPAddrFromAddrPort(addr)
 	}
 	return s
@@ -34,13 +34,13 @@
 func (s streamLayer) Addr() net.Addr { return s.advertised }
 
 func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return (&net.Dialer{Timeout: timeout, LocalAddr: s.from}).Dial("tcp", string(addr))
+	return (&net.Dialer{Timeout: timeout, LocalAddr: s.localAddr}).Dial("tcp", string(addr))
 }
 
 // raftLog passes raft's own lines (hclog, JSON) into the replica's logger, one record a line.
-type raftLog struct{ log *slog.Logger }
+type raftLogWriter struct{ log *slog.Logger }
 
-func (w raftLog) Write(p []byte) (int, error) {
+func (w raftLogWriter) Write(p []byte) (int, error) {
 	w.log.Warn("raft", "line", json.RawMessage(bytes.TrimSpace(p)))
 	return len(p), nil
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -23,6 +23,6 @@
 
 // Outcome is what a command did.
 type Outcome struct {
-	Same  bool // what was asked for is so already: the revision stays
-	Value any  // what the writer is answered; may be nil
+	Unchanged bool // what was asked for is so already: the revision stays
+	Value     any  // what the writer is answered; may be nil
 }
