--- a/cmd/hitchvale/main_test.go
+++ b/cmd/hitchvale/main_test.go
@@ -43,7 +43,7 @@
 // the older one, and check then passes.
 func TestRecoverChecksAndRepairs(t *testing.T) {
 	dir := t.TempDir()
-	s := durable.Snapshots{FS: durable.OS{}, Dir: filepath.Join(dir, registry.SnapshotDir), Keep: 2}
+	s := durable.SnapshotStore{FS: durable.OSFS{}, Dir: filepath.Join(dir, registry.SnapshotDir), Keep: 2}
 	os.MkdirAll(s.Dir, 0o755)
 	for rev := int64(1); rev <= 2; rev++ {
 		if err := s.Write(rev, []byte(strings.Repeat("state;", 50))); err != nil {
--- a/cmd/hitchvale/problems_test.go
+++ b/cmd/hitchvale/problems_test.go
@@ -22,7 +22,7 @@
 	var want []string
 	seen := map[string]bool{}
 	for _, e := range slices.Concat(registry.Problems(), fleet.Problems(), maintenance.Problems()) {
-		if e.Remedy == "" || e.Means == "" || e.Status < 400 || seen[e.Code] {
+		if e.Remedy == "" || e.Meaning == "" || e.Status < 400 || seen[e.Code] {
 			t.Errorf("%+v: no remedy, no meaning, no status or no code of its own", e)
 		}
 		seen[e.Code] = true
@@ -42,6 +42,6 @@
 }
 
 // row is an error's row of the table.
-func row(e operror.Entry) string {
-	return fmt.Sprintf("| `%s` | %d | %s | %s |", e.Code, e.Status, e.Means, e.Remedy)
+func row(e operror.Kind) string {
+	return fmt.Sprintf("| `%s` | %d | %s | %s |", e.Code, e.Status, e.Meaning, e.Remedy)
 }
--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -23,10 +23,10 @@
 
 // checkReport is what recover prints, one JSON object.
 type checkReport struct {
-	Dir      string           `json:"dir"`
-	Snapshot *durable.Entry   `json:"snapshot"` // the one a start would restore; null where there is none
-	Damage   []durable.Damage `json:"damage"`
-	Repaired bool             `json:"repaired,omitempty"`
+	Dir      string                 `json:"dir"`
+	Snapshot *durable.ManifestEntry `json:"snapshot"` // the one a start would restore; null where there is none
+	Damage   []durable.Damage       `json:"damage"`
+	Repaired bool                   `json:"repaired,omitempty"`
 }
 
 func recoverRunCmd(name, short string, repair bool) *cobra.Command {
@@ -39,7 +39,7 @@
 			if _, err := os.Stat(dir); err != nil {
 				return usageError(fmt.Errorf("%s: %w", dir, err))
 			}
-			s := durable.Snapshots{FS: durable.OS{}, Dir: dir, Keep: 2}
+			s := durable.SnapshotStore{FS: durable.OSFS{}, Dir: dir, Keep: 2}
 			e, data, damage, err := s.Latest()
 			rep := checkReport{Dir: args[0], Damage: damage}
 			if e.File != "" {
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -30,21 +30,21 @@
 }
 
 // OS is FS on the operating system's files.
-type OS struct{}
+type OSFS struct{}
 
-func (OS) WriteFile(name string, data []byte) error { return os.WriteFile(name, data, 0o644) }
+func (OSFS) WriteFile(name string, data []byte) error { return os.WriteFile(name, data, 0o644) }
 
-func (OS) Sync(name string) error { return syncPath(name, os.O_RDWR) }
+func (OSFS) Sync(name string) error { return syncPath(name, os.O_RDWR) }
 
-func (OS) Rename(oldname, newname string) error { return os.Rename(oldname, newname) }
+func (OSFS) Rename(oldname, newname string) error { return os.Rename(oldname, newname) }
 
-func (OS) SyncDir(dir string) error { return syncPath(dir, os.O_RDONLY) }
+func (OSFS) SyncDir(dir string) error { return syncPath(dir, os.O_RDONLY) }
 
-func (OS) Remove(name string) error { return os.Remove(name) }
+func (OSFS) Remove(name string) error { return os.Remove(name) }
 
-func (OS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
+func (OSFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
-func (OS) ReadDir(dir string) ([]string, error) {
+func (OSFS) ReadDir(dir string) ([]string, error) {
 	ents, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 var ErrCrashed = errors.New("durable: crashed (injected)")
 
 // ErrFull is the injected full disk.
-var ErrFull = errors.New("durable: no space left on device (injected)")
+var ErrDiskFull = errors.New("durable: no space left on device (injected)")
 
 // file is a file of Faulty: what its folder has durably (dirent), what is durably in it, and what is written but
 // not yet synced.
@@ -85,36 +85,36 @@
 // be taken at any step: CrashAfter(n) makes the n-th operation from now the last to happen, and PowerCut gives
 // the files as a restart would find them. Names are durable in a folder only after SyncDir; a torn write keeps
 // Torn bytes of an unsynced file's new contents. It is not safe for use by several goroutines.
-type Faulty struct {
-	names   map[string]*file // the names as seen now
-	durable map[string]*file // the names as a restart would find them, per folder last synced
-	steps   int              // operations left before the crash; -1 for none planned
-	crashed bool
+type FaultyFS struct {
+	names     map[string]*file // the names as seen now
+	durable   map[string]*file // the names as a restart would find them, per folder last synced
+	stepsLeft int              // operations left before the crash; -1 for none planned
+	crashed   bool
 	// Torn, where above 0, is how many bytes of an unsynced write survive a power cut (a torn last record).
-	Torn int
+	TornBytes int
 	// Room, where above 0, is the most bytes a file may hold: a larger write fails with ErrFull.
-	Room int
+	MaxFileBytes int
 }
 
 // NewFaulty gives an empty Faulty with no crash planned.
-func NewFaulty() *Faulty {
-	return &Faulty{names: map[string]*file{}, durable: map[string]*file{}, steps: -1}
+func NewFaultyFS() *FaultyFS {
+	return &FaultyFS{names: map[string]*file{}, durable: map[string]*file{}, stepsLeft: -1}
 }
 
 // CrashAfter plans the power cut: n more operations happen, then every one fails with ErrCrashed.
-func (f *Faulty) CrashAfter(n int) { f.steps = n }
+func (f *FaultyFS) CrashAfter(n int) { f.stepsLeft = n }
 
 // Steps is how many operations are left before the planned crash (-1: none planned).
-func (f *Faulty) Steps() int { return f.steps }
+func (f *FaultyFS) StepsLeft() int { return f.stepsLeft }
 
 // PowerCut gives a new Faulty holding what is durable: the names of the folders as last synced, each with its
 // contents as last synced (or, with Torn, that and a prefix of what was written after).
-func (f *Faulty) PowerCut() *Faulty {
-	n := NewFaulty()
+func (f *FaultyFS) PowerCut() *FaultyFS {
+	n := NewFaultyFS()
 	for name, fl := range f.durable {
 		keep := fl.durable
-		if !fl.synced && f.Torn > 0 {
-			keep = torn(fl.durable, fl.pending, f.Torn)
+		if !fl.synced && f.TornBytes > 0 {
+			keep = torn(fl.durable, fl.pending, f.TornBytes)
 		}
 		c := &file{durable: clone(keep), pending: clone(keep), synced: true}
 		n.names[name], n.durable[name] = c, c
@@ -135,7 +135,7 @@
 }
 
 // Corrupt changes a file's durable contents in place (a flipped bit, a truncation) for damage tests.
-func (f *Faulty) Corrupt(name string, change func([]byte) []byte) error {
+func (f *FaultyFS) Corrupt(name string, change func([]byte) []byte) error {
 	fl, ok := f.names[name]
 	if !ok {
 		return fs.ErrNotExist
@@ -145,26 +145,26 @@
 	return nil
 }
 
-func (f *Faulty) step() error {
+func (f *FaultyFS) countStep() error {
 	if f.crashed {
 		return ErrCrashed
 	}
-	if f.steps == 0 {
+	if f.stepsLeft == 0 {
 		f.crashed = true
 		return ErrCrashed
 	}
-	if f.steps > 0 {
-		f.steps--
+	if f.stepsLeft > 0 {
+		f.stepsLeft--
 	}
 	return nil
 }
 
-func (f *Faulty) WriteFile(name string, data []byte) error {
-	if err := f.step(); err != nil {
+func (f *FaultyFS) WriteFile(name string, data []byte) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
-	if f.Room > 0 && len(data) > f.Room {
-		return fmt.Errorf("write %s: %w", name, ErrFull)
+	if f.MaxFileBytes > 0 && len(data) > f.MaxFileBytes {
+		return fmt.Errorf("write %s: %w", name, ErrDiskFull)
 	}
 	fl, ok := f.names[name]
 	if !ok {
@@ -175,8 +175,8 @@
 	return nil
 }
 
-func (f *Faulty) Sync(name string) error {
-	if err := f.step(); err != nil {
+func (f *FaultyFS) Sync(name string) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	fl, ok := f.names[name]
@@ -187,8 +187,8 @@
 	return nil
 }
 
-func (f *Faulty) Rename(oldname, newname string) error {
-	if err := f.step(); err != nil {
+func (f *FaultyFS) Rename(oldname, newname string) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	fl, ok := f.names[oldname]
@@ -201,8 +201,8 @@
 }
 
 // SyncDir makes the folder's names as they are now the ones a restart finds.
-func (f *Faulty) SyncDir(dir string) error {
-	if err := f.step(); err != nil {
+func (f *FaultyFS) SyncDir(dir string) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	for name := range f.durable {
@@ -218,8 +218,8 @@
 	return nil
 }
 
-func (f *Faulty) Remove(name string) error {
-	if err := f.step(); err != nil {
+func (f *FaultyFS) Remove(name string) error {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	if _, ok := f.names[name]; !ok {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func (f *Faulty) ReadFile(name string) ([]byte, error) {
+func (f *FaultyFS) ReadFile(name string) ([]byte, error) {
 	if f.crashed {
 		return nil, ErrCrashed
 	}
@@ -240,7 +240,7 @@
 	return clone(fl.pending), nil
 }
 
-func (f *Faulty) ReadDir(dir string) ([]string, error) {
+func (f *FaultyFS) ReadDir(dir string) ([]string, error) {
 	if f.crashed {
 		return nil, ErrCrashed
 	}
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -11,19 +11,19 @@
 
 // What is stored, or sent to processes of other versions, keeps its form.
 func TestGoldenForms(t *testing.T) {
-	goldenfile.RoundTrip[Entry](t, "entry")
+	goldenfile.RoundTrip[ManifestEntry](t, "entry")
 	goldenfile.RoundTrip[Damage](t, "damage")
 }
 
 // A folder of snapshots that an earlier version wrote is read, and this version writes the same bytes.
 func TestGoldenSnapshotFolder(t *testing.T) {
 	golden := filepath.Join(goldenfile.Dir, "snapshots")
-	entry, data, damage, err := Snapshots{FS: OS{}, Dir: golden, Keep: 2}.Latest()
+	entry, data, damage, err := SnapshotStore{FS: OSFS{}, Dir: golden, Keep: 2}.Latest()
 	if err != nil || len(damage) > 0 || entry.Revision != 9 || string(data) != "the state at revision 9" {
 		t.Fatalf("%+v %q, damage %v, error %v", entry, data, damage, err)
 	}
 	written := t.TempDir()
-	snapshots := Snapshots{FS: OS{}, Dir: written, Keep: 2}
+	snapshots := SnapshotStore{FS: OSFS{}, Dir: written, Keep: 2}
 	for _, revision := range []int64{7, 9} {
 		if err := snapshots.Write(revision, []byte("the state at revision "+string(rune('0'+revision)))); err != nil {
 			t.Fatal(err)
--- a/internal/durable/snapshots.go
+++ b/internal/durable/snapshots.go
@@ -18,23 +18,23 @@
 // A snapshot file is one record: the magic "HVSNAP1\n", then big-endian uint64s of the revision, the data's
 // length and the xxhash64 (cespare/xxhash) of the revision's 8 bytes and the data, then the data.
 const (
-	magic      = "HVSNAP1\n"
-	headerSize = len(magic) + 24
-	manifest   = "MANIFEST"
+	magic        = "HVSNAP1\n"
+	headerSize   = len(magic) + 24
+	manifestName = "MANIFEST"
 )
 
 // Snapshots keeps the newest Keep verified snapshots in Dir, listed by a manifest that is replaced by temporary
 // file, fsync, rename and fsync of the folder. A snapshot is not listed before it is durable and read back whole,
 // and an old one is removed only after a manifest without it is durable, so that a power cut at any step leaves
 // the last acknowledged snapshot or the one being written, never neither.
-type Snapshots struct {
+type SnapshotStore struct {
 	FS   FS
 	Dir  string
 	Keep int // at least 2, so that a damaged newest snapshot has one to fall back to
 }
 
 // Entry is one snapshot of the manifest.
-type Entry struct {
+type ManifestEntry struct {
 	File     string `json:"file"`
 	Revision int64  `json:"revision"`
 	Size     int    `json:"size"` // bytes of data
@@ -55,17 +55,17 @@
 
 // Write makes data the newest snapshot at revision rev. It returns nil only once the snapshot and a manifest that
 // lists it are durable; on an error (a full disk, a crash) the snapshots listed before still serve.
-func (s Snapshots) Write(rev int64, data []byte) error {
+func (s SnapshotStore) Write(rev int64, data []byte) error {
 	name := fmt.Sprintf("snap-%020d.bin", rev)
-	if err := s.replace(name, encode(rev, data)); err != nil {
+	if err := s.replaceFile(name, encodeRecord(rev, data)); err != nil {
 		return fmt.Errorf("snapshot %d: %w", rev, err)
 	}
 	if _, err := s.verify(name); err != nil {
 		return fmt.Errorf("snapshot %d read back: %w", rev, err)
 	}
 	old, _, _ := s.readManifest() // a damaged manifest lists nothing: the new one starts afresh
-	old = slices.DeleteFunc(old, func(e Entry) bool { return e.File == name })
-	list := append([]Entry{{File: name, Revision: rev, Size: len(data)}}, old...)
+	old = slices.DeleteFunc(old, func(e ManifestEntry) bool { return e.File == name })
+	list := append([]ManifestEntry{{File: name, Revision: rev, Size: len(data)}}, old...)
 	if len(list) > max(s.Keep, 2) {
 		list = list[:max(s.Keep, 2)]
 	}
@@ -73,14 +73,14 @@
 	if err != nil {
 		return err
 	}
-	if err := s.replace(manifest, append(text, []byte("\n"+strconv.FormatUint(xxhash.Sum64(text), 16)+"\n")...)); err != nil {
+	if err := s.replaceFile(manifestName, append(text, []byte("\n"+strconv.FormatUint(xxhash.Sum64(text), 16)+"\n")...)); err != nil {
 		return fmt.Errorf("manifest: %w", err)
 	}
 	return s.prune(list)
 }
 
 // replace writes name by temporary file, fsync, rename and fsync of the folder.
-func (s Snapshots) replace(name string, data []byte) error {
+func (s SnapshotStore) replaceFile(name string, data []byte) error {
 	path, tmp := filepath.Join(s.Dir, name), filepath.Join(s.Dir, name+".tmp")
 	for _, step := range []func() error{
 		func() error { return s.FS.WriteFile(tmp, data) },
@@ -96,14 +96,14 @@
 }
 
 // prune removes snapshot files and leftovers that the durable manifest no longer lists.
-func (s Snapshots) prune(list []Entry) error {
+func (s SnapshotStore) prune(list []ManifestEntry) error {
 	names, err := s.FS.ReadDir(s.Dir)
 	if err != nil {
 		return err
 	}
 	removed := false
 	for _, n := range names {
-		if n == manifest || slices.ContainsFunc(list, func(e Entry) bool { return e.File == n }) {
+		if n == manifestName || slices.ContainsFunc(list, func(e ManifestEntry) bool { return e.File == n }) {
 			continue
 		}
 		if strings.HasPrefix(n, "snap-") || strings.HasSuffix(n, ".tmp") {
@@ -122,25 +122,25 @@
 // Latest gives the newest snapshot that verifies and its entry, with the damage found on the way: a manifest that
 // does not verify (then every snap-*.bin of the folder is tried, newest first) and each newer snapshot that failed.
 // A folder with no snapshot gives a zero Entry and no error; one whose snapshots all fail gives ErrNoSnapshot.
-func (s Snapshots) Latest() (Entry, []byte, []Damage, error) {
+func (s SnapshotStore) Latest() (ManifestEntry, []byte, []Damage, error) {
 	list, damage, err := s.readManifest()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return Entry{}, nil, nil, err
+		return ManifestEntry{}, nil, nil, err
 	}
 	if damage == nil && err == nil {
-		return s.first(list, nil)
+		return s.firstValid(list, nil)
 	}
 	var found []Damage
 	if damage != nil {
 		found = append(found, *damage)
 	}
-	if list, err = s.scan(); err != nil {
-		return Entry{}, nil, found, err
+	if list, err = s.scanDir(); err != nil {
+		return ManifestEntry{}, nil, found, err
 	}
-	return s.first(list, found)
+	return s.firstValid(list, found)
 }
 
-func (s Snapshots) first(list []Entry, found []Damage) (Entry, []byte, []Damage, error) {
+func (s SnapshotStore) firstValid(list []ManifestEntry, found []Damage) (ManifestEntry, []byte, []Damage, error) {
 	for _, e := range list {
 		data, err := s.verify(e.File)
 		var d Damage
@@ -148,72 +148,72 @@
 			found = append(found, d)
 			continue
 		} else if err != nil {
-			return Entry{}, nil, found, err
+			return ManifestEntry{}, nil, found, err
 		}
 		e.Size = len(data)
 		return e, data, found, nil
 	}
 	if len(list) == 0 {
-		return Entry{}, nil, found, nil
+		return ManifestEntry{}, nil, found, nil
 	}
-	return Entry{}, nil, found, ErrNoSnapshot
+	return ManifestEntry{}, nil, found, ErrNoSnapshot
 }
 
 // scan lists the folder's snapshot files, newest revision first, for a folder whose manifest is gone or damaged.
-func (s Snapshots) scan() ([]Entry, error) {
+func (s SnapshotStore) scanDir() ([]ManifestEntry, error) {
 	names, err := s.FS.ReadDir(s.Dir)
 	if err != nil {
 		return nil, err
 	}
-	var list []Entry
+	var list []ManifestEntry
 	for _, n := range names {
 		digits, ok := strings.CutPrefix(n, "snap-")
 		digits, bin := strings.CutSuffix(digits, ".bin")
 		if rev, err := strconv.ParseInt(digits, 10, 64); ok && bin && err == nil {
-			list = append(list, Entry{File: n, Revision: rev})
+			list = append(list, ManifestEntry{File: n, Revision: rev})
 		}
 	}
-	slices.SortFunc(list, func(a, b Entry) int { return int(b.Revision - a.Revision) })
+	slices.SortFunc(list, func(a, b ManifestEntry) int { return int(b.Revision - a.Revision) })
 	return list, nil
 }
 
 // readManifest reads and checks the manifest; a damaged one is given as Damage, a missing one as fs.ErrNotExist.
-func (s Snapshots) readManifest() ([]Entry, *Damage, error) {
-	text, err := s.FS.ReadFile(filepath.Join(s.Dir, manifest))
+func (s SnapshotStore) readManifest() ([]ManifestEntry, *Damage, error) {
+	text, err := s.FS.ReadFile(filepath.Join(s.Dir, manifestName))
 	if err != nil {
 		return nil, nil, err
 	}
 	body, sum, ok := bytes.Cut(bytes.TrimSuffix(text, []byte("\n")), []byte("\n"))
 	want, perr := strconv.ParseUint(string(sum), 16, 64)
 	if !ok || perr != nil || xxhash.Sum64(body) != want {
-		return nil, &Damage{File: manifest, Offset: 0, Reason: "checksum line missing or not matching"}, nil
+		return nil, &Damage{File: manifestName, Offset: 0, Reason: "checksum line missing or not matching"}, nil
 	}
-	var list []Entry
+	var list []ManifestEntry
 	if err := json.Unmarshal(body, &list); err != nil {
-		return nil, &Damage{File: manifest, Offset: 0, Reason: err.Error()}, nil
+		return nil, &Damage{File: manifestName, Offset: 0, Reason: err.Error()}, nil
 	}
 	return list, nil, nil
 }
 
 // verify reads a snapshot file and checks its record; a bad one is a Damage.
-func (s Snapshots) verify(name string) ([]byte, error) {
+func (s SnapshotStore) verify(name string) ([]byte, error) {
 	text, err := s.FS.ReadFile(filepath.Join(s.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	return decode(name, text)
+	return decodeRecord(name, text)
 }
 
-func encode(rev int64, data []byte) []byte {
+func encodeRecord(rev int64, data []byte) []byte {
 	out := make([]byte, headerSize, headerSize+len(data))
 	copy(out, magic)
 	binary.BigEndian.PutUint64(out[len(magic):], uint64(rev))
 	binary.BigEndian.PutUint64(out[len(magic)+8:], uint64(len(data)))
-	binary.BigEndian.PutUint64(out[len(magic)+16:], sum(rev, data))
+	binary.BigEndian.PutUint64(out[len(magic)+16:], checksum(rev, data))
 	return append(out, data...)
 }
 
-func decode(name string, text []byte) ([]byte, error) {
+func decodeRecord(name string, text []byte) ([]byte, error) {
 	if len(text) < headerSize || string(text[:len(magic)]) != magic {
 		return nil, Damage{File: name, Offset: 0, Reason: fmt.Sprintf("header missing or short (%d bytes)", len(text))}
 	}
@@ -223,13 +223,13 @@
 	if uint64(len(data)) != size {
 		return nil, Damage{File: name, Offset: int64(len(text)), Reason: fmt.Sprintf("%d bytes of data, the header says %d", len(data), size)}
 	}
-	if sum(rev, data) != binary.BigEndian.Uint64(text[len(magic)+16:]) {
+	if checksum(rev, data) != binary.BigEndian.Uint64(text[len(magic)+16:]) {
 		return nil, Damage{File: name, Offset: int64(headerSize), Reason: "xxhash of the record does not match"}
 	}
 	return data, nil
 }
 
-func sum(rev int64, data []byte) uint64 {
+func checksum(rev int64, data []byte) uint64 {
 	d := xxhash.New()
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(rev))
--- a/internal/durable/snapshots_test.go
+++ b/internal/durable/snapshots_test.go
@@ -17,10 +17,10 @@
 func TestPowerCutAtEveryStepKeepsTheAcknowledgedSnapshot(t *testing.T) {
 	for _, tornBytes := range []int{0, 5, 40} {
 		for point := 0; ; point++ {
-			f := NewFaulty()
-			f.Torn = tornBytes
+			f := NewFaultyFS()
+			f.TornBytes = tornBytes
 			f.CrashAfter(point)
-			s := Snapshots{FS: f, Dir: "/data", Keep: 2}
+			s := SnapshotStore{FS: f, Dir: "/data", Keep: 2}
 			var acked int64
 			for rev := int64(1); rev <= 5; rev++ {
 				if s.Write(rev, payload(rev)) != nil {
@@ -28,10 +28,10 @@
 				}
 				acked = rev
 			}
-			if f.Steps() > 0 || point > 200 {
+			if f.StepsLeft() > 0 || point > 200 {
 				break // the writes ended before the crash point: every point has been tried
 			}
-			after := Snapshots{FS: f.PowerCut(), Dir: "/data", Keep: 2}
+			after := SnapshotStore{FS: f.PowerCut(), Dir: "/data", Keep: 2}
 			e, data, damage, err := after.Latest()
 			switch {
 			case err != nil || len(damage) > 0:
@@ -61,8 +61,8 @@
 		{"manifest damaged", "/data/MANIFEST", func(b []byte) []byte { b[2] ^= 1; return b }, 0, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := NewFaulty()
-			s := Snapshots{FS: f, Dir: "/data", Keep: 2}
+			f := NewFaultyFS()
+			s := SnapshotStore{FS: f, Dir: "/data", Keep: 2}
 			for rev := int64(1); rev <= 2; rev++ {
 				if err := s.Write(rev, payload(rev)); err != nil {
 					t.Fatal(err)
@@ -81,13 +81,13 @@
 		})
 	}
 	t.Run("disk full", func(t *testing.T) {
-		f := NewFaulty()
-		s := Snapshots{FS: f, Dir: "/data", Keep: 2}
+		f := NewFaultyFS()
+		s := SnapshotStore{FS: f, Dir: "/data", Keep: 2}
 		if err := s.Write(1, payload(1)); err != nil {
 			t.Fatal(err)
 		}
-		f.Room = 100
-		if err := s.Write(9, payload(9)); !errors.Is(err, ErrFull) {
+		f.MaxFileBytes = 100
+		if err := s.Write(9, payload(9)); !errors.Is(err, ErrDiskFull) {
 			t.Fatalf("a write past the room: %v", err)
 		}
 		if e, _, _, err := s.Latest(); err != nil || e.Revision != 1 {
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -18,7 +18,7 @@
 			l := &link{world: w, node: "n", gone: t.Context(), calls: &w.calls}
 			a := NewAgent(AgentConfig{Node: "n", Address: "127.0.0.1:1", Interval: time.Second}, "p", l,
 				func() Report { return Report{} }, slog.New(slog.DiscardHandler))
-			if err := a.open(t.Context()); err != nil || a.incarnation != 1 {
+			if err := a.openSession(t.Context()); err != nil || a.incarnation != 1 {
 				t.Fatal(a.incarnation, err)
 			}
 			s := session("n", "p", 1)
@@ -28,7 +28,7 @@
 				}
 			}
 			a.incarnation = 0
-			err := a.open(t.Context())
+			err := a.openSession(t.Context())
 			if by == "p" && (err != nil || a.incarnation != 3) || by == "q" && !errors.Is(err, ErrSuperseded) {
 				t.Errorf("the last by %s: incarnation %d, %v", by, a.incarnation, err)
 			}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -15,26 +15,26 @@
 )
 
 // viewMost bounds the bytes of a view that a node reads.
-const viewMost = 8 << 20
+const maxViewBytes = 8 << 20
 
 // Held is what the registry says of a name: the highest incarnation there was, and its open session, if any.
-type Held struct {
-	Last    uint64   `json:"last"`
-	Process string   `json:"process"` // that had it
-	Session *Session `json:"session"`
+type SessionStatus struct {
+	LastIncarnation uint64   `json:"last"`
+	LastProcess     string   `json:"process"` // that had it
+	Session         *Session `json:"session"`
 }
 
 // Registry is what an agent asks of the registry; Client is the one over HTTP, tests have others.
 type Registry interface {
 	// Session tells of a name.
-	Session(ctx context.Context, node string) (Held, error)
+	Session(ctx context.Context, node string) (SessionStatus, error)
 	// Open opens a session by compare-and-set and gives it as it is kept.
 	Open(ctx context.Context, s Session) (Session, error)
 	// Close ends the session of a process.
 	Close(ctx context.Context, node string, incarnation uint64) error
 	// Report hands in a report and waits for the first view after the one that it echoes; false where none came in
 	// the time.
-	Report(ctx context.Context, r Echoed, wait time.Duration) (View, bool, error)
+	Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
 }
 
 // Client speaks to the registry's replicas, one at a time: after a call that got no answer, or a 503, it goes on to the
@@ -43,16 +43,16 @@
 	Replicas []string // HTTP addresses, at least one
 	HTTP     *http.Client
 
-	mu sync.Mutex
-	at int
+	mu      sync.Mutex
+	current int
 }
 
 // callWithin bounds a call beyond the time that it may wait.
-const callWithin = 2 * time.Second
+const callTimeout = 2 * time.Second
 
 // Session tells of a name.
-func (c *Client) Session(ctx context.Context, node string) (Held, error) {
-	var h Held
+func (c *Client) Session(ctx context.Context, node string) (SessionStatus, error) {
+	var h SessionStatus
 	_, err := c.call(ctx, http.MethodGet, "/registry/fleet/sessions/"+url.PathEscape(node), nil, &h, 0)
 	return h, err
 }
@@ -74,22 +74,22 @@
 }
 
 // Report hands in a report.
-func (c *Client) Report(ctx context.Context, r Echoed, wait time.Duration) (View, bool, error) {
+func (c *Client) Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
 	var v View
 	status, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/registry/fleet/reports?wait_ms=%d", wait.Milliseconds()), r, &v, wait)
 	return v, err == nil && status == http.StatusOK, err
 }
 
 // replica is the one that is asked now, next the one after it.
-func (c *Client) replica() string {
+func (c *Client) currentReplica() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Replicas[c.at%len(c.Replicas)]
+	return c.Replicas[c.current%len(c.Replicas)]
 }
 
-func (c *Client) next() {
+func (c *Client) useNextReplica() {
 	c.mu.Lock()
-	c.at++
+	c.current++
 	c.mu.Unlock()
 }
 
@@ -100,7 +100,7 @@
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body, out any, wait time.Duration) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+callWithin)
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	var rd io.Reader
 	if body != nil {
@@ -110,46 +110,46 @@
 		}
 		rd = bytes.NewReader(text)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.replica()+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.currentReplica()+path, rd)
 	if err != nil {
 		return 0, ErrMalformed.Of(path, err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		c.next()
-		return 0, ErrUnreachable.Of(req.URL.Host, err)
+		c.useNextReplica()
+		return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, viewMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxViewBytes))
 	if err != nil {
-		c.next()
-		return 0, ErrUnreachable.Of(req.URL.Host, err)
+		c.useNextReplica()
+		return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
 	}
 	if resp.StatusCode/100 != 2 {
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			c.next()
+			c.useNextReplica()
 		}
-		return resp.StatusCode, refusal(req.URL.Host, resp.StatusCode, text)
+		return resp.StatusCode, decodeError(req.URL.Host, resp.StatusCode, text)
 	}
 	if out != nil && len(text) > 0 {
 		if err := json.Unmarshal(text, out); err != nil {
-			c.next()
-			return 0, ErrUnreachable.Of(req.URL.Host, err)
+			c.useNextReplica()
+			return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
 		}
 	}
 	return resp.StatusCode, nil
 }
 
 // refusal is the error that an answer tells of: this package's own by its code, else ErrUnreachable.
-func refusal(host string, status int, text []byte) error {
+func decodeError(host string, status int, text []byte) error {
 	var a struct{ Code, Error string }
 	if json.Unmarshal(text, &a) != nil || a.Code == "" {
-		return ErrUnreachable.Of(host, fmt.Errorf("status %d", status))
+		return ErrRegistryUnreachable.Of(host, fmt.Errorf("status %d", status))
 	}
-	for _, e := range []*Error{ErrMalformed, ErrSuperseded, ErrNoSession, ErrStale, ErrNoView} {
+	for _, e := range []*Error{ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady} {
 		if e.Code == a.Code {
 			return e.Of(host, errors.New(a.Error))
 		}
 	}
-	return ErrUnreachable.Of(host, fmt.Errorf("%s: %s", a.Code, a.Error))
+	return ErrRegistryUnreachable.Of(host, fmt.Errorf("%s: %s", a.Code, a.Error))
 }
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -19,15 +19,15 @@
 		"the call is not well formed", "correct the field that the error names; run one version of the program on all nodes")
 	ErrSuperseded = problems.Define("fleet.superseded", http.StatusConflict,
 		"a newer process runs under this name", "end the older process, or give it a name of its own")
-	ErrNoSession = problems.Define("fleet.no-session", http.StatusNotFound,
+	ErrSessionNotFound = problems.Define("fleet.no-session", http.StatusNotFound,
 		"no session under this name and incarnation", "nothing: the node opens a new session by itself; where it recurs, raise the session's TTL")
-	ErrStale = problems.Define("fleet.stale-report", http.StatusConflict,
+	ErrStaleReport = problems.Define("fleet.stale-report", http.StatusConflict,
 		"the report is older than one already taken in", "nothing, if rare; else see that one process alone runs under the name")
-	ErrUnreachable = problems.Define("fleet.unreachable", http.StatusServiceUnavailable,
+	ErrRegistryUnreachable = problems.Define("fleet.unreachable", http.StatusServiceUnavailable,
 		"the registry gave no answer of use", "see that its replicas run and that this node reaches one of them; the node goes on as it was")
-	ErrNoView = problems.Define("fleet.no-view", http.StatusServiceUnavailable,
+	ErrViewNotReady = problems.Define("fleet.no-view", http.StatusServiceUnavailable,
 		"no view has been compiled in this term yet", "ask again in an interval; see that the registry has a leader")
 )
 
 // Problems are the kinds of errors that this package gives.
-func Problems() []operror.Entry { return problems.Entries() }
+func Problems() []operror.Kind { return problems.Entries() }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -9,8 +9,8 @@
 // What is stored, or sent to processes of other versions, keeps its form.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[SessionCommand](t, "sessionCommand")
-	goldenfile.RoundTrip[Sessions](t, "sessions")
-	goldenfile.RoundTrip[Held](t, "held")
-	goldenfile.RoundTrip[Echoed](t, "echoed")
+	goldenfile.RoundTrip[SessionStore](t, "sessions")
+	goldenfile.RoundTrip[SessionStatus](t, "held")
+	goldenfile.RoundTrip[ReportRequest](t, "echoed")
 	goldenfile.RoundTrip[View](t, "view")
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -27,7 +27,7 @@
 	rng       *rand.Rand
 	start     time.Time
 	calls     sync.WaitGroup // under way
-	sessions  *Sessions
+	sessions  *SessionStore
 	revision  int64
 	term      uint64
 	collector *Collector // nil: no leader
@@ -37,7 +37,7 @@
 	calm      bool // no more faults
 
 	made   map[string]time.Time // when a report was made, by node, incarnation and number
-	views  map[Stamp]string
+	views  map[ViewVersion]string
 	faults []string
 	// trustArrival is a planted bug: a report counts as made when it arrives.
 	trustArrival bool
@@ -45,9 +45,9 @@
 }
 
 func newWorld(seed uint64) *world {
-	return &world{rng: rand.New(rand.NewPCG(seed, 21)), start: time.Now(), sessions: NewSessions(), term: 1,
+	return &world{rng: rand.New(rand.NewPCG(seed, 21)), start: time.Now(), sessions: NewSessionStore(), term: 1,
 		collector: NewCollector(1, modelInterval), next: make(chan struct{}), beats: map[string]time.Time{},
-		made: map[string]time.Time{}, views: map[Stamp]string{}}
+		made: map[string]time.Time{}, views: map[ViewVersion]string{}}
 }
 
 func reportKey(node string, incarnation, seq uint64) string {
@@ -85,24 +85,24 @@
 		if !ok || n.AgeMs < 0 {
 			continue
 		}
-		if age := now.Sub(w.made[reportKey(n.Node, h.Incarnation, h.Seq)]); n.Fresh && age > freshIntervals*modelInterval ||
+		if age := now.Sub(w.made[reportKey(n.Node, h.Incarnation, h.Sequence)]); n.Fresh && age > maxFreshAgeIntervals*modelInterval ||
 			age.Milliseconds() > n.AgeMs {
 			w.fail("a report of %s, %v old, is told as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
 		}
 	}
 	w.view = v
-	w.views[v.Stamp] = fmt.Sprint(v)
+	w.views[v.ViewVersion] = fmt.Sprint(v)
 	close(w.next)
 	w.next = make(chan struct{})
 }
 
 func (w *world) apply(op string, s Session) (Session, error) {
-	before := w.sessions.Last[s.Node]
+	before := w.sessions.LastIncarnation[s.Node]
 	out, err := w.sessions.Apply(&SessionCommand{op, s}, w.revision+1)
 	if err == nil && !out.Unchanged {
 		w.revision++
 	}
-	if w.sessions.Last[s.Node] < before {
+	if w.sessions.LastIncarnation[s.Node] < before {
 		w.fail("the incarnation of %s went back", s.Node)
 	}
 	kept, _ := out.Value.(Session)
@@ -156,7 +156,7 @@
 	l.mu.Lock()
 	stall := time.Until(l.stall)
 	l.mu.Unlock()
-	pause(l.gone, stall)
+	sleep(l.gone, stall)
 	there, back, lostThere, lostBack := l.way()
 	got := make(chan result, 1)
 	l.calls.Go(func() {
@@ -168,28 +168,28 @@
 			got <- result{v, err}
 		}
 	})
-	t := time.NewTimer(limit + callWithin)
+	t := time.NewTimer(limit + callTimeout)
 	defer t.Stop()
 	select {
 	case r := <-got:
 		return r.v, r.err
 	case <-t.C:
-		return zero, ErrUnreachable.Of("model", context.DeadlineExceeded)
+		return zero, ErrRegistryUnreachable.Of("model", context.DeadlineExceeded)
 	case <-ctx.Done():
-		return zero, ErrUnreachable.Of("model", ctx.Err())
+		return zero, ErrRegistryUnreachable.Of("model", ctx.Err())
 	case <-l.gone.Done():
-		return zero, ErrUnreachable.Of("model", l.gone.Err())
+		return zero, ErrRegistryUnreachable.Of("model", l.gone.Err())
 	}
 }
 
-func (l *link) Session(ctx context.Context, node string) (Held, error) {
-	return over(l, ctx, 0, func() (h Held, err error) {
+func (l *link) Session(ctx context.Context, node string) (SessionStatus, error) {
+	return over(l, ctx, 0, func() (h SessionStatus, err error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.collector == nil {
-			return h, ErrNoView.Of("model", nil)
+			return h, ErrViewNotReady.Of("model", nil)
 		}
-		return l.sessions.Told(node), nil
+		return l.sessions.Status(node), nil
 	})
 }
 
@@ -198,7 +198,7 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.collector == nil {
-			return Session{}, ErrNoView.Of("model", nil)
+			return Session{}, ErrViewNotReady.Of("model", nil)
 		}
 		l.beats[s.Node] = time.Now()
 		kept, err := l.apply("session-open", s)
@@ -216,24 +216,24 @@
 	return err
 }
 
-func (l *link) Report(ctx context.Context, r Echoed, wait time.Duration) (View, bool, error) {
+func (l *link) Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
 	type answer struct {
 		v    View
 		came bool
 	}
 	l.mu.Lock()
-	l.made[reportKey(r.Node, r.Incarnation, r.Seq)] = time.Now()
+	l.made[reportKey(r.Node, r.Incarnation, r.Sequence)] = time.Now()
 	l.mu.Unlock()
 	a, err := over(l, ctx, wait, func() (answer, error) {
 		l.mu.Lock()
 		if l.collector == nil {
 			l.mu.Unlock()
-			return answer{}, ErrNoView.Of("model", nil)
+			return answer{}, ErrViewNotReady.Of("model", nil)
 		}
 		if l.trustArrival {
-			r.Echo = Stamp{l.collector.term, l.collector.epoch}
+			r.LastView = ViewVersion{l.collector.term, l.collector.epoch}
 		}
-		err := l.collector.Take(l.sessions, r)
+		err := l.collector.Add(l.sessions, r)
 		if err == nil {
 			l.beats[r.Node] = time.Now()
 		}
@@ -247,7 +247,7 @@
 			l.mu.Lock()
 			v, next := l.view, l.next
 			l.mu.Unlock()
-			if v.Epoch != 0 && v.Stamp != r.Echo {
+			if v.Epoch != 0 && v.ViewVersion != r.LastView {
 				return answer{v, true}, nil
 			}
 			select {
@@ -281,7 +281,7 @@
 			name := fmt.Sprintf("%s.%d", node, len(processes[node])+1)
 			p := &process{link: &link{world: w, node: node, gone: gone, calls: &w.calls}, kill: kill, ended: make(chan error, 1)}
 			p.agent = NewAgent(AgentConfig{Node: node, Site: "a", Address: "127.0.0.1:1", Interval: modelInterval}, name, p.link,
-				func() Report { return Report{Figures: Figures{Connections: 1}} }, slog.New(slog.DiscardHandler))
+				func() Report { return Report{Metrics: LoadMetrics{Connections: 1}} }, slog.New(slog.DiscardHandler))
 			processes[node] = append(processes[node], p)
 			all.Go(func() { p.ended <- p.agent.Run(gone) })
 		}
@@ -299,7 +299,7 @@
 				}
 			}
 		})
-		seen := map[*process]Stamp{}
+		seen := map[*process]ViewVersion{}
 		look := func() {
 			for _, ps := range processes {
 				for _, p := range ps {
@@ -307,11 +307,11 @@
 					if !ok {
 						continue
 					}
-					if v.Stamp.Before(seen[p]) {
-						w.fail("%s went back from %v to %v", p.link.node, seen[p], v.Stamp)
+					if v.ViewVersion.Before(seen[p]) {
+						w.fail("%s went back from %v to %v", p.link.node, seen[p], v.ViewVersion)
 					}
-					if seen[p] = v.Stamp; fmt.Sprint(v) != w.views[v.Stamp] {
-						w.fail("%s reads another view under %v", p.link.node, v.Stamp)
+					if seen[p] = v.ViewVersion; fmt.Sprint(v) != w.views[v.ViewVersion] {
+						w.fail("%s reads another view under %v", p.link.node, v.ViewVersion)
 					}
 				}
 			}
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -17,23 +17,23 @@
 // Session is a process of a node, in the registry's state. Of two processes under one name the one with the higher
 // incarnation is the node.
 type Session struct {
-	Node        string `json:"node"`
-	Site        string `json:"site"`
-	Process     string `json:"process"`     // drawn by the process at its start, so that it knows a session as its own
-	Incarnation uint64 `json:"incarnation"` // one above the last under the name; clocks have no part in it
-	Address     string `json:"address"`     // where clients connect
-	TTLms       int64  `json:"ttl_ms"`
-	Since       int64  `json:"since"` // revision at which it was opened
+	Node           string `json:"node"`
+	Site           string `json:"site"`
+	Process        string `json:"process"`     // drawn by the process at its start, so that it knows a session as its own
+	Incarnation    uint64 `json:"incarnation"` // one above the last under the name; clocks have no part in it
+	Address        string `json:"address"`     // where clients connect
+	TTLms          int64  `json:"ttl_ms"`
+	OpenedRevision int64  `json:"since"` // revision at which it was opened
 }
 
 // Check refuses a session that cannot be one.
-func (s Session) Check() error {
+func (s Session) Validate() error {
 	_, err := netip.ParseAddrPort(s.Address)
 	switch {
-	case s.Node == "" || len(s.Node) > keyMost:
-		return ErrMalformed.Of("node", fmt.Errorf("a name of 1 to %d bytes is wanted", keyMost))
-	case len(s.Site) > keyMost || len(s.Process) > keyMost:
-		return ErrMalformed.Of(s.Node, fmt.Errorf("site or process longer than %d bytes", keyMost))
+	case s.Node == "" || len(s.Node) > maxKeyBytes:
+		return ErrMalformed.Of("node", fmt.Errorf("a name of 1 to %d bytes is wanted", maxKeyBytes))
+	case len(s.Site) > maxKeyBytes || len(s.Process) > maxKeyBytes:
+		return ErrMalformed.Of(s.Node, fmt.Errorf("site or process longer than %d bytes", maxKeyBytes))
 	case s.Process == "":
 		return ErrMalformed.Of(s.Node, errors.New("process: missing"))
 	case s.Incarnation == 0:
@@ -57,25 +57,25 @@
 func (c *SessionCommand) Operation() string { return c.Op }
 
 // Sessions is the machine of the nodes' sessions.
-type Sessions struct {
+type SessionStore struct {
 	Open map[string]Session `json:"open"` // by node
 	// Last is the highest incarnation that each name ever had: an older process stays superseded after the newer
 	// one's session has ended.
-	Last map[string]uint64 `json:"last"`
+	LastIncarnation map[string]uint64 `json:"last"`
 	// By is the process that had it: one whose session ended before it heard of it must know it as its own.
-	By map[string]string `json:"by"`
+	LastProcess map[string]string `json:"by"`
 }
 
 // NewSessions is a machine without a session.
-func NewSessions() *Sessions {
-	return &Sessions{Open: map[string]Session{}, Last: map[string]uint64{}, By: map[string]string{}}
+func NewSessionStore() *SessionStore {
+	return &SessionStore{Open: map[string]Session{}, LastIncarnation: map[string]uint64{}, LastProcess: map[string]string{}}
 }
 
 // Kind names the machine.
-func (s *Sessions) Kind() string { return "sessions" }
+func (s *SessionStore) Kind() string { return "sessions" }
 
 // Commands are the operations of the machine.
-func (s *Sessions) Commands() map[string]func() statemachine.Command {
+func (s *SessionStore) Commands() map[string]func() statemachine.Command {
 	empty := func() statemachine.Command { return &SessionCommand{} }
 	return map[string]func() statemachine.Command{"session-open": empty, "session-close": empty, "session-expire": empty}
 }
@@ -83,17 +83,17 @@
 // Apply carries out a command. A session is opened by compare-and-set: its incarnation has to be one above the last
 // under the name, so a call that comes late, from a process that is gone, cannot supersede a newer one. To open the
 // session that is open is no change.
-func (s *Sessions) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
+func (s *SessionStore) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*SessionCommand)
 	n := c.Session
 	if c.Op != "session-open" {
-		if err := s.Holds(n.Node, n.Incarnation); err != nil {
+		if err := s.VerifyHolder(n.Node, n.Incarnation); err != nil {
 			return statemachine.Outcome{}, err
 		}
 		delete(s.Open, n.Node)
 		return statemachine.Outcome{Value: n}, nil
 	}
-	if err := n.Check(); err != nil {
+	if err := n.Validate(); err != nil {
 		return statemachine.Outcome{}, err
 	}
 	old, open := s.Open[n.Node]
@@ -103,31 +103,31 @@
 		}
 		return statemachine.Outcome{Unchanged: true, Value: old}, nil
 	}
-	switch last := s.Last[n.Node]; {
+	switch last := s.LastIncarnation[n.Node]; {
 	case n.Incarnation <= last:
 		return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("incarnation %d, and %d has been here", n.Incarnation, last))
 	case n.Incarnation > last+1:
 		return statemachine.Outcome{}, ErrMalformed.Of(n.Node, fmt.Errorf("incarnation %d after %d", n.Incarnation, last))
 	}
-	n.Since = next
-	s.Open[n.Node], s.Last[n.Node], s.By[n.Node] = n, n.Incarnation, n.Process
+	n.OpenedRevision = next
+	s.Open[n.Node], s.LastIncarnation[n.Node], s.LastProcess[n.Node] = n, n.Incarnation, n.Process
 	return statemachine.Outcome{Value: n}, nil
 }
 
 // Holds tells whether a process has its node's session, and why not.
-func (s *Sessions) Holds(node string, incarnation uint64) error {
-	if last := s.Last[node]; incarnation < last {
+func (s *SessionStore) VerifyHolder(node string, incarnation uint64) error {
+	if last := s.LastIncarnation[node]; incarnation < last {
 		return ErrSuperseded.Of(node, fmt.Errorf("incarnation %d, and %d has been here", incarnation, last))
 	}
 	if o, ok := s.Open[node]; !ok || o.Incarnation != incarnation {
-		return ErrNoSession.Of(node, nil)
+		return ErrSessionNotFound.Of(node, nil)
 	}
 	return nil
 }
 
 // Told is what the registry says of a name.
-func (s *Sessions) Told(node string) Held {
-	h := Held{Last: s.Last[node], Process: s.By[node]}
+func (s *SessionStore) Status(node string) SessionStatus {
+	h := SessionStatus{LastIncarnation: s.LastIncarnation[node], LastProcess: s.LastProcess[node]}
 	if o, ok := s.Open[node]; ok {
 		h.Session = &o
 	}
@@ -135,7 +135,7 @@
 }
 
 // All are the open sessions by name.
-func (s *Sessions) All() []Session {
+func (s *SessionStore) List() []Session {
 	out := make([]Session, 0, len(s.Open))
 	for _, n := range slices.Sorted(maps.Keys(s.Open)) {
 		out = append(out, s.Open[n])
@@ -144,11 +144,11 @@
 }
 
 // Encode writes the sessions.
-func (s *Sessions) Encode() ([]byte, error) { return json.Marshal(s) }
+func (s *SessionStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
 // Decode takes the sessions of a snapshot.
-func (s *Sessions) Decode(text []byte, _ int64) error {
-	n := NewSessions()
+func (s *SessionStore) Decode(text []byte, _ int64) error {
+	n := NewSessionStore()
 	if err := json.Unmarshal(text, n); err != nil {
 		return err
 	}
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -27,10 +27,10 @@
 		"no process":                            {cmd: SessionCommand{"session-open", session("n", "", 3)}, want: ErrMalformed},
 		"the older process ends":                {cmd: SessionCommand{"session-close", session("n", "p1", 1)}, want: ErrSuperseded},
 		"the present process ends":              {cmd: SessionCommand{"session-close", session("n", "p2", 2)}},
-		"another name ends":                     {cmd: SessionCommand{"session-expire", session("m", "p1", 1)}, want: ErrNoSession},
+		"another name ends":                     {cmd: SessionCommand{"session-expire", session("m", "p1", 1)}, want: ErrSessionNotFound},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := NewSessions()
+			s := NewSessionStore()
 			for i, p := range []string{"p1", "p2"} {
 				if _, err := s.Apply(&SessionCommand{"session-open", session("n", p, uint64(i+1))}, int64(i+1)); err != nil {
 					t.Fatal(err)
@@ -40,11 +40,11 @@
 			if !errors.Is(err, tc.want) || out.Unchanged != tc.same {
 				t.Fatalf("%v, same %v", err, out.Unchanged)
 			}
-			if o, ok := s.Open["n"]; err != nil && (!ok || o.Process != "p2" || s.Last["n"] != 2) {
+			if o, ok := s.Open["n"]; err != nil && (!ok || o.Process != "p2" || s.LastIncarnation["n"] != 2) {
 				t.Errorf("changed by what was refused: %+v", s)
 			}
 			text, _ := s.Encode()
-			if r := NewSessions(); r.Decode(text, 3) != nil || r.Last["n"] != s.Last["n"] || len(r.Open) != len(s.Open) {
+			if r := NewSessionStore(); r.Decode(text, 3) != nil || r.LastIncarnation["n"] != s.LastIncarnation["n"] || len(r.Open) != len(s.Open) {
 				t.Errorf("restored as %+v", r)
 			}
 		})
@@ -55,14 +55,14 @@
 // a name.
 func TestIncarnationsRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, given := NewSessions(), map[uint64]string{}
+		s, given := NewSessionStore(), map[uint64]string{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			n := session("n", rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(t, "process"), rapid.Uint64Range(0, 8).Draw(t, "incarnation"))
 			c := &SessionCommand{rapid.SampledFrom([]string{"session-open", "session-open", "session-close", "session-expire"}).Draw(t, "op"), n}
-			before := s.Last["n"]
+			before := s.LastIncarnation["n"]
 			out, err := s.Apply(c, 1)
-			if s.Last["n"] < before {
-				t.Fatalf("%+v: the last went from %d to %d", c, before, s.Last["n"])
+			if s.LastIncarnation["n"] < before {
+				t.Fatalf("%+v: the last went from %d to %d", c, before, s.LastIncarnation["n"])
 			}
 			if err == nil && c.Op == "session-open" && !out.Unchanged {
 				if given[n.Incarnation] != "" || n.Incarnation != before+1 {
@@ -71,8 +71,8 @@
 				given[n.Incarnation] = n.Process
 			}
 			for i := range uint64(10) {
-				if s.Holds("n", i) == nil && i != s.Last["n"] {
-					t.Fatalf("incarnation %d holds the name, the last is %d", i, s.Last["n"])
+				if s.VerifyHolder("n", i) == nil && i != s.LastIncarnation["n"] {
+					t.Fatalf("incarnation %d holds the name, the last is %d", i, s.LastIncarnation["n"])
 				}
 			}
 		}
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -22,13 +22,13 @@
 			total += w
 		}
 		top := s.Top(size)
-		if len(top) > size || s.Total() != total || len(s.place) != len(s.heap) {
+		if len(top) > size || s.Total() != total || len(s.position) != len(s.heap) {
 			t.Fatalf("%d counters of %d, total %v of %v", len(top), size, s.Total(), total)
 		}
 		there := map[string]bool{}
 		for i, h := range top {
 			there[h.Key] = true
-			if w := exact[h.Key]; w > h.Weight || w < h.Weight-h.Over || len(exact) <= size && w != h.Weight {
+			if w := exact[h.Key]; w > h.Weight || w < h.Weight-h.MaxError || len(exact) <= size && w != h.Weight {
 				t.Fatalf("%+v, true weight %v", h, w)
 			}
 			if i > 0 && h.Weight > top[i-1].Weight {
@@ -53,7 +53,7 @@
 	}
 	fill()
 	for _, h := range s.Top(64) {
-		if len(h.Key) > keyMost {
+		if len(h.Key) > maxKeyBytes {
 			t.Errorf("a key of %d bytes is kept", len(h.Key))
 		}
 	}
@@ -71,23 +71,23 @@
 func TestReportsAreBounded(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
-		r.Backends = append(r.Backends, BackendLoad{ID: fmt.Sprintf("s-%08d", i), Estimate: 0.123, Outstanding: float64(i % 5)})
+		r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprintf("s-%08d", i), QueueEstimate: 0.123, Outstanding: float64(i % 5)})
 	}
 	for i := range 32 {
-		r.ByConns = append(r.ByConns, Heavy{Key: fmt.Sprint("tenant", i), Weight: float64(100 - i)})
+		r.TenantsByConnections = append(r.TenantsByConnections, WeightedKey{Key: fmt.Sprint("tenant", i), Weight: float64(100 - i)})
 	}
-	b, err := r.Bounded()
+	b, err := r.Trimmed()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b.Backends)+b.Cut != 20000 || len(b.ByConns) != 32 || len(r.Backends) != 20000 {
-		t.Errorf("%d backends, %d cut, %d tenants", len(b.Backends), b.Cut, len(b.ByConns))
+	if len(b.Endpoints)+b.Omitted != 20000 || len(b.TenantsByConnections) != 32 || len(r.Endpoints) != 20000 {
+		t.Errorf("%d backends, %d cut, %d tenants", len(b.Endpoints), b.Omitted, len(b.TenantsByConnections))
 	}
-	for i, x := range b.Backends {
+	for i, x := range b.Endpoints {
 		if x.Outstanding < 3 {
 			t.Fatalf("%+v is kept while busier ones are left out", x)
 		}
-		if i > 0 && x.ID <= b.Backends[i-1].ID {
+		if i > 0 && x.ID <= b.Endpoints[i-1].ID {
 			t.Fatal("not by id")
 		}
 	}
@@ -97,14 +97,14 @@
 func TestReportsHold1024Backends(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 1024 {
-		r.Backends = append(r.Backends, BackendLoad{ID: fmt.Sprintf("%0*d", keyMost, i),
-			Estimate: 1234.5678901234567 / 3, Outstanding: 1000.0 / 3, Failures: 1.0 / 3e6})
+		r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprintf("%0*d", maxKeyBytes, i),
+			QueueEstimate: 1234.5678901234567 / 3, Outstanding: 1000.0 / 3, FailureRate: 1.0 / 3e6})
 	}
 	for i := range 64 {
-		heavy := Heavy{Key: fmt.Sprintf("%0*d", keyMost, i), Weight: 1000.0 / 3}
-		r.ByConns, r.ByWork = append(r.ByConns, heavy), append(r.ByWork, heavy)
+		heavy := WeightedKey{Key: fmt.Sprintf("%0*d", maxKeyBytes, i), Weight: 1000.0 / 3}
+		r.TenantsByConnections, r.TenantsByWork = append(r.TenantsByConnections, heavy), append(r.TenantsByWork, heavy)
 	}
-	if b, err := r.Bounded(); err != nil || b.Cut != 0 || len(b.Backends) != 1024 {
-		t.Errorf("%d backends, %d cut, %v", len(b.Backends), b.Cut, err)
+	if b, err := r.Trimmed(); err != nil || b.Omitted != 0 || len(b.Endpoints) != 1024 {
+		t.Errorf("%d backends, %d cut, %v", len(b.Endpoints), b.Omitted, err)
 	}
 }
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-func openSessions(t testing.TB, n int) *Sessions {
+func openSessions(t testing.TB, n int) *SessionStore {
 	t.Helper()
-	s := NewSessions()
+	s := NewSessionStore()
 	for i := range n {
 		if _, err := s.Apply(&SessionCommand{"session-open", session(fmt.Sprintf("n%03d", i), "p", 1)}, int64(i+1)); err != nil {
 			t.Fatal(err)
@@ -26,35 +26,35 @@
 	const interval = time.Second
 	s := openSessions(t, 2)
 	c := NewCollector(7, interval)
-	report := func(inc, seq uint64, echo Stamp) Echoed {
-		return Echoed{Report: Report{Node: "n000", Incarnation: inc, Seq: seq}, Echo: echo}
+	report := func(inc, seq uint64, echo ViewVersion) ReportRequest {
+		return ReportRequest{Report: Report{Node: "n000", Incarnation: inc, Sequence: seq}, LastView: echo}
 	}
 	for i := range 5 {
 		c.Compile(s, 1, time.Duration(i)*interval) // epoch i+1, published after i intervals
 	}
 	for name, tc := range map[string]struct {
-		r     Echoed
+		r     ReportRequest
 		err   error
 		age   int64 // at 5 intervals
 		fresh bool
 	}{
-		"of the last view":       {r: report(1, 1, Stamp{7, 5}), age: 1000, fresh: true},
-		"at the bound":           {r: report(1, 1, Stamp{7, 3}), age: 3000, fresh: true},
-		"held up":                {r: report(1, 1, Stamp{7, 2}), age: 4000},
-		"echoes nothing":         {r: report(1, 1, Stamp{}), age: -1},
-		"echoes another term":    {r: report(1, 1, Stamp{6, 5}), age: -1},
-		"echoes a view to come":  {r: report(1, 1, Stamp{7, 6}), age: -1},
-		"of an older process":    {r: report(0, 1, Stamp{7, 5}), err: ErrMalformed, age: -1},
-		"of a process to come":   {r: report(2, 1, Stamp{7, 5}), err: ErrNoSession, age: -1},
-		"of a node without name": {r: Echoed{Report: Report{Incarnation: 1}}, err: ErrMalformed, age: -1},
+		"of the last view":       {r: report(1, 1, ViewVersion{7, 5}), age: 1000, fresh: true},
+		"at the bound":           {r: report(1, 1, ViewVersion{7, 3}), age: 3000, fresh: true},
+		"held up":                {r: report(1, 1, ViewVersion{7, 2}), age: 4000},
+		"echoes nothing":         {r: report(1, 1, ViewVersion{}), age: -1},
+		"echoes another term":    {r: report(1, 1, ViewVersion{6, 5}), age: -1},
+		"echoes a view to come":  {r: report(1, 1, ViewVersion{7, 6}), age: -1},
+		"of an older process":    {r: report(0, 1, ViewVersion{7, 5}), err: ErrMalformed, age: -1},
+		"of a process to come":   {r: report(2, 1, ViewVersion{7, 5}), err: ErrSessionNotFound, age: -1},
+		"of a node without name": {r: ReportRequest{Report: Report{Incarnation: 1}}, err: ErrMalformed, age: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := *c
-			c.reports = map[string]held{}
-			if err := c.Take(s, tc.r); !errors.Is(err, tc.err) {
+			c.reports = map[string]latestReport{}
+			if err := c.Add(s, tc.r); !errors.Is(err, tc.err) {
 				t.Fatalf("%v, want %v", err, tc.err)
 			}
-			if err := c.Take(s, tc.r); tc.err == nil && !errors.Is(err, ErrStale) {
+			if err := c.Add(s, tc.r); tc.err == nil && !errors.Is(err, ErrStaleReport) {
 				t.Errorf("the same report again: %v", err)
 			}
 			v := c.Compile(s, 1, 5*interval)
@@ -73,18 +73,18 @@
 		c := NewCollector(1, time.Second)
 		c.Compile(s, 1, 0)
 		for _, i := range rand.New(rand.NewPCG(seed, 0)).Perm(9) {
-			r := Echoed{Report: Report{Node: fmt.Sprintf("n%03d", i), Incarnation: 1, Seq: 1, Figures: Figures{Connections: float64(i)}},
-				Echo: Stamp{1, 1}}
+			r := ReportRequest{Report: Report{Node: fmt.Sprintf("n%03d", i), Incarnation: 1, Sequence: 1, Metrics: LoadMetrics{Connections: float64(i)}},
+				LastView: ViewVersion{1, 1}}
 			for j := range 3 {
-				r.Backends = append(r.Backends, BackendLoad{ID: fmt.Sprint("s", j), Estimate: 0.1 * float64(i+j), Outstanding: 0.1 * float64(i), Failures: 0.01})
+				r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprint("s", j), QueueEstimate: 0.1 * float64(i+j), Outstanding: 0.1 * float64(i), FailureRate: 0.01})
 			}
 			if i == 8 { // a liar
-				r.Backends[0] = BackendLoad{ID: "s0", Estimate: 1e9, Failures: 1}
+				r.Endpoints[0] = EndpointLoad{ID: "s0", QueueEstimate: 1e9, FailureRate: 1}
 			}
 			if i == 7 {
-				r.Echo = Stamp{} // of no known age
+				r.LastView = ViewVersion{} // of no known age
 			}
-			if err := c.Take(s, r); err != nil {
+			if err := c.Add(s, r); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -104,7 +104,7 @@
 	if err := json.Unmarshal(first, &v); err != nil {
 		t.Fatal(err)
 	}
-	if b := v.Backends[0]; b.Nodes != 8 || b.Estimate > 0.5 || b.Failures != 0.01 {
+	if b := v.Endpoints[0]; b.ReportingNodes != 8 || b.QueueEstimate > 0.5 || b.FailureRate != 0.01 {
 		t.Errorf("a sick node's word counts: %+v", b)
 	}
 }
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -82,7 +82,7 @@
 
 // serve does the duty's work while held is not lost; it returns once the lease is lost, a write is fenced off, or
 // ctx ends (then releasing the lease).
-func (c Candidate) serve(ctx context.Context, held *lease.Held, w *eventLog) error {
+func (c Candidate) serve(ctx context.Context, held *lease.Lease, w *eventLog) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -101,7 +101,7 @@
 			continue
 		case <-time.After(c.Work):
 		}
-		code, rev := c.write(ctx, held.Fence())
+		code, rev := c.write(ctx, held.FencingToken())
 		switch code {
 		case http.StatusOK:
 			if err := w.put("accepted", held.Token, rev); err != nil {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -59,17 +59,17 @@
 	*loadRun
 
 	watchMu sync.Mutex
-	last    map[string]fleet.Stamp // by reader: the last view
-	texts   map[fleet.Stamp]string // what a view held, whoever read it
-	shared  Check                  // one text under one stamp
-	forward Check                  // no reader goes back
+	last    map[string]fleet.ViewVersion // by reader: the last view
+	texts   map[fleet.ViewVersion]string // what a view held, whoever read it
+	shared  Check                        // one text under one stamp
+	forward Check                        // no reader goes back
 }
 
 // lookEvery is the time between two looks at a reader of the view.
 const lookEvery = 20 * time.Millisecond
 
 func (l *fleetRun) run(ctx context.Context) (Report, error) {
-	l.drained, l.last, l.texts = map[string]time.Time{}, map[string]fleet.Stamp{}, map[fleet.Stamp]string{}
+	l.drained, l.last, l.texts = map[string]time.Time{}, map[string]fleet.ViewVersion{}, map[fleet.ViewVersion]string{}
 	l.shared, l.forward = Check{Name: "a view is the same for all its readers"}, Check{Name: "no reader's view goes back"}
 	if err := l.setUp(ctx); err != nil {
 		return Report{}, err
@@ -213,13 +213,13 @@
 	if err != nil {
 		return err
 	}
-	text := fmt.Sprintf("term %d, %d of %d fresh", s.View.Term, s.Fresh, s.Nodes)
+	text := fmt.Sprintf("term %d, %d of %d fresh", s.Version.Term, s.Fresh, s.Nodes)
 	if s.Superseded {
 		text = "superseded"
 	}
 	l.say(fmt.Sprintf("node-%d", i), text)
 	if l.procs["node"][i].starts() == starts { // else it may be the word of the process before
-		l.read(fmt.Sprintf("node-%d, start %d", i, starts), s.View, "")
+		l.read(fmt.Sprintf("node-%d, start %d", i, starts), s.Version, "")
 	}
 	return nil
 }
@@ -235,12 +235,12 @@
 		return err
 	}
 	l.say(fmt.Sprintf("registry-%d", m), fmt.Sprintf("view of term %d", v.Term))
-	l.read("", v.Stamp, string(text))
+	l.read("", v.ViewVersion, string(text))
 	return nil
 }
 
 // read holds a view against what was read before: by the reader named, and by anyone under its stamp.
-func (l *fleetRun) read(who string, s fleet.Stamp, text string) {
+func (l *fleetRun) read(who string, s fleet.ViewVersion, text string) {
 	l.watchMu.Lock()
 	defer l.watchMu.Unlock()
 	if who != "" {
--- a/internal/lab/work.go
+++ b/internal/lab/work.go
@@ -171,7 +171,7 @@
 		return err
 	}
 	for {
-		var b maintenance.Board
+		var b maintenance.PlanView
 		if err := l.anyReplica(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
 			return err
 		}
@@ -189,7 +189,7 @@
 }
 
 // look takes down a board.
-func (l *workRun) look(b maintenance.Board) {
+func (l *workRun) look(b maintenance.PlanView) {
 	out := 0
 	states := map[string]string{}
 	for _, t := range b.Turns {
@@ -212,9 +212,9 @@
 
 // attend does the operator's part of a turn: a quiet machine is taken out, worked on, listed again and done.
 func (l *workRun) attend(ctx context.Context, t maintenance.Turn) error {
-	step := func(to maintenance.State) error {
+	step := func(to maintenance.TurnState) error {
 		var out struct{ Turn maintenance.Turn }
-		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", maintenance.Command{Rev: t.Rev, To: to}, &out)
+		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", maintenance.Command{Revision: t.Revision, Target: to}, &out)
 		if err == nil {
 			t = out.Turn
 		}
@@ -239,7 +239,7 @@
 	if err := l.anyReplica(ctx, http.MethodPost, "/registry/members", map[string]any{"member": m}, nil); err != nil {
 		return err
 	}
-	for _, to := range []maintenance.State{maintenance.Returning, maintenance.Done} {
+	for _, to := range []maintenance.TurnState{maintenance.Returning, maintenance.Done} {
 		var refused *refusedError
 		err := step(to)
 		if to == maintenance.Done && errors.As(err, &refused) && refused.status == http.StatusNotFound {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -25,7 +25,7 @@
 
 // Held is a lease that this process holds. Lost is closed the moment the holder can no longer prove it holds it:
 // renewals have failed for longer than the TTL less Margin, on this process's monotonic clock.
-type Held struct {
+type Lease struct {
 	Name, Holder string
 	Token        uint64
 	TTL          time.Duration
@@ -39,12 +39,12 @@
 
 // Margin is how much before the TTL's end a holder takes its lease as lost: the leader's clock and this one may
 // run apart by that much over a TTL before harm can come (a holder's writes are fenced in any case).
-const Margin = 0.2
+const clockMargin = 0.2
 
 // pollLeast is the least wait between two asks of a candidate.
-const pollLeast = 25 * time.Millisecond
+const minPollInterval = 25 * time.Millisecond
 
-type answer struct {
+type response struct {
 	Lease struct {
 		Token uint64 `json:"token"`
 	} `json:"lease"`
@@ -52,10 +52,10 @@
 }
 
 // call posts body to path at each replica in turn until one answers other than 503 or fails to connect.
-func (c *Client) call(ctx context.Context, path string, body any) (int, answer, error) {
+func (c *Client) post(ctx context.Context, path string, body any) (int, response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
-		return 0, answer{}, err
+		return 0, response{}, err
 	}
 	hc := c.HTTP
 	if hc == nil {
@@ -65,14 +65,14 @@
 	for _, addr := range c.Replicas {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(text))
 		if err != nil {
-			return 0, answer{}, err
+			return 0, response{}, err
 		}
 		resp, err := hc.Do(req)
 		if err != nil {
 			last = err
 			continue
 		}
-		var a answer
+		var a response
 		raw, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		resp.Body.Close()
 		json.Unmarshal(raw, &a)
@@ -82,22 +82,22 @@
 		}
 		return resp.StatusCode, a, nil
 	}
-	return 0, answer{}, last
+	return 0, response{}, last
 }
 
 // Acquire asks for the lease until it is granted or ctx ends; a held lease is waited out, asking every 25 to 50 ms
 // (at most a quarter of the TTL) with jitter so that candidates do not ask in step, and a released one is taken
 // within that.
-func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Held, error) {
+func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lease, error) {
 	for {
-		code, a, err := c.call(ctx, "/registry/leases/"+name+"/acquire", map[string]any{"holder": holder, "ttl_ms": ttl.Milliseconds()})
+		code, a, err := c.post(ctx, "/registry/leases/"+name+"/acquire", map[string]any{"holder": holder, "ttl_ms": ttl.Milliseconds()})
 		switch {
 		case err == nil && code == http.StatusOK:
-			return c.keep(name, holder, a.Lease.Token, ttl), nil
+			return c.startRenewal(name, holder, a.Lease.Token, ttl), nil
 		case err == nil && code != http.StatusConflict:
 			return nil, fmt.Errorf("acquire %s: %d %s", name, code, a.Error)
 		}
-		wait := min(ttl/4, pollLeast) + rand.N(pollLeast)
+		wait := min(ttl/4, minPollInterval) + rand.N(minPollInterval)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -107,15 +107,15 @@
 }
 
 // keep renews at a third of the TTL until released, and closes Lost when the lease can no longer be proven.
-func (c *Client) keep(name, holder string, token uint64, ttl time.Duration) *Held {
+func (c *Client) startRenewal(name, holder string, token uint64, ttl time.Duration) *Lease {
 	ctx, cancel := context.WithCancel(context.Background())
 	lost := make(chan struct{})
-	h := &Held{Name: name, Holder: holder, Token: token, TTL: ttl, Lost: lost, c: c, cancel: cancel, done: make(chan struct{})}
+	h := &Lease{Name: name, Holder: holder, Token: token, TTL: ttl, Lost: lost, c: c, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(h.done)
 		defer close(lost)
 		// The lease is proven until limit after the last ask that the registry answered yes (the grant first).
-		limit := time.Duration(float64(ttl) * (1 - Margin))
+		limit := time.Duration(float64(ttl) * (1 - clockMargin))
 		until := time.Now().Add(limit)
 		deadline := time.NewTimer(limit)
 		defer deadline.Stop()
@@ -132,7 +132,7 @@
 			asked := time.Now()
 			// A renewal that hangs (a registry cut off) must not hold the loss back past the deadline.
 			callCtx, stop := context.WithDeadline(ctx, until)
-			code, _, err := c.call(callCtx, "/registry/leases/"+name+"/renew", map[string]any{"holder": holder, "token": token})
+			code, _, err := c.post(callCtx, "/registry/leases/"+name+"/renew", map[string]any{"holder": holder, "token": token})
 			stop()
 			switch {
 			case err == nil && code == http.StatusNoContent:
@@ -147,18 +147,18 @@
 }
 
 // Fence is the value of X-Fencing-Token for writes on the duty's behalf.
-func (h *Held) Fence() string { return h.Name + ":" + strconv.FormatUint(h.Token, 10) }
+func (h *Lease) FencingToken() string { return h.Name + ":" + strconv.FormatUint(h.Token, 10) }
 
 // Release gives the lease up at once, so that a successor needs no TTL wait (a step-down on SIGTERM), and stops
 // renewing. It is safe to call more than once.
-func (h *Held) Release(ctx context.Context) error {
+func (h *Lease) Release(ctx context.Context) error {
 	var err error
 	h.once.Do(func() {
 		h.cancel()
 		<-h.done
 		var code int
-		var a answer
-		code, a, err = h.c.call(ctx, "/registry/leases/"+h.Name+"/release", map[string]any{"holder": h.Holder, "token": h.Token})
+		var a response
+		code, a, err = h.c.post(ctx, "/registry/leases/"+h.Name+"/release", map[string]any{"holder": h.Holder, "token": h.Token})
 		if err == nil && code != http.StatusOK && code != http.StatusConflict {
 			err = fmt.Errorf("release %s: %d %s", h.Name, code, a.Error)
 		}
@@ -167,8 +167,8 @@
 }
 
 // Adopt stands for a lease held elsewhere, for Release alone (an operator's step-down); it renews nothing.
-func (c *Client) Adopt(name, holder string, token uint64) *Held {
+func (c *Client) Adopt(name, holder string, token uint64) *Lease {
 	done := make(chan struct{})
 	close(done)
-	return &Held{Name: name, Holder: holder, Token: token, c: c, cancel: func() {}, done: done}
+	return &Lease{Name: name, Holder: holder, Token: token, c: c, cancel: func() {}, done: done}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan *Held, 1)
+	got := make(chan *Lease, 1)
 	go func() {
 		b, err := c.Acquire(ctx, "duty", "b", ttl)
 		if err != nil {
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -8,43 +8,43 @@
 )
 
 // Board is the record as a node reads it.
-type Board struct {
-	Epoch Stamp    `json:"epoch"`
-	Order []string `json:"order"`
-	Turns []Turn   `json:"turns"` // by machine
-	Short []string `json:"short"` // to be called back, as a floor does not hold any more
+type PlanView struct {
+	SettledView ViewVersion `json:"epoch"`
+	Order       []string    `json:"order"`
+	Turns       []Turn      `json:"turns"` // by machine
+	ToRecall    []string    `json:"short"` // to be called back, as a floor does not hold any more
 }
 
 // Local is what a node knows beside the board.
-type Local struct {
-	Node        string
-	Incarnation uint64
-	View        Stamp          // the view that it holds
-	Nodes       []string       // those fresh in it, in order
-	Held        int64          // revision of the list that it holds
-	Open        map[string]int // what it has open by machine
+type NodeState struct {
+	Node         string
+	Incarnation  uint64
+	View         ViewVersion    // the view that it holds
+	FreshNodes   []string       // those fresh in it, in order
+	ListRevision int64          // revision of the list that it holds
+	InFlight     map[string]int // what it has open by machine
 	// Seen counts, by machine, the views for which the turn has stood at its revision: a node waits for its rank.
-	Seen map[string]int
+	ViewsUnchanged map[string]int
 }
 
 // settleEvery is how many epochs an order stands while machines wait and none is granted: their age counts anew then.
-const settleEvery = 10
+const resettleEpochs = 10
 
 // Next gives what a node proposes on a board: its own confirmations at once; a step of a turn once the turn has stood for
 // as many views as the node's rank for it, so that one node proposes and the next one does where that one is gone. It is
 // pure: the same board and Local give the same commands.
-func Next(b Board, l Local) []Command {
+func Propose(b PlanView, l NodeState) []Command {
 	var out []Command
-	step := func(t Turn, to State) {
-		if rank(l.Nodes, l.Node, t.Machine) <= l.Seen[t.Machine] {
-			out = append(out, Command{Op: "rota-step", Machine: t.Machine, Rev: t.Rev, To: to})
+	step := func(t Turn, to TurnState) {
+		if proposalRank(l.FreshNodes, l.Node, t.Machine) <= l.ViewsUnchanged[t.Machine] {
+			out = append(out, Command{Op: "rota-step", Machine: t.Machine, Revision: t.Revision, Target: to})
 		}
 	}
 	waiting, ordered := 0, 0
 	turns := map[string]Turn{}
 	for _, t := range b.Turns {
 		turns[t.Machine] = t
-		if slices.Contains(b.Short, t.Machine) {
+		if slices.Contains(b.ToRecall, t.Machine) {
 			step(t, Waiting)
 			continue
 		}
@@ -56,17 +56,17 @@
 		case Granted:
 			step(t, Draining)
 		case Draining:
-			if t.Confirmed[l.Node] != l.Incarnation && l.Held >= t.Drained && l.Open[t.Machine] == 0 {
-				out = append(out, Command{Op: "rota-confirm", Machine: t.Machine, Node: l.Node, Incarnation: l.Incarnation, Held: l.Held})
+			if t.ConfirmedBy[l.Node] != l.Incarnation && l.ListRevision >= t.DrainingRevision && l.InFlight[t.Machine] == 0 {
+				out = append(out, Command{Op: "rota-confirm", Machine: t.Machine, Node: l.Node, Incarnation: l.Incarnation, ListRevision: l.ListRevision})
 			}
-			if !slices.ContainsFunc(l.Nodes, func(n string) bool { return t.Confirmed[n] == 0 }) {
+			if !slices.ContainsFunc(l.FreshNodes, func(n string) bool { return t.ConfirmedBy[n] == 0 }) {
 				step(t, Quiet)
 			}
 		}
 	}
-	if ordered < waiting || waiting > 0 && (b.Epoch.Term != l.View.Term || l.View.Epoch >= b.Epoch.Epoch+settleEvery) {
-		if rank(l.Nodes, l.Node, "order") <= int(l.View.Epoch%uint64(max(len(l.Nodes), 1))) {
-			out = append(out, Command{Op: "rota-settle", Epoch: l.View})
+	if ordered < waiting || waiting > 0 && (b.SettledView.Term != l.View.Term || l.View.Epoch >= b.SettledView.Epoch+resettleEpochs) {
+		if proposalRank(l.FreshNodes, l.Node, "order") <= int(l.View.Epoch%uint64(max(len(l.FreshNodes), 1))) {
+			out = append(out, Command{Op: "rota-settle", View: l.View})
 		}
 		return out
 	}
@@ -79,7 +79,7 @@
 }
 
 // rank is a node's place among the live ones for a thing, by rendezvous hash: each thing has another first.
-func rank(nodes []string, node, thing string) int {
+func proposalRank(nodes []string, node, thing string) int {
 	weight := func(n string) uint64 { return xxhash.Sum64String(thing + "\x00" + n) }
 	mine, place := weight(node), 0
 	for _, n := range nodes {
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -11,25 +11,25 @@
 func TestFleetBringsEveryMachineThroughItsTurn(t *testing.T) {
 	for _, gone := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
 		t.Run(fmt.Sprint(gone), func(t *testing.T) {
-			r := newRig(t)
-			r.must(request("q", Budget{All: 2, Site: 1}, map[string]float64{"a": 3, "b": 3}, "s0", "s1", "s5", "s7"))
+			r := newPlanFixture(t)
+			r.must(request("q", DisruptionBudget{Total: 2, PerSite: 1}, map[string]float64{"a": 3, "b": 3}, "s0", "s1", "s5", "s7"))
 			seen, at := map[string]int{}, map[string]int64{}
 			done, worked := map[string]bool{}, map[string]int{}
 			for epoch := uint64(1); epoch < 400 && len(done) < 4; epoch++ {
-				board := Board{Epoch: r.rota.Epoch, Order: slices.Clone(r.rota.Order), Turns: r.rota.All()}
+				board := PlanView{SettledView: r.plan.SettledView, Order: slices.Clone(r.plan.Order), Turns: r.plan.ListTurns()}
 				for _, x := range board.Turns {
-					if at[x.Machine] == x.Rev {
+					if at[x.Machine] == x.Revision {
 						seen[x.Machine]++
 					} else {
-						seen[x.Machine], at[x.Machine] = 0, x.Rev
+						seen[x.Machine], at[x.Machine] = 0, x.Revision
 					}
 				}
-				for _, node := range r.nodes.Live() {
+				for _, node := range r.sessions.LiveNodes() {
 					if slices.Contains(gone, node) && epoch%7 != 0 { // heard from now and then only
 						continue
 					}
-					for _, c := range Next(board, Local{Node: node, Incarnation: r.nodes[node], View: Stamp{1, epoch}, Nodes: r.nodes.Live(),
-						Held: r.rev, Open: map[string]int{}, Seen: seen}) {
+					for _, c := range Propose(board, NodeState{Node: node, Incarnation: r.sessions[node], View: ViewVersion{1, epoch}, FreshNodes: r.sessions.LiveNodes(),
+						ListRevision: r.rev, InFlight: map[string]int{}, ViewsUnchanged: seen}) {
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
@@ -39,9 +39,9 @@
 				if bad := r.overdrawn(); bad != "" {
 					t.Fatalf("epoch %d: %s", epoch, bad)
 				}
-				for _, x := range r.rota.All() { // the operators' part
+				for _, x := range r.plan.ListTurns() { // the operators' part
 					if worked[x.Machine]++; x.State == Quiet || x.State == Out && worked[x.Machine] > 40 || x.State == Returning {
-						next := map[State]State{Quiet: Out, Out: Returning, Returning: Done}[x.State]
+						next := map[TurnState]TurnState{Quiet: Out, Out: Returning, Returning: Done}[x.State]
 						if err := r.step(x.Machine, next); err != nil {
 							t.Fatal(err)
 						}
@@ -53,7 +53,7 @@
 				}
 			}
 			if len(done) != 4 {
-				t.Fatalf("%v came through; the board: %+v, order %v", done, r.rota.All(), r.rota.Order)
+				t.Fatalf("%v came through; the board: %+v, order %v", done, r.plan.ListTurns(), r.plan.Order)
 			}
 		})
 	}
@@ -61,21 +61,21 @@
 
 // A node confirms only what it holds and has nothing open at, once for each of its processes.
 func TestNextConfirmsOnlyWhatIsQuietHere(t *testing.T) {
-	turn := Turn{Machine: "s0", State: Draining, Drained: 9, Rev: 9}
+	turn := Turn{Machine: "s0", State: Draining, DrainingRevision: 9, Revision: 9}
 	for name, tc := range map[string]struct {
-		l    Local
+		l    NodeState
 		had  map[string]uint64
 		want bool
 	}{
-		"quiet here":           {l: Local{Held: 9}, want: true},
-		"an older list":        {l: Local{Held: 8}},
-		"something open":       {l: Local{Held: 9, Open: map[string]int{"s0": 1}}},
-		"confirmed already":    {l: Local{Held: 9}, had: map[string]uint64{"n0": 2}},
-		"by its older process": {l: Local{Held: 9}, had: map[string]uint64{"n0": 1}, want: true},
+		"quiet here":           {l: NodeState{ListRevision: 9}, want: true},
+		"an older list":        {l: NodeState{ListRevision: 8}},
+		"something open":       {l: NodeState{ListRevision: 9, InFlight: map[string]int{"s0": 1}}},
+		"confirmed already":    {l: NodeState{ListRevision: 9}, had: map[string]uint64{"n0": 2}},
+		"by its older process": {l: NodeState{ListRevision: 9}, had: map[string]uint64{"n0": 1}, want: true},
 	} {
-		tc.l.Node, tc.l.Incarnation, tc.l.Nodes = "n0", 2, []string{"n0", "n1"}
-		turn.Confirmed = tc.had
-		got := slices.ContainsFunc(Next(Board{Turns: []Turn{turn}}, tc.l), func(c Command) bool { return c.Op == "rota-confirm" })
+		tc.l.Node, tc.l.Incarnation, tc.l.FreshNodes = "n0", 2, []string{"n0", "n1"}
+		turn.ConfirmedBy = tc.had
+		got := slices.ContainsFunc(Propose(PlanView{Turns: []Turn{turn}}, tc.l), func(c Command) bool { return c.Op == "rota-confirm" })
 		if got != tc.want {
 			t.Errorf("%s: confirms %v", name, got)
 		}
@@ -90,7 +90,7 @@
 		thing := fmt.Sprint("s", i)
 		var ranks []int
 		for _, n := range nodes {
-			ranks = append(ranks, rank(nodes, n, thing))
+			ranks = append(ranks, proposalRank(nodes, n, thing))
 			if ranks[len(ranks)-1] == 0 {
 				firsts[n] = true
 			}
--- a/internal/maintenance/errors.go
+++ b/internal/maintenance/errors.go
@@ -17,23 +17,23 @@
 var (
 	ErrMalformed = problems.Define("rota.malformed", http.StatusBadRequest,
 		"the request is not well formed", "correct the field that the error names")
-	ErrUnknown = problems.Define("rota.unknown", http.StatusNotFound,
+	ErrNotFound = problems.Define("rota.unknown", http.StatusNotFound,
 		"no such machine or request", "read GET /registry/rota for those there are")
-	ErrChanged = problems.Define("rota.changed-since", http.StatusConflict,
+	ErrTurnChanged = problems.Define("rota.changed-since", http.StatusConflict,
 		"the turn has changed since it was read", "nothing: another node took the step; read again")
-	ErrStep = problems.Define("rota.no-such-step", http.StatusConflict,
+	ErrInvalidTransition = problems.Define("rota.no-such-step", http.StatusConflict,
 		"the turn does not go that way", "read GET /registry/rota: a turn goes waiting, granted, draining, quiet, out, returning, done")
-	ErrOrder = problems.Define("rota.out-of-order", http.StatusConflict,
+	ErrOutOfOrder = problems.Define("rota.out-of-order", http.StatusConflict,
 		"another machine goes first in the settled order", "nothing: it waits for its turn; GET /registry/rota tells the order")
-	ErrBudget = problems.Define("rota.over-budget", http.StatusConflict,
+	ErrOverBudget = problems.Define("rota.over-budget", http.StatusConflict,
 		"as many machines are out as the budget allows", "bring one back or raise the budget; an overdue one is freed by an operator's word alone")
-	ErrFloor = problems.Define("rota.under-floor", http.StatusConflict,
+	ErrUnderFloor = problems.Define("rota.under-floor", http.StatusConflict,
 		"the site would have less ready capacity than its floor", "bring machines back, add capacity, or lower the floor")
 	ErrUnconfirmed = problems.Define("rota.unconfirmed", http.StatusConflict,
 		"a live node has not confirmed that it has nothing open there", "look at the nodes named: a paused one is excused once its session ends")
-	ErrSession = problems.Define("rota.no-session", http.StatusConflict,
+	ErrSessionNotHeld = problems.Define("rota.no-session", http.StatusConflict,
 		"the node that confirms does not hold its name", "nothing: a newer process of the node confirms")
 )
 
 // Problems are the kinds of errors that this package gives.
-func Problems() []operror.Entry { return problems.Entries() }
+func Problems() []operror.Kind { return problems.Entries() }
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -9,6 +9,6 @@
 // What is stored, or sent to processes of other versions, keeps its form.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[Command](t, "command")
-	goldenfile.RoundTrip[Rota](t, "rota")
-	goldenfile.RoundTrip[Board](t, "board")
+	goldenfile.RoundTrip[Plan](t, "rota")
+	goldenfile.RoundTrip[PlanView](t, "board")
 }
--- a/internal/maintenance/grant.go
+++ b/internal/maintenance/grant.go
@@ -16,51 +16,51 @@
 
 // ageShare is the part of the greatest cost that each settlement a machine has waited through takes off its own: after
 // 1/ageShare of them it goes before any that has just come.
-const ageShare = 0.1
+const agingFraction = 0.1
 
 // request takes in an operator's request. Its machines must be listed, and its floors be ones that can be met with one
 // machine of the site out: otherwise it could never end.
-func (r *Rota) request(q Request, next int64) (statemachine.Outcome, error) {
+func (r *Plan) addRequest(q Request, next int64) (statemachine.Outcome, error) {
 	switch b := q.Budget; {
 	case q.ID == "" || len(q.ID) > 128:
 		return statemachine.Outcome{}, ErrMalformed.Of("id", errors.New("1 to 128 bytes are wanted"))
 	case len(q.Machines) == 0:
 		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("no machine named"))
-	case b.All < 0 || b.Site < 0 || b.Cell < 0:
+	case b.Total < 0 || b.PerSite < 0 || b.PerCell < 0:
 		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("budget: negative"))
-	case q.LengthMs <= 0:
+	case q.ExpectedMs <= 0:
 		return statemachine.Outcome{}, ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
 	}
-	units := map[string]Unit{}
+	units := map[string]Machine{}
 	capacity := map[string]float64{}
-	for _, u := range r.list.Units() {
+	for _, u := range r.inventory.Machines() {
 		units[u.ID] = u
-		capacity[u.Site] += u.Size
+		capacity[u.Site] += u.Capacity
 	}
 	for _, id := range q.Machines {
 		u, ok := units[id]
 		if !ok {
-			return statemachine.Outcome{}, ErrUnknown.Of(id, nil)
+			return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
 		}
-		if floor := q.Floor[u.Site]; capacity[u.Site]-u.Size < floor {
-			return statemachine.Outcome{}, ErrFloor.Of(u.Site, fmt.Errorf("%g with %s out and all else ready, and %g is the floor",
-				capacity[u.Site]-u.Size, id, floor))
+		if floor := q.CapacityFloor[u.Site]; capacity[u.Site]-u.Capacity < floor {
+			return statemachine.Outcome{}, ErrUnderFloor.Of(u.Site, fmt.Errorf("%g with %s out and all else ready, and %g is the floor",
+				capacity[u.Site]-u.Capacity, id, floor))
 		}
 	}
-	for site, floor := range q.Floor {
+	for site, floor := range q.CapacityFloor {
 		if math.IsNaN(floor) || floor < 0 {
 			return statemachine.Outcome{}, ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s: %g", site, floor))
 		}
 	}
 	if _, ok := r.Requests[q.ID]; ok {
-		r.drop(q.ID, next) // asked anew: its budget and machines may have changed; what is out stays out
+		r.detachWaiting(q.ID, next) // asked anew: its budget and machines may have changed; what is out stays out
 	}
 	r.Requests[q.ID] = q
 	for _, id := range q.Machines {
 		t := r.Turns[id]
 		if t == nil {
 			u := units[id]
-			t = &Turn{Machine: id, Site: u.Site, Cell: u.Cell, Size: u.Size, State: Waiting, Rev: next}
+			t = &Turn{Machine: id, Site: u.Site, Cell: u.Cell, Capacity: u.Capacity, State: Waiting, Revision: next}
 			r.Turns[id] = t
 		}
 		if !slices.Contains(t.Requests, q.ID) { // one machine is never in two turns
@@ -73,12 +73,12 @@
 
 // withdraw ends a request: machines that wait for it alone wait no more; one that is on its way goes on, back to the
 // list, by its steps.
-func (r *Rota) withdraw(id string, next int64) (statemachine.Outcome, error) {
+func (r *Plan) withdrawRequest(id string, next int64) (statemachine.Outcome, error) {
 	if _, ok := r.Requests[id]; !ok {
-		return statemachine.Outcome{}, ErrUnknown.Of(id, nil)
+		return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
 	}
-	r.drop(id, next)
-	if !r.asked(id) {
+	r.detachWaiting(id, next)
+	if !r.hasTurns(id) {
 		delete(r.Requests, id)
 	}
 	return statemachine.Outcome{}, nil
@@ -86,14 +86,14 @@
 
 // drop takes a request off the machines that have not been granted. One that holds a slot keeps the request, so that its
 // budget and floor bind until the machine is back.
-func (r *Rota) drop(id string, next int64) {
+func (r *Plan) detachWaiting(id string, next int64) {
 	for _, m := range slices.Sorted(maps.Keys(r.Turns)) {
 		t := r.Turns[m]
 		if t.State != Waiting || !slices.Contains(t.Requests, id) {
 			continue
 		}
 		t.Requests = slices.DeleteFunc(t.Requests, func(x string) bool { return x == id })
-		if t.Rev = next; len(t.Requests) == 0 {
+		if t.Revision = next; len(t.Requests) == 0 {
 			delete(r.Turns, m)
 			r.Order = slices.DeleteFunc(r.Order, func(x string) bool { return x == m })
 		}
@@ -102,9 +102,9 @@
 
 // settle computes the order of the waiting machines from their costs at one epoch, which travel in the command: a replica
 // that replays its log settles the same. An epoch no newer than the last changes nothing.
-func (r *Rota) settle(c *Command) (statemachine.Outcome, error) {
-	if c.Epoch.Term < r.Epoch.Term || c.Epoch.Term == r.Epoch.Term && c.Epoch.Epoch <= r.Epoch.Epoch {
-		return statemachine.Outcome{}, ErrChanged.Of("order", fmt.Errorf("settled on %d.%d", r.Epoch.Term, r.Epoch.Epoch))
+func (r *Plan) settleOrder(c *Command) (statemachine.Outcome, error) {
+	if c.View.Term < r.SettledView.Term || c.View.Term == r.SettledView.Term && c.View.Epoch <= r.SettledView.Epoch {
+		return statemachine.Outcome{}, ErrTurnChanged.Of("order", fmt.Errorf("settled on %d.%d", r.SettledView.Term, r.SettledView.Epoch))
 	}
 	score, greatest := map[string]float64{}, 0.0
 	for _, t := range r.Turns {
@@ -120,36 +120,36 @@
 		}
 	}
 	for id := range score {
-		score[id] -= ageShare * greatest * float64(r.Turns[id].Passed)
-		r.Turns[id].Passed++
+		score[id] -= agingFraction * greatest * float64(r.Turns[id].RoundsWaited)
+		r.Turns[id].RoundsWaited++
 	}
-	r.Epoch = c.Epoch
+	r.SettledView = c.View
 	r.Order = slices.SortedFunc(maps.Keys(score), func(a, b string) int {
-		return cmp.Or(cmp.Compare(score[a], score[b]), -cmp.Compare(rendezvous(c.Epoch, a), rendezvous(c.Epoch, b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(score[a], score[b]), -cmp.Compare(rendezvousWeight(c.View, a), rendezvousWeight(c.View, b)), cmp.Compare(a, b))
 	})
 	return statemachine.Outcome{Value: r.Order}, nil
 }
 
 // rendezvous is the weight of a machine at an epoch (Thaler and Ravishankar, "Using name-based mappings to increase hit
 // rates", 1998): ties go to another machine each time, and no node has a say in it.
-func rendezvous(e Stamp, id string) uint64 {
+func rendezvousWeight(e ViewVersion, id string) uint64 {
 	b := binary.BigEndian.AppendUint64(nil, e.Term)
 	b = binary.BigEndian.AppendUint64(b, e.Epoch)
 	return xxhash.Sum64(append(b, id...))
 }
 
 // mayGrant tells whether a waiting machine may take a slot now: it fits, and none before it in the settled order does.
-func (r *Rota) mayGrant(t *Turn) error {
+func (r *Plan) checkGrant(t *Turn) error {
 	at := slices.Index(r.Order, t.Machine)
 	if at < 0 {
-		return ErrOrder.Of(t.Machine, errors.New("no order has been settled with it"))
+		return ErrOutOfOrder.Of(t.Machine, errors.New("no order has been settled with it"))
 	}
-	if err := r.fits(t); err != nil {
+	if err := r.checkDisruption(t); err != nil {
 		return err
 	}
 	for _, id := range r.Order[:at] {
-		if r.fits(r.Turns[id]) == nil {
-			return ErrOrder.Of(t.Machine, fmt.Errorf("%s goes first", id))
+		if r.checkDisruption(r.Turns[id]) == nil {
+			return ErrOutOfOrder.Of(t.Machine, fmt.Errorf("%s goes first", id))
 		}
 	}
 	return nil
@@ -157,13 +157,13 @@
 
 // fits tells whether budgets and floors hold with one machine more out. Budgets are those of every request that asks for
 // it or for a machine that is out; so are floors.
-func (r *Rota) fits(t *Turn) error {
-	if plant == "budget" {
+func (r *Plan) checkDisruption(t *Turn) error {
+	if plantedFault == "budget" {
 		return nil
 	}
 	out := []*Turn{t}
 	for _, o := range r.Turns {
-		if o.State.holds() && o != t {
+		if o.State.occupiesSlot() && o != t {
 			out = append(out, o)
 		}
 	}
@@ -180,21 +180,21 @@
 		cell[fmt.Sprintf("%s/%d", o.Site, o.Cell)]++
 	}
 	ready := map[string]float64{}
-	for _, u := range r.list.Units() {
+	for _, u := range r.inventory.Machines() {
 		if u.Ready && !gone[u.ID] {
-			ready[u.Site] += u.Size
+			ready[u.Site] += u.Capacity
 		}
 	}
 	most := func(m map[string]int) int { return slices.Max(slices.Collect(maps.Values(m))) }
 	for _, id := range slices.Sorted(maps.Keys(binding)) {
 		q := r.Requests[id]
 		b := q.Budget
-		if b.All > 0 && all > b.All || b.Site > 0 && most(site) > b.Site || b.Cell > 0 && most(cell) > b.Cell {
-			return ErrBudget.Of(t.Machine, fmt.Errorf("of request %s", id))
+		if b.Total > 0 && all > b.Total || b.PerSite > 0 && most(site) > b.PerSite || b.PerCell > 0 && most(cell) > b.PerCell {
+			return ErrOverBudget.Of(t.Machine, fmt.Errorf("of request %s", id))
 		}
-		for _, s := range slices.Sorted(maps.Keys(q.Floor)) {
-			if ready[s] < q.Floor[s] {
-				return ErrFloor.Of(t.Machine, fmt.Errorf("%s would have %g ready of %g, by request %s", s, ready[s], q.Floor[s], id))
+		for _, s := range slices.Sorted(maps.Keys(q.CapacityFloor)) {
+			if ready[s] < q.CapacityFloor[s] {
+				return ErrUnderFloor.Of(t.Machine, fmt.Errorf("%s would have %g ready of %g, by request %s", s, ready[s], q.CapacityFloor[s], id))
 			}
 		}
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -95,15 +95,15 @@
 		refused += p.n.figures.ends[i].rejected.Load()
 		failed += p.n.figures.ends[i].failed.Load()
 	}
-	r := fleet.Report{Draining: p.n.front.shutdown.begun(), Backends: p.backends()}
-	r.Figures = fleet.Figures{
-		Connections: float64(p.n.front.held()), Allowed: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
-		Core:     (cpu - p.cpu).Seconds() / span / cmp.Or(p.n.cfg.Limits.Cores, 1),
-		InFlight: float64(p.n.front.inFlight.Load()),
-		Refused:  float64(refused-p.refused) / span, Failed: float64(failed-p.failed) / span,
+	r := fleet.Report{Draining: p.n.front.shutdown.begun(), Endpoints: p.backends()}
+	r.Metrics = fleet.LoadMetrics{
+		Connections: float64(p.n.front.held()), DescriptorLimit: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
+		CPUFraction:       (cpu - p.cpu).Seconds() / span / cmp.Or(p.n.cfg.Limits.Cores, 1),
+		InFlight:          float64(p.n.front.inFlight.Load()),
+		RejectedPerSecond: float64(refused-p.refused) / span, FailedPerSecond: float64(failed-p.failed) / span,
 	}
 	toBackends, _ := p.n.pool.held()
-	r.Figures.Descriptors = r.Figures.Connections + float64(toBackends)
+	r.Metrics.Descriptors = r.Metrics.Connections + float64(toBackends)
 	p.at, p.cpu, p.refused, p.failed = now, cpu, refused, failed
 
 	byConns := fleet.NewSketch(p.n.cfg.Fleet.Tenants)
@@ -112,16 +112,16 @@
 	for _, tenant := range p.conns {
 		byConns.Add(tenant, 1)
 	}
-	r.ByConns, r.ByWork = byConns.Top(fleetTop), p.work.Top(fleetTop)
+	r.TenantsByConnections, r.TenantsByWork = byConns.Top(fleetTop), p.work.Top(fleetTop)
 	p.work.Clear()
 	return r
 }
 
 // backends asks the loop what the module has found of them; none where the loop is too busy to say.
-func (p *fleetPart) backends() []fleet.BackendLoad {
-	told := make(chan []fleet.BackendLoad, 1)
+func (p *fleetPart) backends() []fleet.EndpointLoad {
+	told := make(chan []fleet.EndpointLoad, 1)
 	go p.n.loop.post(func() {
-		var out []fleet.BackendLoad
+		var out []fleet.EndpointLoad
 		for _, s := range p.n.loop.bal.EndpointLoads() {
 			out = append(out, backendLoad(p.n.loop.byNumber[s.ID].id, s))
 		}
@@ -139,8 +139,8 @@
 	}
 }
 
-func backendLoad(id string, s balance.EndpointLoad) fleet.BackendLoad {
-	return fleet.BackendLoad{ID: id, Estimate: s.QueueEstimate, Outstanding: s.InFlight, Failures: s.FailureRate}
+func backendLoad(id string, s balance.EndpointLoad) fleet.EndpointLoad {
+	return fleet.EndpointLoad{ID: id, QueueEstimate: s.QueueEstimate, Outstanding: s.InFlight, FailureRate: s.FailureRate}
 }
 
 // processTime is the processor time that this process has used.
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -76,25 +76,25 @@
 	}
 	r := n.fleet.report()
 	conns := func(r fleet.Report) float64 {
-		if i := slices.IndexFunc(r.ByConns, func(h fleet.Heavy) bool { return h.Key == "acme" }); i >= 0 {
-			return r.ByConns[i].Weight
+		if i := slices.IndexFunc(r.TenantsByConnections, func(h fleet.WeightedKey) bool { return h.Key == "acme" }); i >= 0 {
+			return r.TenantsByConnections[i].Weight
 		}
 		return 0
 	}
-	if conns(r) != 3 || r.Figures.Connections < 3 || r.Figures.Descriptors <= r.Figures.Connections || r.Figures.Allowed == 0 {
+	if conns(r) != 3 || r.Metrics.Connections < 3 || r.Metrics.Descriptors <= r.Metrics.Connections || r.Metrics.DescriptorLimit == 0 {
 		t.Errorf("%+v", r)
 	}
-	if len(r.ByWork) != 1 || r.ByWork[0].Key != "acme" || r.ByWork[0].Weight < 0.010 {
-		t.Errorf("work %+v", r.ByWork)
+	if len(r.TenantsByWork) != 1 || r.TenantsByWork[0].Key != "acme" || r.TenantsByWork[0].Weight < 0.010 {
+		t.Errorf("work %+v", r.TenantsByWork)
 	}
-	if len(r.Backends) != 1 || r.Backends[0].ID != "s-a" {
-		t.Errorf("backends %+v", r.Backends)
+	if len(r.Endpoints) != 1 || r.Endpoints[0].ID != "s-a" {
+		t.Errorf("backends %+v", r.Endpoints)
 	}
 	for _, c := range clients {
 		c.CloseIdleConnections()
 	}
 	eventually(t, "the ends of the connections", func() bool { return conns(n.fleet.report()) == 0 })
-	if again := n.fleet.report(); len(again.ByWork) != 0 {
-		t.Errorf("work is told twice: %+v", again.ByWork)
+	if again := n.fleet.report(); len(again.TenantsByWork) != 0 {
+		t.Errorf("work is told twice: %+v", again.TenantsByWork)
 	}
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -30,14 +30,14 @@
 
 // follow acts on one view.
 func (t *turns) follow(ctx context.Context, v fleet.View, incarnation uint64) {
-	if v.Turns == 0 {
+	if v.MaintenanceTurns == 0 {
 		clear(t.seen)
 		clear(t.at)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, turnWithin)
 	defer cancel()
-	var b maintenance.Board
+	var b maintenance.PlanView
 	if err := t.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
 		t.n.log.Warn("rota not read", "error", err)
 		return
@@ -47,18 +47,18 @@
 	if !ok {
 		return // the loop is too busy to say what is open: nothing is confirmed on a guess
 	}
-	for _, c := range maintenance.Next(b, l) {
+	for _, c := range maintenance.Propose(b, l) {
 		if err := t.propose(ctx, c); err != nil && c.Op == "rota-step" {
-			t.n.log.Info("turn not taken", "machine", c.Machine, "to", c.To, "error", err)
+			t.n.log.Info("turn not taken", "machine", c.Machine, "to", c.Target, "error", err)
 		}
 	}
 }
 
 // count takes in for how many views each turn has stood as it does.
-func (t *turns) count(b maintenance.Board) {
+func (t *turns) count(b maintenance.PlanView) {
 	seen, at := map[string]int{}, map[string]int64{}
 	for _, x := range b.Turns {
-		if at[x.Machine] = x.Rev; t.at[x.Machine] == x.Rev {
+		if at[x.Machine] = x.Revision; t.at[x.Machine] == x.Revision {
 			seen[x.Machine] = t.seen[x.Machine] + 1
 		}
 	}
@@ -66,11 +66,11 @@
 }
 
 // local asks the loop for the list that it holds and what it has open at whom.
-func (t *turns) local(ctx context.Context, v fleet.View, incarnation uint64) (maintenance.Local, bool) {
-	l := maintenance.Local{Node: t.n.cfg.Name, Incarnation: incarnation, View: maintenance.Stamp(v.Stamp), Seen: t.seen}
+func (t *turns) local(ctx context.Context, v fleet.View, incarnation uint64) (maintenance.NodeState, bool) {
+	l := maintenance.NodeState{Node: t.n.cfg.Name, Incarnation: incarnation, View: maintenance.ViewVersion(v.ViewVersion), ViewsUnchanged: t.seen}
 	for _, n := range v.Nodes {
 		if n.Fresh {
-			l.Nodes = append(l.Nodes, n.Node)
+			l.FreshNodes = append(l.FreshNodes, n.Node)
 		}
 	}
 	type held struct {
@@ -91,7 +91,7 @@
 	})
 	select {
 	case h := <-told:
-		l.Held, l.Open = h.revision, h.open
+		l.ListRevision, l.InFlight = h.revision, h.open
 		return l, true
 	case <-ctx.Done():
 	case <-t.n.loop.done:
@@ -103,7 +103,7 @@
 func (t *turns) propose(ctx context.Context, c maintenance.Command) error {
 	switch c.Op {
 	case "rota-settle":
-		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.Epoch, nil)
+		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.View, nil)
 	default:
 		path := "/registry/rota/machines/" + url.PathEscape(c.Machine) + "/" + strings.TrimPrefix(c.Op, "rota-")
 		return t.client.Call(ctx, http.MethodPost, path, c, nil)
--- a/internal/operror/operror.go
+++ b/internal/operror/operror.go
@@ -9,31 +9,31 @@
 )
 
 // Entry is one kind of error that a package gives.
-type Entry struct {
-	Code   string // stable, such as "registry.unknown-member"
-	Means  string // what failed
-	Remedy string // what an operator can do
-	Status int    // of the HTTP answer that tells of it
+type Kind struct {
+	Code    string // stable, such as "registry.unknown-member"
+	Meaning string // what failed
+	Remedy  string // what an operator can do
+	Status  int    // of the HTTP answer that tells of it
 }
 
 // Described is implemented by every error of this kind.
 type Described interface {
 	error
-	Describe() (e Entry, on string)
+	Describe() (e Kind, on string)
 }
 
 // Error is an error of the package whose marker type is P; each package names its own type by it, so that errors.As
 // tells errors of one package from those of another. Values with the same code match by errors.Is.
 type Error[P any] struct {
-	Entry
-	On    string // what it failed on; may be empty
-	Cause error  // may be nil
+	Kind
+	Subject string // what it failed on; may be empty
+	Cause   error  // may be nil
 }
 
 func (e *Error[P]) Error() string {
-	text := e.Means
-	if e.On != "" {
-		text = e.On + ": " + text
+	text := e.Meaning
+	if e.Subject != "" {
+		text = e.Subject + ": " + text
 	}
 	if e.Cause != nil {
 		text = fmt.Sprintf("%s: %v", text, e.Cause)
@@ -51,25 +51,25 @@
 }
 
 // Describe gives the kind of the error and what it failed on.
-func (e *Error[P]) Describe() (Entry, string) { return e.Entry, e.On }
+func (e *Error[P]) Describe() (Kind, string) { return e.Kind, e.Subject }
 
 // Of is the same error on something, by a cause that may be nil.
 func (e *Error[P]) Of(on string, cause error) *Error[P] {
-	return &Error[P]{Entry: e.Entry, On: on, Cause: cause}
+	return &Error[P]{Kind: e.Kind, Subject: on, Cause: cause}
 }
 
 // Set is the kinds of errors of one package.
-type Set[P any] struct{ entries []Entry }
+type Set[P any] struct{ entries []Kind }
 
 // Define adds a kind to the set and gives its error.
 func (s *Set[P]) Define(code string, status int, means, remedy string) *Error[P] {
-	e := Entry{Code: code, Means: means, Remedy: remedy, Status: status}
+	e := Kind{Code: code, Meaning: means, Remedy: remedy, Status: status}
 	s.entries = append(s.entries, e)
-	return &Error[P]{Entry: e}
+	return &Error[P]{Kind: e}
 }
 
 // Entries are the kinds in the order of their definition.
-func (s *Set[P]) Entries() []Entry { return s.entries }
+func (s *Set[P]) Entries() []Kind { return s.entries }
 
 // Find gives the described error in err's chain.
 func Find(err error) (Described, bool) {
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -45,4 +45,4 @@
 )
 
 // Problems are the kinds of errors that the registry gives.
-func Problems() []operror.Entry { return problems.Entries() }
+func Problems() []operror.Kind { return problems.Entries() }
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -30,10 +30,10 @@
 
 // publishedView is a view as all its readers get it.
 type publishedView struct {
-	version       fleet.Stamp
+	version       fleet.ViewVersion
 	json, gzipped []byte
 	publishedAt   time.Time
-	backends      []fleet.BackendView
+	backends      []fleet.EndpointView
 }
 
 func newViewPublisher(interval time.Duration) *viewPublisher {
@@ -44,7 +44,7 @@
 const viewHeader = "X-Fleet-View"
 
 // reportBody bounds a report's body, which is longer than what fleet allows by its echo.
-const maxReportBodyBytes = fleet.ReportMost + 8<<10
+const maxReportBodyBytes = fleet.MaxReportBytes + 8<<10
 
 func sessionKey(node string) string { return "session:" + node }
 
@@ -79,7 +79,7 @@
 	r.fsm.read(func(s *State) {
 		if sessions = len(r.sessions.Open); sessions > 0 || f.latest != nil {
 			v = f.collector.Compile(r.sessions, s.Revision, time.Since(f.clockStart))
-			v.Turns = len(r.maintenance.Turns)
+			v.MaintenanceTurns = len(r.maintenance.Turns)
 		}
 	})
 	if v.Epoch == 0 {
@@ -90,7 +90,7 @@
 		r.log.Error("view not encoded", "error", err)
 		return
 	}
-	f.latest = &publishedView{version: v.Stamp, json: text, gzipped: gzipText(text), publishedAt: time.Now(), backends: v.Backends}
+	f.latest = &publishedView{version: v.ViewVersion, json: text, gzipped: gzipText(text), publishedAt: time.Now(), backends: v.Endpoints}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -112,7 +112,7 @@
 		writeError(w, ErrMalformed.Of("wait_ms", fmt.Errorf("%q is not a number of milliseconds", req.URL.Query().Get("wait_ms"))))
 		return
 	}
-	var rep fleet.Echoed
+	var rep fleet.ReportRequest
 	req.Body = http.MaxBytesReader(w, req.Body, maxReportBodyBytes)
 	if err := decodeBody(req, &rep); err != nil {
 		writeError(w, err)
@@ -123,23 +123,23 @@
 		return
 	}
 	r.recordHeartbeat(sessionKey(rep.Node))
-	r.answerView(w, req, rep.Echo, min(time.Duration(waitMs)*time.Millisecond, maxWatchWait))
+	r.answerView(w, req, rep.LastView, min(time.Duration(waitMs)*time.Millisecond, maxWatchWait))
 }
 
-func (r *Replica) addReport(rep fleet.Echoed) error {
+func (r *Replica) addReport(rep fleet.ReportRequest) error {
 	f := r.views
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.collector == nil || f.collector.Term() != r.raft.CurrentTerm() {
-		return fleet.ErrNoView.Of(r.cfg.ID, nil)
+		return fleet.ErrViewNotReady.Of(r.cfg.ID, nil)
 	}
 	var err error
-	r.fsm.read(func(*State) { err = f.collector.Take(r.sessions, rep) })
+	r.fsm.read(func(*State) { err = f.collector.Add(r.sessions, rep) })
 	return err
 }
 
 // answerView answers with the first view that is not the one named, within wait.
-func (r *Replica) answerView(w http.ResponseWriter, req *http.Request, not fleet.Stamp, wait time.Duration) {
+func (r *Replica) answerView(w http.ResponseWriter, req *http.Request, not fleet.ViewVersion, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
@@ -179,7 +179,7 @@
 	v := r.views.latest
 	r.views.mu.Unlock()
 	if v == nil || !r.canServeReads() {
-		writeError(w, fleet.ErrNoView.Of(r.cfg.ID, nil))
+		writeError(w, fleet.ErrViewNotReady.Of(r.cfg.ID, nil))
 		return
 	}
 	writeView(w, req, v)
@@ -191,8 +191,8 @@
 		writeError(w, r.staleReadError())
 		return
 	}
-	var out fleet.Held
-	r.fsm.read(func(*State) { out = r.sessions.Told(req.PathValue("node")) })
+	var out fleet.SessionStatus
+	r.fsm.read(func(*State) { out = r.sessions.Status(req.PathValue("node")) })
 	writeJSON(w, out)
 }
 
@@ -204,7 +204,7 @@
 	if ttl := time.Duration(s.TTLms) * time.Millisecond; ttl < r.minTTL() {
 		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", s.TTLms, r.minTTL()))
 	}
-	return &openSessionCommand{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Check()
+	return &openSessionCommand{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Validate()
 }
 
 func (r *Replica) decodeCloseSession(req *http.Request) (statemachine.Command, error) {
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -31,7 +31,7 @@
 	c := fleetClient(addrs...)
 	a := fleet.NewAgent(fleet.AgentConfig{Node: name, Site: "a", Address: "127.0.0.1:1", Interval: fleetInterval, TTL: 2 * time.Second}, process, c,
 		func() fleet.Report {
-			return fleet.Report{Figures: fleet.Figures{Connections: 7, Allowed: 64}, Backends: []fleet.BackendLoad{{ID: "s-1", Estimate: 2}}}
+			return fleet.Report{Metrics: fleet.LoadMetrics{Connections: 7, DescriptorLimit: 64}, Endpoints: []fleet.EndpointLoad{{ID: "s-1", QueueEstimate: 2}}}
 		}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, done := make(chan error, 1), make(chan struct{})
@@ -71,7 +71,7 @@
 		await(t, "three fresh nodes", allFresh(a, 3))
 	}
 	v, _, _ := agents[0].View()
-	if v.Backends[0].Nodes != 3 || v.Backends[0].Estimate != 2 || v.Nodes[1].Figures.Connections != 7 {
+	if v.Endpoints[0].ReportingNodes != 3 || v.Endpoints[0].QueueEstimate != 2 || v.Nodes[1].Metrics.Connections != 7 {
 		t.Errorf("the view tells %+v", v)
 	}
 
@@ -96,7 +96,7 @@
 	await(t, "the newer process in the view", allFresh(newer, 3))
 	await(t, "the older one told", func() bool { return agents[1].Status().Superseded })
 
-	before := agents[0].Status().View
+	before := agents[0].Status().Version
 	for i, r := range c.replicas {
 		if r.Leader() {
 			c.stop(i)
@@ -105,7 +105,7 @@
 	}
 	await(t, "a view of a later term with all fresh", func() bool {
 		s := agents[0].Status()
-		return s.View.Term > before.Term && allFresh(agents[0], 3)()
+		return s.Version.Term > before.Term && allFresh(agents[0], 3)()
 	})
 }
 
@@ -120,7 +120,7 @@
 	if _, err := client.Open(ctx, s); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := client.Session(ctx, "n1"); err != nil || h.Last != 1 || h.Session == nil {
+	if h, err := client.Session(ctx, "n1"); err != nil || h.LastIncarnation != 1 || h.Session == nil {
 		t.Fatalf("%+v %v", h, err)
 	}
 	late := s
@@ -130,10 +130,10 @@
 	}
 	await(t, "expiry", func() bool {
 		h, err := client.Session(ctx, "n1")
-		return err == nil && h.Session == nil && h.Last == 1
+		return err == nil && h.Session == nil && h.LastIncarnation == 1
 	})
-	_, _, err := client.Report(ctx, fleet.Echoed{Report: fleet.Report{Node: "n1", Incarnation: 1, Seq: 1}}, 0)
-	if !errors.Is(err, fleet.ErrNoSession) {
+	_, _, err := client.Report(ctx, fleet.ReportRequest{Report: fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}}, 0)
+	if !errors.Is(err, fleet.ErrSessionNotFound) {
 		t.Errorf("a report without a session: %v", err)
 	}
 	for body, code := range map[string]string{
@@ -210,12 +210,12 @@
 	took     func(time.Duration)
 }
 
-func (t *timedRegistry) Report(ctx context.Context, r fleet.Echoed, wait time.Duration) (fleet.View, bool, error) {
+func (t *timedRegistry) Report(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (fleet.View, bool, error) {
 	v, came, err := t.Client.Report(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
 		r.views.mu.Lock()
-		if p := r.views.latest; came && p != nil && p.version == v.Stamp {
+		if p := r.views.latest; came && p != nil && p.version == v.ViewVersion {
 			t.took(now.Sub(p.publishedAt))
 		}
 		r.views.mu.Unlock()
@@ -225,13 +225,13 @@
 
 // sampleReport is a report as a node of the full fleet makes it: it keeps to some twenty backends.
 func sampleReport() fleet.Report {
-	r := fleet.Report{Figures: fleet.Figures{Connections: 123, Descriptors: 150, Allowed: 512, Core: 0.31, InFlight: 12, Refused: 0.2}}
+	r := fleet.Report{Metrics: fleet.LoadMetrics{Connections: 123, Descriptors: 150, DescriptorLimit: 512, CPUFraction: 0.31, InFlight: 12, RejectedPerSecond: 0.2}}
 	for i := range 20 {
-		r.Backends = append(r.Backends, fleet.BackendLoad{ID: fmt.Sprintf("s-%08x", i*2654435761), Estimate: 1.234, Outstanding: 2, Failures: 0.01})
+		r.Endpoints = append(r.Endpoints, fleet.EndpointLoad{ID: fmt.Sprintf("s-%08x", i*2654435761), QueueEstimate: 1.234, Outstanding: 2, FailureRate: 0.01})
 	}
 	for i := range 8 {
-		h := fleet.Heavy{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
-		r.ByConns, r.ByWork = append(r.ByConns, h), append(r.ByWork, h)
+		h := fleet.WeightedKey{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
+		r.TenantsByConnections, r.TenantsByWork = append(r.TenantsByConnections, h), append(r.TenantsByWork, h)
 	}
 	return r
 }
--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -16,11 +16,11 @@
 type memberInventory struct{ members *memberStore }
 
 // Units are the machines listed, by id.
-func (l memberInventory) Units() []maintenance.Unit {
-	out := make([]maintenance.Unit, 0, len(l.members.Records))
+func (l memberInventory) Machines() []maintenance.Machine {
+	out := make([]maintenance.Machine, 0, len(l.members.Records))
 	for _, id := range slices.Sorted(maps.Keys(l.members.Records)) {
 		x := l.members.Records[id].Member
-		out = append(out, maintenance.Unit{ID: id, Site: x.Locality, Cell: x.Cell, Size: x.Size, Ready: x.Phase == PhaseReady})
+		out = append(out, maintenance.Machine{ID: id, Site: x.Locality, Cell: x.Cell, Capacity: x.Size, Ready: x.Phase == PhaseReady})
 	}
 	return out
 }
@@ -38,10 +38,10 @@
 }
 
 // nodesOf are the sessions as the rota sees them.
-type liveSessions struct{ *fleet.Sessions }
+type liveSessions struct{ *fleet.SessionStore }
 
 // Live are the names of the nodes that have an open session, in order.
-func (n liveSessions) Live() []string { return slices.Sorted(maps.Keys(n.Open)) }
+func (n liveSessions) LiveNodes() []string { return slices.Sorted(maps.Keys(n.Open)) }
 
 // rotaRequest is an operator's request: machines by id, by a selector, or both.
 type maintenanceRequest struct {
@@ -83,9 +83,9 @@
 	}
 	out := map[string]any{}
 	r.fsm.read(func(s *State) {
-		out["revision"], out["epoch"] = s.Revision, r.maintenance.Epoch
-		out["short"] = r.maintenance.Short()
-		out["order"], out["turns"], out["requests"] = slices.Clone(r.maintenance.Order), r.maintenance.All(), maps.Clone(r.maintenance.Requests)
+		out["revision"], out["epoch"] = s.Revision, r.maintenance.SettledView
+		out["short"] = r.maintenance.TurnsToRecall()
+		out["order"], out["turns"], out["requests"] = slices.Clone(r.maintenance.Order), r.maintenance.ListTurns(), maps.Clone(r.maintenance.Requests)
 	})
 	writeJSON(w, out)
 }
@@ -114,7 +114,7 @@
 // what that view's nodes said, so no proposer has a word in them. A machine costs what its backends hold now: attempts of
 // live nodes and the estimate of its queue.
 func (r *Replica) decodeSettleOrder(req *http.Request) (statemachine.Command, error) {
-	var stamp fleet.Stamp
+	var stamp fleet.ViewVersion
 	if err := decodeBody(req, &stamp); err != nil {
 		return nil, err
 	}
@@ -122,11 +122,11 @@
 	v := r.views.latest
 	r.views.mu.Unlock()
 	if v == nil || v.version != stamp {
-		return nil, fleet.ErrNoView.Of("order", fmt.Errorf("view %d.%d is not the last", stamp.Term, stamp.Epoch))
+		return nil, fleet.ErrViewNotReady.Of("order", fmt.Errorf("view %d.%d is not the last", stamp.Term, stamp.Epoch))
 	}
-	c := &maintenance.Command{Op: "rota-settle", Epoch: maintenance.Stamp(stamp), Costs: map[string]float64{}}
+	c := &maintenance.Command{Op: "rota-settle", View: maintenance.ViewVersion(stamp), Costs: map[string]float64{}}
 	for _, b := range v.backends {
-		c.Costs[b.ID] = b.Outstanding + b.Estimate
+		c.Costs[b.ID] = b.Outstanding + b.QueueEstimate
 	}
 	return c, nil
 }
@@ -146,10 +146,10 @@
 			delete(seen, id)
 			continue
 		}
-		if s, ok := seen[id]; !ok || s.revision != t.Rev {
-			seen[id] = turnObservation{t.Rev, now}
-		} else if now.Sub(s.firstSeen) > time.Duration(r.maintenance.Length(t))*time.Millisecond {
-			due = append(due, &maintenance.Command{Op: "rota-overdue", Machine: id, Rev: t.Rev})
+		if s, ok := seen[id]; !ok || s.revision != t.Revision {
+			seen[id] = turnObservation{t.Revision, now}
+		} else if now.Sub(s.firstSeen) > time.Duration(r.maintenance.ExpectedMs(t))*time.Millisecond {
+			due = append(due, &maintenance.Command{Op: "rota-overdue", Machine: id, Revision: t.Revision})
 		}
 	}
 	for id := range seen {
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -72,8 +72,8 @@
 	ask["floor"] = map[string]float64{"a": 2}
 	status, code = rotaCall(t, "POST", url("/registry/rota/requests"), ask, nil)
 	expect("the request", status, code, 200, "")
-	step := func(id string, to maintenance.State, rev int64) (int, string) {
-		return rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{To: to, Rev: rev}, nil)
+	step := func(id string, to maintenance.TurnState, rev int64) (int, string) {
+		return rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{Target: to, Revision: rev}, nil)
 	}
 	var s rotaState
 	read := func() map[string]maintenance.Turn {
@@ -86,10 +86,10 @@
 		}
 		return out
 	}
-	status, code = step("s-0", maintenance.Granted, read()["s-0"].Rev)
+	status, code = step("s-0", maintenance.Granted, read()["s-0"].Revision)
 	expect("a grant before an order is settled", status, code, 409, "rota.out-of-order")
 	await(t, "a settled order", func() bool {
-		status, _ := rotaCall(t, "POST", url("/registry/rota/settle"), a.Status().View, nil)
+		status, _ := rotaCall(t, "POST", url("/registry/rota/settle"), a.Status().Version, nil)
 		return status == 200
 	})
 	// The nodes tell of s-1 alone (testAgent): what nobody tells of goes behind it.
@@ -97,13 +97,13 @@
 		t.Fatalf("order %v", s.Order)
 	}
 	id := s.Order[0]
-	status, code = step(s.Order[1], maintenance.Granted, read()[s.Order[1]].Rev)
+	status, code = step(s.Order[1], maintenance.Granted, read()[s.Order[1]].Revision)
 	expect("the second in order", status, code, 409, "rota.out-of-order")
-	for _, to := range []maintenance.State{maintenance.Granted, maintenance.Draining} {
-		status, code = step(id, to, read()[id].Rev)
+	for _, to := range []maintenance.TurnState{maintenance.Granted, maintenance.Draining} {
+		status, code = step(id, to, read()[id].Revision)
 		expect(string(to), status, code, 200, "")
 	}
-	status, code = step(s.Order[0], maintenance.Granted, read()[s.Order[0]].Rev)
+	status, code = step(s.Order[0], maintenance.Granted, read()[s.Order[0]].Revision)
 	expect("over the budget", status, code, 409, "rota.over-budget")
 	phase := func() string {
 		var l MemberList
@@ -117,24 +117,24 @@
 	}
 	await(t, "the list saying draining", func() bool { return phase() == PhaseDraining })
 	for i, n := range []string{"n0", "n1"} {
-		status, code = step(id, maintenance.Quiet, read()[id].Rev)
+		status, code = step(id, maintenance.Quiet, read()[id].Revision)
 		expect("quiet without "+n, status, code, 409, "rota.unconfirmed")
 		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
-			maintenance.Command{Node: n, Incarnation: 1, Held: read()[id].Drained - 1}, nil)
+			maintenance.Command{Node: n, Incarnation: 1, ListRevision: read()[id].DrainingRevision - 1}, nil)
 		expect("a confirmation of an older list", status, code, 409, "rota.no-such-step")
 		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
-			maintenance.Command{Node: n, Incarnation: 1, Held: read()[id].Drained}, nil)
+			maintenance.Command{Node: n, Incarnation: 1, ListRevision: read()[id].DrainingRevision}, nil)
 		expect(fmt.Sprint("confirmation ", i), status, code, 200, "")
 	}
-	for _, to := range []maintenance.State{maintenance.Quiet, maintenance.Out, maintenance.Returning} {
-		status, code = step(id, to, read()[id].Rev)
+	for _, to := range []maintenance.TurnState{maintenance.Quiet, maintenance.Out, maintenance.Returning} {
+		status, code = step(id, to, read()[id].Revision)
 		expect(string(to), status, code, 200, "")
 	}
 	await(t, "the list saying ready", func() bool { return phase() == PhaseReady })
-	stale := read()[id].Rev - 1
+	stale := read()[id].Revision - 1
 	status, code = step(id, maintenance.Done, stale)
 	expect("a step from what was before", status, code, 409, "rota.changed-since")
-	status, code = step(id, maintenance.Done, read()[id].Rev)
+	status, code = step(id, maintenance.Done, read()[id].Revision)
 	expect("done", status, code, 200, "")
 	if _, ok := read()[id]; ok {
 		t.Error("a turn that is done is kept")
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -39,8 +39,8 @@
 	transport *raft.NetworkTransport
 	metrics   *metrics
 
-	sessions    *fleet.Sessions   // in the state; read under the fsm's lock
-	maintenance *maintenance.Rota // likewise
+	sessions    *fleet.SessionStore // in the state; read under the fsm's lock
+	maintenance *maintenance.Plan   // likewise
 	views       *viewPublisher
 
 	openWatches  atomic.Int64  // watches waiting now
@@ -87,9 +87,9 @@
 		return nil, fmt.Errorf("raft store: %w", err)
 	}
 	store := newRetryingStore(wrap(file), log)
-	sessions := fleet.NewSessions()
+	sessions := fleet.NewSessionStore()
 	state := NewState(cfg.ChangeLogSize, sessions)
-	turns := maintenance.New(memberInventory{state.memberStore}, liveSessions{sessions})
+	turns := maintenance.NewPlan(memberInventory{state.memberStore}, liveSessions{sessions})
 	state.addMachines(turns)
 	r := &Replica{cfg: cfg, log: log.With("component", "registry", "node", cfg.ID), store: store, sessions: sessions,
 		maintenance: turns,
--- a/internal/registry/snapstore.go
+++ b/internal/registry/snapstore.go
@@ -21,7 +21,7 @@
 // snapshot counts as taken only once it and the manifest are durable; a damaged newest one is logged with file and
 // offset, and the one before it serves.
 type snapshotStore struct {
-	files durable.Snapshots
+	files durable.SnapshotStore
 	log   *slog.Logger
 
 	// listed is the snapshot that List last read and verified, kept for the Open that raft makes of it next, so
@@ -39,7 +39,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("snapshots: %w", err)
 	}
-	return &snapshotStore{files: durable.Snapshots{FS: durable.OS{}, Dir: dir, Keep: 2}, log: log}, nil
+	return &snapshotStore{files: durable.SnapshotStore{FS: durable.OSFS{}, Dir: dir, Keep: 2}, log: log}, nil
 }
 
 func (s *snapshotStore) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration,
