--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -173,10 +173,10 @@
 func (m endpointListQuery) handle(l *eventLoop) { m.reply <- l.listed() }
 
 // endpointLoadQuery asks for the Balancer's estimates of each endpoint's load.
-type endpointLoadQuery struct{ reply chan<- []fleet.BackendLoad }
+type endpointLoadQuery struct{ reply chan<- []fleet.EndpointLoad }
 
 func (m endpointLoadQuery) handle(l *eventLoop) {
-	var loads []fleet.BackendLoad
+	var loads []fleet.EndpointLoad
 	for _, load := range l.balancer.EndpointLoads() {
 		loads = append(loads, backendLoad(l.backendsByEndpointID[load.ID].id, load))
 	}
