--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,25 +8,25 @@
 
 // slack is the longest wait that still lets an average request be answered within its aim. Longer queues
 // serve no one in time and clear only by refusing: overload jams without this.
-func (b *Balancer) slack() float64 { return max(b.meanAim-b.meanBase(), 0) }
+func (b *Balancer) latencySlack() float64 { return max(b.meanObjective-b.meanUnloadedLatency(), 0) }
 
 // bound is the longest wait at which a request is still sent: a part of the slack, or of the time without a
 // queue where that is more, since with all servers slow at once there is no slack, and shorter queues would
 // leave them idle and make no answer come sooner.
-func (b *Balancer) bound(r *request) float64 {
-	lean := min(max(b.lean(r), 1/leanMost), leanMost)
-	return b.part * max(b.slack(), b.meanBase()) * lean
+func (b *Balancer) maxQueueWait(r *request) float64 {
+	lean := min(max(b.priorityFactor(r), 1/maxPriorityFactor), maxPriorityFactor)
+	return b.queueBudget * max(b.latencySlack(), b.meanUnloadedLatency()) * lean
 }
 
 // lean is how the bound for a request compares with that of others: what is worth more for its work waits
 // longer, so that it is served where not all can be.
 // Traffic beyond its tenant's share is the first to be refused, as it earns little. Only what was sent
 // counts: what was refused comes back, often several times.
-func (b *Balancer) lean(r *request) float64 {
+func (b *Balancer) priorityFactor(r *request) float64 {
 	lean := 1.0
-	if b.meanValue > 0 {
-		lean = b.value(r) / b.meanValue
-		if left := b.shareLeft(r); left != nil && *left < 1 {
+	if b.meanPriority > 0 {
+		lean = b.priority(r) / b.meanPriority
+		if left := b.remainingQuota(r); left != nil && *left < 1 {
 			lean *= b.cfg.OverQuotaValue
 		}
 	}
@@ -34,28 +34,28 @@
 }
 
 // value is what a request is worth for each unit of work, which is that of a mean class.
-func (b *Balancer) value(r *request) float64 {
-	if b.cfg.PriorityPerWork || b.work(r) == 0 {
+func (b *Balancer) priority(r *request) float64 {
+	if b.cfg.PriorityPerWork || b.expectedWork(r) == 0 {
 		return r.class.PriorityWeight
 	}
-	return r.class.PriorityWeight * b.meanBase() / b.work(r)
+	return r.class.PriorityWeight * b.meanUnloadedLatency() / b.expectedWork(r)
 }
 
 // pressure moves the bound on the wait. Crowded servers can work so badly that a bearable queue never clears,
 // and only lateness shows it. Only what the queue made late counts: a heavy request is late in any queue.
-func (b *Balancer) pressure(st Status, late time.Duration, queued float64) {
-	if b.judgedAt > 0 { // a clock that starts anywhere tells nothing of the first gap
-		b.gap += paceWeight * ((b.now - b.judgedAt).Seconds() - b.gap)
+func (b *Balancer) adjustQueueBudget(st Status, late time.Duration, queued float64) {
+	if b.lastOutcomeAt > 0 { // a clock that starts anywhere tells nothing of the first gap
+		b.answerGap += sampleWeight * ((b.now - b.lastOutcomeAt).Seconds() - b.answerGap)
 	}
-	b.judgedAt = b.now
-	step := min(partSpeed*b.gap, partStep) * b.part
+	b.lastOutcomeAt = b.now
+	step := min(queueBudgetRatePerSecond*b.answerGap, maxQueueBudgetStep) * b.queueBudget
 	switch {
 	case st == StatusTimedOut || st == StatusSucceeded && late > 0 && late.Seconds() <= queued:
-		b.part -= step
+		b.queueBudget -= step
 	case st == StatusSucceeded && late <= 0:
-		b.part += step / lateOnce
+		b.queueBudget += step / answersPerLateOne
 	}
-	b.part = min(max(b.part, partLeast), partMost)
-	b.logTransition(&b.crowded, b.part == partLeast, b.part >= partFirst,
+	b.queueBudget = min(max(b.queueBudget, minQueueBudget), maxQueueBudget)
+	b.logTransition(&b.overloaded, b.queueBudget == minQueueBudget, b.queueBudget >= initialQueueBudget,
 		"answers come late: refusing early", "answers in time again")
 }
--- a/balance/comeback.go
+++ b/balance/comeback.go
@@ -7,15 +7,15 @@
 
 // comeBack is the advice that goes with a refusal: when the shortest queue will have fallen to what is sent to
 // now. Where a queue is not the reason it is the time of one place in a queue, and with no server an aim.
-func (b *Balancer) comeBack() time.Duration {
-	in, bound := math.Inf(1), b.part*max(b.slack(), b.meanBase()) // for a request of mean worth
-	for _, s := range b.ready {
-		in = min(in, b.wait(s)-bound)
+func (b *Balancer) retryAfter() time.Duration {
+	in, bound := math.Inf(1), b.queueBudget*max(b.latencySlack(), b.meanUnloadedLatency()) // for a request of mean worth
+	for _, s := range b.usable {
+		in = min(in, b.expectedWait(s)-bound)
 	}
 	if math.IsInf(in, 1) {
-		in = b.meanAim
+		in = b.meanObjective
 	}
-	in = max(in, b.peerPace)
+	in = max(in, b.meanServiceTime)
 	if most := b.cfg.Limits.MaxRetryAfter.Seconds(); most > 0 {
 		in = min(in, most)
 	}
@@ -24,13 +24,13 @@
 
 // shareLeft returns how many requests this node's part of a tenant's share still holds, brought up to
 // now, or nil where there are no shares.
-func (b *Balancer) shareLeft(r *request) *float64 {
-	if r.tenant < 0 || r.tenant >= len(b.shares) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
+func (b *Balancer) remainingQuota(r *request) *float64 {
+	if r.tenant < 0 || r.tenant >= len(b.quotas) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
 		return nil
 	}
-	share := &b.shares[r.tenant]
+	share := &b.quotas[r.tenant]
 	rate := b.cfg.Tenants[r.tenant].QuotaPerSecond / float64(b.cfg.Instances)
-	share.left = min(share.left+rate*(b.now-share.at).Seconds(), max(rate*shareSpan, shareLeast))
-	share.at = b.now
-	return &share.left
+	share.requests = min(share.requests+rate*(b.now-share.updatedAt).Seconds(), max(rate*quotaBurstSeconds, minQuotaBurst))
+	share.updatedAt = b.now
+	return &share.requests
 }
--- a/balance/comeback_test.go
+++ b/balance/comeback_test.go
@@ -12,10 +12,10 @@
 		cfg.Limits.MaxRetryAfter = 2 * time.Second
 		r := newRig(t, cfg, members...)
 		r.serve(100, safe, steady)
-		for _, s := range r.b.servers {
-			s.more, s.told = others, others
+		for _, s := range r.b.endpoints {
+			s.loadBias, s.reportedLoad = others, others
 		}
-		return r.b.comeBack()
+		return r.b.retryAfter()
 	}
 	free, full := advice(0, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0)), advice(500, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	if free <= 0 || full <= free || full > 2*time.Second {
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -53,7 +53,7 @@
 	}
 	now += time.Second
 	b.Handle(now, CordonChanged{Endpoint: 1, At: now}, nil)
-	if w := b.warmth(b.servers[1]); w >= 0.5 {
+	if w := b.slowStartFraction(b.endpoints[1]); w >= 0.5 {
 		t.Errorf("warmth %v at once", w)
 	}
 	if got := picks(b, now, 900); got[1] == 0 || got[1] > got[2]/2 {
@@ -76,20 +76,20 @@
 	b.Handle(at(100), EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}}, nil)
 	b.Handle(at(110), CordonChanged{Endpoint: 1, Cordoned: true, At: at(110)}, nil)
 	b.Handle(at(120), CordonChanged{Endpoint: 1, At: at(120)}, nil)
-	s := b.servers[1]
-	if w := b.warmth(s); w != 0.2 {
+	s := b.endpoints[1]
+	if w := b.slowStartFraction(s); w != 0.2 {
 		t.Errorf("warmth %v, want 0.2", w)
 	}
-	s.credit = 0.125
+	s.slowStartCredit = 0.125
 	b.Handle(at(120.5), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(112)}}}, nil)
-	if s.credit != 0.125 {
-		t.Errorf("credit %v: the grant was given twice", s.credit)
+	if s.slowStartCredit != 0.125 {
+		t.Errorf("credit %v: the grant was given twice", s.slowStartCredit)
 	}
-	if w := b.warmth(s); w <= 0.8 {
+	if w := b.slowStartFraction(s); w <= 0.8 {
 		t.Errorf("warmth %v by the list's start", w)
 	}
 	b.Handle(at(121), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(121)}}}, nil)
-	if w := b.warmth(s); w != 0.2 {
+	if w := b.slowStartFraction(s); w != 0.2 {
 		t.Errorf("warmth %v after another restart, want 0.2", w)
 	}
 }
--- a/balance/departures_test.go
+++ b/balance/departures_test.go
@@ -35,7 +35,7 @@
 			sends = of(Forward, r.last)
 		}
 		for _, a := range probes {
-			r.do(report(a.Endpoint, r.b.servers[a.Endpoint].out))
+			r.do(report(a.Endpoint, r.b.endpoints[a.Endpoint].inFlight))
 		}
 	}
 	return count
@@ -58,9 +58,9 @@
 
 // holds makes the node believe that others have so much at a server, now and usually.
 func (r *rig) holds(id EndpointID, queue float64) {
-	s := r.b.servers[id]
-	s.told, s.more = queue, 0
-	r.b.zones[s.Zone] = crowd{others: queue, reports: 1e9, at: r.now}
+	s := r.b.endpoints[id]
+	s.reportedLoad, s.loadBias = queue, 0
+	r.b.zoneLoads[s.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
 }
 
 func steady(EndpointID) time.Duration { return 20 * ms }
@@ -73,11 +73,11 @@
 func TestAnswersTakeBackTheirIncrement(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(5, safe, steady)
-	if e := r.b.entry(r.b.servers[1]); e != 0 {
+	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
 		t.Errorf("entry %v after all was answered", e)
 	}
 	r.arrive("x", safe)
-	if e := r.b.entry(r.b.servers[1]); e != 1 {
+	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
 		t.Errorf("entry %v with one request out", e)
 	}
 }
@@ -87,11 +87,11 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.arrive("x", safe)
 	r.outcome("x", 0, 1, StatusRejected)
-	if e := r.b.entry(r.b.servers[1]); e != 1 {
+	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
 		t.Errorf("entry %v", e)
 	}
 	r.do(report(1, 0))
-	if e := r.b.entry(r.b.servers[1]); e != 0 {
+	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
 		t.Errorf("entry %v after a report", e)
 	}
 }
@@ -108,7 +108,7 @@
 		}
 		r.wait(c.wait)
 		r.do(report(1, c.report))
-		if e := r.b.entry(r.b.servers[1]); e < 3 || e > 3.1 {
+		if e := r.b.queueEstimate(r.b.endpoints[1]); e < 3 || e > 3.1 {
 			t.Errorf("entry %v with three out %v ago and a report of %v", e, c.wait, c.report)
 		}
 	}
@@ -119,19 +119,19 @@
 func TestFirstReports(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.do(report(1, 10))
-	if o := r.b.others(r.b.servers[1]); o != 10 {
+	if o := r.b.otherNodesLoad(r.b.endpoints[1]); o != 10 {
 		t.Errorf("others %v after a first report of 10", o)
 	}
 	for i := range 100 {
 		r.wait(5 * time.Second)
 		r.do(report(2, float64(10+i%2)))
 	}
-	if o := r.b.others(r.b.servers[3]); o < 9 || o > 11 {
+	if o := r.b.otherNodesLoad(r.b.endpoints[3]); o < 9 || o > 11 {
 		t.Errorf("others %v at a server not seen yet, 10 at its peers", o)
 	}
 	r.wait(5 * time.Second)
 	r.do(report(3, 0))
-	if o := r.b.usual(r.b.servers[3]); o < 6 {
+	if o := r.b.expectedLoad(r.b.endpoints[3]); o < 6 {
 		t.Errorf("usual %v after a single look: the smallest of many such is chance", o)
 	}
 	for range 40 {
@@ -140,7 +140,7 @@
 		r.do(report(2, 10))
 		r.do(report(1, 10))
 	}
-	if o := r.b.usual(r.b.servers[3]); o > 2 {
+	if o := r.b.expectedLoad(r.b.endpoints[3]); o > 2 {
 		t.Errorf("usual %v at a server that always reports 0", o)
 	}
 }
@@ -149,7 +149,7 @@
 func TestEqualReportsPastTheirTimeAreNews(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(5, safe, steady)
-	r.b.servers[1].time, r.b.servers[1].depth = 1, 0 // so slow that its reports still hold when they come
+	r.b.endpoints[1].meanLatency, r.b.endpoints[1].meanQueueAtArrival = 1, 0 // so slow that its reports still hold when they come
 	for _, q := range []float64{5, 9, 0} {
 		r.wait(200 * ms)
 		r.do(report(1, q))
@@ -160,7 +160,7 @@
 		r.wait(time.Second)
 		r.do(report(1, 0))
 	}
-	if is := r.b.entry(r.b.servers[1]); is > was/4 {
+	if is := r.b.queueEstimate(r.b.endpoints[1]); is > was/4 {
 		t.Errorf("entry %v, then %v after many reports of 0", was, is)
 	}
 }
@@ -173,19 +173,19 @@
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, safe, steady)
-		s := r.b.servers[1]
+		s := r.b.endpoints[1]
 		for i := range 300 { // what the time between reports is learned from
 			r.wait(c.gap)
 			r.do(report(1, float64(10+i%2)))
 			r.do(report(2, 10))
 		}
 		r.holds(1, 10)
-		s.time, s.depth = c.pace.Seconds(), 0
+		s.meanLatency, s.meanQueueAtArrival = c.pace.Seconds(), 0
 		r.wait(c.gap)
 		r.do(report(2, 10))
 		r.do(report(1, 0))
-		if kept := r.b.entry(s) > 5; kept != c.kept {
-			t.Errorf("reports %v apart, %v a place: entry 10 became %v", c.gap, c.pace, r.b.entry(s))
+		if kept := r.b.queueEstimate(s) > 5; kept != c.kept {
+			t.Errorf("reports %v apart, %v a place: entry 10 became %v", c.gap, c.pace, r.b.queueEstimate(s))
 		}
 	}
 }
@@ -203,15 +203,15 @@
 func TestColdAnswersCountAsWarm(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
 	r.serve(100, safe, steady)
-	s := r.b.servers[2]
+	s := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
-		r.b.learn(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{to: s}, 100*ms)
+		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{endpoint: s}, 100*ms)
 	}
-	if cold, peer := r.b.pace(s), r.b.pace(r.b.servers[1]); cold < 2*peer {
+	if cold, peer := r.b.serviceTime(s), r.b.serviceTime(r.b.endpoints[1]); cold < 2*peer {
 		t.Errorf("pace %v while cold, %v at a warm server", cold, peer)
 	}
 	s.StartedAt = 1
-	if cold, warm := r.b.pace(s), r.b.pace(r.b.servers[1]); cold > 1.5*warm {
+	if cold, warm := r.b.serviceTime(s), r.b.serviceTime(r.b.endpoints[1]); cold > 1.5*warm {
 		t.Errorf("pace %v once warm, %v at a server that was always warm", cold, warm)
 	}
 }
@@ -220,14 +220,14 @@
 func TestUnheardServersAreForgiven(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, safe, steady)
-	s := r.b.servers[2]
-	s.time, s.depth = 1, 0 // a pace of one second, fifty times that of its peer
+	s := r.b.endpoints[2]
+	s.meanLatency, s.meanQueueAtArrival = 1, 0 // a pace of one second, fifty times that of its peer
 	for range 60 {
 		r.wait(1500 * ms)
 		r.serve(1, safe, steady)
 	}
-	if now := r.b.pace(s); now > 2*r.b.peerPace {
-		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.peerPace)
+	if now := r.b.serviceTime(s); now > 2*r.b.meanServiceTime {
+		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.meanServiceTime)
 	}
 }
 
@@ -263,7 +263,7 @@
 		r.wait(1500 * ms)
 		r.do(ClientDisconnected{})
 	}
-	if e := r.b.entry(r.b.servers[1]); e > 0.1 {
+	if e := r.b.queueEstimate(r.b.endpoints[1]); e > 0.1 {
 		t.Errorf("entry %v", e)
 	}
 }
@@ -273,9 +273,9 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(400, unsafe, func(EndpointID) time.Duration { return 0 })
-	s := r.b.servers[1]
-	if charge := r.b.cost(s) - (r.b.entry(s)+1)*r.b.pace(s); s.fails < 0.3 || charge > s.fails*failAims*r.b.meanAim/2 {
-		t.Errorf("rate %v, of all %v, charged %v", s.fails, r.b.allFail, charge)
+	s := r.b.endpoints[1]
+	if charge := r.b.cost(s) - (r.b.queueEstimate(s)+1)*r.b.serviceTime(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.meanObjective/2 {
+		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.meanFailureRate, charge)
 	}
 }
 
@@ -302,7 +302,7 @@
 			kept = id
 		}
 	}
-	if r.b.servers[1].out != 1 || r.b.servers[2].out != 1 {
+	if r.b.endpoints[1].inFlight != 1 || r.b.endpoints[2].inFlight != 1 {
 		t.Fatal("both attempts went to one server")
 	}
 	r.outcome(kept, 0, 1, StatusSucceeded)
@@ -321,7 +321,7 @@
 	r.serve(1, safe, steady)
 	r.outcome("lost", 0, 1, StatusTimedOut)
 	r.wait(time.Minute)
-	if s := r.b.silence(r.b.servers[1]); s != 0 {
+	if s := r.b.silenceSeconds(r.b.endpoints[1]); s != 0 {
 		t.Errorf("%v s of silence with nothing out", s)
 	}
 }
@@ -330,10 +330,10 @@
 // that holds as many of others, the latter is chosen.
 func TestOwnAttemptsCountTwice(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	own, other := r.b.servers[1], r.b.servers[2]
-	own.out, other.told = 2, 2.5
-	other.more, other.toldAt = 2.5, r.now
-	own.owesAt = r.now
+	own, other := r.b.endpoints[1], r.b.endpoints[2]
+	own.inFlight, other.reportedLoad = 2, 2.5
+	other.loadBias, other.reportedAt = 2.5, r.now
+	own.silentSince = r.now
 	r.arrive("x", safe)
 	if to := r.sent(); to != 2 {
 		t.Errorf("sent to %d, which holds this node's own", to)
@@ -346,7 +346,7 @@
 	r.arrive("slow", safe)
 	r.serve(5, safe, steady)
 	r.outcome("slow", 0, 1, StatusTimedOut)
-	if f := r.b.servers[1].fails; f != 0 {
+	if f := r.b.endpoints[1].failureRate; f != 0 {
 		t.Errorf("rate of failures %v", f)
 	}
 }
@@ -375,7 +375,7 @@
 			continue
 		}
 		to := r.sent()
-		r.b.requests[id].attempts[0].wait = 0.4 // what made it late
+		r.b.requests[id].attempts[0].waitAtSend = 0.4 // what made it late
 		r.wait(400 * ms)
 		r.note(r.do(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
 	}
@@ -394,16 +394,16 @@
 func TestLatenessTightensTheBound(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(1000, safe, steady)
-	if r.b.part < 2*partFirst || r.b.part > partMost {
-		t.Fatalf("part %v while all is in time", r.b.part)
+	if r.b.queueBudget < 2*initialQueueBudget || r.b.queueBudget > maxQueueBudget {
+		t.Fatalf("part %v while all is in time", r.b.queueBudget)
 	}
 	r.late(200)
-	if r.b.part != partLeast {
-		t.Errorf("part %v after 200 late answers", r.b.part)
+	if r.b.queueBudget != minQueueBudget {
+		t.Errorf("part %v after 200 late answers", r.b.queueBudget)
 	}
 	r.serve(3000, safe, steady)
-	if r.b.part < partFirst {
-		t.Errorf("part %v after 3000 in time", r.b.part)
+	if r.b.queueBudget < initialQueueBudget {
+		t.Errorf("part %v after 3000 in time", r.b.queueBudget)
 	}
 }
 
@@ -411,17 +411,17 @@
 func TestTimesWithoutAQueueIgnoreQueues(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
-	was := r.b.classes[safe].base
+	was := r.b.classes[safe].unloadedLatency
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		r.b.part = partMost
+		r.b.queueBudget = maxQueueBudget
 		r.holds(1, 2)
 		r.arrive(id, safe)
 		r.sent()
 		r.wait(100 * ms)
 		r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
 	}
-	if base := r.b.classes[safe].base; base != was {
+	if base := r.b.classes[safe].unloadedLatency; base != was {
 		t.Errorf("from %v to %v", was, base)
 	}
 }
@@ -430,7 +430,7 @@
 func TestTimeOutsOfSilentServersAreNoPressure(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(300, safe, steady)
-	was := r.b.part
+	was := r.b.queueBudget
 	for i := range 5 {
 		r.arrive(fmt.Sprint(i), unsafe)
 	}
@@ -438,8 +438,8 @@
 	for i := range 5 {
 		r.outcome(fmt.Sprint(i), 0, 1, StatusTimedOut)
 	}
-	if r.b.part != was {
-		t.Errorf("part went from %v to %v", was, r.b.part)
+	if r.b.queueBudget != was {
+		t.Errorf("part went from %v to %v", was, r.b.queueBudget)
 	}
 }
 
@@ -450,7 +450,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	bound := func(tenant int) float64 {
-		return r.b.bound(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
+		return r.b.maxQueueWait(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
 	}
 	if bound(0) >= bound(1) { // the first tenant's share is long used up
 		t.Errorf("bounds %v over the share and %v within", bound(0), bound(1))
@@ -466,12 +466,12 @@
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, safe, steady)
 		r.serve(100, unsafe, steady)
-		dear := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-		cheap := r.b.bound(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
+		dear := r.b.maxQueueWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+		cheap := r.b.maxQueueWait(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
 		if dear < 2*cheap {
 			t.Errorf("by work %v: bound %v for much worth, %v for little", byWork, dear, cheap)
 		}
-		heavy := r.b.bound(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, hint: time.Second})
+		heavy := r.b.maxQueueWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, workHint: time.Second})
 		if byWork != (heavy == dear) {
 			t.Errorf("by work %v: bound %v for a heavy request, %v for a usual one", byWork, heavy, dear)
 		}
@@ -515,7 +515,7 @@
 			}
 		}
 		// Two arrivals in each of 1000 ticks, and at most probesPerTick probes in each.
-		want := int(min(1000*probesPerTick, 2000*probeSpend/max(price, 1e-9)))
+		want := int(min(1000*maxHealthChecksPerTick, 2000*healthCheckSpend/max(price, 1e-9)))
 		if probes < want*9/10 || probes > want*11/10+1 || len(seen) != 3 {
 			t.Errorf("price %v: %d probes of %d servers, want %d", price, probes, len(seen), want)
 		}
@@ -561,7 +561,7 @@
 			send(fmt.Sprint("warm", i))
 		}
 		busy = true
-		r.b.servers[1].more = 500 // so that it would all go to the cold one
+		r.b.endpoints[1].loadBias = 500 // so that it would all go to the cold one
 		cold := listedEndpoint(2, 0, 0)
 		cold.StartedAt = r.now
 		r.do(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{cold}})
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -49,8 +49,8 @@
 func TestTheRetryBudgetIsCapped(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(1000, safe, steady)
-	if r.b.retries != retryMost {
-		t.Errorf("%v retries saved up", r.b.retries)
+	if r.b.retryBudget != maxRetryBudget {
+		t.Errorf("%v retries saved up", r.b.retryBudget)
 	}
 }
 
@@ -69,8 +69,8 @@
 	for i := range 100 { // one tick
 		r.arrive(fmt.Sprint("burst", i), unsafe)
 	}
-	if r.b.probeDue > 2*probesPerTick {
-		t.Errorf("%v probes saved up", r.b.probeDue)
+	if r.b.checkCredit > 2*maxHealthChecksPerTick {
+		t.Errorf("%v probes saved up", r.b.checkCredit)
 	}
 }
 
@@ -93,11 +93,11 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.do(RequestArrived{Request: "left", Class: safe, TimeLeft: time.Second})
 	r.do(RequestArrived{Request: "stays", Class: safe, TimeLeft: time.Second})
-	if len(r.b.held) != 2 {
-		t.Fatalf("%d requests are held", len(r.b.held))
+	if len(r.b.awaitingChecks) != 2 {
+		t.Fatalf("%d requests are held", len(r.b.awaitingChecks))
 	}
 	r.do(ClientDisconnected{Request: "left"})
-	if sent := of(Forward, r.do(TimerFired{ID: r.b.lastMark})); len(sent) != 1 || sent[0].Request != "stays" {
+	if sent := of(Forward, r.do(TimerFired{ID: r.b.lastTimerID})); len(sent) != 1 || sent[0].Request != "stays" {
 		t.Errorf("sent %+v", sent)
 	}
 	if len(r.b.requests) != 1 {
@@ -142,11 +142,11 @@
 	old.StartedAt = time.Hour
 	r := newRig(t, site(), old, listedEndpoint(2, 0, 0))
 	r.serve(50, safe, steady)
-	s := r.b.servers[1]
-	s.credit, s.served, s.time = -9, 9, 9
+	s := r.b.endpoints[1]
+	s.slowStartCredit, s.workServed, s.meanLatency = -9, 9, 9
 	old.StartedAt = r.now
 	r.do(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
-	if s.credit < 0 || s.served != 0 || s.time != 0 || s.since != r.now {
+	if s.slowStartCredit < 0 || s.workServed != 0 || s.meanLatency != 0 || s.knownSince != r.now {
 		t.Errorf("%+v", *s)
 	}
 }
@@ -158,14 +158,14 @@
 	cold.StartedAt = time.Hour
 	r := newRig(t, site(), cold, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	roll := func(work float64) float64 {
-		for _, s := range r.b.servers {
-			s.served = work
+		for _, s := range r.b.endpoints {
+			s.workServed = work
 		}
-		r.b.servers[1].served = 1000 * work
-		r.b.servers[3].served, r.b.servers[3].since = 1000*work, r.now+ms // came just now
+		r.b.endpoints[1].workServed = 1000 * work
+		r.b.endpoints[3].workServed, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // came just now
 		r.wait(1500 * ms)
 		r.do(TimerFired{})
-		return r.b.warmRate
+		return r.b.warmThroughput
 	}
 	r.wait(1500 * ms)
 	r.do(TimerFired{})
@@ -173,7 +173,7 @@
 	if math.Abs(high-2) > 0.01 {
 		t.Errorf("rate %v, want 3 in 1.5 s", high)
 	}
-	if low := roll(0); low != rateDecay*high {
+	if low := roll(0); low != warmThroughputDecay*high {
 		t.Errorf("rate %v after a lull, %v before", low, high)
 	}
 }
@@ -185,9 +185,9 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, steady)
-	usual := r.b.part * max(r.b.slack(), r.b.meanBase())
-	for class, want := range map[int]float64{safe: leanMost * usual, unsafe: usual / leanMost} {
-		got := r.b.bound(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
+	usual := r.b.queueBudget * max(r.b.latencySlack(), r.b.meanUnloadedLatency())
+	for class, want := range map[int]float64{safe: maxPriorityFactor * usual, unsafe: usual / maxPriorityFactor} {
+		got := r.b.maxQueueWait(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
 		if math.Abs(got-want) > 1e-9 && class == unsafe || got > want+1e-9 {
 			t.Errorf("class %d: bound %v, want %v", class, got, want)
 		}
@@ -198,9 +198,9 @@
 func TestSlowServersStillQueue(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(200, safe, func(EndpointID) time.Duration { return 600 * ms })
-	got := r.b.bound(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-	if r.b.slack() != 0 || got < partLeast*0.5 {
-		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.slack(), got)
+	got := r.b.maxQueueWait(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+	if r.b.latencySlack() != 0 || got < minQueueBudget*0.5 {
+		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.latencySlack(), got)
 	}
 }
 
@@ -209,7 +209,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(1, safe, func(EndpointID) time.Duration { return 280 * ms })
 	r.serve(9, safe, steady)
-	if base := r.b.classes[safe].base; math.Abs(base-0.046) > 0.001 {
+	if base := r.b.classes[safe].unloadedLatency; math.Abs(base-0.046) > 0.001 {
 		t.Errorf("%v s, the mean is 0.046", base)
 	}
 }
@@ -222,12 +222,12 @@
 		r.do(report(1, float64(i%2)))
 	}
 	r.do(report(1, 9))
-	was := r.b.usual(r.b.servers[1])
+	was := r.b.expectedLoad(r.b.endpoints[1])
 	for range 20 {
 		r.wait(ms)
 		r.do(report(1, 9))
 	}
-	if o := r.b.usual(r.b.servers[1]); o != was {
+	if o := r.b.expectedLoad(r.b.endpoints[1]); o != was {
 		t.Errorf("usual went from %v to %v by repeats", was, o)
 	}
 }
@@ -239,7 +239,7 @@
 	r.arrive("lost", unsafe)
 	r.wait(time.Second)
 	r.outcome("lost", 0, 1, StatusTimedOut)
-	if f := r.b.servers[1].fails; f != 1 {
+	if f := r.b.endpoints[1].failureRate; f != 1 {
 		t.Errorf("rate of failures %v", f)
 	}
 }
@@ -249,7 +249,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.arrive("x", safe)
-	s := r.b.servers[1]
+	s := r.b.endpoints[1]
 	was := r.b.cost(s)
 	r.wait(10 * ms)
 	r.do(TimerFired{})
@@ -288,8 +288,8 @@
 	if r.b.now < time.Hour {
 		t.Errorf("the clock went back to %v", r.b.now)
 	}
-	for id, s := range r.b.servers {
-		if s.out != 0 || math.IsNaN(r.b.cost(s)) {
+	for id, s := range r.b.endpoints {
+		if s.inFlight != 0 || math.IsNaN(r.b.cost(s)) {
 			t.Errorf("server %d: %+v", id, *s)
 		}
 	}
@@ -300,16 +300,16 @@
 	for met, tightens := range map[float64]bool{0: false, 12: true} {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
 		r.serve(100, safe, steady)
-		s := r.b.servers[1]
-		s.time, s.depth = 0.02*(met+1), met
+		s := r.b.endpoints[1]
+		s.meanLatency, s.meanQueueAtArrival = 0.02*(met+1), met
 		r.arrive("x", safe)
 		r.sent()
-		r.b.requests["x"].attempts[0].wait = met * r.b.pace(s)
-		r.b.part = 0.3
+		r.b.requests["x"].attempts[0].waitAtSend = met * r.b.serviceTime(s)
+		r.b.queueBudget = 0.3
 		r.wait(400 * ms)
 		r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 400 * ms, Final: true})
-		if got := r.b.part < 0.3; got != tightens || r.b.part > 0.3 {
-			t.Errorf("met %v: part from 0.3 to %v", met, r.b.part)
+		if got := r.b.queueBudget < 0.3; got != tightens || r.b.queueBudget > 0.3 {
+			t.Errorf("met %v: part from 0.3 to %v", met, r.b.queueBudget)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 			if known {
 				r.serve(20, safe, steady)
 			}
-			b.warmRate = 0 // it does little for each of so many nodes
+			b.warmThroughput = 0 // it does little for each of so many nodes
 			cold := listedEndpoint(1, 0, 0)
 			cold.StartedAt = r.now
 			r.do(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{cold}})
@@ -362,10 +362,10 @@
 		cold := listedEndpoint(2, 0, 0)
 		cold.StartedAt = r.now - r.b.cfg.Rules.SlowStartDuration/4
 		r.do(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{cold}})
-		r.b.servers[2].credit = 1
+		r.b.endpoints[2].slowStartCredit = 1
 		r.do(RequestArrived{Request: "x", Class: safe, TimeLeft: time.Second, ExpectedWork: hint})
-		if len(r.b.held) > 0 {
-			r.do(TimerFired{ID: r.b.lastMark})
+		if len(r.b.awaitingChecks) > 0 {
+			r.do(TimerFired{ID: r.b.lastTimerID})
 		}
 		if to := r.sent(); to != want {
 			t.Errorf("work of %v went to %d, want %d", hint, to, want)
@@ -383,12 +383,12 @@
 		all[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
 	r := newRig(t, cfg, all...)
-	if len(r.b.ready) != 4 { // of 40, so that each is in the parts of 8 of 100 nodes
-		t.Fatalf("keeps to %d servers", len(r.b.ready))
+	if len(r.b.usable) != 4 { // of 40, so that each is in the parts of 8 of 100 nodes
+		t.Fatalf("keeps to %d servers", len(r.b.usable))
 	}
 	var rest []Endpoint
 	for _, m := range all {
-		if !slices.Contains(r.b.ready, r.b.servers[m.ID]) && len(rest) < 3 {
+		if !slices.Contains(r.b.usable, r.b.endpoints[m.ID]) && len(rest) < 3 {
 			rest = append(rest, m)
 		}
 	}
@@ -409,16 +409,16 @@
 func TestWhatWasToldFades(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
-	s := r.b.servers[1]
+	s := r.b.endpoints[1]
 	r.holds(1, 2)
-	s.told, s.toldAt = 10, r.now
+	s.reportedLoad, s.reportedAt = 10, r.now
 	r.do(TimerFired{})
-	if e := r.b.entry(s); e != 10 {
+	if e := r.b.queueEstimate(s); e != 10 {
 		t.Errorf("entry %v when just told 10", e)
 	}
 	r.wait(10 * time.Second)
 	r.do(TimerFired{})
-	if e := r.b.entry(s); e > 2.2 {
+	if e := r.b.queueEstimate(s); e > 2.2 {
 		t.Errorf("entry %v ten seconds later, 2 is usual", e)
 	}
 }
@@ -426,7 +426,7 @@
 // A node that has no answers yet bounds waits as well, or all nodes that start together fill every server.
 func TestANewNodeBoundsWaits(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
-	if s := r.b.slack(); math.IsInf(s, 1) {
+	if s := r.b.latencySlack(); math.IsInf(s, 1) {
 		t.Errorf("slack %v without an answer", s)
 	}
 }
@@ -435,7 +435,7 @@
 // a dear probe is due: until it has probed as many times as it keeps servers, each arrival probes.
 func TestANewNodeProbesAtEachArrival(t *testing.T) {
 	cfg := site()
-	cfg.Prices.HealthCheck = 1000 * probeSpend
+	cfg.Prices.HealthCheck = 1000 * healthCheckSpend
 	members := make([]Endpoint, 5)
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
@@ -455,13 +455,13 @@
 func TestLatenessCountsByTime(t *testing.T) {
 	after := func(gap time.Duration) float64 {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
-		r.b.gap = gap.Seconds()
+		r.b.answerGap = gap.Seconds()
 		for range int(time.Second / gap) {
 			r.wait(gap)
 			r.do(TimerFired{})
-			r.b.pressure(StatusSucceeded, ms, 1)
+			r.b.adjustQueueBudget(StatusSucceeded, ms, 1)
 		}
-		return r.b.part
+		return r.b.queueBudget
 	}
 	if busy, idle := after(20*ms), after(50*ms); busy > 0.2 || idle > busy*1.1 {
 		t.Errorf("after a second of lateness part %v with 50 answers a second, %v with 20", busy, idle)
@@ -481,16 +481,16 @@
 	for node := range cfg.Instances {
 		cfg.Index = node
 		r := newRig(t, cfg, members...)
-		for _, s := range r.b.ready {
+		for _, s := range r.b.usable {
 			kept[s.ID]++
 		}
-		for _, s := range r.b.ready[:3] {
-			s.failed = true
+		for _, s := range r.b.usable[:3] {
+			s.outlier = true
 		}
 		r.do(EndpointsListed{Kind: ListChanges})
 		sound := 0
-		for _, s := range r.b.ready {
-			if !s.failed {
+		for _, s := range r.b.usable {
+			if !s.outlier {
 				sound++
 			}
 		}
@@ -499,7 +499,7 @@
 		}
 	}
 	for _, m := range members {
-		if n := kept[m.ID]; n < partNodes/4 || n > 3*partNodes {
+		if n := kept[m.ID]; n < nodesPerEndpoint/4 || n > 3*nodesPerEndpoint {
 			t.Errorf("%d of 100 nodes use server %d", n, m.ID)
 		}
 	}
@@ -515,12 +515,12 @@
 		members = append(members, listedEndpoint(EndpointID(i+1), i%3, 0))
 	}
 	r := newRig(t, cfg, members...)
-	r.b.warmRate = 1
+	r.b.warmThroughput = 1
 	for range 3 {
 		r.serve(19, safe, steady)
 		r.wait(time.Second)
 	}
-	if n := len(r.b.ready); n < 6 || n > 12 {
+	if n := len(r.b.usable); n < 6 || n > 12 {
 		t.Errorf("19 requests a second go to %d servers", n)
 	}
 }
@@ -534,23 +534,23 @@
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
 	r := newRig(t, cfg, members...)
-	size := len(r.b.ready)
+	size := len(r.b.usable)
 	for range 5 {
-		for _, s := range r.b.ready {
-			s.failed = true
+		for _, s := range r.b.usable {
+			s.outlier = true
 		}
 		r.do(EndpointsListed{Kind: ListChanges})
 	}
-	if n := len(r.b.ready); n > 2*size {
+	if n := len(r.b.usable); n > 2*size {
 		t.Errorf("%d servers beside a part of %d", n-size, size)
 	}
 	r = newRig(t, cfg, members...)
 	for i := range 1000 {
 		r.wait(5 * ms)
-		r.b.ready = nil // nothing is sent
+		r.b.usable = nil // nothing is sent
 		r.arrive(fmt.Sprint(i), safe)
 	}
-	if n := len(r.b.ready); n > size {
+	if n := len(r.b.usable); n > size {
 		t.Errorf("a part of %d servers for requests that are refused", n)
 	}
 }
@@ -575,7 +575,7 @@
 				r.outcome(a.Request, 0, a.Endpoint, StatusSucceeded)
 			}
 		}
-		if n := len(r.b.ready); n < c.least || n > c.most {
+		if n := len(r.b.usable); n < c.least || n > c.most {
 			t.Errorf("%d requests a second: keeps to %d servers", c.perSecond, n)
 		}
 	}
@@ -586,7 +586,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.wait(time.Second)
 	r.do(report(1, 10))
-	if o := r.b.others(r.b.servers[2]); o < 5 {
+	if o := r.b.otherNodesLoad(r.b.endpoints[2]); o < 5 {
 		t.Errorf("%v at a server not seen, 10 at the first one seen", o)
 	}
 }
@@ -599,7 +599,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.do(RequestArrived{Request: "x", TimeLeft: time.Second})
 	probes := of(HealthCheck, r.last)
-	if len(probes) != probesPerTick || len(of(Forward, r.last)) != 0 {
+	if len(probes) != maxHealthChecksPerTick || len(of(Forward, r.last)) != 0 {
 		t.Fatalf("%d probes and %d sends at the arrival", len(probes), len(of(Forward, r.last)))
 	}
 	r.wait(ms)
@@ -646,8 +646,8 @@
 			r.do(report(1, 3+float64(int(next)%2)))
 		}
 	}
-	if next == 0 || next > pairsMost || r.b.refresh > 0.1 {
-		t.Errorf("asked again %v times, reports taken for %v s apart", next, r.b.refresh)
+	if next == 0 || next > maxRepeatChecks || r.b.reportInterval > 0.1 {
+		t.Errorf("asked again %v times, reports taken for %v s apart", next, r.b.reportInterval)
 	}
 }
 
@@ -660,19 +660,19 @@
 	}
 	r := newRig(t, site(), members...)
 	r.serve(40, safe, func(EndpointID) time.Duration { return 100 * ms })
-	if r.b.peerPace < 0.08 {
-		t.Errorf("pace %v after 40 answers of 100 ms", r.b.peerPace)
+	if r.b.meanServiceTime < 0.08 {
+		t.Errorf("pace %v after 40 answers of 100 ms", r.b.meanServiceTime)
 	}
 }
 
 // A node that starts among queues must not take its first answers for the time without one.
 func TestTheHintStandsUntilAnIdleServerIsMet(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
-	r.b.all.others, r.b.part = 5, partMost
+	r.b.fleetLoad.mean, r.b.queueBudget = 5, maxQueueBudget
 	r.wait(time.Second)
 	r.do(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
 	r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
-	if base := r.b.classes[safe].base; base < 0.015 || base > 0.025 {
+	if base := r.b.classes[safe].unloadedLatency; base < 0.015 || base > 0.025 {
 		t.Errorf("time without a queue %v by an answer of 200 ms behind five others, hinted at 20 ms", base)
 	}
 }
@@ -698,7 +698,7 @@
 				r.do(RequestArrived{Request: id, ExpectedWork: tc.hint, TimeLeft: time.Second})
 				r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: tc.spent, Final: true})
 			}
-			if base := r.b.classes[safe].base; math.Abs(base-tc.want) > 0.1*tc.want {
+			if base := r.b.classes[safe].unloadedLatency; math.Abs(base-tc.want) > 0.1*tc.want {
 				t.Errorf("time without a queue %.4f s, want %.4f", base, tc.want)
 			}
 		})
@@ -712,7 +712,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, func(EndpointID) time.Duration { return 30 * ms })
-	if s := r.b.slack(); s < 0.1 {
+	if s := r.b.latencySlack(); s < 0.1 {
 		t.Errorf("slack %v", s)
 	}
 }
@@ -724,11 +724,11 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	req := &request{class: &cfg.Classes[safe], stats: &r.b.classes[safe]}
 	r.serve(3, safe, steady)
-	if l := r.b.lean(req); l != 1 {
+	if l := r.b.priorityFactor(req); l != 1 {
 		t.Errorf("lean %v at the fourth request", l)
 	}
 	r.serve(3, safe, steady)
-	if l := r.b.lean(req); l > 0.5 {
+	if l := r.b.priorityFactor(req); l > 0.5 {
 		t.Errorf("lean %v at the seventh", l)
 	}
 }
@@ -747,9 +747,9 @@
 	} {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
 		r.serve(50, safe, steady)
-		sent, all := 0, int(10*scoutOnce)
+		sent, all := 0, int(10*maxProbeAdmissionInterval)
 		for i := range all {
-			r.b.zones[0] = crowd{others: 50, reports: 1e9, at: r.now} // whatever answers say
+			r.b.zoneLoads[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // whatever answers say
 			r.wait(10 * ms)
 			id := fmt.Sprint(i)
 			if r.arrive(id, safe); len(of(Forward, r.last)) > 0 {
@@ -767,8 +767,8 @@
 func TestTheFirstGapIsNoGap(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(20, safe, steady)
-	if r.b.gap > 0.5 {
-		t.Errorf("gap %v s after answers 10 ms apart", r.b.gap)
+	if r.b.answerGap > 0.5 {
+		t.Errorf("gap %v s after answers 10 ms apart", r.b.answerGap)
 	}
 }
 
@@ -780,7 +780,7 @@
 		r.do(report(1, 10))
 		r.do(report(3, 0))
 	}
-	if here, there := r.b.usual(r.b.servers[2]), r.b.usual(r.b.servers[4]); here < 8 || there > 2 {
+	if here, there := r.b.expectedLoad(r.b.endpoints[2]), r.b.expectedLoad(r.b.endpoints[4]); here < 8 || there > 2 {
 		t.Errorf("usual %v and %v at servers not seen in a full and an idle zone", here, there)
 	}
 }
@@ -790,13 +790,13 @@
 func TestAnswersOutOfLongQueuesTellThePace(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(200, safe, steady)
-	s := r.b.servers[1]
-	was := r.b.warmPace(s)
+	s := r.b.endpoints[1]
+	was := r.b.warmServiceTime(s)
 	req := &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
 	for range 3 {
-		r.b.learn(s, req, &attempt{to: s, met: 12}, 20*ms)
+		r.b.learnServiceTime(s, req, &attempt{endpoint: s, queueAtSend: 12}, 20*ms)
 	}
-	if is := r.b.warmPace(s); is > was/4 {
+	if is := r.b.warmServiceTime(s); is > was/4 {
 		t.Errorf("pace %v, then %v after three answers as fast behind twelve others", was, is)
 	}
 }
@@ -810,10 +810,10 @@
 		r.do(report(1, 1))
 		r.do(report(2, 1))
 	}
-	was := r.b.mean(r.b.servers[1])
+	was := r.b.zoneMeanLoad(r.b.endpoints[1])
 	r.wait(time.Second)
 	r.do(report(2, 4))
-	if more := r.b.mean(r.b.servers[1]) - was; more <= 0 || more > 0.5 {
+	if more := r.b.zoneMeanLoad(r.b.endpoints[1]) - was; more <= 0 || more > 0.5 {
 		t.Errorf("three requests more at one server make it %.2f at each of its zone", more)
 	}
 }
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -9,110 +9,110 @@
 
 // classStats is what a node has learned of a class.
 type classStats struct {
-	base float64 // mean time of an answer that met no queue, seconds
-	seen float64 // answers that told of it
-	free float64 // those that met no queue
+	unloadedLatency float64 // mean time of an answer that met no queue, seconds
+	samples         float64 // answers that told of it
+	unqueuedSamples float64 // those that met no queue
 }
 
 // learnBase takes in the time of an answer that met no queue. Crowded servers drain under early refusal
 // and then show that they are quick, slow ones that they are slow: nothing else tells the two apart. Until
 // one is met, the hint stands for it: a node that starts among queues must not take them for the work.
 // Entries are old in a large fleet: an answer that took hintMost times its hint met a queue that none showed.
-func (b *Balancer) learnBase(r *request, a *attempt, spent float64) {
-	c, w, hint := r.stats, baseWeight, r.hint.Seconds()
-	switch met := a.met > freeEntry || hint > 0 && spent > hintMost*hint; {
-	case met && c.free > 0:
+func (b *Balancer) learnUnloadedLatency(r *request, a *attempt, spent float64) {
+	c, w, hint := r.stats, unloadedLatencyWeight, r.workHint.Seconds()
+	switch met := a.queueAtSend > unloadedQueueEstimate || hint > 0 && spent > maxWorkHintMultiple*hint; {
+	case met && c.unqueuedSamples > 0:
 		return
 	case met && hint > 0:
 		spent = hint
 	case !met:
-		c.free++
-		w = max(w, 1/c.free)
+		c.unqueuedSamples++
+		w = max(w, 1/c.unqueuedSamples)
 	}
-	c.seen++
-	c.base += max(w, 1/c.seen) * (spent - c.base)
+	c.samples++
+	c.unloadedLatency += max(w, 1/c.samples) * (spent - c.unloadedLatency)
 }
 
 // learn takes in how long an answer took, against the time of its class, and the queue it met.
-func (b *Balancer) learn(s *server, r *request, a *attempt, spent time.Duration) {
-	if r.stats.base == 0 {
+func (b *Balancer) learnServiceTime(s *endpointState, r *request, a *attempt, spent time.Duration) {
+	if r.stats.unloadedLatency == 0 {
 		return
 	}
-	took := spent.Seconds() / r.stats.base * b.meanBase() * b.warmth(s)
-	if s.time == 0 {
-		s.time, s.depth = b.peerPace*(a.met+1), a.met
+	took := spent.Seconds() / r.stats.unloadedLatency * b.meanUnloadedLatency() * b.slowStartFraction(s)
+	if s.meanLatency == 0 {
+		s.meanLatency, s.meanQueueAtArrival = b.meanServiceTime*(a.queueAtSend+1), a.queueAtSend
 	}
 	// An answer out of a long queue tells more of the pace: a short one is no load to a server of many cores.
-	w := min(paceWeight*(a.met+1)/(s.depth+1), 1)
-	if s.heard > 0 {
-		w = max(w, 1-math.Exp(-(b.now-s.heard).Seconds()/paceSpan))
+	w := min(sampleWeight*(a.queueAtSend+1)/(s.meanQueueAtArrival+1), 1)
+	if s.lastAnswerAt > 0 {
+		w = max(w, 1-math.Exp(-(b.now-s.lastAnswerAt).Seconds()/rareAnswerSeconds))
 	}
-	s.heard = b.now
-	s.time += w * (took - s.time)
-	s.depth += w * (a.met - s.depth)
+	s.lastAnswerAt = b.now
+	s.meanLatency += w * (took - s.meanLatency)
+	s.meanQueueAtArrival += w * (a.queueAtSend - s.meanQueueAtArrival)
 	b.answers++ // one server may see few answers of this node: the pace of all comes from all alike
-	w = max(w/float64(len(b.ready)+1), 1/b.answers)
-	b.allTime, b.allDepth = b.allTime+w*(took-b.allTime), b.allDepth+w*(a.met-b.allDepth)
-	b.peerPace = b.allTime / (b.allDepth + 1)
+	w = max(w/float64(len(b.usable)+1), 1/b.answers)
+	b.meanLatency, b.meanQueueAtArrival = b.meanLatency+w*(took-b.meanLatency), b.meanQueueAtArrival+w*(a.queueAtSend-b.meanQueueAtArrival)
+	b.meanServiceTime = b.meanLatency / (b.meanQueueAtArrival + 1)
 }
 
 // work returns what a request costs a server, in seconds: what its hint says, else the time of its
 // class where it does not queue. Queueing makes the mean times of light and heavy classes alike.
-func (b *Balancer) work(r *request) float64 {
+func (b *Balancer) expectedWork(r *request) float64 {
 	switch {
-	case r.hint > 0:
-		return r.hint.Seconds()
-	case r.stats.base > 0:
-		return r.stats.base
+	case r.workHint > 0:
+		return r.workHint.Seconds()
+	case r.stats.unloadedLatency > 0:
+		return r.stats.unloadedLatency
 	}
-	return b.meanBase()
+	return b.meanUnloadedLatency()
 }
 
 // meanBase is the mean of the times without a queue of the classes met so far.
-func (b *Balancer) meanBase() float64 {
+func (b *Balancer) meanUnloadedLatency() float64 {
 	var m mean
 	for i := range b.classes {
-		if b.classes[i].base > 0 {
-			m.add(b.classes[i].base)
+		if b.classes[i].unloadedLatency > 0 {
+			m.add(b.classes[i].unloadedLatency)
 		}
 	}
 	if m.n == 0 {
-		return firstPace * b.meanAim
+		return initialServiceTimeObjectives * b.meanObjective
 	}
 	return m.value()
 }
 
 // rollRates measures, once a window, the work that warm servers do for this node.
 // Summed over the nodes it is at most what such a server can do, so each node may spend its own.
-func (b *Balancer) rollRates() {
-	span := (b.now - b.rolledAt).Seconds()
+func (b *Balancer) rollWindow() {
+	span := (b.now - b.windowStart).Seconds()
 	if span < max(b.cfg.Rules.OverloadWindow.Seconds(), 1) {
 		return
 	}
 	var warm mean
-	for _, s := range b.ready {
-		if b.warmth(s) == 1 && s.since <= b.rolledAt {
-			warm.add(s.served / span)
+	for _, s := range b.usable {
+		if b.slowStartFraction(s) == 1 && s.knownSince <= b.windowStart {
+			warm.add(s.workServed / span)
 		}
-		s.served = 0
+		s.workServed = 0
 	}
 	if warm.n > 0 {
-		b.warmRate = max(b.warmRate*rateDecay, warm.value())
+		b.warmThroughput = max(b.warmThroughput*warmThroughputDecay, warm.value())
 	}
-	for _, s := range b.ready {
-		b.grantCold(s)
-		s.fails -= failFade * s.fails
-		s.stuck -= stuckFade * s.stuck // a report may be long in coming, or never come
-		s.left -= abandonedFade * s.left
-		if s.heard < b.rolledAt && s.time > 0 {
+	for _, s := range b.usable {
+		b.grantSlowStartCredit(s)
+		s.failureRate -= failureRateDecay * s.failureRate
+		s.unaccepted -= unacceptedDecay * s.unaccepted // a report may be long in coming, or never come
+		s.abandoned -= abandonedDecay * s.abandoned
+		if s.lastAnswerAt < b.windowStart && s.meanLatency > 0 {
 			// A server that looked slow gets no traffic, so nothing would ever clear its name.
-			s.time += forget * (b.peerPace*(s.depth+1) - s.time)
+			s.meanLatency += serviceTimeRecovery * (b.meanServiceTime*(s.meanQueueAtArrival+1) - s.meanLatency)
 		}
 	}
-	b.partSize = max(partServers, b.partSize-1, int(float64(b.placed)/span*partSpan))
-	b.placed = 0
-	b.rolledAt = b.now
-	b.choose()
+	b.subsetSize = max(minSubsetSize, b.subsetSize-1, int(float64(b.forwarded)/span*subsetSpanSeconds))
+	b.forwarded = 0
+	b.windowStart = b.now
+	b.chooseSubset()
 }
 
 // mean is a plain mean; 0 when nothing was added.
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -6,7 +6,7 @@
 )
 
 // openBalancer has one server and one open request out at it.
-func openBalancer(t *testing.T) (*Balancer, *server) {
+func openBalancer(t *testing.T) (*Balancer, *endpointState) {
 	t.Helper()
 	b, err := New(Config{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Limits: Limits{MaxAttempts: 3}}, 1)
 	if err != nil {
@@ -16,7 +16,7 @@
 	out := b.Handle(time.Second, RequestArrived{Request: "a", TimeLeft: time.Second, Incomplete: true}, nil)
 	for _, a := range out {
 		if a.Kind == Forward {
-			return b, b.servers[a.Endpoint]
+			return b, b.endpoints[a.Endpoint]
 		}
 	}
 	t.Fatal("not sent")
@@ -26,13 +26,13 @@
 // While a request comes in its server has no more to do, and its time has not begun.
 func TestOpenRequestCountsFromItsLastByte(t *testing.T) {
 	b, s := openBalancer(t)
-	if s.out != 0 || b.silence(s) != 0 {
-		t.Errorf("out %v", s.out)
+	if s.inFlight != 0 || b.silenceSeconds(s) != 0 {
+		t.Errorf("out %v", s.inFlight)
 	}
 	at := 9 * time.Second // far beyond what its client waits
 	out := b.Handle(at, RequestWritten{Request: "a", TimeLeft: time.Second}, nil)
-	if s.out != 1 {
-		t.Errorf("out %v once it is written", s.out)
+	if s.inFlight != 1 {
+		t.Errorf("out %v once it is written", s.inFlight)
 	}
 	ends := false
 	for _, a := range out {
@@ -41,11 +41,11 @@
 	if !ends {
 		t.Errorf("nothing ends it at its deadline: %+v", out)
 	}
-	part := b.part
+	part := b.queueBudget
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
-	if s.out != 0 || b.part < part || s.time > 0.2 {
-		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.out, b.part, s.time)
+	if s.inFlight != 0 || b.queueBudget < part || s.meanLatency > 0.2 {
+		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget, s.meanLatency)
 	}
 }
 
@@ -53,7 +53,7 @@
 func TestSpoiltRequestIsNotSentAgain(t *testing.T) {
 	for _, spoilt := range []bool{false, true} {
 		b, s := openBalancer(t)
-		b.retries = retryMost
+		b.retryBudget = maxRetryBudget
 		sent, refused := 0, 0
 		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: s.ID, Status: StatusConnectFailed,
 			NotReplayable: spoilt}, nil) {
@@ -64,8 +64,8 @@
 				refused++
 			}
 		}
-		if s.out != 0 || (sent == 0) != spoilt || (refused == 1) != spoilt {
-			t.Errorf("spoilt %v: sent %d times, refused %d, out %v", spoilt, sent, refused, s.out)
+		if s.inFlight != 0 || (sent == 0) != spoilt || (refused == 1) != spoilt {
+			t.Errorf("spoilt %v: sent %d times, refused %d, out %v", spoilt, sent, refused, s.inFlight)
 		}
 	}
 }
--- a/balance/signs_test.go
+++ b/balance/signs_test.go
@@ -19,15 +19,15 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(50, safe, steady)
-			s := r.b.servers[1]
-			s.fails = 0
+			s := r.b.endpoints[1]
+			s.failureRate = 0
 			r.arrive("lost", safe)
 			r.wait(300 * ms)
 			r.do(HealthChecked{Endpoint: 1, Status: tc.probe, Elapsed: 10 * ms})
 			r.wait(700 * ms)
 			r.outcome("lost", 0, 1, StatusTimedOut)
-			if s.fails != tc.fails {
-				t.Errorf("rate of failures %v, want %v", s.fails, tc.fails)
+			if s.failureRate != tc.fails {
+				t.Errorf("rate of failures %v, want %v", s.failureRate, tc.fails)
 			}
 		})
 	}
@@ -47,13 +47,13 @@
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(300, safe, steady)
 			r.arrive("x", safe)
-			r.b.requests["x"].attempts[0].wait = tc.wait
+			r.b.requests["x"].attempts[0].waitAtSend = tc.wait
 			r.serve(5, safe, steady) // signs of life
 			r.wait(time.Second)
-			was := r.b.part
+			was := r.b.queueBudget
 			r.do(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
-			if less := r.b.part < was; less != tc.less {
-				t.Errorf("the part of the slack went from %v to %v", was, r.b.part)
+			if less := r.b.queueBudget < was; less != tc.less {
+				t.Errorf("the part of the slack went from %v to %v", was, r.b.queueBudget)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 		wait  float64 // what the queue should have taken, in seconds
 		fails float64
 	}{
-		"lost":          {time.Second, 0.02, failWeight},
+		"lost":          {time.Second, 0.02, failureWeight},
 		"given up soon": {30 * ms, 0.02, 0},
 		"queued":        {time.Second, 0.5, 0},
 	} {
@@ -75,11 +75,11 @@
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(300, safe, steady)
 			r.arrive("x", safe)
-			r.b.requests["x"].attempts[0].wait = tc.wait
+			r.b.requests["x"].attempts[0].waitAtSend = tc.wait
 			r.serve(5, safe, steady) // signs of life
-			r.b.servers[1].fails = 0
+			r.b.endpoints[1].failureRate = 0
 			r.do(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: tc.spent})
-			if f := r.b.servers[1].fails; f != tc.fails {
+			if f := r.b.endpoints[1].failureRate; f != tc.fails {
 				t.Errorf("rate of failures %v, want %v", f, tc.fails)
 			}
 		})
@@ -91,14 +91,14 @@
 func TestCalmDoesNotStretchTheBound(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(20000, safe, steady)
-	if r.b.part <= partFirst {
-		t.Fatalf("the part of the slack is %v after a long calm", r.b.part)
+	if r.b.queueBudget <= initialQueueBudget {
+		t.Fatalf("the part of the slack is %v after a long calm", r.b.queueBudget)
 	}
-	s := r.b.servers[1]
-	r.holds(1, 1.5*r.b.slack()/r.b.pace(s))
-	s.toldAt, r.b.refused = r.now, 1 // no scout
+	s := r.b.endpoints[1]
+	r.holds(1, 1.5*r.b.latencySlack()/r.b.serviceTime(s))
+	s.reportedAt, r.b.rejectedSinceProbe = r.now, 1 // no scout
 	if acts := r.arrive("x", safe); len(of(Reject, acts)) != 1 {
-		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.wait(s), r.b.slack(), acts)
+		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWait(s), r.b.latencySlack(), acts)
 	}
 }
 
@@ -111,10 +111,10 @@
 	}{"some": {0.5, Forward}, "most": {0.9, Reject}} {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(300, safe, steady)
-		full, failing := r.b.servers[1], r.b.servers[2]
-		r.holds(1, 3*r.b.slack()/r.b.pace(full))
+		full, failing := r.b.endpoints[1], r.b.endpoints[2]
+		r.holds(1, 3*r.b.latencySlack()/r.b.serviceTime(full))
 		r.holds(2, 1)
-		full.toldAt, failing.toldAt, failing.fails, r.b.refused = r.now, r.now, tc.fails, 1
+		full.reportedAt, failing.reportedAt, failing.failureRate, r.b.rejectedSinceProbe = r.now, r.now, tc.fails, 1
 		if acts := r.arrive("x", safe); len(of(tc.want, acts)) != 1 {
 			t.Errorf("a rate of failures of %v: %+v", tc.fails, acts)
 		}
@@ -127,7 +127,7 @@
 	for name, tc := range map[string]struct {
 		signs      int
 		out, fails float64
-	}{"signs": {5, 0, failWeight}, "none": {0, 1, 0}} {
+	}{"signs": {5, 0, failureWeight}, "none": {0, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(300, safe, steady)
@@ -136,17 +136,17 @@
 				marks = append(marks, a.TimerID)
 			}
 			r.serve(tc.signs, safe, steady)
-			s := r.b.servers[1]
-			s.fails = 0
+			s := r.b.endpoints[1]
+			s.failureRate = 0
 			r.wait(400 * ms)
 			r.do(TimerFired{ID: marks[len(marks)-1]})
-			if s.out != tc.out || s.fails != tc.fails {
-				t.Errorf("%v out and a rate of failures of %v, want %v and %v", s.out, s.fails, tc.out, tc.fails)
+			if s.inFlight != tc.out || s.failureRate != tc.fails {
+				t.Errorf("%v out and a rate of failures of %v, want %v and %v", s.inFlight, s.failureRate, tc.out, tc.fails)
 			}
 			if tc.signs > 0 {
 				r.do(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
-				if s.out != 0 || s.fails != tc.fails {
-					t.Errorf("told twice: %v out, a rate of failures of %v", s.out, s.fails)
+				if s.inFlight != 0 || s.failureRate != tc.fails {
+					t.Errorf("told twice: %v out, a rate of failures of %v", s.inFlight, s.failureRate)
 				}
 			}
 		})
@@ -157,14 +157,14 @@
 func TestARareAnswerTellsOfNow(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, safe, steady)
-	s := r.b.servers[1]
-	was, req := s.time, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
+	s := r.b.endpoints[1]
+	was, req := s.meanLatency, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
-		r.b.learn(s, req, &attempt{to: s}, 120*ms)
+		r.b.learnServiceTime(s, req, &attempt{endpoint: s}, 120*ms)
 	}
-	if s.time < was+70e-3 {
-		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, s.time)
+	if s.meanLatency < was+70e-3 {
+		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, s.meanLatency)
 	}
 }
 
@@ -176,22 +176,22 @@
 		cfg := site()
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, safe, steady)
-		s := r.b.servers[1]
-		s.stuck = 0
+		s := r.b.endpoints[1]
+		s.unaccepted = 0
 		r.arrive("x", unsafe)
-		if s.stuck = 0; s.out != 1 {
-			t.Fatalf("%d: %v out", status, s.out)
+		if s.unaccepted = 0; s.inFlight != 1 {
+			t.Fatalf("%d: %v out", status, s.inFlight)
 		}
 		r.outcome("x", 0, 1, status)
-		if s.stuck != left {
-			t.Errorf("status %d leaves %v places, want %v", status, s.stuck, left)
+		if s.unaccepted != left {
+			t.Errorf("status %d leaves %v places, want %v", status, s.unaccepted, left)
 		}
 		for range 4 {
 			r.wait(max(cfg.Rules.OverloadWindow, time.Second))
 			r.do(EndpointsListed{Kind: ListChanges})
 		}
-		if s.stuck > 0.1 {
-			t.Errorf("status %d: %v places are left after four windows without a report", status, s.stuck)
+		if s.unaccepted > 0.1 {
+			t.Errorf("status %d: %v places are left after four windows without a report", status, s.unaccepted)
 		}
 	}
 }
@@ -205,11 +205,11 @@
 		cfg := site()
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, safe, steady)
-		s := r.b.servers[1]
-		before := r.b.entry(s)
+		s := r.b.endpoints[1]
+		before := r.b.queueEstimate(s)
 		r.arrive("x", unsafe)
 		r.outcome("x", 0, 1, status)
-		if left := r.b.entry(s) - before; left < 0.9 {
+		if left := r.b.queueEstimate(s) - before; left < 0.9 {
 			t.Errorf("status %d leaves %v places, want one", status, left)
 		}
 		for _, want := range []struct{ least, most float64 }{{0.25, 0.45}, {0, 0.15}} {
@@ -217,7 +217,7 @@
 				r.wait(max(cfg.Rules.OverloadWindow, time.Second))
 				r.do(EndpointsListed{Kind: ListChanges})
 			}
-			if left := r.b.entry(s) - r.b.others(s) - s.out; left < want.least || left > want.most {
+			if left := r.b.queueEstimate(s) - r.b.otherNodesLoad(s) - s.inFlight; left < want.least || left > want.most {
 				t.Errorf("status %d: %v places are left, want %v to %v", status, left, want.least, want.most)
 			}
 		}
@@ -228,13 +228,13 @@
 func TestPlaceOfALostAttemptIsThatOfAFailedOne(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
-	s := r.b.servers[1]
-	s.stuck, s.left = 0, 0
+	s := r.b.endpoints[1]
+	s.unaccepted, s.abandoned = 0, 0
 	r.arrive("x", unsafe)
 	r.b.requests["x"].attempts[0].lost = true
-	s.out--
+	s.inFlight--
 	r.outcome("x", 0, 1, StatusCancelled)
-	if s.stuck != 1 || s.left != 0 {
-		t.Errorf("%v places of failed attempts, %v of abandoned ones", s.stuck, s.left)
+	if s.unaccepted != 1 || s.abandoned != 0 {
+		t.Errorf("%v places of failed attempts, %v of abandoned ones", s.unaccepted, s.abandoned)
 	}
 }
