--- a/balance/balance.go
+++ b/balance/balance.go
@@ -98,7 +98,7 @@
 	queueBudget            float64 // fraction of the slack that queues may take up
 	subsetSize             int     // endpoints of a zone that this node uses
 	forwarded              int     // requests forwarded in this window
-	answerGap              float64 // mean time between answers, seconds
+	answerGapSeconds       float64 // mean time between answers, seconds
 	lastOutcomeAt          time.Duration
 	quotas                 []quotaBucket
 	overloaded             bool    // answers come late, as logged
@@ -106,9 +106,9 @@
 	discoveryFailures      int     // in a row
 	meanFailureRate        float64 // over all endpoints
 	meanPriority           float64 // running mean of the priority of requests
-	meanObjective          float64 // mean latency objective of the classes, seconds
-	meanServiceTime        float64 // over all answers, from the two means below
-	meanLatency            float64
+	meanObjectiveSeconds   float64 // mean latency objective of the classes, seconds
+	meanServiceSeconds     float64 // over all answers, from the two means below
+	meanLatencySeconds     float64
 	meanQueueAtArrival     float64
 	answers                float64
 	fleetLoad              loadAverage // other nodes' load on an endpoint, over all zones
@@ -165,9 +165,9 @@
 		zoneLoads:              map[int]loadAverage{},
 		cordons:                map[EndpointID]cordon{},
 		checkedAt:              -1,
-		meanObjective:          aim.value(),
-		answerGap:              aim.value(),
-		meanServiceTime:        initialServiceTimeObjectives * aim.value(),
+		meanObjectiveSeconds:   aim.value(),
+		answerGapSeconds:       aim.value(),
+		meanServiceSeconds:     initialServiceTimeObjectives * aim.value(),
 		queueBudget:            initialQueueBudget,
 		subsetSize:             max(minSubsetSize, int(perSecond*subsetSpanSeconds)),
 		classes:                make([]classStats, len(cfg.Classes)),
@@ -221,7 +221,7 @@
 		b.recordHealthCheck(s, ev.Status)
 		if b.repeatChecks < maxRepeatChecks && s.reportedQueue > 0 {
 			b.repeatChecks++
-			gap := cmp.Or(b.reportInterval, 2*b.meanServiceTime) / 2
+			gap := cmp.Or(b.reportInterval, 2*b.meanServiceSeconds) / 2
 			b.setTimer(time.Duration(gap*float64(time.Second)), timer{checkAgain: s})
 		}
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -16,15 +16,15 @@
 
 // coldTime is how long a cold server would take for a request, behind what is known to be there. Of others
 // that is what was told lately, and not the usual: what they send is bounded like this node's own.
-func (b *Balancer) slowStartLatency(r *request, s *endpointState) float64 {
+func (b *Balancer) slowStartLatencySeconds(r *request, s *endpointState) float64 {
 	queue := s.inFlight + s.unaccepted + s.abandoned + s.reportedLoad*b.reportWeight(s, b.expectedLoad(s))
-	return (b.expectedWork(r) + queue*b.warmServiceTime(s)) / b.slowStartFraction(s)
+	return (b.workSeconds(r) + queue*b.warmServiceSeconds(s)) / b.slowStartFraction(s)
 }
 
 // coldExtra is the part of a cold server's cost that it has for being cold. It does not count in the choice:
 // what is granted is little, is answered in time, and the server would stay cold without.
-func (b *Balancer) slowStartSurcharge(s *endpointState) float64 {
-	return (1 - b.slowStartFraction(s)) * (b.queueEstimate(s) + 1) * b.serviceTime(s)
+func (b *Balancer) slowStartSurchargeSeconds(s *endpointState) float64 {
+	return (1 - b.slowStartFraction(s)) * (b.queueEstimate(s) + 1) * b.serviceSeconds(s)
 }
 
 // grantCold guards against pushing over a server that has just started: for each window it grants this node's
@@ -35,19 +35,19 @@
 		return
 	}
 	if b.handedOver {
-		s.slowStartCredit = min(s.slowStartCredit, 0)
+		s.slowStartCreditSeconds = min(s.slowStartCreditSeconds, 0)
 		return
 	}
-	rules, unit := &b.cfg.Rules, max(b.meanUnloadedLatency(), 1e-6)
+	rules, unit := &b.cfg.Rules, max(b.meanUnloadedSeconds(), 1e-6)
 	rate := max(b.warmThroughput, 1/float64(b.cfg.Instances))
 	units := slowStartMargin * rules.OverloadMultiple * b.slowStartFraction(s) * rate * rules.OverloadWindow.Seconds() / unit
-	s.slowStartCredit = min(s.slowStartCredit, 0) + unit*math.Floor(units+b.rng.Float64())
+	s.slowStartCreditSeconds = min(s.slowStartCreditSeconds, 0) + unit*math.Floor(units+b.rng.Float64())
 }
 
 // coldAllows tells whether a server is warm, or has grant left for most of the request: two heavy ones on the
 // rests of two grants would be as much as two windows may hold.
 func (b *Balancer) slowStartAdmits(r *request, s *endpointState) bool {
-	return b.slowStartFraction(s) == 1 || s.slowStartCredit > b.expectedWork(r)/2
+	return b.slowStartFraction(s) == 1 || s.slowStartCreditSeconds > b.workSeconds(r)/2
 }
 
 // onHandoverChanged takes in that another process of this node takes new requests from now on, or no longer.
@@ -72,6 +72,6 @@
 func (b *Balancer) dropSlowStartCredits() {
 	b.windowStart = b.now
 	for _, s := range b.endpoints {
-		s.slowStartCredit = min(s.slowStartCredit, 0)
+		s.slowStartCreditSeconds = min(s.slowStartCreditSeconds, 0)
 	}
 }
--- a/balance/comeback.go
+++ b/balance/comeback.go
@@ -8,14 +8,14 @@
 // comeBack is the advice that goes with a refusal: when the shortest queue will have fallen to what is sent to
 // now. Where a queue is not the reason it is the time of one place in a queue, and with no server an aim.
 func (b *Balancer) retryAfter() time.Duration {
-	in, bound := math.Inf(1), b.queueBudget*max(b.latencySlack(), b.meanUnloadedLatency()) // for a request of mean worth
+	in, bound := math.Inf(1), b.queueBudget*max(b.slackSeconds(), b.meanUnloadedSeconds()) // for a request of mean worth
 	for _, s := range b.usable {
-		in = min(in, b.expectedWait(s)-bound)
+		in = min(in, b.expectedWaitSeconds(s)-bound)
 	}
 	if math.IsInf(in, 1) {
-		in = b.meanObjective
+		in = b.meanObjectiveSeconds
 	}
-	in = max(in, b.meanServiceTime)
+	in = max(in, b.meanServiceSeconds)
 	if most := b.cfg.Limits.MaxRetryAfter.Seconds(); most > 0 {
 		in = min(in, most)
 	}
--- a/balance/cordon.go
+++ b/balance/cordon.go
@@ -43,8 +43,8 @@
 // renew forgets what was known of a server's old process. What was out there is lost with it; its outcomes are still
 // to come.
 func (b *Balancer) resetProcess(s *endpointState) {
-	s.loadBias, s.reportedLoad, s.unaccepted, s.abandoned, s.slowStartCredit, s.knownSince, s.workServed = 0, 0, 0, 0, 0, b.now, 0
-	s.meanLatency, s.failureRate, s.outlier, s.silentSince = 0, 0, false, b.now
+	s.loadBias, s.reportedLoad, s.unaccepted, s.abandoned, s.slowStartCreditSeconds, s.knownSince, s.servedWorkSeconds = 0, 0, 0, 0, 0, b.now, 0
+	s.meanLatencySeconds, s.failureRate, s.outlier, s.silentSince = 0, 0, false, b.now
 }
 
 // renewedFor tells whether a start that a list tells came while the server was out: it was renewed when put back.
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -80,10 +80,10 @@
 	if w := b.slowStartFraction(s); w != 0.2 {
 		t.Errorf("warmth %v, want 0.2", w)
 	}
-	s.slowStartCredit = 0.125
+	s.slowStartCreditSeconds = 0.125
 	b.Handle(at(120.5), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(112)}}}, nil)
-	if s.slowStartCredit != 0.125 {
-		t.Errorf("credit %v: the grant was given twice", s.slowStartCredit)
+	if s.slowStartCreditSeconds != 0.125 {
+		t.Errorf("credit %v: the grant was given twice", s.slowStartCreditSeconds)
 	}
 	if w := b.slowStartFraction(s); w <= 0.8 {
 		t.Errorf("warmth %v by the list's start", w)
--- a/balance/departures_test.go
+++ b/balance/departures_test.go
@@ -149,7 +149,7 @@
 func TestEqualReportsPastTheirTimeAreNews(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(5, safe, steady)
-	r.b.endpoints[1].meanLatency, r.b.endpoints[1].meanQueueAtArrival = 1, 0 // so slow that its reports still hold when they come
+	r.b.endpoints[1].meanLatencySeconds, r.b.endpoints[1].meanQueueAtArrival = 1, 0 // so slow that its reports still hold when they come
 	for _, q := range []float64{5, 9, 0} {
 		r.wait(200 * ms)
 		r.do(report(1, q))
@@ -180,7 +180,7 @@
 			r.do(report(2, 10))
 		}
 		r.holds(1, 10)
-		s.meanLatency, s.meanQueueAtArrival = c.pace.Seconds(), 0
+		s.meanLatencySeconds, s.meanQueueAtArrival = c.pace.Seconds(), 0
 		r.wait(c.gap)
 		r.do(report(2, 10))
 		r.do(report(1, 0))
@@ -207,11 +207,11 @@
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
 		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{endpoint: s}, 100*ms)
 	}
-	if cold, peer := r.b.serviceTime(s), r.b.serviceTime(r.b.endpoints[1]); cold < 2*peer {
+	if cold, peer := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
 		t.Errorf("pace %v while cold, %v at a warm server", cold, peer)
 	}
 	s.StartedAt = 1
-	if cold, warm := r.b.serviceTime(s), r.b.serviceTime(r.b.endpoints[1]); cold > 1.5*warm {
+	if cold, warm := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold > 1.5*warm {
 		t.Errorf("pace %v once warm, %v at a server that was always warm", cold, warm)
 	}
 }
@@ -221,13 +221,13 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, safe, steady)
 	s := r.b.endpoints[2]
-	s.meanLatency, s.meanQueueAtArrival = 1, 0 // a pace of one second, fifty times that of its peer
+	s.meanLatencySeconds, s.meanQueueAtArrival = 1, 0 // a pace of one second, fifty times that of its peer
 	for range 60 {
 		r.wait(1500 * ms)
 		r.serve(1, safe, steady)
 	}
-	if now := r.b.serviceTime(s); now > 2*r.b.meanServiceTime {
-		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.meanServiceTime)
+	if now := r.b.serviceSeconds(s); now > 2*r.b.meanServiceSeconds {
+		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.meanServiceSeconds)
 	}
 }
 
@@ -274,7 +274,7 @@
 	r.serve(50, safe, steady)
 	r.serve(400, unsafe, func(EndpointID) time.Duration { return 0 })
 	s := r.b.endpoints[1]
-	if charge := r.b.cost(s) - (r.b.queueEstimate(s)+1)*r.b.serviceTime(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.meanObjective/2 {
+	if charge := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.meanObjectiveSeconds/2 {
 		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.meanFailureRate, charge)
 	}
 }
@@ -375,7 +375,7 @@
 			continue
 		}
 		to := r.sent()
-		r.b.requests[id].attempts[0].waitAtSend = 0.4 // what made it late
+		r.b.requests[id].attempts[0].waitAtSendSeconds = 0.4 // what made it late
 		r.wait(400 * ms)
 		r.note(r.do(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
 	}
@@ -411,7 +411,7 @@
 func TestTimesWithoutAQueueIgnoreQueues(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
-	was := r.b.classes[safe].unloadedLatency
+	was := r.b.classes[safe].unloadedSeconds
 	for i := range 20 {
 		id := fmt.Sprint(i)
 		r.b.queueBudget = maxQueueBudget
@@ -421,7 +421,7 @@
 		r.wait(100 * ms)
 		r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
 	}
-	if base := r.b.classes[safe].unloadedLatency; base != was {
+	if base := r.b.classes[safe].unloadedSeconds; base != was {
 		t.Errorf("from %v to %v", was, base)
 	}
 }
@@ -450,7 +450,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	bound := func(tenant int) float64 {
-		return r.b.maxQueueWait(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
+		return r.b.maxWaitSeconds(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
 	}
 	if bound(0) >= bound(1) { // the first tenant's share is long used up
 		t.Errorf("bounds %v over the share and %v within", bound(0), bound(1))
@@ -466,12 +466,12 @@
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, safe, steady)
 		r.serve(100, unsafe, steady)
-		dear := r.b.maxQueueWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-		cheap := r.b.maxQueueWait(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
+		dear := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+		cheap := r.b.maxWaitSeconds(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
 		if dear < 2*cheap {
 			t.Errorf("by work %v: bound %v for much worth, %v for little", byWork, dear, cheap)
 		}
-		heavy := r.b.maxQueueWait(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, workHint: time.Second})
+		heavy := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, workHint: time.Second})
 		if byWork != (heavy == dear) {
 			t.Errorf("by work %v: bound %v for a heavy request, %v for a usual one", byWork, heavy, dear)
 		}
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -15,40 +15,40 @@
 
 // cost is the entry weighed by the time that one place in this server's queue has taken lately: the time in
 // which an average request would be answered, with the time that failures are worth.
-func (b *Balancer) cost(s *endpointState) float64 {
-	queue := (b.queueEstimate(s) + 1) * b.serviceTime(s)
+func (b *Balancer) costSeconds(s *endpointState) float64 {
+	queue := (b.queueEstimate(s) + 1) * b.serviceSeconds(s)
 	silent := max(0, b.silenceSeconds(s)-silenceQueues*queue)
-	return queue + b.failureCost(s) + silent + b.crossZoneCost(s)
+	return queue + b.failureCostSeconds(s) + silent + b.crossZoneCostSeconds(s)
 }
 
 // handicap is the time that crossing zones must save to be worth its price. Times include the way already.
-func (b *Balancer) crossZoneCost(s *endpointState) float64 {
+func (b *Balancer) crossZoneCostSeconds(s *endpointState) float64 {
 	if s.Zone == b.cfg.Zone {
 		return 0
 	}
-	return b.cfg.Prices.CrossZone * crossZoneObjectives * b.meanObjective
+	return b.cfg.Prices.CrossZone * crossZoneObjectives * b.meanObjectiveSeconds
 }
 
 // pace is the time for each place in the queue by now: a server that warms up gets quicker.
-func (b *Balancer) serviceTime(s *endpointState) float64 {
-	return b.warmServiceTime(s) / b.slowStartFraction(s)
+func (b *Balancer) serviceSeconds(s *endpointState) float64 {
+	return b.warmServiceSeconds(s) / b.slowStartFraction(s)
 }
 
 // warmPace is the time for each place that a server takes, or will take, when warm. One without a history
 // has that of its peers.
-func (b *Balancer) warmServiceTime(s *endpointState) float64 {
-	if s.meanLatency == 0 {
-		return b.meanServiceTime
+func (b *Balancer) warmServiceSeconds(s *endpointState) float64 {
+	if s.meanLatencySeconds == 0 {
+		return b.meanServiceSeconds
 	}
-	return s.meanLatency / (s.meanQueueAtArrival + 1)
+	return s.meanLatencySeconds / (s.meanQueueAtArrival + 1)
 }
 
 // wait is the time that an average request would lose at a server, crossing aside. Failures are no time: they
 // send a request elsewhere while they can, and a server that serves about half is better than a refusal.
-func (b *Balancer) expectedWait(s *endpointState) float64 {
-	wait := b.cost(s) - b.crossZoneCost(s) - b.meanUnloadedLatency()
+func (b *Balancer) expectedWaitSeconds(s *endpointState) float64 {
+	wait := b.costSeconds(s) - b.crossZoneCostSeconds(s) - b.meanUnloadedSeconds()
 	if s.failureRate < maxUsefulFailureRate {
-		wait -= b.failureCost(s)
+		wait -= b.failureCostSeconds(s)
 	}
 	return wait
 }
@@ -68,7 +68,7 @@
 
 // fresh is the part of what was told last that still holds, squared where other nodes act on the same report.
 func (b *Balancer) reportWeight(s *endpointState, usual float64) float64 {
-	turn := (usual + 1) * b.serviceTime(s)
+	turn := (usual + 1) * b.serviceSeconds(s)
 	return math.Pow(turn/(turn+(b.now-s.reportedAt).Seconds()), 2)
 }
 
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -143,10 +143,10 @@
 	r := newRig(t, site(), old, listedEndpoint(2, 0, 0))
 	r.serve(50, safe, steady)
 	s := r.b.endpoints[1]
-	s.slowStartCredit, s.workServed, s.meanLatency = -9, 9, 9
+	s.slowStartCreditSeconds, s.servedWorkSeconds, s.meanLatencySeconds = -9, 9, 9
 	old.StartedAt = r.now
 	r.do(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
-	if s.slowStartCredit < 0 || s.workServed != 0 || s.meanLatency != 0 || s.knownSince != r.now {
+	if s.slowStartCreditSeconds < 0 || s.servedWorkSeconds != 0 || s.meanLatencySeconds != 0 || s.knownSince != r.now {
 		t.Errorf("%+v", *s)
 	}
 }
@@ -159,10 +159,10 @@
 	r := newRig(t, site(), cold, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	roll := func(work float64) float64 {
 		for _, s := range r.b.endpoints {
-			s.workServed = work
+			s.servedWorkSeconds = work
 		}
-		r.b.endpoints[1].workServed = 1000 * work
-		r.b.endpoints[3].workServed, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // came just now
+		r.b.endpoints[1].servedWorkSeconds = 1000 * work
+		r.b.endpoints[3].servedWorkSeconds, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // came just now
 		r.wait(1500 * ms)
 		r.do(TimerFired{})
 		return r.b.warmThroughput
@@ -185,9 +185,9 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, steady)
-	usual := r.b.queueBudget * max(r.b.latencySlack(), r.b.meanUnloadedLatency())
+	usual := r.b.queueBudget * max(r.b.slackSeconds(), r.b.meanUnloadedSeconds())
 	for class, want := range map[int]float64{safe: maxPriorityFactor * usual, unsafe: usual / maxPriorityFactor} {
-		got := r.b.maxQueueWait(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
+		got := r.b.maxWaitSeconds(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
 		if math.Abs(got-want) > 1e-9 && class == unsafe || got > want+1e-9 {
 			t.Errorf("class %d: bound %v, want %v", class, got, want)
 		}
@@ -198,9 +198,9 @@
 func TestSlowServersStillQueue(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(200, safe, func(EndpointID) time.Duration { return 600 * ms })
-	got := r.b.maxQueueWait(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-	if r.b.latencySlack() != 0 || got < minQueueBudget*0.5 {
-		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.latencySlack(), got)
+	got := r.b.maxWaitSeconds(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+	if r.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
+		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.slackSeconds(), got)
 	}
 }
 
@@ -209,7 +209,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(1, safe, func(EndpointID) time.Duration { return 280 * ms })
 	r.serve(9, safe, steady)
-	if base := r.b.classes[safe].unloadedLatency; math.Abs(base-0.046) > 0.001 {
+	if base := r.b.classes[safe].unloadedSeconds; math.Abs(base-0.046) > 0.001 {
 		t.Errorf("%v s, the mean is 0.046", base)
 	}
 }
@@ -250,15 +250,15 @@
 	r.serve(50, safe, steady)
 	r.arrive("x", safe)
 	s := r.b.endpoints[1]
-	was := r.b.cost(s)
+	was := r.b.costSeconds(s)
 	r.wait(10 * ms)
 	r.do(TimerFired{})
-	if c := r.b.cost(s); c != was {
+	if c := r.b.costSeconds(s); c != was {
 		t.Errorf("cost %v after 10 ms, %v at once", c, was)
 	}
 	r.wait(time.Second)
 	r.do(TimerFired{})
-	if c := r.b.cost(s); c < was+0.9 {
+	if c := r.b.costSeconds(s); c < was+0.9 {
 		t.Errorf("cost %v after a second of silence, %v at once", c, was)
 	}
 }
@@ -289,7 +289,7 @@
 		t.Errorf("the clock went back to %v", r.b.now)
 	}
 	for id, s := range r.b.endpoints {
-		if s.inFlight != 0 || math.IsNaN(r.b.cost(s)) {
+		if s.inFlight != 0 || math.IsNaN(r.b.costSeconds(s)) {
 			t.Errorf("server %d: %+v", id, *s)
 		}
 	}
@@ -301,10 +301,10 @@
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
 		r.serve(100, safe, steady)
 		s := r.b.endpoints[1]
-		s.meanLatency, s.meanQueueAtArrival = 0.02*(met+1), met
+		s.meanLatencySeconds, s.meanQueueAtArrival = 0.02*(met+1), met
 		r.arrive("x", safe)
 		r.sent()
-		r.b.requests["x"].attempts[0].waitAtSend = met * r.b.serviceTime(s)
+		r.b.requests["x"].attempts[0].waitAtSendSeconds = met * r.b.serviceSeconds(s)
 		r.b.queueBudget = 0.3
 		r.wait(400 * ms)
 		r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 400 * ms, Final: true})
@@ -362,7 +362,7 @@
 		cold := listedEndpoint(2, 0, 0)
 		cold.StartedAt = r.now - r.b.cfg.Rules.SlowStartDuration/4
 		r.do(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{cold}})
-		r.b.endpoints[2].slowStartCredit = 1
+		r.b.endpoints[2].slowStartCreditSeconds = 1
 		r.do(RequestArrived{Request: "x", Class: safe, TimeLeft: time.Second, ExpectedWork: hint})
 		if len(r.b.awaitingChecks) > 0 {
 			r.do(TimerFired{ID: r.b.lastTimerID})
@@ -426,7 +426,7 @@
 // A node that has no answers yet bounds waits as well, or all nodes that start together fill every server.
 func TestANewNodeBoundsWaits(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
-	if s := r.b.latencySlack(); math.IsInf(s, 1) {
+	if s := r.b.slackSeconds(); math.IsInf(s, 1) {
 		t.Errorf("slack %v without an answer", s)
 	}
 }
@@ -455,7 +455,7 @@
 func TestLatenessCountsByTime(t *testing.T) {
 	after := func(gap time.Duration) float64 {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
-		r.b.answerGap = gap.Seconds()
+		r.b.answerGapSeconds = gap.Seconds()
 		for range int(time.Second / gap) {
 			r.wait(gap)
 			r.do(TimerFired{})
@@ -660,8 +660,8 @@
 	}
 	r := newRig(t, site(), members...)
 	r.serve(40, safe, func(EndpointID) time.Duration { return 100 * ms })
-	if r.b.meanServiceTime < 0.08 {
-		t.Errorf("pace %v after 40 answers of 100 ms", r.b.meanServiceTime)
+	if r.b.meanServiceSeconds < 0.08 {
+		t.Errorf("pace %v after 40 answers of 100 ms", r.b.meanServiceSeconds)
 	}
 }
 
@@ -672,7 +672,7 @@
 	r.wait(time.Second)
 	r.do(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
 	r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
-	if base := r.b.classes[safe].unloadedLatency; base < 0.015 || base > 0.025 {
+	if base := r.b.classes[safe].unloadedSeconds; base < 0.015 || base > 0.025 {
 		t.Errorf("time without a queue %v by an answer of 200 ms behind five others, hinted at 20 ms", base)
 	}
 }
@@ -698,7 +698,7 @@
 				r.do(RequestArrived{Request: id, ExpectedWork: tc.hint, TimeLeft: time.Second})
 				r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: tc.spent, Final: true})
 			}
-			if base := r.b.classes[safe].unloadedLatency; math.Abs(base-tc.want) > 0.1*tc.want {
+			if base := r.b.classes[safe].unloadedSeconds; math.Abs(base-tc.want) > 0.1*tc.want {
 				t.Errorf("time without a queue %.4f s, want %.4f", base, tc.want)
 			}
 		})
@@ -712,7 +712,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, func(EndpointID) time.Duration { return 30 * ms })
-	if s := r.b.latencySlack(); s < 0.1 {
+	if s := r.b.slackSeconds(); s < 0.1 {
 		t.Errorf("slack %v", s)
 	}
 }
@@ -767,8 +767,8 @@
 func TestTheFirstGapIsNoGap(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(20, safe, steady)
-	if r.b.answerGap > 0.5 {
-		t.Errorf("gap %v s after answers 10 ms apart", r.b.answerGap)
+	if r.b.answerGapSeconds > 0.5 {
+		t.Errorf("gap %v s after answers 10 ms apart", r.b.answerGapSeconds)
 	}
 }
 
@@ -791,12 +791,12 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(200, safe, steady)
 	s := r.b.endpoints[1]
-	was := r.b.warmServiceTime(s)
+	was := r.b.warmServiceSeconds(s)
 	req := &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
 	for range 3 {
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s, queueAtSend: 12}, 20*ms)
 	}
-	if is := r.b.warmServiceTime(s); is > was/4 {
+	if is := r.b.warmServiceSeconds(s); is > was/4 {
 		t.Errorf("pace %v, then %v after three answers as fast behind twelve others", was, is)
 	}
 }
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -9,7 +9,7 @@
 
 // classStats is what a node has learned of a class.
 type classStats struct {
-	unloadedLatency float64 // mean time of an answer that met no queue, seconds
+	unloadedSeconds float64 // mean time of an answer that met no queue, seconds
 	samples         float64 // answers that told of it
 	unqueuedSamples float64 // those that met no queue
 }
@@ -30,17 +30,17 @@
 		w = max(w, 1/c.unqueuedSamples)
 	}
 	c.samples++
-	c.unloadedLatency += max(w, 1/c.samples) * (spent - c.unloadedLatency)
+	c.unloadedSeconds += max(w, 1/c.samples) * (spent - c.unloadedSeconds)
 }
 
 // learn takes in how long an answer took, against the time of its class, and the queue it met.
 func (b *Balancer) learnServiceTime(s *endpointState, r *request, a *attempt, spent time.Duration) {
-	if r.stats.unloadedLatency == 0 {
+	if r.stats.unloadedSeconds == 0 {
 		return
 	}
-	took := spent.Seconds() / r.stats.unloadedLatency * b.meanUnloadedLatency() * b.slowStartFraction(s)
-	if s.meanLatency == 0 {
-		s.meanLatency, s.meanQueueAtArrival = b.meanServiceTime*(a.queueAtSend+1), a.queueAtSend
+	took := spent.Seconds() / r.stats.unloadedSeconds * b.meanUnloadedSeconds() * b.slowStartFraction(s)
+	if s.meanLatencySeconds == 0 {
+		s.meanLatencySeconds, s.meanQueueAtArrival = b.meanServiceSeconds*(a.queueAtSend+1), a.queueAtSend
 	}
 	// An answer out of a long queue tells more of the pace: a short one is no load to a server of many cores.
 	w := min(sampleWeight*(a.queueAtSend+1)/(s.meanQueueAtArrival+1), 1)
@@ -48,36 +48,36 @@
 		w = max(w, 1-math.Exp(-(b.now-s.lastAnswerAt).Seconds()/rareAnswerSeconds))
 	}
 	s.lastAnswerAt = b.now
-	s.meanLatency += w * (took - s.meanLatency)
+	s.meanLatencySeconds += w * (took - s.meanLatencySeconds)
 	s.meanQueueAtArrival += w * (a.queueAtSend - s.meanQueueAtArrival)
 	b.answers++ // one server may see few answers of this node: the pace of all comes from all alike
 	w = max(w/float64(len(b.usable)+1), 1/b.answers)
-	b.meanLatency, b.meanQueueAtArrival = b.meanLatency+w*(took-b.meanLatency), b.meanQueueAtArrival+w*(a.queueAtSend-b.meanQueueAtArrival)
-	b.meanServiceTime = b.meanLatency / (b.meanQueueAtArrival + 1)
+	b.meanLatencySeconds, b.meanQueueAtArrival = b.meanLatencySeconds+w*(took-b.meanLatencySeconds), b.meanQueueAtArrival+w*(a.queueAtSend-b.meanQueueAtArrival)
+	b.meanServiceSeconds = b.meanLatencySeconds / (b.meanQueueAtArrival + 1)
 }
 
 // work returns what a request costs a server, in seconds: what its hint says, else the time of its
 // class where it does not queue. Queueing makes the mean times of light and heavy classes alike.
-func (b *Balancer) expectedWork(r *request) float64 {
+func (b *Balancer) workSeconds(r *request) float64 {
 	switch {
 	case r.workHint > 0:
 		return r.workHint.Seconds()
-	case r.stats.unloadedLatency > 0:
-		return r.stats.unloadedLatency
+	case r.stats.unloadedSeconds > 0:
+		return r.stats.unloadedSeconds
 	}
-	return b.meanUnloadedLatency()
+	return b.meanUnloadedSeconds()
 }
 
 // meanBase is the mean of the times without a queue of the classes met so far.
-func (b *Balancer) meanUnloadedLatency() float64 {
+func (b *Balancer) meanUnloadedSeconds() float64 {
 	var m mean
 	for i := range b.classes {
-		if b.classes[i].unloadedLatency > 0 {
-			m.add(b.classes[i].unloadedLatency)
+		if b.classes[i].unloadedSeconds > 0 {
+			m.add(b.classes[i].unloadedSeconds)
 		}
 	}
 	if m.n == 0 {
-		return initialServiceTimeObjectives * b.meanObjective
+		return initialServiceTimeObjectives * b.meanObjectiveSeconds
 	}
 	return m.value()
 }
@@ -92,9 +92,9 @@
 	var warm mean
 	for _, s := range b.usable {
 		if b.slowStartFraction(s) == 1 && s.knownSince <= b.windowStart {
-			warm.add(s.workServed / span)
+			warm.add(s.servedWorkSeconds / span)
 		}
-		s.workServed = 0
+		s.servedWorkSeconds = 0
 	}
 	if warm.n > 0 {
 		b.warmThroughput = max(b.warmThroughput*warmThroughputDecay, warm.value())
@@ -104,9 +104,9 @@
 		s.failureRate -= failureRateDecay * s.failureRate
 		s.unaccepted -= unacceptedDecay * s.unaccepted // a report may be long in coming, or never come
 		s.abandoned -= abandonedDecay * s.abandoned
-		if s.lastAnswerAt < b.windowStart && s.meanLatency > 0 {
+		if s.lastAnswerAt < b.windowStart && s.meanLatencySeconds > 0 {
 			// A server that looked slow gets no traffic, so nothing would ever clear its name.
-			s.meanLatency += serviceTimeRecovery * (b.meanServiceTime*(s.meanQueueAtArrival+1) - s.meanLatency)
+			s.meanLatencySeconds += serviceTimeRecovery * (b.meanServiceSeconds*(s.meanQueueAtArrival+1) - s.meanLatencySeconds)
 		}
 	}
 	b.subsetSize = max(minSubsetSize, b.subsetSize-1, int(float64(b.forwarded)/span*subsetSpanSeconds))
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -47,17 +47,17 @@
 // HandoverState returns what this process has learned, for the other one when this one is HandedOver. What is left of its
 // grants goes with it, and half of its retry budget.
 func (b *Balancer) HandoverState() HandoverState {
-	m := HandoverState{QueueBudget: b.queueBudget, WarmThroughput: b.warmThroughput, RetryBudget: b.retryBudget / 2, ReportInterval: b.reportInterval, AnswerGap: b.answerGap,
-		MeanPriority: b.meanPriority, MeanLatency: b.meanLatency, MeanQueueAtArrival: b.meanQueueAtArrival, Answers: b.answers, MeanFailureRate: b.meanFailureRate,
+	m := HandoverState{QueueBudget: b.queueBudget, WarmThroughput: b.warmThroughput, RetryBudget: b.retryBudget / 2, ReportInterval: b.reportInterval, AnswerGap: b.answerGapSeconds,
+		MeanPriority: b.meanPriority, MeanLatency: b.meanLatencySeconds, MeanQueueAtArrival: b.meanQueueAtArrival, Answers: b.answers, MeanFailureRate: b.meanFailureRate,
 		HealthChecksSent: b.healthChecksSent, SubsetSize: b.subsetSize, WindowStart: b.windowStart}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassHandoverState{UnloadedLatency: c.unloadedLatency, Samples: c.samples, UnqueuedSamples: c.unqueuedSamples})
+		m.Classes = append(m.Classes, ClassHandoverState{UnloadedLatency: c.unloadedSeconds, Samples: c.samples, UnqueuedSamples: c.unqueuedSamples})
 	}
 	for _, s := range b.endpoints {
 		if s.Phase != Removed {
 			m.Endpoints = append(m.Endpoints, EndpointHandoverState{ID: s.ID, StartedAt: s.StartedAt, ReportedAt: s.reportedAt,
-				LastAnswerAt: s.lastAnswerAt, ReportedLoad: s.reportedLoad, LoadBias: s.loadBias, ZoneMeanLoad: b.zoneMeanLoad(s), MeanLatency: s.meanLatency, MeanQueueAtArrival: s.meanQueueAtArrival, FailureRate: s.failureRate,
-				SlowStartCredit: s.slowStartCredit})
+				LastAnswerAt: s.lastAnswerAt, ReportedLoad: s.reportedLoad, LoadBias: s.loadBias, ZoneMeanLoad: b.zoneMeanLoad(s), MeanLatency: s.meanLatencySeconds, MeanQueueAtArrival: s.meanQueueAtArrival, FailureRate: s.failureRate,
+				SlowStartCredit: s.slowStartCreditSeconds})
 		}
 	}
 	return m
@@ -68,21 +68,21 @@
 	if m == nil || m.Answers == 0 || len(m.Classes) != len(b.classes) {
 		return
 	}
-	b.queueBudget, b.warmThroughput, b.reportInterval, b.answerGap = m.QueueBudget, m.WarmThroughput, m.ReportInterval, m.AnswerGap
+	b.queueBudget, b.warmThroughput, b.reportInterval, b.answerGapSeconds = m.QueueBudget, m.WarmThroughput, m.ReportInterval, m.AnswerGap
 	b.retryBudget, b.meanPriority, b.meanFailureRate, b.healthChecksSent = b.retryBudget+m.RetryBudget, m.MeanPriority, m.MeanFailureRate, m.HealthChecksSent
-	b.meanLatency, b.meanQueueAtArrival, b.answers, b.subsetSize = m.MeanLatency, m.MeanQueueAtArrival, m.Answers, max(b.subsetSize, m.SubsetSize)
-	b.meanServiceTime, b.windowStart = b.meanLatency/(b.meanQueueAtArrival+1), min(b.now, m.WindowStart)
+	b.meanLatencySeconds, b.meanQueueAtArrival, b.answers, b.subsetSize = m.MeanLatency, m.MeanQueueAtArrival, m.Answers, max(b.subsetSize, m.SubsetSize)
+	b.meanServiceSeconds, b.windowStart = b.meanLatencySeconds/(b.meanQueueAtArrival+1), min(b.now, m.WindowStart)
 	for i, c := range m.Classes {
-		b.classes[i] = classStats{unloadedLatency: c.UnloadedLatency, samples: c.Samples, unqueuedSamples: c.UnqueuedSamples}
+		b.classes[i] = classStats{unloadedSeconds: c.UnloadedLatency, samples: c.Samples, unqueuedSamples: c.UnqueuedSamples}
 	}
 	for _, k := range m.Endpoints {
 		s := b.endpoints[k.ID]
 		if s == nil || s.StartedAt != k.StartedAt {
 			continue
 		}
-		s.reportedLoad, s.reportedAt, s.loadBias, s.slowStartCredit = k.ReportedLoad, min(b.now, k.ReportedAt), k.LoadBias, k.SlowStartCredit
+		s.reportedLoad, s.reportedAt, s.loadBias, s.slowStartCreditSeconds = k.ReportedLoad, min(b.now, k.ReportedAt), k.LoadBias, k.SlowStartCredit
 		s.lastAnswerAt = min(b.now, k.LastAnswerAt)
-		s.meanLatency, s.meanQueueAtArrival, s.failureRate = k.MeanLatency, k.MeanQueueAtArrival, k.FailureRate
+		s.meanLatencySeconds, s.meanQueueAtArrival, s.failureRate = k.MeanLatency, k.MeanQueueAtArrival, k.FailureRate
 		b.zoneLoads[s.Zone] = loadAverage{mean: k.ZoneMeanLoad, reports: 1 / sampleWeight, updatedAt: b.now}
 		b.fleetLoad = b.zoneLoads[s.Zone]
 	}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -23,7 +23,7 @@
 	old := start(list)
 	picks(old, now, 2500)
 	now += 2600 * time.Millisecond
-	old.endpoints[3].slowStartCredit = 0.125
+	old.endpoints[3].slowStartCreditSeconds = 0.125
 	text, err := json.Marshal(old.HandoverState())
 	if err != nil {
 		t.Fatal(err)
@@ -38,32 +38,32 @@
 	next := start(list)
 	next.Handle(now, TookOver{State: &m}, nil)
 	for id := EndpointID(1); id <= 2; id++ {
-		if got, want := next.serviceTime(next.endpoints[id]), old.serviceTime(old.endpoints[id]); got != want || want == 0 {
+		if got, want := next.serviceSeconds(next.endpoints[id]), old.serviceSeconds(old.endpoints[id]); got != want || want == 0 {
 			t.Errorf("backend %d: pace %v, want %v", id, got, want)
 		}
 	}
-	if next.endpoints[4].meanLatency != 0 {
+	if next.endpoints[4].meanLatencySeconds != 0 {
 		t.Error("what was known of the old start is taken for the new one")
 	}
-	if next.meanUnloadedLatency() != old.meanUnloadedLatency() || next.queueBudget != old.queueBudget || next.warmThroughput != old.warmThroughput || next.windowStart != m.WindowStart {
-		t.Errorf("base %v, part %v, warm rate %v", next.meanUnloadedLatency(), next.queueBudget, next.warmThroughput)
+	if next.meanUnloadedSeconds() != old.meanUnloadedSeconds() || next.queueBudget != old.queueBudget || next.warmThroughput != old.warmThroughput || next.windowStart != m.WindowStart {
+		t.Errorf("base %v, part %v, warm rate %v", next.meanUnloadedSeconds(), next.queueBudget, next.warmThroughput)
 	}
-	if old.endpoints[3].slowStartCredit != 0 || next.endpoints[3].slowStartCredit != 0.125 {
-		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCredit, next.endpoints[3].slowStartCredit)
+	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
+		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
 	}
 	if sum := old.retryBudget + next.retryBudget; retries == 0 || sum != retries {
 		t.Errorf("retry budget %v, was %v", sum, retries)
 	}
 	now += 2 * time.Second
 	old.Handle(now, TimerFired{}, nil)
-	if c := old.endpoints[3].slowStartCredit; c > 0 {
+	if c := old.endpoints[3].slowStartCreditSeconds; c > 0 {
 		t.Errorf("the old process is granted %v more", c)
 	}
 	// A process that gets the node back is granted as before.
 	old.Handle(now, HandoverChanged{}, nil)
 	now += 2 * time.Second
 	old.Handle(now, TimerFired{}, nil)
-	if c := old.endpoints[3].slowStartCredit; c <= 0 {
+	if c := old.endpoints[3].slowStartCreditSeconds; c <= 0 {
 		t.Errorf("credit %v after the node came back", c)
 	}
 }
@@ -80,12 +80,12 @@
 	b.Handle(now, TookOver{}, nil)
 	for _, at := range []time.Duration{0, 900 * time.Millisecond} {
 		b.Handle(now+at, TimerFired{}, nil)
-		if c := b.endpoints[1].slowStartCredit; c > 0 {
+		if c := b.endpoints[1].slowStartCreditSeconds; c > 0 {
 			t.Errorf("credit %v after %v", c, at)
 		}
 	}
 	b.Handle(now+1100*time.Millisecond, TimerFired{}, nil)
-	if c := b.endpoints[1].slowStartCredit; c <= 0 {
+	if c := b.endpoints[1].slowStartCreditSeconds; c <= 0 {
 		t.Errorf("credit %v once the window has passed", c)
 	}
 }
--- a/balance/open.go
+++ b/balance/open.go
@@ -25,6 +25,6 @@
 	a := &r.attempts[ev.Attempt]
 	a.incomplete, a.sentAt = false, b.now
 	a.queueAtSend = b.queueEstimate(a.endpoint)
-	a.waitAtSend = a.queueAtSend * b.serviceTime(a.endpoint)
+	a.waitAtSendSeconds = a.queueAtSend * b.serviceSeconds(a.endpoint)
 	b.countInFlight(r)
 }
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -44,8 +44,8 @@
 	part := b.queueBudget
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
-	if s.inFlight != 0 || b.queueBudget < part || s.meanLatency > 0.2 {
-		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget, s.meanLatency)
+	if s.inFlight != 0 || b.queueBudget < part || s.meanLatencySeconds > 0.2 {
+		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget, s.meanLatencySeconds)
 	}
 }
 
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -24,7 +24,7 @@
 		b.healthChecksSent++
 		b.emit(Action{Kind: HealthCheck, Endpoint: b.usable[i].ID})
 	}
-	if d > 1 && b.reportInterval < b.meanServiceTime {
+	if d > 1 && b.reportInterval < b.meanServiceSeconds {
 		b.checksAwaited += d
 	}
 }
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -11,32 +11,32 @@
 
 // request is one client request that this node has taken.
 type request struct {
-	id              string
-	class           *Class
-	stats           *classStats
-	tenant          int
-	workHint        time.Duration
-	arrived         time.Duration
-	deadline        time.Duration
-	attempts        []attempt
-	pendingAttempts int
-	probeBound      float64 // that of a scout when it was sent; 0 for others
-	incomplete      bool    // it is still coming in
-	notReplayable   bool    // it can't be sent again
-	finished        bool    // the final answer is out
-	streamStarted   bool    // the answer has started: it belongs to the client
+	id                string
+	class             *Class
+	stats             *classStats
+	tenant            int
+	workHint          time.Duration
+	arrived           time.Duration
+	deadline          time.Duration
+	attempts          []attempt
+	pendingAttempts   int
+	probeBoundSeconds float64 // that of a scout when it was sent; 0 for others
+	incomplete        bool    // it is still coming in
+	notReplayable     bool    // it can't be sent again
+	finished          bool    // the final answer is out
+	streamStarted     bool    // the answer has started: it belongs to the client
 }
 
 // attempt is one copy of a request at a server.
 type attempt struct {
-	endpoint    *endpointState
-	sentAt      time.Duration
-	queueAtSend float64 // the entry when it was sent
-	waitAtSend  float64 // and the time that it took to clear, seconds
-	pending     bool
-	mayHaveRun  bool // it may have run, or may still run
-	lost        bool // it must be lost: it counts no more as out
-	incomplete  bool // its last byte has not gone: it does not count as out yet
+	endpoint          *endpointState
+	sentAt            time.Duration
+	queueAtSend       float64 // the entry when it was sent
+	waitAtSendSeconds float64 // and the time that it took to clear, seconds
+	pending           bool
+	mayHaveRun        bool // it may have run, or may still run
+	lost              bool // it must be lost: it counts no more as out
+	incomplete        bool // its last byte has not gone: it does not count as out yet
 }
 
 func (b *Balancer) onRequestArrived(ev *RequestArrived) {
@@ -83,12 +83,12 @@
 		again && b.retryBudget < 1
 	var s *endpointState
 	if !spent {
-		s = b.selectEndpoint(r, b.maxQueueWait(r))
+		s = b.selectEndpoint(r, b.maxWaitSeconds(r))
 	}
 	if s == nil && !spent && !again {
 		if b.rejectedSinceProbe++; b.rejectedSinceProbe >= b.probeAdmissionInterval {
 			b.rejectedSinceProbe -= b.probeAdmissionInterval
-			r.probeBound = b.maxQueueWait(r)
+			r.probeBoundSeconds = b.maxWaitSeconds(r)
 			s = b.selectEndpoint(r, math.Inf(1)) // refusing keeps a node from the answers that would correct it
 		}
 	}
@@ -114,15 +114,15 @@
 	least, ties := 0.0, 0
 	for _, s := range b.usable {
 		// An idle server makes nobody wait, however slow it has become.
-		full := b.queueEstimate(s) > idleQueueEstimate && b.expectedWait(s) > bound
+		full := b.queueEstimate(s) > idleQueueEstimate && b.expectedWaitSeconds(s) > bound
 		if b.slowStartFraction(s) < 1 {
-			full = b.slowStartLatency(r, s) > slowStartObjectiveFraction*r.class.LatencyObjective.Seconds()
+			full = b.slowStartLatencySeconds(r, s) > slowStartObjectiveFraction*r.class.LatencyObjective.Seconds()
 		}
 		if full || r.attempted(s) || !b.repeatAllowed(r, s) || !b.slowStartAdmits(r, s) {
 			continue
 		}
 		// Own attempts count twice: counted once, nothing keeps nodes from servers of their own.
-		entry := b.cost(s) + s.inFlight*b.serviceTime(s) - b.slowStartSurcharge(s)
+		entry := b.costSeconds(s) + s.inFlight*b.serviceSeconds(s) - b.slowStartSurchargeSeconds(s)
 		if best == nil || entry < least {
 			best, least, ties = s, entry, 1
 		} else if entry == least {
@@ -141,8 +141,8 @@
 func (b *Balancer) forward(r *request, s *endpointState) {
 	met := b.queueEstimate(s)
 	r.attempts = append(r.attempts, attempt{
-		endpoint: s, sentAt: b.now, queueAtSend: met, waitAtSend: met * b.serviceTime(s), pending: true, mayHaveRun: true})
-	s.slowStartCredit -= b.expectedWork(r)
+		endpoint: s, sentAt: b.now, queueAtSend: met, waitAtSendSeconds: met * b.serviceSeconds(s), pending: true, mayHaveRun: true})
+	s.slowStartCreditSeconds -= b.workSeconds(r)
 	r.pendingAttempts++
 	n := len(r.attempts) - 1
 	act := Action{Kind: Forward, Request: r.id, Endpoint: s.ID, Attempt: n}
@@ -171,7 +171,7 @@
 	// A time-out at a server that gave no sign in the meantime tells of that server, not of crowding, and so
 	// does one that no queue accounts for.
 	if !a.incomplete && (ev.Status != StatusTimedOut || a.endpoint.silentSince > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost) {
-		b.adjustQueueBudget(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.waitAtSend)
+		b.adjustQueueBudget(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.waitAtSendSeconds)
 	}
 	b.recordProbeAdmission(r, ev)
 	b.recordOutcome(a.endpoint, ev.Status, a, ev.Elapsed)
@@ -179,7 +179,7 @@
 	b.handleLoadReport(a.endpoint, ev.Load)
 	if ev.Status == StatusSucceeded && !a.incomplete {
 		b.learnUnloadedLatency(r, a, ev.Elapsed.Seconds())
-		a.endpoint.workServed += b.expectedWork(r)
+		a.endpoint.servedWorkSeconds += b.workSeconds(r)
 		b.learnServiceTime(a.endpoint, r, a, ev.Elapsed)
 	}
 	r.finished = r.finished || ev.Final
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -11,24 +11,24 @@
 // server is one backend in the list.
 type endpointState struct {
 	Endpoint
-	loadBias           float64 // what other nodes usually have there, beyond the mean of its zone
-	reportedLoad       float64 // what they had by the last report or probe
-	reportedAt         time.Duration
-	failureRate        float64       // rate of failures
-	outlier            bool          // traffic is withheld, as logged
-	silentSince        time.Duration // its last sign, or the send since when something is out
-	inFlight           float64       // attempts of this node that are out
-	unaccepted         float64       // attempts not accepted since the last report
-	abandoned          float64       // attempts given up since then whose work may still stand in the queue
-	reportedQueue      float64       // the last queue reported
-	reportedQueueSince time.Duration // when it was first seen
-	meanLatency        float64       // running mean of the time of an answer, seconds
-	meanQueueAtArrival float64       // running mean of the entry that those answers met
-	lastAnswerAt       time.Duration // last answer
-	slowStartCredit    float64       // work that may be sent while cold, in this window
-	workServed         float64       // work answered since the last roll of the warm rate
-	knownSince         time.Duration
-	subsetRank         uint64 // place in this node's own order of the servers
+	loadBias               float64 // what other nodes usually have there, beyond the mean of its zone
+	reportedLoad           float64 // what they had by the last report or probe
+	reportedAt             time.Duration
+	failureRate            float64       // rate of failures
+	outlier                bool          // traffic is withheld, as logged
+	silentSince            time.Duration // its last sign, or the send since when something is out
+	inFlight               float64       // attempts of this node that are out
+	unaccepted             float64       // attempts not accepted since the last report
+	abandoned              float64       // attempts given up since then whose work may still stand in the queue
+	reportedQueue          float64       // the last queue reported
+	reportedQueueSince     time.Duration // when it was first seen
+	meanLatencySeconds     float64       // running mean of the time of an answer, seconds
+	meanQueueAtArrival     float64       // running mean of the entry that those answers met
+	lastAnswerAt           time.Duration // last answer
+	slowStartCreditSeconds float64       // work that may be sent while cold, in this window
+	servedWorkSeconds      float64       // work answered since the last roll of the warm rate
+	knownSince             time.Duration
+	subsetRank             uint64 // place in this node's own order of the servers
 }
 
 // onDiscoveryFailed asks again after a while: a refused or broken subscription leaves the node blind to drains.
--- a/balance/signs.go
+++ b/balance/signs.go
@@ -26,7 +26,7 @@
 
 // lostAfter is the time, in seconds, beyond which a server's signs tell that it has lost an attempt.
 func (b *Balancer) lossSeconds(a *attempt) float64 {
-	return lossMultiple * (a.waitAtSend + b.meanUnloadedLatency())
+	return lossMultiple * (a.waitAtSendSeconds + b.meanUnloadedSeconds())
 }
 
 // watch looks after the attempt sent last, when it should have been answered long ago.
@@ -52,8 +52,8 @@
 const maxUsefulFailureRate = 0.6
 
 // failing is the time that a server's failures are worth, beyond those that all servers have.
-func (b *Balancer) failureCost(s *endpointState) float64 {
-	return max(0, s.failureRate-b.meanFailureRate) * failureCostObjectives * b.meanObjective
+func (b *Balancer) failureCostSeconds(s *endpointState) float64 {
+	return max(0, s.failureRate-b.meanFailureRate) * failureCostObjectives * b.meanObjectiveSeconds
 }
 
 // probed takes in how a probe ended. An answer is a sign of life: where one request is lost at a server that
@@ -92,8 +92,8 @@
 // nothing shows that refusing is right.
 func (b *Balancer) recordProbeAdmission(r *request, ev *AttemptEnded) {
 	switch {
-	case r.probeBound == 0 || ev.Attempt > 0 || ev.Status == StatusCancelled:
-	case ev.Status == StatusSucceeded && ev.Elapsed.Seconds()-b.expectedWork(r) < r.probeBound:
+	case r.probeBoundSeconds == 0 || ev.Attempt > 0 || ev.Status == StatusCancelled:
+	case ev.Status == StatusSucceeded && ev.Elapsed.Seconds()-b.workSeconds(r) < r.probeBoundSeconds:
 		b.probeAdmissionInterval = max(b.probeAdmissionInterval/2, 1)
 	default:
 		b.probeAdmissionInterval = min(b.probeAdmissionInterval*2, maxProbeAdmissionInterval)
@@ -119,9 +119,9 @@
 
 // Stats returns the present figures.
 func (b *Balancer) Stats() Stats {
-	st := Stats{UsableEndpoints: len(b.usable), QueueBudget: b.queueBudget, UnloadedLatency: b.meanUnloadedLatency()}
+	st := Stats{UsableEndpoints: len(b.usable), QueueBudget: b.queueBudget, UnloadedLatency: b.meanUnloadedSeconds()}
 	for i, s := range b.usable {
-		if w := b.expectedWait(s); i == 0 || w < st.ShortestWait {
+		if w := b.expectedWaitSeconds(s); i == 0 || w < st.ShortestWait {
 			st.ShortestWait = w
 		}
 	}
--- a/balance/signs_test.go
+++ b/balance/signs_test.go
@@ -47,7 +47,7 @@
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(300, safe, steady)
 			r.arrive("x", safe)
-			r.b.requests["x"].attempts[0].waitAtSend = tc.wait
+			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
 			r.serve(5, safe, steady) // signs of life
 			r.wait(time.Second)
 			was := r.b.queueBudget
@@ -75,7 +75,7 @@
 			r := newRig(t, site(), listedEndpoint(1, 0, 0))
 			r.serve(300, safe, steady)
 			r.arrive("x", safe)
-			r.b.requests["x"].attempts[0].waitAtSend = tc.wait
+			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
 			r.serve(5, safe, steady) // signs of life
 			r.b.endpoints[1].failureRate = 0
 			r.do(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: tc.spent})
@@ -95,10 +95,10 @@
 		t.Fatalf("the part of the slack is %v after a long calm", r.b.queueBudget)
 	}
 	s := r.b.endpoints[1]
-	r.holds(1, 1.5*r.b.latencySlack()/r.b.serviceTime(s))
+	r.holds(1, 1.5*r.b.slackSeconds()/r.b.serviceSeconds(s))
 	s.reportedAt, r.b.rejectedSinceProbe = r.now, 1 // no scout
 	if acts := r.arrive("x", safe); len(of(Reject, acts)) != 1 {
-		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWait(s), r.b.latencySlack(), acts)
+		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWaitSeconds(s), r.b.slackSeconds(), acts)
 	}
 }
 
@@ -112,7 +112,7 @@
 		r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(300, safe, steady)
 		full, failing := r.b.endpoints[1], r.b.endpoints[2]
-		r.holds(1, 3*r.b.latencySlack()/r.b.serviceTime(full))
+		r.holds(1, 3*r.b.slackSeconds()/r.b.serviceSeconds(full))
 		r.holds(2, 1)
 		full.reportedAt, failing.reportedAt, failing.failureRate, r.b.rejectedSinceProbe = r.now, r.now, tc.fails, 1
 		if acts := r.arrive("x", safe); len(of(tc.want, acts)) != 1 {
@@ -158,13 +158,13 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, safe, steady)
 	s := r.b.endpoints[1]
-	was, req := s.meanLatency, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
+	was, req := s.meanLatencySeconds, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s}, 120*ms)
 	}
-	if s.meanLatency < was+70e-3 {
-		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, s.meanLatency)
+	if s.meanLatencySeconds < was+70e-3 {
+		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, s.meanLatencySeconds)
 	}
 }
 
