--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -29,10 +29,10 @@
 	Log  string // the file that DutyEvents are appended to, one JSON object a line
 }
 
-// DutyEvent is one line of a candidate's log. Event is granted, accepted (a fenced write the registry took, at
+// LeaseEvent is one line of a candidate's log. Event is granted, accepted (a fenced write the registry took, at
 // Revision), refused (a write the registry fenced off), lost (Lost closed) or released (on SIGTERM). At is Unix
 // nanoseconds.
-type DutyEvent struct {
+type LeaseEvent struct {
 	Holder   string `json:"holder"`
 	Event    string `json:"event"`
 	Token    uint64 `json:"token"`
@@ -82,7 +82,7 @@
 
 // serve does the duty's work while held is not lost; it returns once the lease is lost, a write is fenced off, or
 // ctx ends (then releasing the lease).
-func (c Candidate) serve(ctx context.Context, held *lease.Held, w *eventLog) error {
+func (c Candidate) serve(ctx context.Context, held *lease.Lease, w *eventLog) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -101,7 +101,7 @@
 			continue
 		case <-time.After(c.Work):
 		}
-		code, rev := c.write(ctx, held.Fence())
+		code, rev := c.write(ctx, held.FencingToken())
 		switch code {
 		case http.StatusOK:
 			if err := w.put("accepted", held.Token, rev); err != nil {
@@ -152,5 +152,5 @@
 func (l *eventLog) put(event string, token uint64, rev int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.enc.Encode(DutyEvent{Holder: l.holder, Event: event, Token: token, Revision: rev, At: time.Now().UnixNano()})
+	return l.enc.Encode(LeaseEvent{Holder: l.holder, Event: event, Token: token, Revision: rev, At: time.Now().UnixNano()})
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -129,5 +129,5 @@
 	clients := max(n.clients-other.ClientConns, 1)
 	n.listener.allow(clients)
 	n.front.allow(clients)
-	n.pool.allow(max(n.backends-other.BackendConns, 1))
+	n.pool.setMaxOpen(max(n.backends-other.BackendConns, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -9,8 +9,6 @@
 	"net"
 	"syscall"
 	"time"
-
-	"hitchvale/balance"
 )
 
 // This file is the predecessor's side of a hand-over.
@@ -28,8 +26,9 @@
 	if err := awaitTakeCommand(successor); err != nil {
 		return false, err
 	}
-	var state handoverState
-	if err := n.loop.ask(ctx, func() { state = n.loop.exportState() }); err != nil {
+	reply := make(chan handoverState, 1)
+	state, err := query(ctx, n.loop, handoverStateQuery{reply}, reply)
+	if err != nil {
 		return false, err
 	}
 	n.setHandedOver(true)
@@ -62,7 +61,7 @@
 func (n *Node) setHandedOver(handedOver bool) {
 	n.front.handed.Store(handedOver)
 	n.listener.rest(handedOver)
-	n.loop.post(func() { n.loop.handle(balance.HandoverChanged{HandedOver: handedOver}) })
+	n.loop.post(handoverChanged{handedOver: handedOver})
 }
 
 // sendOffer passes on the listener and the endpoint list.
@@ -75,8 +74,9 @@
 	if err != nil {
 		return err
 	}
-	var list []byte
-	if err := n.loop.ask(ctx, func() { list = n.loop.encodeList() }); err != nil {
+	reply := make(chan []byte, 1)
+	list, err := query(ctx, n.loop, endpointListQuery{reply}, reply)
+	if err != nil {
 		return err
 	}
 	message, err := encodeMessage(handoverOffer{Discovery: n.discovery.Address(), List: list})
@@ -136,7 +136,7 @@
 			lastActive = time.Now()
 		}
 		if time.Since(lastActive) >= predecessorLinger {
-			n.pool.allow(0)
+			n.pool.setMaxOpen(0)
 			return true, nil
 		}
 		select {
@@ -157,9 +157,9 @@
 	// one.
 	n.front.endIdle(minIdleBeforeClose, closedForHandOver)
 	n.front.shed(n.clients / 4)
-	inUse, idle := n.pool.held()
+	inUse, idle := n.pool.size()
 	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.backends/4))
-	n.pool.allow(usage.BackendConns)
+	n.pool.setMaxOpen(usage.BackendConns)
 	usage.ClientConns = n.listener.held()
 	usage.InFlight = n.front.busy()
 	return usage, usage.ClientConns > 0 || inUse > idle
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -11,7 +11,6 @@
 	"syscall"
 	"time"
 
-	"hitchvale/balance"
 	"hitchvale/internal/discovery"
 )
 
@@ -122,7 +121,7 @@
 		pause(ctx, lookEvery)
 	}
 	state, usage, err := h.takeOver()
-	n.loop.post(func() { n.loop.handle(balance.TookOver{State: n.loop.importState(state)}) })
+	n.loop.post(nodeTakenOver{state})
 	n.shareDescriptors(usage)
 	n.listener.rest(false)
 	n.log.Info("took over from predecessor", "clients", usage.ClientConns, "backends", usage.BackendConns,
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -92,7 +92,7 @@
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 	var knows float64
 	successor.onLoop(t, func() {
-		for _, s := range successor.loop.bal.HandoverState().Endpoints {
+		for _, s := range successor.loop.balancer.HandoverState().Endpoints {
 			knows += s.MeanLatency
 		}
 	})
@@ -114,7 +114,7 @@
 		defer successor.listener.mu.Unlock()
 		successor.pool.mu.Lock()
 		defer successor.pool.mu.Unlock()
-		return successor.listener.most == successor.clients && successor.pool.most == successor.backends
+		return successor.listener.most == successor.clients && successor.pool.maxOpen == successor.backends
 	})
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,8 +36,8 @@
 	log       *slog.Logger
 	listener  *boundedListener
 	peers     *peers
-	pool      *pool
-	loop      *loop
+	pool      *connPool
+	loop      *eventLoop
 	front     *front
 	discovery *discovery.Client
 	figures   *figures
@@ -69,15 +69,15 @@
 		}
 	}
 	n.clients, n.backends = cfg.Limits.share(cfg.Admin != "")
-	n.pool = newPool(n.backends, limits.ConnectTimeout, limits.IdleClose)
+	n.pool = newConnPool(n.backends, limits.ConnectTimeout, limits.IdleClose)
 	n.pool.closes = &n.figures.closes
-	n.loop = newLoop(bal, newExchanges(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.figures.upstream, log),
+	n.loop = newEventLoop(bal, newUpstreamTransport(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.figures.upstream, log),
 		n.figures, log)
 	n.loop.guard = newGuard(cfg.Settings.Config, log)
 	n.metrics.guard = n.loop.guard
 	n.front = newFront(n.loop, cfg.Settings, n.clients, log)
 	n.front.kept = newBudget(cfg.Limits.MemoryMB)
-	n.loop.back.kept = n.front.kept
+	n.loop.upstream.bodyMemory = n.front.kept
 	n.front.most = min(n.front.most, int64(n.backends))
 	n.front.large = cfg.Admin != ""
 	n.discovery = discovery.NewClient(discovery.Config{
@@ -87,18 +87,18 @@
 		Known:     n.cfg.Known,
 		Log:       log,
 		OnList:    n.onList,
-		OnFailure: func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) },
+		OnFailure: func() { n.loop.post(discoveryFailed{}) },
 		OnCall:    n.metrics.called,
 	})
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
-	n.loop.askAbout = n.discovery.Request
-	n.loop.askedOf = n.discovery.TakeCallCount
+	n.loop.requestDiscovery = n.discovery.Request
+	n.loop.takeDiscoveryCalls = n.discovery.TakeCallCount
 	if cfg.PeerListen != "" {
 		n.peers, err = accept.Open(func() (*peers, error) { return listenPeers(&cfg) }, n.waitsFor(cfg.PeerListen))
 		if err != nil {
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
-		n.loop.tellPeers = n.peers.tell
+		n.loop.sendToPeer = n.peers.tell
 	}
 	if cfg.Fleet != nil {
 		n.fleet = newFleetPart(n)
@@ -117,7 +117,7 @@
 		kind = balance.CompleteList
 	}
 	n.metrics.revision.Set(float64(list.Revision))
-	n.loop.post(func() { n.loop.list(kind, list) })
+	n.loop.post(endpointListReceived{kind: kind, list: list})
 }
 
 // listen opens the addresses of the node.
@@ -186,27 +186,25 @@
 	defer wg.Wait()
 	defer stop()
 	if n.cordons != nil {
-		n.loop.maintain(n.cordons.start())
+		n.loop.applyCordons(n.cordons.start())
 		wg.Go(func() {
-			n.cordons.follow(work, func(c cordons) { n.loop.post(func() { n.loop.maintain(c) }) })
+			n.cordons.follow(work, func(c cordons) { n.loop.post(cordonsChanged{cordons: c}) })
 		})
 	}
 	// A pushed list counts as told from the first moment of a process, so it must not serve on an older one.
-	n.loop.untold = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inheritedListener == nil)
-	first := time.AfterFunc(n.firstList, func() { n.loop.post(n.loop.waitNoLonger) })
+	n.loop.awaitingFirstList = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inheritedListener == nil)
+	first := time.AfterFunc(n.firstList, func() { n.loop.post(firstListOverdue{}) })
 	defer first.Stop()
 	known := n.cfg.Known
 	known.Complete = true
-	n.loop.list(balance.CachedList, known)
+	n.loop.updateEndpoints(balance.CachedList, known)
 	wg.Go(func() { n.loop.run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
 	wg.Go(func() { n.discovery.Run(work) })
 	if n.peers != nil {
 		wg.Go(func() {
 			n.peers.run(work, func(peer int, payload []byte) {
-				n.loop.post(func() {
-					n.loop.handle(balance.PeerMessage{Peer: peer, Payload: payload})
-				})
+				n.loop.post(peerMessageReceived{peer: peer, payload: payload})
 			})
 		})
 	}
@@ -314,11 +312,11 @@
 	schedule := n.front.shutdown
 	pause(ctx, time.Until(schedule.answerBy().Time()))
 	for checked := false; ctx.Err() == nil; {
-		n.loop.post(n.loop.answerOpen)
+		n.loop.post(finalResponsesDue{})
 		pause(ctx, lookEvery)
 		if !checked && schedule.over() {
 			checked = true
-			n.loop.post(n.loop.checkShutdown)
+			n.loop.post(shutdownCheckDue{})
 		}
 	}
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLoop(bal, newExchanges(newPool(1, 0, 0), false, new(atomic.Int64), quiet()), newFigures(nil), quiet())
+	l := newEventLoop(bal, newUpstreamTransport(newConnPool(1, 0, 0), false, new(atomic.Int64), quiet()), newFigures(nil), quiet())
 	var notified atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	service := &outage{from: from, until: from.Add(lasts), fault: fault}
@@ -106,16 +106,16 @@
 			if list.Members[0].Phase == balance.Draining {
 				notified.CompareAndSwap(0, int64(time.Since(service.until)))
 			}
-			l.post(func() { l.list(balance.ListChanges, list) })
+			l.post(endpointListReceived{kind: balance.ListChanges, list: list})
 		},
-		OnFailure: func() { l.post(func() { l.handle(balance.DiscoveryFailed{}) }) },
+		OnFailure: func() { l.post(discoveryFailed{}) },
 	})
-	l.askAbout = client.Request
+	l.requestDiscovery = client.Request
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() { l.run(ctx.Done()); ended <- struct{}{} }()
 	go func() { client.Run(ctx); ended <- struct{}{} }()
-	l.post(func() { l.list(balance.CachedList, discovery.List{Complete: true}) })
+	l.post(endpointListReceived{kind: balance.CachedList, list: discovery.List{Complete: true}})
 	time.Sleep(time.Until(service.until) + 30*time.Second)
 	cancel()
 	<-ended
