--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -74,11 +74,13 @@
 
 // globalFlags are the flags that every subcommand shares.
 type globalFlags struct {
-	logFormat, logLevel string
-	stderr              io.Writer
+	logFormat string
+	logLevel  string
+	stderr    io.Writer
 }
 
-// newLogger makes the one logger that is passed down; its keys are stable: component, node, revision, term, lease, request.
+// newLogger makes the one logger that is passed down; its keys are stable: component, node, revision, term, lease,
+// request.
 func (g *globalFlags) newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(g.logLevel)); err != nil {
--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -16,7 +16,8 @@
 
 func recoverCmd() *cobra.Command {
 	c := &cobra.Command{Use: "recover", Short: "Check or repair a registry replica's data_dir without starting it"}
-	c.AddCommand(recoverRunCmd("check", "Report the snapshot that would serve and every damage found; exit 1 on damage", false),
+	c.AddCommand(recoverRunCmd("check", "Report the snapshot that would serve and every damage found; exit 1 on damage",
+		false),
 		recoverRunCmd("repair", "Rewrite the manifest from the newest snapshot that verifies and remove damaged files", true))
 	return c
 }
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,6 @@
-// Package accept keeps a server accepting connections while accept(2) fails for a moment, and opens listening sockets that
-// are not free yet. It owns the decision which errors are transient, and no socket: the listener stays its caller's.
+// Package accept keeps a server accepting connections while accept(2) fails for a moment, and opens listening sockets
+// that are not free yet. It owns the decision which errors are transient, and no socket: the listener stays its
+// caller's.
 package accept
 
 import (
@@ -15,15 +16,15 @@
 	"hitchvale/internal/lograte"
 )
 
-// The delay after a failed call doubles from minRetryDelay to maxRetryDelay. The longest is far below a request's deadline,
-// and long enough that a lasting shortage costs little processor time.
+// The delay after a failed call doubles from minRetryDelay to maxRetryDelay. The longest is far below a request's
+// deadline, and long enough that a lasting shortage costs little processor time.
 const (
 	minRetryDelay = time.Millisecond
 	maxRetryDelay = 20 * time.Millisecond
 )
 
-// permanentErrors tell of the listening socket itself: no later call can succeed. Every other error is of one connection
-// that has broken already, or of a shortage that passes.
+// permanentErrors tell of the listening socket itself: no later call can succeed. Every other error is of one
+// connection that has broken already, or of a shortage that passes.
 var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
 // IsPermanent tells whether every later call of accept will fail too. An error that is not known counts as transient.
@@ -40,8 +41,8 @@
 	}
 }
 
-// Retry calls accept until it succeeds. The zero value is ready. It may be used by one goroutine at a time; Failing may be
-// called from any.
+// Retry calls accept until it succeeds. The zero value is ready. It may be used by one goroutine at a time; Failing may
+// be called from any.
 type Retry struct {
 	// OnRetry is called with each transient error before the delay. It may be nil.
 	OnRetry func(error)
@@ -52,8 +53,8 @@
 // Failing tells whether the last call failed, so that connections may wait in the backlog.
 func (r *Retry) Failing() bool { return r.failing.Load() }
 
-// Accept returns the next connection. Its error is permanent, or os.ErrDeadlineExceeded where the listener's own deadline
-// has passed.
+// Accept returns the next connection. Its error is permanent, or os.ErrDeadlineExceeded where the listener's own
+// deadline has passed.
 func (r *Retry) Accept(accept func() (net.Conn, error)) (net.Conn, error) {
 	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
 		conn, err := accept()
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Errors of one connection and of a shortage pass, those of the listening socket do not, and a listener's own deadline is
-// its caller's to judge.
+// Errors of one connection and of a shortage pass, those of the listening socket do not, and a listener's own deadline
+// is its caller's to judge.
 func TestWhichErrorsPass(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
--- a/internal/accept/open.go
+++ b/internal/accept/open.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// Opening a socket is retried every openRetryDelay until openTimeout: a process that is being killed holds its address for
-// a moment yet, and what a machine is short of comes free again.
+// Opening a socket is retried every openRetryDelay until openTimeout: a process that is being killed holds its address
+// for a moment yet, and what a machine is short of comes free again.
 const (
 	openTimeout    = 5 * time.Second
 	openRetryDelay = 20 * time.Millisecond
 )
 
 // transientOpenErrors are the errors of socket(2), bind(2) and listen(2) that pass.
-var transientOpenErrors = []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+var transientOpenErrors = []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
+	syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
 
 // IsShortage tells whether opening a socket failed for a reason that passes, and that is this machine's own.
@@ -23,8 +24,8 @@
 	return slices.ContainsFunc(transientOpenErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
-// Open opens a socket, and retries until openTimeout where that fails for a shortage. waiting is called with the first such
-// error.
+// Open opens a socket, and retries until openTimeout where that fails for a shortage. waiting is called with the first
+// such error.
 func Open[T any](open func() (T, error), waiting func(error)) (T, error) {
 	began := time.Now()
 	for first := true; ; first = false {
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog keeps a log from blocking its program. Lines wait in a bounded queue for their reader; a line that finds
-// the queue full is dropped and counted.
+// Package asynclog keeps a log from blocking its program. Lines wait in a bounded queue for their reader; a line that
+// finds the queue full is dropped and counted.
 package asynclog
 
 import (
@@ -23,7 +23,8 @@
 
 // New returns a Writer that writes lines to out, in order. What out fails to write is lost.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}),
+		done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -38,8 +39,8 @@
 	return len(line), nil
 }
 
-// Close writes the lines that wait, for timeout at the most. A write that blocks for longer is abandoned. Close is called
-// once; lines that are written after it may be lost.
+// Close writes the lines that wait, for timeout at the most. A write that blocks for longer is abandoned. Close is
+// called once; lines that are written after it may be lost.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.closing)
 	select {
--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -27,7 +27,8 @@
 // its address later, and bind it again after a restart.
 type addresses struct {
 	claim net.Listener
-	a, b  int
+	a     int
+	b     int
 
 	mu   sync.Mutex
 	next int
--- a/internal/lab/backend.go
+++ b/internal/lab/backend.go
@@ -69,7 +69,8 @@
 		http.Error(w, "no trace id", http.StatusNotFound)
 		return
 	}
-	e := Execution{At: time.Now().UnixNano(), Backend: s.ID, Trace: trace, Key: r.Header.Get("Idempotency-Key"), Method: r.Method}
+	e := Execution{At: time.Now().UnixNano(), Backend: s.ID, Trace: trace, Key: r.Header.Get("Idempotency-Key"),
+		Method: r.Method}
 	runs := 1
 	if s.Behavior.Twice && r.Method == http.MethodPost {
 		runs = 2 // the planted bug: the effect is applied twice
--- a/internal/lab/callerrouter.go
+++ b/internal/lab/callerrouter.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// CallerRouter is one address before a process whose callers each dial from a loopback address of their own: it hands each
-// connection to the fault proxy of its caller's link. Callers that have no link are refused with a reset.
+// CallerRouter is one address before a process whose callers each dial from a loopback address of their own: it hands
+// each connection to the fault proxy of its caller's link. Callers that have no link are refused with a reset.
 type CallerRouter struct {
 	ln     net.Listener
 	target string
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -120,7 +120,8 @@
 	body := []byte(`{"member":{"id":"` + resourceID + `","host_port":"127.0.0.1:9","phase":"ready"}}`)
 	hc := &http.Client{Timeout: c.TTL / 2}
 	for _, addr := range c.Replicas {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/registry/members", bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/registry/members",
+			bytes.NewReader(body))
 		if err != nil {
 			return 0, 0
 		}
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -9,22 +9,25 @@
 // FaultWindow is a time in which a node was under a fault of its own process or of its clients' link: requests that
 // it held then may go unanswered through no fault of its code, and are counted apart, not excused silently.
 type FaultWindow struct {
-	Node       int    `json:"node"`
-	Start, End int64  `json:"-"` // Unix nanoseconds; End 0: to the end of the run
-	Exited     int64  `json:"-"` // of a kill: when the process had ended, some milliseconds after Start
-	Kind       string `json:"kind"`
+	Node int `json:"node"`
+	// Unix nanoseconds; End 0: to the end of the run
+	Start  int64  `json:"-"`
+	End    int64  `json:"-"`
+	Exited int64  `json:"-"` // of a kill: when the process had ended, some milliseconds after Start
+	Kind   string `json:"kind"`
 	// ProcessStart is, of a kill, when the killed process was started: what came before that is with another one.
 	ProcessStart int64 `json:"-"`
 }
 
 // Check is one invariant's verdict over the history.
 type Check struct {
-	Name       string         `json:"name"`
-	OK         bool           `json:"ok"`
-	Violations int            `json:"violations"`
-	Excused    int            `json:"excused,omitempty"`  // cases a fault of the node's own explains, not counted as violations
-	Reasons    map[string]int `json:"reasons,omitempty"`  // of the excused ones, by kind of fault
-	Examples   []string       `json:"examples,omitempty"` // the first few, by trace id
+	Name       string `json:"name"`
+	OK         bool   `json:"ok"`
+	Violations int    `json:"violations"`
+	// cases a fault of the node's own explains, not counted as violations
+	Excused  int            `json:"excused,omitempty"`
+	Reasons  map[string]int `json:"reasons,omitempty"`  // of the excused ones, by kind of fault
+	Examples []string       `json:"examples,omitempty"` // the first few, by trace id
 }
 
 // History is what a run recorded: the driver's outcomes, the backends' executions, the faults' windows and
@@ -45,8 +48,8 @@
 	At   int64 // Unix time in nanoseconds
 }
 
-// unansweredAtKill tells whether a request that its client took for unread was ended by the kill of a process that had been told to
-// end: what that finds unanswered is lost, read or not (PROTOCOL).
+// unansweredAtKill tells whether a request that its client took for unread was ended by the kill of a process that had
+// been told to end: what that finds unanswered is lost, read or not (PROTOCOL).
 func (h History) unansweredAtKill(o Outcome) bool {
 	for _, k := range h.Kills {
 		if o.Resent && k.Node == o.Node && o.Crossed >= k.At && o.Crossed <= k.At+int64(resetTimeout) {
@@ -75,8 +78,9 @@
 	return false
 }
 
-// Excuse names the fault that frees a node of answering a request, judged by the request's own history; "" for none. A node that
-// is told to end is freed of nothing. One that is killed is freed of what it held then: what came on a connection made before.
+// Excuse names the fault that frees a node of answering a request, judged by the request's own history; "" for none. A
+// node that is told to end is freed of nothing. One that is killed is freed of what it held then: what came on a
+// connection made before.
 func (h History) Excuse(o Outcome) string {
 	end := o.Done
 	if end == 0 {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -41,8 +41,9 @@
 	unsentRequest string // what is left to be written of a request that was begun on it
 }
 
-// client is the clients' side of one node: the connections that they keep to it. It does what PROTOCOL says of a client: one
-// request at a time on a connection, and one that crosses the close of a kept connection is sent once more on a new one.
+// client is the clients' side of one node: the connections that they keep to it. It does what PROTOCOL says of a
+// client: one request at a time on a connection, and one that crosses the close of a kept connection is sent once more
+// on a new one.
 type client struct {
 	target string
 	link   *Proxy // that the target is; nil: it is the node itself
@@ -116,9 +117,11 @@
 
 // clientRequest is a request as a client sends it.
 type clientRequest struct {
-	trace, class, key string
-	deadline          time.Time // when its client stops waiting
-	leave             time.Time // when its client leaves; zero: it stays
+	trace    string
+	class    string
+	key      string
+	deadline time.Time // when its client stops waiting
+	leave    time.Time // when its client leaves; zero: it stays
 }
 
 // method is the method that a class asks for.
@@ -148,9 +151,10 @@
 	return b.String()
 }
 
-// send makes one request of the node, and once more on a new connection where it crossed the close of its connection: that ended
-// without a byte, and the node had not read the request, so a reset follows. A new connection may be shut unread too (FLEET), and
-// what was shut so twice, within crossedCloseWindow each time, has failed. It tells whether the node accepted it at all.
+// send makes one request of the node, and once more on a new connection where it crossed the close of its connection:
+// that ended without a byte, and the node had not read the request, so a reset follows. A new connection may be shut
+// unread too (FLEET), and what was shut so twice, within crossedCloseWindow each time, has failed. It tells whether the
+// node accepted it at all.
 func (c *client) send(r *clientRequest, o *Outcome) (accepted bool) {
 	return c.sendOn(c.takeIdle(), r, o)
 }
@@ -174,7 +178,8 @@
 			return true
 		}
 		o.Error = err.Error()
-		crossed := silent && (o.Kind == kindUnwritten || o.Kind == kindBroken && held <= crossedCloseWindow && awaitReset(conn.Conn))
+		crossed := silent && (o.Kind == kindUnwritten || o.Kind == kindBroken && held <= crossedCloseWindow &&
+			awaitReset(conn.Conn))
 		refused := silent && c.refused(conn)
 		conn.Close()
 		switch {
@@ -191,8 +196,8 @@
 	}
 }
 
-// exchange sends a request on a connection and reads its answer. An error says why there is no whole answer; silent, that
-// nothing of one came.
+// exchange sends a request on a connection and reads its answer. An error says why there is no whole answer; silent,
+// that nothing of one came.
 func (c *client) exchange(conn *clientConn, r *clientRequest, o *Outcome) (silent bool, err error) {
 	until := r.deadline.Add(answerGrace)
 	leaves := !r.leave.IsZero() && r.leave.Before(until)
@@ -254,8 +259,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// sendImproperRequest is a peer that sends half a request and stays. It gives how long it took to hear an error or a close, and whether
-// it has within a while.
+// sendImproperRequest is a peer that sends half a request and stays. It gives how long it took to hear an error or a
+// close, and whether it has within a while.
 func (c *client) sendImproperRequest(within time.Duration) (heard time.Duration, ok bool) {
 	conn, err := c.dial()
 	if err != nil {
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -61,8 +61,8 @@
 	return c, nil
 }
 
-// claimOutput makes the folder of a run. One that holds anything is refused: the run's children append to their logs, and
-// a verdict must not come from another run's.
+// claimOutput makes the folder of a run. One that holds anything is refused: the run's children append to their logs,
+// and a verdict must not come from another run's.
 func claimOutput(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("output: %w", err)
@@ -114,13 +114,14 @@
 	return out
 }
 
-// withSystemCallFaults is the command line that runs a program under a plan, or as it is where that is nil. The number sets the draws of
-// one child apart from another's.
+// withSystemCallFaults is the command line that runs a program under a plan, or as it is where that is nil. The number
+// sets the draws of one child apart from another's.
 func (l *cluster) withSystemCallFaults(plan sysfault.Plan, number int, argv ...string) []string {
 	if plan == nil {
 		return argv
 	}
-	return append([]string{l.opts.CommandBinary, "lab", "shim", "--plan", plan.String(), "--seed", fmt.Sprint(l.seed + uint64(number)), "--"}, argv...)
+	return append([]string{l.opts.CommandBinary, "lab", "shim", "--plan", plan.String(), "--seed",
+		fmt.Sprint(l.seed + uint64(number)), "--"}, argv...)
 }
 
 // path is a file of the run's folder.
@@ -158,7 +159,8 @@
 
 // startChild adds a child of a role, starts it on an address of the run's own and waits until ready answers 200 there.
 // The error of one that does not come up names it and ends with the last line of its log.
-func (l *cluster) startChild(ctx context.Context, role string, argv func(addr string) []string, env []string, ready string) (*Proc, string, error) {
+func (l *cluster) startChild(ctx context.Context, role string, argv func(addr string) []string, env []string,
+	ready string) (*Proc, string, error) {
 	name := fmt.Sprintf("%s-%d", role, len(l.procs[role]))
 	_, addr := l.addresses.allocate()
 	p := &Proc{Name: name, env: append(os.Environ(), env...), log: l.path("%s.log", name), argv: argv(addr)}
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -113,8 +113,9 @@
 	until(t, "a write past a leader that cannot speak", func() bool { return memberCall(ctx, c, addr, "one") == nil })
 }
 
-// Two of three replicas have disks that fail a third of their writes and syncs for a while, and wall clocks that step; the leader
-// is killed in the midst of it. No replica ends by itself, and what was acknowledged is there afterwards at each of them.
+// Two of three replicas have disks that fail a third of their writes and syncs for a while, and wall clocks that step;
+// the leader is killed in the midst of it. No replica ends by itself, and what was acknowledged is there afterwards at
+// each of them.
 func TestReplicasOnFailingDisksKeepWhatTheyAcknowledged(t *testing.T) {
 	t.Parallel()
 	plan := sysfault.Plan{{Kind: sysfault.Disk, From: 2 * time.Second, For: 4 * time.Second, Share: 0.3},
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -63,7 +63,8 @@
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node, addr) }),
+	handler := func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, node, addr) }
+	srv := &http.Server{Handler: http.HandlerFunc(handler),
 		ReadHeaderTimeout: 5 * time.Second}
 	d.mu.Lock()
 	d.views = append(d.views, &view{node: node, addr: ln.Addr().String(), ln: ln, server: srv})
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -38,15 +38,18 @@
 // answerGrace is how long after its deadline the driver still waits for a final answer (FLEET: half a second).
 const answerGrace = 500 * time.Millisecond
 
-// improperPeerTimeout is how long an improper peer may wait until it hears an error or a close, and improperPeerInterval one in how many
-// arrivals is such a peer, where the load has some.
-const improperPeerTimeout, improperPeerInterval = 3 * time.Second, 100
+// improperPeerTimeout is how long an improper peer may wait until it hears an error or a close, and
+// improperPeerInterval one in how many arrivals is such a peer, where the load has some.
+const (
+	improperPeerTimeout  = 3 * time.Second
+	improperPeerInterval = 100
+)
 
 // maxInFlight bounds the driver's requests under way; a request that finds it full is not sent and is counted.
 const maxInFlight = 2048
 
-// Driver sends the scenario's load to the nodes, at the scenario's rate, and records every outcome. It is bounded in count and
-// time.
+// Driver sends the scenario's load to the nodes, at the scenario's rate, and records every outcome. It is bounded in
+// count and time.
 type Driver struct {
 	Load  Load
 	Nodes []*client
--- a/internal/lab/earlyclients.go
+++ b/internal/lab/earlyclients.go
@@ -21,8 +21,10 @@
 )
 
 const (
-	// minEarlyWait and maxEarlyWait are how long such a client waits. Whoever is within a request for longer is an improper peer.
-	minEarlyWait, maxEarlyWait = 200 * time.Millisecond, 2500 * time.Millisecond
+	// minEarlyWait and maxEarlyWait are how long such a client waits. Whoever is within a request for longer is an
+	// improper peer.
+	minEarlyWait = 200 * time.Millisecond
+	maxEarlyWait = 2500 * time.Millisecond
 	// maxEarlyBodyWait is how long one waits within a body: it has to come at a pace.
 	maxEarlyBodyWait = 1500 * time.Millisecond
 )
@@ -63,7 +65,8 @@
 	return text[:at], text[at:]
 }
 
-// sendAfterEarlyConnect makes a request of a node on a connection that was opened long before. Its time counts from its last byte.
+// sendAfterEarlyConnect makes a request of a node on a connection that was opened long before. Its time counts from its
+// last byte.
 func (d *Driver) sendAfterEarlyConnect(ctx context.Context, node int, r *clientRequest, e earlyBegin) Outcome {
 	c := d.Nodes[node]
 	conn, err := c.dial()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -154,8 +154,8 @@
 	p.Kill()
 }
 
-// restart starts a process again. One that still runs is killed first, which excuses what a node holds then unless it was told
-// to end long enough before.
+// restart starts a process again. One that still runs is killed first, which excuses what a node holds then unless it
+// was told to end long enough before.
 func (l *loadRun) restart(ctx context.Context, role string, i int) error {
 	p := l.procs[role][i]
 	if role == "node" {
@@ -196,7 +196,8 @@
 // oldDiscoveryGrace is how long discovery keeps the connections of an address that it has left (TERMS).
 const oldDiscoveryGrace = 1500 * time.Millisecond
 
-// moveDiscovery has a node find discovery at another address: its file names that, and SIGHUP tells it to read the file.
+// moveDiscovery has a node find discovery at another address: its file names that, and SIGHUP tells it to read the
+// file.
 func (l *loadRun) moveDiscovery(ctx context.Context, i int) error {
 	name := fmt.Sprintf("node-%d", i)
 	p := l.procs["node"][i]
@@ -219,8 +220,8 @@
 	return nil
 }
 
-// upgrade has a second process of a node take over from the one that runs, which is told to end once the other is ready. That
-// excuses nothing.
+// upgrade has a second process of a node take over from the one that runs, which is told to end once the other is
+// ready. That excuses nothing.
 func (l *loadRun) upgrade(ctx context.Context, i int) error {
 	old := l.procs["node"][i]
 	if old.Exited() == nil {
@@ -273,7 +274,8 @@
 		l.disc.SetPhase(id, "draining")
 		return nil
 	}
-	rev, err := l.registryWrite(ctx, http.MethodPut, "/registry/members/"+id+"/phase", map[string]string{"phase": "draining"},
+	rev, err := l.registryWrite(ctx, http.MethodPut, "/registry/members/"+id+"/phase",
+		map[string]string{"phase": "draining"},
 		ack{ID: id, Phase: "draining"})
 	if err == nil {
 		acked := time.Now()
@@ -332,7 +334,8 @@
 		return
 	}
 	l.mu.Lock()
-	l.windows = append(l.windows, FaultWindow{Node: i, Start: time.Now().UnixNano(), Kind: kind, ProcessStart: l.procs[role][i].startedAt().UnixNano()})
+	l.windows = append(l.windows, FaultWindow{Node: i, Start: time.Now().UnixNano(), Kind: kind,
+		ProcessStart: l.procs[role][i].startedAt().UnixNano()})
 	l.mu.Unlock()
 }
 
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -134,7 +134,8 @@
 		if lead < 0 {
 			return errors.New("no leader to cut off")
 		}
-		return l.partition(ctx, long, fmt.Sprintf("registry-%d:registry-*", lead), fmt.Sprintf("registry-*:registry-%d", lead))
+		return l.partition(ctx, long, fmt.Sprintf("registry-%d:registry-*", lead),
+			fmt.Sprintf("registry-*:registry-%d", lead))
 	}
 	// both: a node stands still while the registry's leader goes
 	l.noteFault("pause", node.Name)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// nodesUnderLoad has a deadline and a drain's grace that a machine busy with other tests keeps too: what these runs look
-// for is a request that never gets its answer, gets two effects, or goes where nothing should go any more.
+// nodesUnderLoad has a deadline and a drain's grace that a machine busy with other tests keeps too: what these runs
+// look for is a request that never gets its answer, gets two effects, or goes where nothing should go any more.
 const nodesUnderLoad = `
 name = "test"
 seed = 3
@@ -158,8 +158,8 @@
 target = ["node-1"]
 `
 
-// A node that is told to end answers all that it has taken, and nothing that it loses is excused: a connect that is refused
-// after its end is no request.
+// A node that is told to end answers all that it has taken, and nothing that it loses is excused: a connect that is
+// refused after its end is no request.
 func TestNodeToldToEndLosesNothing(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, nodeToldToEnd)
@@ -324,9 +324,9 @@
 }
 
 // Five candidates, 200 faults drawn from five seeds (the holder killed, paused past its TTL, cut from the registry,
-// sent SIGTERM; the registry's leader killed; both at once): no two holders have a write accepted out of token order, and paused
-// holders' stale writes were there to be refused. The run itself waits for each fault's successor. How soon it holds
-// is a measurement of the machine as well: the report checks it, BenchmarkTakeover tells it.
+// sent SIGTERM; the registry's leader killed; both at once): no two holders have a write accepted out of token order,
+// and paused holders' stale writes were there to be refused. The run itself waits for each fault's successor. How soon
+// it holds is a measurement of the machine as well: the report checks it, BenchmarkTakeover tells it.
 func TestDutyPassesSafelyUnderFaults(t *testing.T) {
 	t.Parallel()
 	const runs, each = 5, 40
--- a/internal/lab/leasecheck.go
+++ b/internal/lab/leasecheck.go
@@ -144,4 +144,5 @@
 	return p.Save(8*vg.Inch, 4*vg.Inch, path)
 }
 
-var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.CrossGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{}, draw.PlusGlyph{}}
+var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.CrossGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{},
+	draw.PlusGlyph{}}
--- a/internal/lab/leaserun.go
+++ b/internal/lab/leaserun.go
@@ -51,9 +51,11 @@
 			return Report{}, fmt.Errorf("schedule %d (%s): %w", n, p.Kind, err)
 		}
 		plays = append(plays, p)
-		l.recordFault(FaultMark{At: time.Duration(p.At - l.start.UnixNano()).Seconds(), Kind: p.Kind, Target: []string{p.Target}})
+		l.recordFault(FaultMark{At: time.Duration(p.At - l.start.UnixNano()).Seconds(), Kind: p.Kind,
+			Target: []string{p.Target}})
 	}
-	sleepUntil(ctx, time.Now().Add(l.s.Duty.TTL.Duration+time.Second)) // room for the last fault's takeover to show in the logs
+	// room for the last fault's takeover to show in the logs
+	sleepUntil(ctx, time.Now().Add(l.s.Duty.TTL.Duration+time.Second))
 	var events []LeaseEvent
 	for i, p := range l.procs["candidate"] {
 		p.Stop(stopGrace)
@@ -200,7 +202,8 @@
 		for _, addr := range l.registryAddr {
 			var ans struct {
 				Leases []struct {
-					Name, Holder string
+					Name   string
+					Holder string
 				} `json:"leases"`
 			}
 			if l.registryCall(ctx, http.MethodGet, addr, "/registry/leases", nil, &ans) != nil {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -16,9 +16,12 @@
 // loadRun is the experiment of nodes between clients and backends: a load while faults are applied on their times.
 type loadRun struct {
 	*cluster
-	s                                  Scenario
-	backendAddr, adminAddr, listenAddr []string // the second addresses are the nodes', for /metrics
-	disc                               *Discovery
+	s Scenario
+	// the second addresses are the nodes', for /metrics
+	backendAddr []string
+	adminAddr   []string
+	listenAddr  []string
+	disc        *Discovery
 
 	drained map[string]time.Time // backends set draining through the registry, when it acknowledged
 	// propagation is, for each node and acknowledged drain, the milliseconds until the node held its revision.
@@ -72,7 +75,8 @@
 func (l *loadRun) backendArgv(j int) func(addr string) []string {
 	b := l.s.Backend
 	return func(addr string) []string {
-		argv := []string{l.opts.CommandBinary, "lab", "backend", "--resets", fmt.Sprint(b.Resets), "--hangs", fmt.Sprint(b.Hangs), "--id", fmt.Sprintf("backend-%d", j), "--listen", addr,
+		argv := []string{l.opts.CommandBinary, "lab", "backend", "--resets", fmt.Sprint(b.Resets), "--hangs",
+			fmt.Sprint(b.Hangs), "--id", fmt.Sprintf("backend-%d", j), "--listen", addr,
 			"--log", l.path("backend-%d.runs", j), "--service", b.Service.String(),
 			"--errors", fmt.Sprint(b.Errors), "--seed", fmt.Sprint(l.s.Seed + uint64(j))}
 		if b.Twice {
@@ -168,7 +172,8 @@
 func (l *loadRun) nodeConfig(i int, listen, discovery, admin string, registry []string) []byte {
 	deadline := l.s.Load.Deadline.Nanoseconds()
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "deadline": deadline, "aim": deadline / 2, "points": 1, "lateWorth": 0.5}
+		return map[string]any{"name": name, "effect": effect, "deadline": deadline, "aim": deadline / 2, "points": 1,
+			"lateWorth": 0.5}
 	}
 	c := map[string]any{
 		"name": fmt.Sprintf("node-%d", i), "listen": listen, "discovery": discovery, "admin": admin,
@@ -176,7 +181,8 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": l.s.sockets()},
 		"settings": map[string]any{
 			"nInstances": l.s.Nodes, "index": i,
-			"classes":     []any{class(classRead, "pure"), l.longClass(class(classClaim, "side_effect")), l.tokenClass(class(classToken, "token"))},
+			"classes": []any{class(classRead, "pure"), l.longClass(class(classClaim, "side_effect")),
+				l.tokenClass(class(classToken, "token"))},
 			"obligations": map[string]any{"drainGrace": l.s.Grace.Nanoseconds(), "graceToAnswer": answerGrace.Nanoseconds()},
 		},
 	}
@@ -188,18 +194,25 @@
 		settings["limits"] = map[string]any{"cancelling": true, "retryAfter": true, "maxAttempts": 3,
 			"connectTimeout": (300 * time.Millisecond).Nanoseconds()}
 		obligations := settings["obligations"].(map[string]any)
-		obligations["coldShare"], obligations["fallMultiple"] = 0.2, 3
-		obligations["warmWithin"], obligations["overloadFor"] = (5 * time.Second).Nanoseconds(), (1500 * time.Millisecond).Nanoseconds()
+		obligations["coldShare"] = 0.2
+		obligations["fallMultiple"] = 3
+		obligations["warmWithin"] = (5 * time.Second).Nanoseconds()
+		obligations["overloadFor"] = (1500 * time.Millisecond).Nanoseconds()
 	}
 	if f := l.s.Fleet; f != nil {
-		c["fleet"] = map[string]any{"registry": registry, "site": fmt.Sprintf("site-%d", i%f.Sites), "interval_ms": f.Interval.Milliseconds()}
+		c["fleet"] = map[string]any{"registry": registry, "site": fmt.Sprintf("site-%d", i%f.Sites),
+			"interval_ms": f.Interval.Milliseconds()}
 	}
 	text, _ := json.Marshal(c) // maps of plain values always encode
 	return text
 }
 
-// crowdSockets and plainSockets are the descriptors of a node that meets a crowd, so that the crowd fills them, and of others.
-const crowdSockets, plainSockets = 256, 1024
+// crowdSockets and plainSockets are the descriptors of a node that meets a crowd, so that the crowd fills them, and of
+// others.
+const (
+	crowdSockets = 256
+	plainSockets = 1024
+)
 
 func (s Scenario) sockets() int {
 	if s.crowd > 0 {
@@ -253,7 +266,8 @@
 	if l.s.Soak != nil {
 		drained = nil // a backend may drain more than once: see verifySoak
 	}
-	h := History{DrainedAt: drained, DrainGrace: l.s.Grace.Duration, FaultWindows: l.windows, Kills: l.kills, Attempts: l.attempts.all()}
+	h := History{DrainedAt: drained, DrainGrace: l.s.Grace.Duration, FaultWindows: l.windows, Kills: l.kills,
+		Attempts: l.attempts.all()}
 	var unsent int
 	h.Outcomes, unsent = d.Outcomes()
 	for j := range l.s.Backends {
@@ -280,7 +294,8 @@
 	return r, r.Write(l.opts.Out)
 }
 
-// watchedProcesses are the processes of a soak by name, the lab's own among them: what it takes down late it judges wrongly.
+// watchedProcesses are the processes of a soak by name, the lab's own among them: what it takes down late it judges
+// wrongly.
 func (l *loadRun) watchedProcesses() map[string][]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -291,8 +306,8 @@
 	return pids
 }
 
-// newNodeClients makes the clients' side of each node. A soak has no faults of the clients' links, and its clients reach the nodes
-// themselves: a proxy that gets no processor time would pass a client's leaving on late.
+// newNodeClients makes the clients' side of each node. A soak has no faults of the clients' links, and its clients
+// reach the nodes themselves: a proxy that gets no processor time would pass a client's leaving on late.
 func (l *loadRun) newNodeClients() []*client {
 	for i := range l.s.Nodes {
 		if l.s.Soak != nil {
--- a/internal/lab/maintenancerun.go
+++ b/internal/lab/maintenancerun.go
@@ -18,10 +18,10 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// MaintenanceScenario makes a fleet's scenario one of machines taken out for work under load: an operator asks for all backends, at most
-// Budget of them out at once, and for each that is quiet ends its process, starts it again and has it listed. Meanwhile
-// faults are drawn from Kinds (pause: a node stands still; kill: one is killed and started again; leader: the registry's
-// leader is; outage: all replicas are, and start again a while later), one every Every.
+// MaintenanceScenario makes a fleet's scenario one of machines taken out for work under load: an operator asks for all
+// backends, at most Budget of them out at once, and for each that is quiet ends its process, starts it again and has it
+// listed. Meanwhile faults are drawn from Kinds (pause: a node stands still; kill: one is killed and started again;
+// leader: the registry's leader is; outage: all replicas are, and start again a while later), one every Every.
 type MaintenanceScenario struct {
 	Budget int      `toml:"budget"`
 	Kinds  []string `toml:"kinds"`
@@ -58,8 +58,9 @@
 
 // outPeriod is a machine's time between quiet, as the registry acknowledged it, and the call that lists it again.
 type outPeriod struct {
-	machine    string
-	from, till time.Time
+	machine string
+	from    time.Time
+	till    time.Time
 }
 
 func (l *maintenanceRun) run(ctx context.Context) (Report, error) {
@@ -93,7 +94,8 @@
 	if err != nil {
 		through.add(err.Error())
 	}
-	r := Summarize(l.s.Name, l.start, h, l.faultMarks, unsent, l.starts(), l.noAttemptWhileOut(h), l.over.done(), through.done())
+	r := Summarize(l.s.Name, l.start, h, l.faultMarks, unsent, l.starts(), l.noAttemptWhileOut(h), l.over.done(),
+		through.done())
 	if r.Timeline, err = l.drawTimeline(nil); err != nil {
 		return r, err
 	}
@@ -161,11 +163,13 @@
 	l.undoAfter(context.WithoutCancel(ctx), time.Second, func() { l.closeFaultWindow("node", i) })
 }
 
-// runMaintenance is the operator: it asks for all backends and works on each that is quiet, until all have been through.
+// runMaintenance is the operator: it asks for all backends and works on each that is quiet, until all have been
+// through.
 func (l *maintenanceRun) runMaintenance(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*eventTimeout)
 	defer cancel()
-	ask := map[string]any{"id": "work", "reason": "the lab's", "length_ms": 1000, "budget": map[string]int{"all": l.s.Work.Budget},
+	ask := map[string]any{"id": "work", "reason": "the lab's", "length_ms": 1000,
+		"budget": map[string]int{"all": l.s.Work.Budget},
 		"select": map[string]string{"site": "a"}}
 	if err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/requests", ask, nil); err != nil {
 		return err
@@ -206,7 +210,8 @@
 		}
 	}
 	if out > l.s.Work.Budget {
-		l.over.add(fmt.Sprintf("%d of %d at %s: %v", out, l.s.Work.Budget, time.Since(l.start).Round(time.Millisecond), states))
+		l.over.add(fmt.Sprintf("%d of %d at %s: %v", out, l.s.Work.Budget, time.Since(l.start).Round(time.Millisecond),
+			states))
 	}
 }
 
@@ -214,7 +219,8 @@
 func (l *maintenanceRun) serveTurn(ctx context.Context, t maintenance.Turn) error {
 	step := func(to maintenance.TurnState) error {
 		var out struct{ Turn maintenance.Turn }
-		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step", maintenance.Command{Revision: t.Revision, Target: to}, &out)
+		err := l.anyReplica(ctx, http.MethodPost, "/registry/rota/machines/"+t.Machine+"/step",
+			maintenance.Command{Revision: t.Revision, Target: to}, &out)
 		if err == nil {
 			t = out.Turn
 		}
@@ -299,7 +305,8 @@
 	}
 	w := &maintenanceRun{loadRun: l}
 	for j := range l.s.Backends {
-		w.members = append(w.members, Member{ID: fmt.Sprintf("backend-%d", j), HostPort: l.links[fmt.Sprintf("node-*:backend-%d", j)].Addr(),
+		w.members = append(w.members, Member{ID: fmt.Sprintf("backend-%d", j),
+			HostPort: l.links[fmt.Sprintf("node-*:backend-%d", j)].Addr(),
 			Locality: "a", Flavor: "m", Phase: "ready", Size: 1})
 	}
 	return w.run(ctx)
--- a/internal/lab/maintenancerun_test.go
+++ b/internal/lab/maintenancerun_test.go
@@ -31,9 +31,9 @@
 `, seed, kinds)
 }
 
-// Six machines go out for work by turns that the nodes take among themselves, while nodes stall or are killed and
-// the registry's leader, or all of it, is lost under it: never more than two out, nothing sent to one between quiet and returning, no request lost or run
-// twice, and each of them comes back.
+// Six machines go out for work by turns that the nodes take among themselves, while nodes stall or are killed and the
+// registry's leader, or all of it, is lost under it: never more than two out, nothing sent to one between quiet and
+// returning, no request lost or run twice, and each of them comes back.
 func TestMachinesGoOutAndComeBackUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed, kinds := range []string{``, `"pause"`, `"leader"`, `"kill"`, `"outage"`, `"pause", "kill", "leader", "outage"`} {
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -43,7 +43,8 @@
 }
 
 func newProxy(target string, seed uint64) *Proxy {
-	return &Proxy{target: target, conns: map[net.Conn]struct{}{}, refused: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 1))}
+	return &Proxy{target: target, conns: map[net.Conn]struct{}{}, refused: map[string]bool{},
+		rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // Addr is where the proxy listens.
@@ -116,8 +117,8 @@
 	return p.onSent
 }
 
-// refusedFor tells whether the far side could not be connected to for the connection from an address. It is so before that
-// connection ends.
+// refusedFor tells whether the far side could not be connected to for the connection from an address. It is so before
+// that connection ends.
 func (p *Proxy) refusedFor(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -28,14 +28,21 @@
 
 // ack is a write that the registry acknowledged, to be found in its list at the end.
 type ack struct {
-	ID, Phase string
-	Revision  int64
+	ID       string
+	Phase    string
+	Revision int64
 }
 
-// startRegistries starts n replicas, with further keys of their configuration, and waits for a leader. Raft's link from replica i to replica m is the proxy
-// "registry-i:registry-m": each replica dials from an address of its own, by which the fan before its peer tells it.
+// startRegistries starts n replicas, with further keys of their configuration, and waits for a leader. Raft's link from
+// replica i to replica m is the proxy "registry-i:registry-m": each replica dials from an address of its own, by which
+// the router before its peer knows it.
 func (l *cluster) startRegistries(ctx context.Context, n int, keys ...string) error {
-	type replica struct{ http, raft, from, advertised string }
+	type replica struct {
+		http       string // address of its HTTP API
+		raft       string // address that raft listens on
+		from       string // host that raft dials from
+		advertised string // address that its peers dial
+	}
 	rs := make([]replica, n)
 	var peers strings.Builder
 	for m := range rs {
@@ -59,8 +66,10 @@
 	for i, r := range rs {
 		name := fmt.Sprintf("registry-%d", i)
 		conf := l.path("%s.toml", name)
-		text := fmt.Sprintf("id = %q\ndata_dir = %q\nhttp = %q\nraft = %q\nraft_listen = %q\nraft_from = %q\nbootstrap = true\nstale_read = \"1s\"\n%s\n%s%s",
-			name, l.path("%s.data", name), r.http, r.advertised, r.raft, r.from, strings.Join(keys, "\n"), registryTiming, peers.String())
+		text := fmt.Sprintf("id = %q\ndata_dir = %q\nhttp = %q\nraft = %q\nraft_listen = %q\nraft_from = %q\n"+
+			"bootstrap = true\nstale_read = \"1s\"\n%s\n%s%s",
+			name, l.path("%s.data", name), r.http, r.advertised, r.raft, r.from,
+			strings.Join(keys, "\n"), registryTiming, peers.String())
 		if err := os.WriteFile(conf, []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -139,7 +148,8 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
 	if resp.StatusCode/100 != 2 {
-		return &refusedError{resp.StatusCode, fmt.Sprintf("%s %s at %s: %d %s", method, path, addr, resp.StatusCode, bytes.TrimSpace(text))}
+		return &refusedError{resp.StatusCode, fmt.Sprintf("%s %s at %s: %d %s", method, path, addr, resp.StatusCode,
+			bytes.TrimSpace(text))}
 	}
 	if out == nil {
 		return nil
@@ -174,7 +184,8 @@
 func (l *cluster) registerBackends(ctx context.Context, members []Member) error {
 	for _, m := range members {
 		body := map[string]any{"member": m}
-		if _, err := l.registryWrite(ctx, http.MethodPost, "/registry/members", body, ack{ID: m.ID, Phase: m.Phase}); err != nil {
+		if _, err := l.registryWrite(ctx, http.MethodPost, "/registry/members", body,
+			ack{ID: m.ID, Phase: m.Phase}); err != nil {
 			return fmt.Errorf("registering %s: %w", m.ID, err)
 		}
 	}
@@ -201,7 +212,8 @@
 			Revision int64    `json:"revision"`
 			Members  []Member `json:"members"`
 		}
-		if l.registryCall(ctx, http.MethodGet, addr, "/registry/instances", nil, &got) == nil && got.Revision >= best.Revision {
+		if l.registryCall(ctx, http.MethodGet, addr, "/registry/instances", nil, &got) == nil &&
+			got.Revision >= best.Revision {
 			best = got
 		}
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -72,9 +72,11 @@
 
 // Summarize builds the report of a run that began at start.
 // Checks made outside the history (extra) join those of Verify.
-func Summarize(name string, start time.Time, h History, faults []FaultMark, unsent int, starts map[string]int, extra ...Check) Report {
-	r := Report{Scenario: name, Counts: map[string]int{"unsent": unsent}, Checks: append(Verify(h), extra...), Faults: faults,
-		Runs: len(h.Executions), Starts: starts, Passed: true}
+func Summarize(name string, start time.Time, h History, faults []FaultMark, unsent int, starts map[string]int,
+	extra ...Check) Report {
+	r := Report{Scenario: name, Counts: map[string]int{"unsent": unsent}, Checks: append(Verify(h), extra...),
+		Faults: faults,
+		Runs:   len(h.Executions), Starts: starts, Passed: true}
 	for _, c := range r.Checks {
 		r.Passed = r.Passed && c.OK
 	}
@@ -136,15 +138,19 @@
 		return nil // no load, nothing to plot
 	}
 	for _, p := range []struct {
-		file, title, unit string
-		lines             map[string]func(Second) float64
+		file  string
+		title string
+		unit  string
+		lines map[string]func(Second) float64
 	}{
 		{"throughput.png", "answers by the second they were asked", "requests", map[string]func(Second) float64{
-			"sent": func(s Second) float64 { return float64(s.Sent) }, "served": func(s Second) float64 { return float64(s.Served) }}},
+			"sent":   func(s Second) float64 { return float64(s.Sent) },
+			"served": func(s Second) float64 { return float64(s.Served) }}},
 		{"latency.png", "latency of served requests", "ms", map[string]func(Second) float64{
 			"p50": func(s Second) float64 { return s.P50 }, "p99": func(s Second) float64 { return s.P99 }}},
 		{"errors.png", "requests not served", "requests", map[string]func(Second) float64{
-			"refused": func(s Second) float64 { return float64(s.Refused) }, "failed": func(s Second) float64 { return float64(s.Failed) },
+			"refused":    func(s Second) float64 { return float64(s.Refused) },
+			"failed":     func(s Second) float64 { return float64(s.Failed) },
 			"unanswered": func(s Second) float64 { return float64(s.Lost) }}},
 	} {
 		if err := r.plot(filepath.Join(dir, p.file), p.title, p.unit, p.lines); err != nil {
@@ -154,7 +160,8 @@
 	return nil
 }
 
-var palette = []color.Color{color.RGBA{0x1f, 0x77, 0xb4, 0xff}, color.RGBA{0xd6, 0x27, 0x28, 0xff}, color.RGBA{0x2c, 0xa0, 0x2c, 0xff}}
+var palette = []color.Color{color.RGBA{0x1f, 0x77, 0xb4, 0xff}, color.RGBA{0xd6, 0x27, 0x28, 0xff},
+	color.RGBA{0x2c, 0xa0, 0x2c, 0xff}}
 
 func (r Report) plot(path, title, unit string, lines map[string]func(Second) float64) error {
 	p := plot.New()
--- a/internal/lab/reset.go
+++ b/internal/lab/reset.go
@@ -46,8 +46,8 @@
 	return state, ok
 }
 
-// awaitReset tells whether a connection that the other side has ended is reset as well. It is where the other side closed it
-// before it had read all that was written to it, and is not where it had read all.
+// awaitReset tells whether a connection that the other side has ended is reset as well. It is where the other side
+// closed it before it had read all that was written to it, and is not where it had read all.
 func awaitReset(c net.Conn) bool {
 	for end := time.Now().Add(resetTimeout); time.Now().Before(end); time.Sleep(resetPollInterval) {
 		if state, ok := tcpState(c); !ok || state == tcpClose {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -44,8 +44,9 @@
 }
 
 // LeaseScenario is a lease scenario: Candidates processes want one duty with a TTL; each does Work between its check of
-// the lease and its fenced write. Schedules faults are played one after another, each of a kind drawn from Kinds
-// (kill, pause, cut, term, leader; both: the holder paused while the leader is killed) and aimed at the duty's holder or, for leader, the registry's leader.
+// the lease and its fenced write. Schedules faults are played one after another, each of a kind drawn from Kinds (kill,
+// pause, cut, term, leader; both: the holder paused while the leader is killed) and aimed at the duty's holder or, for
+// leader, the registry's leader.
 type LeaseScenario struct {
 	Candidates int      `toml:"candidates"`
 	TTL        Duration `toml:"ttl"`
@@ -54,7 +55,8 @@
 	Kinds      []string `toml:"kinds"`
 }
 
-var leaseFaultKinds = map[string]bool{"kill": true, "pause": true, "cut": true, "term": true, "leader": true, "both": true}
+var leaseFaultKinds = map[string]bool{"kill": true, "pause": true, "cut": true, "term": true, "leader": true,
+	"both": true}
 
 func (d LeaseScenario) check(registries int) error {
 	switch {
@@ -86,12 +88,12 @@
 	Count    int      `toml:"count"`
 	Deadline Duration `toml:"deadline"` // the client's wait for an answer
 	Unsafe   float64  `toml:"unsafe"`
-	// Keyed is the share sent with an idempotency key, Leave the share of clients that leave early; Improper has some peers
-	// send half a request and stay.
+	// Keyed is the share sent with an idempotency key, Leave the share of clients that leave early; Improper has some
+	// peers send half a request and stay.
 	Keyed float64 `toml:"keyed"`
 	Leave float64 `toml:"leave"`
-	// Late is the share of clients that connect long before they ask, and Begun of those that begin a request long before its end.
-	// A new process of a node is not ready while one of the latter is with the old one.
+	// Late is the share of clients that connect long before they ask, and Begun of those that begin a request long before
+	// its end. A new process of a node is not ready while one of the latter is with the old one.
 	Late     float64 `toml:"late"`
 	Begun    float64 `toml:"begun"`
 	Improper bool    `toml:"improper"`
@@ -266,7 +268,8 @@
 	if n := s.count(role); i >= n {
 		return fmt.Errorf("%q: there are %d of %s", t, n, role)
 	}
-	if (kind == "hup" || kind == "hold" || kind == "upgrade") && role != "node" || kind == "rejoin" && (role != "backend" || s.Registries > 0) {
+	if (kind == "hup" || kind == "hold" || kind == "upgrade") && role != "node" || kind == "rejoin" &&
+		(role != "backend" || s.Registries > 0) {
 		return fmt.Errorf("%q: %s does not apply to a %s here", t, kind, role)
 	}
 	if (kind == "drain" && role != "backend") || (kind == "fill" && role == "backend") {
@@ -308,7 +311,8 @@
 	}
 	from, to, ok := strings.Cut(t, ":")
 	if !ok {
-		return "", "", fmt.Errorf("%q is not a link (client-node-N, node-N:backend-M, node-N:registry-M or registry-N:registry-M)", t)
+		return "", "", fmt.Errorf("%q is not a link (client-node-N, node-N:backend-M, node-N:registry-M "+
+			"or registry-N:registry-M)", t)
 	}
 	near, far := "node", "backend"
 	if strings.HasPrefix(from, "registry-") {
@@ -320,7 +324,11 @@
 	if near == "registry" && far != near {
 		return "", "", fmt.Errorf("%q: a replica has links to replicas alone", t)
 	}
-	for _, side := range []struct{ name, role string }{{from, near}, {to, far}} {
+	type endOfLink struct {
+		name string
+		role string
+	}
+	for _, side := range []endOfLink{{from, near}, {to, far}} {
 		if side.name == side.role+"-*" {
 			continue
 		}
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -15,8 +15,8 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// Soak has troubles drawn from the seed, several of which overlap, instead of written faults: stops, reloads, restarts, drains,
-// outages of discovery, broken links and, under the shim, failing system calls and a stepped wall clock.
+// Soak has troubles drawn from the seed, several of which overlap, instead of written faults: stops, reloads, restarts,
+// drains, outages of discovery, broken links and, under the shim, failing system calls and a stepped wall clock.
 type Soak struct {
 	Seeds   int      `toml:"seeds"`   // how many seeds are played one after another, from the scenario's on
 	Quiet   Duration `toml:"quiet"`   // before the first trouble
@@ -57,11 +57,13 @@
 func (s Soak) check(sc Scenario) error {
 	switch {
 	case sc.Registries > 0 || sc.Fleet != nil || sc.Work != nil || len(sc.Faults) > 0:
-		return tomlfile.Bad("soak", "a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
+		return tomlfile.Bad("soak",
+			"a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
 	case s.Seeds < 1 || s.Seeds > 100000:
 		return tomlfile.Bad("soak.seeds", "%d is outside 1 to 100000", s.Seeds)
 	case s.Quiet.Duration < time.Second:
-		return tomlfile.Bad("soak.quiet", "%s is below 1s, before which no node may be told to read its configuration again", s.Quiet)
+		return tomlfile.Bad("soak.quiet", "%s is below 1s, before which no node may be told to read its configuration again",
+			s.Quiet)
 	case s.Every.Duration < burstSpan:
 		return tomlfile.Bad("soak.every", "%s is below %s", s.Every, burstSpan)
 	case s.Bout < 1 || s.Bout > 8:
@@ -169,7 +171,8 @@
 		link := []string{node + ":backend-*", "node-*:" + backend}[d.rng.IntN(2)]
 		kind := []string{"partition", "delay", "reset"}[d.rng.IntN(3)]
 		delay := d.span(20*time.Millisecond, 300*time.Millisecond)
-		d.add(at, kind, link, lasting(300*time.Millisecond, 1500*time.Millisecond), func(f *Fault) { f.Delay.Duration = delay })
+		d.add(at, kind, link, lasting(300*time.Millisecond, 1500*time.Millisecond),
+			func(f *Fault) { f.Delay.Duration = delay })
 	case 10:
 		if d.s.hasSystemCallFaults(i) {
 			d.add(at, "hup", node) // a traced process can't be held up by a signal
@@ -180,7 +183,10 @@
 }
 
 // plainFaultGroups and upgradeFaultGroups are how many troubles there are of either sort.
-const plainFaultGroups, upgradeFaultGroups = 11, 7
+const (
+	plainFaultGroups   = 11
+	upgradeFaultGroups = 7
+)
 
 // drawUpgradeFaults draws a trouble that replaces a node's process. Backends hang in half of them.
 func (d *faultDraw) drawUpgradeFaults(kind int, at time.Duration, node string) {
@@ -211,8 +217,12 @@
 	}
 }
 
-// The earliest kill of a process that was told to end (PROTOCOL): the longest deadline, maxKillDeadline at most, and killGrace.
-const maxKillDeadline, killGrace = 3 * time.Second, 700 * time.Millisecond
+// The earliest kill of a process that was told to end (PROTOCOL): the longest deadline, maxKillDeadline at most, and
+// killGrace.
+const (
+	maxKillDeadline = 3 * time.Second
+	killGrace       = 700 * time.Millisecond
+)
 
 // killAfter is how long after SIGTERM SIGKILL comes.
 func (s Scenario) killAfter() time.Duration {
@@ -225,7 +235,8 @@
 	span := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Float64()*float64(to-from))
 	}
-	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt, sysfault.Short, sysfault.Break, sysfault.Open, sysfault.Clock, sysfault.Clock}
+	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt, sysfault.Short,
+		sysfault.Break, sysfault.Open, sysfault.Clock, sysfault.Clock}
 	steps := []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second}
 	var plan sysfault.Plan
 	for range 2 + rng.IntN(4) {
@@ -245,13 +256,14 @@
 	Seed   uint64         `json:"seed"`
 	Passed bool           `json:"passed"`
 	Counts map[string]int `json:"counts"`
-	// StarvedMs is the longest that a thread of a child waited for a processor within a tenth of a second; 0: nothing of note.
+	// StarvedMs is the longest that a thread of a child waited for a processor within a tenth of a second; 0: nothing of
+	// note.
 	StarvedMs int64  `json:"starved_ms"`
 	Error     string `json:"error,omitempty"`
 }
 
-// runSoak plays a soak's seeds, each in a folder of its own, and sums them up. A seed that could not be played ends the soak
-// with an error.
+// runSoak plays a soak's seeds, each in a folder of its own, and sums them up. A seed that could not be played ends the
+// soak with an error.
 func runSoak(ctx context.Context, s Scenario, opts Options) (Report, error) {
 	if err := claimOutput(opts.Out); err != nil {
 		return Report{}, err
--- a/internal/lab/soak_check.go
+++ b/internal/lab/soak_check.go
@@ -19,7 +19,9 @@
 
 // drainPeriod is a time in which a backend wants nothing new.
 type drainPeriod struct {
-	start, end time.Time            // till zero: to the end
+	// till zero: to the end
+	start      time.Time
+	end        time.Time
 	notifiedAt map[string]time.Time // by node: when it was written to it
 }
 
@@ -38,7 +40,8 @@
 	for _, a := range h.Attempts {
 		o, ok := outcomes[a.Trace]
 		if ok && o.Left > 0 && a.At > o.Left+int64(disconnectGrace+clockSlack) {
-			c.add(fmt.Sprintf("%s at %s by %s: %s after its client left", a.Trace, a.Backend, a.Node, time.Duration(a.At-o.Left)))
+			c.add(fmt.Sprintf("%s at %s by %s: %s after its client left", a.Trace, a.Backend, a.Node,
+				time.Duration(a.At-o.Left)))
 		}
 	}
 	return c.done()
@@ -62,7 +65,10 @@
 // keyedWithinWindow goes by when a request reached its backend, as one that hangs may run it long after.
 func (h History) keyedWithinWindow(outcomes map[string]Outcome) Check {
 	c := Check{Name: "no keyed request runs again after its window"}
-	type copyAt struct{ trace, backend string }
+	type copyAt struct {
+		trace   string
+		backend string
+	}
 	reached := map[copyAt][]int64{}
 	for _, a := range h.Attempts {
 		reached[copyAt{a.Trace, a.Backend}] = append(reached[copyAt{a.Trace, a.Backend}], a.At)
@@ -89,8 +95,8 @@
 	return c.done()
 }
 
-// noAttemptInDrain checks that nothing begins at a draining backend past the grace, counted from when the drain was written to the
-// node, or counts as told to it.
+// noAttemptInDrain checks that nothing begins at a draining backend past the grace, counted from when the drain was
+// written to the node, or counts as told to it.
 func (h History) noAttemptInDrain(drains map[string][]*drainPeriod, lastUp time.Time) Check {
 	c := Check{Name: "nothing begins at a draining backend past the grace"}
 	for _, a := range h.Attempts {
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// upgradeSoak is the soak of upgrades in seconds, for the ordinary tests: series, successors that end, hanging backends, clients that
-// connect long before they ask, and, in one of its seeds, a crowd and a class of a minute.
+// upgradeSoak is the soak of upgrades in seconds, for the ordinary tests: series, successors that end, hanging
+// backends, clients that connect long before they ask, and, in one of its seeds, a crowd and a class of a minute.
 const upgradeSoak = `
 name = "short soak of upgrades"
 seed = 22
--- a/internal/lab/starved.go
+++ b/internal/lab/starved.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// starvationInterval is how often the lab looks for children that wait for a processor, and minStarvation how long a thread of one
-	// has to have waited since the last look to count as starved: more than a node may be held up by.
-	starvationInterval, minStarvation = 100 * time.Millisecond, 60 * time.Millisecond
+	// starvationInterval is how often the lab looks for children that wait for a processor, and minStarvation how long a
+	// thread of one has to have waited since the last look to count as starved: more than a node may be held up by.
+	starvationInterval = 100 * time.Millisecond
+	minStarvation      = 60 * time.Millisecond
 )
 
-// starvation is a time in which a child was kept from a processor, as the kernel tells of each thread (schedstat). It excuses
-// nothing; it is there so that a check that fails on a crowded machine can be told from one that fails by itself.
+// starvation is a time in which a child was kept from a processor, as the kernel tells of each thread (schedstat). It
+// excuses nothing; it is there so that a check that fails on a crowded machine can be told from one that fails by
+// itself.
 type starvation struct {
 	Child string        `json:"child"`
 	At    time.Time     `json:"at"`
--- a/internal/lab/sysfault_test.go
+++ b/internal/lab/sysfault_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// BenchmarkEmptyPlan plays the same load with nodes under a plan that changes nothing and with nodes as they are, side by side:
-// served requests and the 99th percentile of their times. Run it also beside busy processes.
+// BenchmarkEmptyPlan plays the same load with nodes under a plan that changes nothing and with nodes as they are, side
+// by side: served requests and the 99th percentile of their times. Run it also beside busy processes.
 func BenchmarkEmptyPlan(b *testing.B) {
 	s, err := ParseScenario([]byte(`
 name = "empty plan"
--- a/internal/lab/tap.go
+++ b/internal/lab/tap.go
@@ -8,8 +8,8 @@
 // tapBufferChunks is how many pieces a tap holds for who reads them later.
 const tapBufferChunks = 64
 
-// tap reads a connection at once, shows each piece as it comes, and keeps it until it is read: a link that is cut or slow must
-// not make what was sent before look as if it were sent later.
+// tap reads a connection at once, shows each piece as it comes, and keeps it until it is read: a link that is cut or
+// slow must not make what was sent before look as if it were sent later.
 type tap struct {
 	net.Conn
 	pieces chan []byte
@@ -17,7 +17,8 @@
 	err    error // set before pieces is closed
 }
 
-// newTap starts to read a connection. It ends with the connection; what is not read by then is given up once stop is closed.
+// newTap starts to read a connection. It ends with the connection; what is not read by then is given up once stop is
+// closed.
 func newTap(c net.Conn, seen func([]byte), stop <-chan struct{}) *tap {
 	t := &tap{Conn: c, pieces: make(chan []byte, tapBufferChunks)}
 	go func() {
--- a/internal/lab/timelinelog.go
+++ b/internal/lab/timelinelog.go
@@ -21,7 +21,8 @@
 func (l *cluster) recordEvent(who, format string, args ...any) {
 	l.timelineLog.mu.Lock()
 	defer l.timelineLog.mu.Unlock()
-	l.timelineLog.events = append(l.timelineLog.events, timeline.Event{At: time.Since(l.start), Process: who, Text: fmt.Sprintf(format, args...)})
+	l.timelineLog.events = append(l.timelineLog.events,
+		timeline.Event{At: time.Since(l.start), Process: who, Text: fmt.Sprintf(format, args...)})
 }
 
 // recordChange adds to a column where it has something new to say.
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// wallClockFiles may turn times into figures of the wall clock: what they tell goes to other machines or comes from them.
+// wallClockFiles may turn times into figures of the wall clock: what they tell goes to other machines or comes from
+// them.
 var wallClockFiles = map[string]bool{"internal/node/wallclock.go": true}
 
 // wallClockCalls are what loses the monotonic reading of a time.
--- a/internal/operror/operror.go
+++ b/internal/operror/operror.go
@@ -30,6 +30,7 @@
 	Cause   error  // may be nil
 }
 
+// Error words the error with what it failed on and its cause.
 func (e *Error[P]) Error() string {
 	text := e.Meaning
 	if e.Subject != "" {
--- a/internal/sysfault/filter_linux_amd64.go
+++ b/internal/sysfault/filter_linux_amd64.go
@@ -11,19 +11,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// The program stops only at the calls that its plan may change: a filter that it sets on itself before it starts asks the tracer
-// about these and lets all others pass. It confines nothing.
+// The program stops only at the calls that its plan may change: a filter that it sets on itself before it starts asks
+// the tracer about these and lets all others pass. It confines nothing.
 
 // stageVariable is set for the process that sets the filter on itself and then becomes the program. It holds the plan.
 const stageVariable = "HITCHVALE_SHIM_PLAN"
 
 // Offsets in struct seccomp_data (seccomp.h): the call's number and the lower half of its first and second argument.
 const (
-	offsetNumber, offsetFirst, offsetSecond = 0, 16, 24
+	offsetNumber = 0
+	offsetFirst  = 16
+	offsetSecond = 24
 )
 
 // Operations of futex(2) that wait, and the flags beside them.
-const futexWait, futexWaitBitset, futexOperation = 0, 9, 0x7f
+const (
+	futexWait       = 0
+	futexWaitBitset = 9
+	futexOperation  = 0x7f
+)
 
 // condition narrows a call down by an argument: its value, behind a mask, is one of a few.
 type condition struct {
@@ -58,7 +64,8 @@
 			calls(unix.SYS_SOCKET, unix.SYS_CONNECT)
 		case Interrupt:
 			calls(unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_NANOSLEEP)
-			out = append(out, stop{unix.SYS_FUTEX, &condition{offsetSecond, futexOperation, []uint32{futexWait, futexWaitBitset}}})
+			out = append(out, stop{unix.SYS_FUTEX, &condition{offsetSecond, futexOperation,
+				[]uint32{futexWait, futexWaitBitset}}})
 		case Short:
 			calls(unix.SYS_READ, unix.SYS_WRITE)
 		case Break:
@@ -68,7 +75,8 @@
 		case Disk:
 			calls(unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE)
 		case Clock:
-			out = append(out, stop{unix.SYS_CLOCK_GETTIME, &condition{offsetFirst, math.MaxUint32, []uint32{unix.CLOCK_REALTIME}}})
+			out = append(out, stop{unix.SYS_CLOCK_GETTIME,
+				&condition{offsetFirst, math.MaxUint32, []uint32{unix.CLOCK_REALTIME}}})
 		}
 	}
 	return out
@@ -109,8 +117,8 @@
 	return append(code, verdict(unix.SECCOMP_RET_ALLOW))
 }
 
-// EnterChild is called first of all by a program that calls Run. In the process that Run starts it sets the filter and becomes
-// the program, and does not return.
+// EnterChild is called first of all by a program that calls Run. In the process that Run starts it sets the filter and
+// becomes the program, and does not return.
 func EnterChild() {
 	text, ok := os.LookupEnv(stageVariable)
 	if !ok {
@@ -140,7 +148,8 @@
 		if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 			return fmt.Errorf("no new rights: %w", err)
 		}
-		if err := unix.Prctl(unix.PR_SET_SECCOMP, unix.SECCOMP_MODE_FILTER, uintptr(unsafe.Pointer(&program)), 0, 0); err != nil {
+		if err := unix.Prctl(unix.PR_SET_SECCOMP, unix.SECCOMP_MODE_FILTER, uintptr(unsafe.Pointer(&program)), 0,
+			0); err != nil {
 			return fmt.Errorf("filter: %w", err)
 		}
 	}
--- a/internal/sysfault/plan.go
+++ b/internal/sysfault/plan.go
@@ -1,5 +1,6 @@
-// Package sysfault runs a program and has its system calls fail as Linux documents that they may. It traces its own child with
-// ptrace, which needs no rights, and knows nothing of what the program does. Which calls fail, when and how often, is a plan.
+// Package sysfault runs a program and has its system calls fail as Linux documents that they may. It traces its own
+// child with ptrace, which needs no rights, and knows nothing of what the program does. Which calls fail, when and how
+// often, is a plan.
 package sysfault
 
 import (
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -19,7 +19,8 @@
 	// syscallStop marks a stop at a system call (PTRACE_O_TRACESYSGOOD).
 	syscallStop = unix.SIGTRAP | 0x80
 	// atSysinfoEhdr and atIgnore are types of the auxiliary vector: the address of the vDSO, and an entry to be skipped.
-	atSysinfoEhdr, atIgnore = 33, 1
+	atSysinfoEhdr = 33
+	atIgnore      = 1
 	// wordSize is the size of a word on this machine.
 	wordSize = 8
 	// noCall is a number that no system call has: the kernel makes none.
@@ -30,16 +31,18 @@
 
 var (
 	acceptErrors = []unix.Errno{unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO,
-		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENOMEM, unix.EINTR}
-	connectErrors = []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.ECONNREFUSED}
-	socketErrors  = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}
-	breakErrors   = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}
-	openErrors    = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM}
-	diskErrors    = []unix.Errno{unix.ENOSPC, unix.EIO}
+		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
+		unix.ENOMEM, unix.EINTR}
+	connectErrors = []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
+		unix.ECONNREFUSED}
+	socketErrors = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}
+	breakErrors  = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}
+	openErrors   = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM}
+	diskErrors   = []unix.Errno{unix.ENOSPC, unix.EIO}
 )
 
-// Run runs a program under a plan until it ends, and returns its exit code. Draws come from the seed. The program ends with
-// this process. Signals that end a process are left to the program: whoever signals the group reaches both.
+// Run runs a program under a plan until it ends, and returns its exit code. Draws come from the seed. The program ends
+// with this process. Signals that end a process are left to the program: whoever signals the group reaches both.
 func Run(plan Plan, seed uint64, argv []string) (code int, err error) {
 	runtime.LockOSThread() // ptrace knows its tracer by thread
 	signals := make(chan os.Signal, 16)
@@ -86,8 +89,8 @@
 	if _, err := unix.Wait4(t.pid, &status, unix.WALL, nil); err != nil {
 		return fmt.Errorf("waiting for the program: %w", err)
 	}
-	options := unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_TRACESECCOMP |
-		unix.PTRACE_O_EXITKILL
+	options := unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC |
+		unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_EXITKILL
 	if err := unix.PtraceSetOptions(t.pid, options); err != nil {
 		return fmt.Errorf("ptrace: %w", err)
 	}
@@ -105,8 +108,8 @@
 	}
 }
 
-// hideVDSO has the program read its clocks by system call. The stack holds argc, argv, the environment and the auxiliary
-// vector, each list ended by a zero.
+// hideVDSO has the program read its clocks by system call. The stack holds argc, argv, the environment and the
+// auxiliary vector, each list ended by a zero.
 func (t *tracer) hideVDSO() error {
 	var regs unix.PtraceRegs
 	if err := unix.PtraceGetRegs(t.pid, &regs); err != nil {
@@ -269,7 +272,8 @@
 		th.awaitsExit = t.plan.has(Break)
 	case th.call == unix.SYS_CLOCK_GETTIME:
 		th.awaitsExit = t.plan.step(time.Since(t.start)) != 0
-	case (th.call == unix.SYS_READ || th.call == unix.SYS_WRITE) && th.args[2] >= shortLeast && t.hits(Short) && t.isSocket(th.args[0]):
+	case (th.call == unix.SYS_READ || th.call == unix.SYS_WRITE) && th.args[2] >= shortLeast && t.hits(Short) &&
+		t.isSocket(th.args[0]):
 		regs.Rdx = 1 + t.rng.Uint64N(th.args[2]-1)
 		unix.PtraceSetRegs(id, &regs)
 		th.awaitsExit = true
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -47,7 +47,10 @@
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Or(cmp.Compare(out[a].At, out[b].At), cmp.Compare(rank[a], rank[b])) })
+	slices.SortStableFunc(order, func(a, b int) int {
+		return cmp.Or(cmp.Compare(out[a].At, out[b].At),
+			cmp.Compare(rank[a], rank[b]))
+	})
 	merged := make([]Event, len(out))
 	for n, i := range order {
 		merged[n] = out[i]
