--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,125 +7,167 @@
 	"hitchvale/internal/monotime"
 )
 
+// attempt is one copy of a request on its way to a backend. Its state is in call.lifecycle.
+type attempt struct {
+	call    upstreamCall
+	backend *backend
+	sentAt  time.Duration  // when it was started, or a streamed request was written completely; on the loop's clock
+	status  balance.Status // how it ended; meaningful once ended
+}
+
+// ended says whether the result of the attempt has been recorded.
+func (a *attempt) ended() bool { return a.call.lifecycle.current() == attemptEnded }
+
+// startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard forbids ends at
+// once as not sent.
 func (l *eventLoop) startAttempt(a *balance.Action) {
-	r, b := l.requests[a.Request], l.backendFor(a.Endpoint)
+	r := l.requests[a.Request]
+	b := l.backendFor(a.Endpoint)
 	if r == nil || b == nil {
 		return
 	}
-	n := len(r.attempts)
-	may := l.guard.maySend(r, b, l.now())
+	number := len(r.attempts)
+	allowed := l.guard.maySend(r, b, l.now())
 	l.statistics.sent++
 	at := &attempt{backend: b, sentAt: l.now()}
 	r.attempts = append(r.attempts, at)
-	r.pending++
-	if !may {
-		l.finishAttempt(r, n, attemptResult{status: balance.StatusNotSent})
+	if !allowed {
+		l.finishAttempt(r, number, attemptResult{status: balance.StatusNotSent})
 		return
 	}
-	deadline := r.deadline
-	if a.Timeout > 0 {
-		if limit := time.Now().Add(a.Timeout); deadline.IsZero() || limit.Before(deadline) {
-			deadline = limit
-		}
+	if number > 0 {
+		l.figures.retries.Add(1)
 	}
-	var begin time.Time
 	if a.StartWithin > 0 {
-		begin = time.Now().Add(a.StartWithin)
-	}
-	if n > 0 {
-		l.figures.retries.Add(1)
+		at.call.startBy = time.Now().Add(a.StartWithin)
 	}
-	at.call = l.upstream.start(b.process, &r.forwarded, begin, deadline, func(res attemptResult) {
-		if !l.post(attemptFinished{request: r, attempt: n, result: res}) && res.stream != nil {
+	deadline := attemptDeadline(r.deadline, a.Timeout)
+	l.upstream.start(&at.call, b.process, &r.forwarded, deadline, func(res attemptResult) {
+		if !l.post(attemptFinished{request: r, attempt: number, result: res}) && res.stream != nil {
 			res.stream.end(false)
 		}
 	})
 }
 
-// finishAttempt tells the Balancer how an attempt ended, once. What comes after it was given up changes nothing.
-func (l *eventLoop) finishAttempt(r *request, n int, res attemptResult) {
-	at := r.attempts[n]
-	if at.over || res.stream != nil && r.answered {
-		if res.stream != nil {
-			res.stream.end(false)
-		}
-		if at.over {
-			return
-		}
+// attemptDeadline returns the earlier of the request's deadline and the end of the attempt's own timeout. A timeout of 0 is
+// none, and a zero deadline none yet: that of a streamed request begins with its last byte.
+func attemptDeadline(deadline time.Time, timeout time.Duration) time.Time {
+	if timeout <= 0 {
+		return deadline
+	}
+	limit := time.Now().Add(timeout)
+	if deadline.IsZero() || limit.Before(deadline) {
+		return limit
+	}
+	return deadline
+}
+
+// finishAttempt records the result of an attempt, once, and notifies the Balancer. The first success of an open request is
+// its final response. Results of attempts that have ended already, such as cancelled ones, are dropped.
+func (l *eventLoop) finishAttempt(r *request, number int, res attemptResult) {
+	at := r.attempts[number]
+	if res.stream != nil && (at.ended() || !r.isOpen()) {
+		res.stream.end(false)
+	}
+	if !at.call.lifecycle.apply(resultRecorded) {
+		return
 	}
-	at.over, at.status = true, res.status
+	at.status = res.status
 	l.guard.began(r, at, l.firstByteAt(at))
-	r.pending--
 	l.statistics.outcomes[res.status]++
 	l.figures.attempts[res.status].Add(1)
-	if res.status == balance.StatusSucceeded && !r.answered {
-		r.answered = true
-		l.statistics.answers[responseServed]++
-		if l.onServed != nil {
-			l.onServed(r, l.now()-at.sentAt)
-		}
-		if res.stream != nil && l.openStreams != nil {
-			l.trackStream(at.backend.id, res.stream)
-		}
-		r.response <- finalResponse{kind: responseServed, body: res.body, contentType: res.contentType, stream: res.stream}
+	if res.status == balance.StatusSucceeded && r.isOpen() {
+		l.passOn(r, at, res)
 	}
 	l.releaseRequest(r)
 	l.handle(balance.AttemptEnded{
-		Request: r.id, Attempt: n, Endpoint: at.backend.endpointID, Elapsed: l.now() - at.sentAt,
-		Status: res.status, Final: r.answered, Load: res.load, NotReplayable: res.notReplayable,
+		Request:       r.id,
+		Attempt:       number,
+		Endpoint:      at.backend.endpointID,
+		Elapsed:       l.now() - at.sentAt,
+		Status:        res.status,
+		Final:         !r.isOpen(),
+		Load:          res.load,
+		NotReplayable: res.notReplayable,
 	})
 }
 
-// firstByteAt is when the first byte of an attempt was about to go, on the loop's clock; 0: it never was.
-func (l *eventLoop) firstByteAt(at *attempt) time.Duration {
-	if at.call == nil {
-		return 0
+// passOn makes a backend's response the final one of its request.
+func (l *eventLoop) passOn(r *request, at *attempt, res attemptResult) {
+	r.apply(finalResponseGiven)
+	l.statistics.answers[responseServed]++
+	if l.onServed != nil {
+		l.onServed(r, l.now()-at.sentAt)
 	}
-	began := at.call.startedAt.Load()
-	if began.IsZero() {
+	if res.stream != nil && l.openStreams != nil {
+		l.trackStream(at.backend.id, res.stream)
+	}
+	r.response <- finalResponse{
+		kind:        responseServed,
+		body:        res.body,
+		contentType: res.contentType,
+		stream:      res.stream,
+	}
+}
+
+// firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if it never was.
+func (l *eventLoop) firstByteAt(at *attempt) time.Duration {
+	startedAt := at.call.startedAt.Load()
+	if startedAt.IsZero() {
 		return 0
 	}
-	return l.now() - time.Duration(monotime.Now()-began)
+	return l.now() - time.Duration(monotime.Now()-startedAt)
 }
 
-// trackStream counts an answer as open at its backend until all of it has been passed on.
-func (l *eventLoop) trackStream(id string, s *stream) {
-	l.openStreams[id]++
+// trackStream counts a streamed response as open at its backend until all of it has been passed on.
+func (l *eventLoop) trackStream(backendID string, s *stream) {
+	l.openStreams[backendID]++
 	end := s.end
-	s.end = func(whole bool) {
-		end(whole)
-		l.post(responseStreamEnded{id})
+	s.end = func(complete bool) {
+		end(complete)
+		l.post(responseStreamEnded{backendID})
 	}
 }
 
-// cancelAttempt ends an attempt and its connection.
-func (l *eventLoop) cancelAttempt(r *request, n int, st balance.Status) {
-	at := r.attempts[n]
-	if at.over {
+// cancelAttempt ends an attempt, and closes its connection. It ends with the given status, or as not sent if nothing of it had
+// been written.
+func (l *eventLoop) cancelAttempt(r *request, number int, status balance.Status) {
+	at := r.attempts[number]
+	if at.ended() {
 		return
 	}
-	if at.call != nil {
-		if at.call.cancelUnsent() {
-			st = balance.StatusNotSent
-		}
-		at.call.cancel()
+	if at.call.cancelUnsent() {
+		status = balance.StatusNotSent
 	}
-	l.finishAttempt(r, n, attemptResult{status: st})
+	at.call.cancel()
+	l.finishAttempt(r, number, attemptResult{status: status})
 }
 
-func (l *eventLoop) cancelAttempts(r *request, st balance.Status) {
-	for n := range r.attempts {
-		l.cancelAttempt(r, n, st)
+// cancelAttempts ends all attempts of a request, which is over.
+func (l *eventLoop) cancelAttempts(r *request, status balance.Status) {
+	for number := range r.attempts {
+		l.cancelAttempt(r, number, status)
 	}
 	l.releaseRequest(r)
 }
 
-// attempt is one copy of a request on its way to a backend.
-type attempt struct {
-	call    *upstreamCall
-	backend *backend
-	sentAt  time.Duration
-	over    bool // its outcome has been told
-	// status is how it ended, where it is over.
-	status balance.Status
+// cancelUnsentAttempts ends attempts that have not begun to write to a backend which must not get anything new. One whose dial
+// takes long would otherwise be written after the drain's grace.
+func (l *eventLoop) cancelUnsentAttempts() {
+	type cancelled struct {
+		request *request
+		attempt int
+	}
+	var unsent []cancelled
+	for _, r := range l.requests {
+		for number, at := range r.attempts {
+			if !at.backend.available() && at.call.cancelUnsent() {
+				unsent = append(unsent, cancelled{r, number})
+			}
+		}
+	}
+	for _, c := range unsent {
+		c.request.attempts[c.attempt].call.cancel()
+		l.finishAttempt(c.request, c.attempt, attemptResult{status: balance.StatusNotSent})
+	}
 }
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -75,24 +75,3 @@
 
 // gaugeInterval is the least time between two looks at what the module avoids.
 const gaugeInterval = 50 * time.Millisecond
-
-// cancelUnsentAttempts stops attempts that have not begun to write to a backend that takes nothing new. Left alone, one that
-// hangs in a dial would go out when the grace is long over.
-func (l *eventLoop) cancelUnsentAttempts() {
-	type one struct {
-		r *request
-		n int
-	}
-	var out []one
-	for _, r := range l.requests {
-		for n, at := range r.attempts {
-			if !at.over && !at.backend.available() && at.call != nil && at.call.cancelUnsent() {
-				out = append(out, one{r, n})
-			}
-		}
-	}
-	for _, o := range out {
-		o.r.attempts[o.n].call.cancel()
-		l.finishAttempt(o.r, o.n, attemptResult{status: balance.StatusNotSent})
-	}
-}
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -176,7 +176,7 @@
 				})
 				x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
-				x.start(to, get("id"), time.Time{}, time.Now().Add(300*time.Millisecond), func(r attemptResult) { done <- r })
+				x.start(new(upstreamCall), to, get("id"), time.Now().Add(300*time.Millisecond), func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -53,13 +53,6 @@
 	awaitingFirstList bool          // lists are pushed, and this process has not read the agent's yet
 }
 
-const (
-	responseServed responseKind = iota
-	responseRejected
-	responseFailed
-	responseDuplicate // another request of this id is open
-)
-
 // messageBacklog is how many posts may wait. It only smooths: a full inbox makes posters wait.
 const messageBacklog = 1024
 
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -59,7 +59,7 @@
 // that it is being told of, is refused and breaks nothing.
 func (g *guard) maySend(r *request, to *backend, now time.Duration) bool {
 	switch {
-	case !to.available() || r.answered:
+	case !to.available() || !r.isOpen():
 		return false
 	case len(r.attempts) >= g.attempts:
 		g.violated(ruleAttempts, r.id, "attempts", len(r.attempts))
@@ -77,7 +77,7 @@
 		return false
 	}
 	for _, at := range r.attempts {
-		if at.over && at.status.NeverRan() {
+		if at.ended() && at.status.NeverRan() {
 			continue
 		}
 		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= at.sentAt+c.KeyWindow {
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -14,7 +14,11 @@
 	const unsafe, keyed, safe = 0, 1, 2
 	cfg := balance.Config{Limits: balance.Limits{MaxAttempts: 3}, Classes: []balance.Class{
 		{Repeatability: balance.NonIdempotent}, {Repeatability: balance.IdempotencyKey, KeyWindow: time.Second}, {Repeatability: balance.Idempotent}}}
-	over := func(st balance.Status) *attempt { return &attempt{over: true, status: st, sentAt: time.Second} }
+	over := func(st balance.Status) *attempt {
+		ended := &attempt{status: st, sentAt: time.Second}
+		ended.call.lifecycle.apply(resultRecorded)
+		return ended
+	}
 	ready, draining := &backend{phase: balance.Ready}, &backend{phase: balance.Draining}
 	for name, tc := range map[string]struct {
 		r      *request
@@ -25,7 +29,7 @@
 	}{
 		"first":                      {&request{class: unsafe}, ready, 0, true, ruleCount},
 		"to one that drains":         {&request{class: safe}, draining, 0, false, ruleCount},
-		"answered":                   {&request{class: safe, answered: true}, ready, 0, false, ruleCount},
+		"answered":                   {&request{class: safe, state: requestResponded}, ready, 0, false, ruleCount},
 		"unsafe, may have run":       {&request{class: unsafe, attempts: []*attempt{over(balance.StatusConnectionLost)}}, ready, 0, false, ruleEffect},
 		"unsafe, still out":          {&request{class: unsafe, attempts: []*attempt{{}}}, ready, 0, false, ruleEffect},
 		"unsafe, never ran":          {&request{class: unsafe, attempts: []*attempt{over(balance.StatusConnectFailed)}}, ready, 0, true, ruleCount},
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -36,8 +36,8 @@
 
 // probe asks an endpoint for its load report.
 func (x *upstreamTransport) checkHealth(to backendProcess, done func(attemptResult)) {
-	x.start(to, &forwardedRequest{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.addr, header: http.Header{}, healthCheck: true},
-		time.Time{}, time.Now().Add(healthCheckTimeout), func(r attemptResult) {
+	x.start(new(upstreamCall), to, &forwardedRequest{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.addr, header: http.Header{}, healthCheck: true},
+		time.Now().Add(healthCheckTimeout), func(r attemptResult) {
 			if r.status == balance.StatusSucceeded && r.load.Has == 0 {
 				r.load = x.readLoadReport(string(r.body))
 			}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -196,7 +196,7 @@
 	inFlight := maps.Clone(l.openStreams)
 	for _, r := range l.requests {
 		for _, at := range r.attempts {
-			if !at.over {
+			if !at.ended() {
 				inFlight[at.backend.id]++
 			}
 		}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -6,37 +6,56 @@
 	"hitchvale/balance"
 )
 
-// request is a client's request: what came in, and, for the loop alone, where it stands.
+// request is a client's request. The client side fills in what the client sent; the fields from attempts on belong to the event
+// loop.
 type request struct {
 	id            string
-	class         int
-	tenant        int
-	routingKey    uint64
+	class         int    // by its number in the settings
+	tenant        int    // likewise
+	routingKey    uint64 // where hasRoutingKey
 	hasRoutingKey bool
 	expectedWork  time.Duration
-	clientRetry   bool
-	deadline      time.Time
+	clientRetry   bool      // the client has sent it before
+	deadline      time.Time // zero while the body of a streamed request is still coming in
 	forwarded     forwardedRequest
-	bodyBytes     int64              // of the budget of bodies, by its own
-	response      chan finalResponse // takes the one final answer
+	bodyBytes     int64              // what its body takes of the memory for bodies
+	response      chan finalResponse // buffered; receives the one final response
 
+	state          requestState
 	attempts       []*attempt
-	pending        int
-	answered       bool
-	disconnectedAt time.Duration // when its client was heard to have gone; 0: it has not
+	disconnectedAt time.Duration // when the node noticed that the client had disconnected, on the loop's clock; 0: never
 }
 
-// lastStatus names how the last attempt ended; "" where there was none, or it is still out.
+// isOpen says whether the request still waits for its final response.
+func (r *request) isOpen() bool { return r.state == requestOpen }
+
+// apply makes the transition of an event, and returns false if there is none from the current state.
+func (r *request) apply(event requestEvent) bool {
+	state, ok := r.state.next(event)
+	r.state = state
+	return ok
+}
+
+// inFlight says whether an attempt of the request has not ended.
+func (r *request) inFlight() bool {
+	for _, at := range r.attempts {
+		if !at.ended() {
+			return true
+		}
+	}
+	return false
+}
+
+// lastStatus names how the last attempt ended; "" where there was none, or it is in flight.
 func (r *request) lastStatus() string {
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].over {
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].ended() {
 		return statusNames[r.attempts[n-1].status]
 	}
 	return ""
 }
 
-// This file carries out attempts and probes, and gives requests their final answers.
-
-// startRequest takes in a request. One whose id is still in use is turned away: backends could not tell the two apart.
+// startRequest gives a request to the Balancer. One whose id is in use already is rejected: a backend could not tell the two
+// apart.
 func (l *eventLoop) startRequest(r *request) {
 	if l.requests[r.id] != nil {
 		r.response <- finalResponse{kind: responseDuplicate}
@@ -44,9 +63,10 @@
 	}
 	l.requests[r.id] = r
 	l.statistics.arrived++
-	open, budget := r.forwarded.upload != nil, max(time.Until(r.deadline), 0)
-	if open {
-		budget = r.forwarded.timeLeft
+	streamed := r.forwarded.upload != nil
+	timeLeft := max(time.Until(r.deadline), 0)
+	if streamed {
+		timeLeft = r.forwarded.timeLeft
 		r.forwarded.onWritten = func() time.Time {
 			deadline := l.shutdown.bound(time.Now().Add(r.forwarded.timeLeft))
 			l.post(requestWritten{request: r, deadline: deadline})
@@ -54,62 +74,75 @@
 		}
 	}
 	l.handle(balance.RequestArrived{
-		Request: r.id, Class: r.class, Tenant: r.tenant, RoutingKey: r.routingKey, HasRoutingKey: r.hasRoutingKey,
-		TimeLeft: budget, ExpectedWork: r.expectedWork, ClientRetry: r.clientRetry, Incomplete: open,
+		Request:       r.id,
+		Class:         r.class,
+		Tenant:        r.tenant,
+		RoutingKey:    r.routingKey,
+		HasRoutingKey: r.hasRoutingKey,
+		TimeLeft:      timeLeft,
+		ExpectedWork:  r.expectedWork,
+		ClientRetry:   r.clientRetry,
+		Incomplete:    streamed,
+	})
+}
+
+// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows from it.
+func (l *eventLoop) recordWritten(r *request, deadline time.Time) {
+	r.deadline = deadline
+	last := len(r.attempts) - 1
+	if !r.isOpen() || last < 0 || r.attempts[last].ended() {
+		return
+	}
+	r.attempts[last].sentAt = l.now()
+	l.handle(balance.RequestWritten{
+		Request:  r.id,
+		Attempt:  last,
+		TimeLeft: max(time.Until(deadline), 0),
 	})
 }
 
-// disconnectClient takes in that a client has closed its connection before its answer.
+// disconnectClient ends a request whose client has closed its connection, and cancels its attempts.
 func (l *eventLoop) disconnectClient(r *request) {
 	select {
-	case a := <-r.response: // nobody takes it
-		if a.stream != nil {
-			a.stream.end(false)
+	case unread := <-r.response:
+		if unread.stream != nil {
+			unread.stream.end(false)
 		}
 	default:
 	}
-	if l.requests[r.id] != r || r.answered {
+	if l.requests[r.id] != r || !r.apply(clientLeft) {
 		return
 	}
-	r.answered, r.disconnectedAt = true, l.now()
+	r.disconnectedAt = l.now()
 	l.statistics.gone++
 	l.handle(balance.ClientDisconnected{Request: r.id})
 	l.cancelAttempts(r, balance.StatusCancelled)
 }
 
-// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows from it.
-func (l *eventLoop) recordWritten(r *request, deadline time.Time) {
-	r.deadline = deadline
-	if n := len(r.attempts) - 1; !r.answered && n >= 0 && !r.attempts[n].over {
-		r.attempts[n].sentAt = l.now()
-		l.handle(balance.RequestWritten{Request: r.id, Attempt: n, TimeLeft: max(time.Until(deadline), 0)})
-	}
-}
-
-// respond gives a request its final answer. Nothing that was sent for it can be of use any more.
-func (l *eventLoop) respond(r *request, a finalResponse) {
-	if r == nil || r.answered {
+// respond gives an open request a final response that does not come from a backend, and cancels its attempts.
+func (l *eventLoop) respond(r *request, response finalResponse) {
+	if r == nil || !r.apply(finalResponseGiven) {
 		return
 	}
-	r.answered = true
-	a.deadlineExceeded = !r.deadline.IsZero() && !time.Now().Before(r.deadline)
-	l.statistics.answers[a.kind]++
-	if a.deadlineExceeded {
+	response.deadlineExceeded = !r.deadline.IsZero() && !time.Now().Before(r.deadline)
+	l.statistics.answers[response.kind]++
+	if response.deadlineExceeded {
 		l.statistics.late++
 	}
-	l.unservedLog.Warn("request not served", "request", r.id, "class", r.class, "refused", a.kind == responseRejected, "late", a.deadlineExceeded,
-		"attempts", len(r.attempts), "last", r.lastStatus(), "retry_in", a.retryAfter)
-	r.response <- a
-	st := balance.StatusCancelled
-	if a.deadlineExceeded {
-		st = balance.StatusTimedOut
+	l.unservedLog.Warn("request not served", "request", r.id, "class", r.class,
+		"refused", response.kind == responseRejected, "late", response.deadlineExceeded,
+		"attempts", len(r.attempts), "last", r.lastStatus(), "retry_in", response.retryAfter)
+	r.response <- response
+	status := balance.StatusCancelled
+	if response.deadlineExceeded {
+		status = balance.StatusTimedOut
 	}
-	l.cancelAttempts(r, st)
+	l.cancelAttempts(r, status)
 }
 
-// releaseRequest drops a request from the table once it is answered and nothing is out for it.
+// releaseRequest removes a request from the table once it is over and none of its attempts is in flight.
 func (l *eventLoop) releaseRequest(r *request) {
-	if r.answered && r.pending == 0 && l.requests[r.id] == r {
+	if !r.inFlight() && r.apply(noneInFlight) {
 		delete(l.requests, r.id)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -75,7 +75,7 @@
 func (l *eventLoop) answerOpen() {
 	var open []*request
 	for _, r := range l.requests {
-		if !r.answered {
+		if r.isOpen() {
 			open = append(open, r)
 		}
 	}
@@ -88,7 +88,7 @@
 // checkShutdown counts the requests that the earliest kill would find unanswered.
 func (l *eventLoop) checkShutdown() {
 	for id, r := range l.requests {
-		if !r.answered {
+		if r.isOpen() {
 			l.guard.violated(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
 		}
 	}
--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -18,7 +18,7 @@
 	probes   int
 	dials    int64                          // connections to backends that were asked for
 	calls    int64                          // of discovery
-	answers  [responseDuplicate + 1]int     // final answers, by kind
+	answers  [responseKinds]int             // final answers, by kind
 	late     int                            // those at or after the deadline, served ones aside
 	gone     int                            // clients that went away first
 	outcomes [balance.StatusNotSent + 1]int // attempts, by status
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -60,39 +60,33 @@
 
 // upstreamCall is an exchange under way.
 type upstreamCall struct {
-	cancel    context.CancelFunc
-	startBy   time.Time // the latest at which its first byte may go; zero: any
-	state     atomic.Int32
-	startedAt monotime.Atomic // when its first byte was about to go; zero: it never was
+	cancel    context.CancelFunc // ends the exchange and closes its connection; set by start
+	startBy   time.Time          // the latest at which its first byte may be written; zero: any
+	lifecycle attemptLifecycle
+	startedAt monotime.Atomic // when its first byte was about to be written; zero: it never was
 }
 
-// States of a call: its first byte has not been written, or it may have been, or it never will be.
-const (
-	callQueued int32 = iota
-	callWriting
-	callBarred
-)
-
-// cancelUnsent keeps a call that has not begun to write from ever doing so: a send counts for a drain from its first
-// byte, and a dial may outlast the grace. It tells whether it came in time.
-func (c *upstreamCall) cancelUnsent() bool { return c.state.CompareAndSwap(callQueued, callBarred) }
+// cancelUnsent cancels the call if its first byte has not been written, and returns whether that came in time. A drain counts
+// a request as sent from its first byte, and a dial may outlast the drain's grace.
+func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledUnsent) }
 
-// start sends a message to an endpoint and calls done, from another goroutine, with how it ended. What has not begun
-// by begin, if that is told, never does; what is not over by the deadline is ended then, and its connection with it.
-func (x *upstreamTransport) start(to backendProcess, m *forwardedRequest, begin, deadline time.Time, done func(attemptResult)) *upstreamCall {
+// start sends a request to a backend and calls done, from another goroutine, with the result. A call that has not begun to
+// write by call.startBy never does; one that is not over by the deadline is ended then, and its connection with it.
+func (x *upstreamTransport) start(
+	call *upstreamCall, to backendProcess, m *forwardedRequest, deadline time.Time, done func(attemptResult),
+) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if m.upload == nil { // else its time begins with its last byte
 		ctx, cancel = context.WithDeadline(context.Background(), deadline)
 	}
-	c := &upstreamCall{cancel: cancel, startBy: begin}
+	call.cancel = cancel
 	go func() {
 		defer cancel()
 		start := time.Now()
-		r := x.roundTrip(ctx, c, to, m, deadline)
+		r := x.roundTrip(ctx, call, to, m, deadline)
 		r.elapsed = time.Since(start)
 		done(r)
 	}()
-	return c
 }
 
 // roundTrip carries out one attempt on one connection, once.
@@ -109,7 +103,7 @@
 		return attemptResult{status: balance.StatusConnectFailed}
 	}
 	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
-	if ctx.Err() != nil || late || !c.state.CompareAndSwap(callQueued, callWriting) {
+	if ctx.Err() != nil || late || !c.lifecycle.apply(firstByteDue) {
 		x.pool.discard(cn)
 		return attemptResult{status: balance.StatusNotSent}
 	}
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -36,7 +36,7 @@
 func attemptOnce(t *testing.T, x *upstreamTransport, to backendProcess, m *forwardedRequest) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 1)
-	x.start(to, m, time.Time{}, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
+	x.start(new(upstreamCall), to, m, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
 	return receive(t, "the outcome", done)
 }
 
@@ -142,7 +142,8 @@
 		}
 	})
 	x, done := newTestTransport(t), make(chan attemptResult, 2)
-	c := x.start(backendProcess{addr: b.Addr().String()}, get("id"), time.Time{}, time.Now().Add(patience), func(r attemptResult) { done <- r })
+	c := new(upstreamCall)
+	x.start(c, backendProcess{addr: b.Addr().String()}, get("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
