--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -28,7 +28,7 @@
 	}
 	number := len(r.attempts)
 	allowed := l.guard.maySend(r, b, l.now())
-	l.statistics.sent++
+	l.statistics.attemptsStarted++
 	at := &attempt{backend: b, sentAt: l.now()}
 	r.attempts = append(r.attempts, at)
 	if !allowed {
@@ -74,7 +74,7 @@
 	}
 	at.status = res.status
 	l.guard.began(r, at, l.firstByteAt(at))
-	l.statistics.outcomes[res.status]++
+	l.statistics.attempts[res.status]++
 	l.figures.attempts[res.status].Add(1)
 	if res.status == balance.StatusSucceeded && r.isOpen() {
 		l.passOn(r, at, res)
@@ -95,7 +95,7 @@
 // passOn makes a backend's response the final one of its request.
 func (l *eventLoop) passOn(r *request, at *attempt, res attemptResult) {
 	r.apply(finalResponseGiven)
-	l.statistics.answers[responseServed]++
+	l.statistics.responses[responseServed]++
 	if l.onServed != nil {
 		l.onServed(r, l.now()-at.sentAt)
 	}
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"container/heap"
 	"log/slog"
 	"sync/atomic"
 	"time"
@@ -10,67 +9,82 @@
 	"hitchvale/internal/lograte"
 )
 
-// eventLoop owns the Balancer, the tables of requests and backends, and the timers. Everything else posts to it, and
-// it carries out the Balancer's actions. It never waits for anyone: what may block runs in goroutines that
-// post what came of it. So whoever posts waits for the loop, and the loop for nobody.
+// eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends it messages; it
+// turns them into events for the Balancer and carries out the actions that this returns.
+//
+// Invariants: one goroutine runs it, in run, and it alone touches the fields below the channels. It never blocks: what may
+// block runs in a goroutine of its own that sends its result as a message. So a sender may wait for the loop, and the loop
+// never waits for a sender. ready is the exception that any goroutine may read.
 type eventLoop struct {
+	messages chan loopMessage
+	done     chan struct{} // closed when the loop has ended
+
 	balancer  *balance.Balancer
-	messages  chan loopMessage
-	done      chan struct{} // closed when the loop has ended
-	startedAt time.Time
-	origin    time.Duration // the clock at start: Unix time then, which discovery's start times are in
+	upstream  *upstreamTransport
+	guard     *guard
+	shutdown  *shutdown
 	log       *slog.Logger
+	startedAt time.Time
+	origin    time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
 
-	upstream           *upstreamTransport
-	requestDiscovery   func(balance.ActionKind) // passes Watch, Unwatch and Fetch on
-	sendToPeer         func(peer int, payload []byte)
-	takeDiscoveryCalls func() int64                          // calls of discovery since it was last asked
-	onServed           func(r *request, spent time.Duration) // a backend has served; nil: nobody asks
-	openStreams        map[string]int                        // answers still being passed on, by backend; nil: nobody asks
+	requestDiscovery   func(balance.ActionKind)              // passes on that endpoints are to be watched or polled
+	sendToPeer         func(peer int, payload []byte)        // sends a gossip datagram
+	takeDiscoveryCalls func() int64                          // returns the number of calls of discovery since the last time
+	onServed           func(r *request, spent time.Duration) // notified of each request served; nil: nobody is
+	openStreams        map[string]int                        // streamed responses still open, by backend; nil: not counted
 
 	requests             map[string]*request
-	backendsByID         map[string]*backend    // by discovery's id
-	backendsByEndpointID []*backend             // by the Balancer's id
-	cordons              cordons                // as the loop has taken them in
-	cordonTimes          map[string]cordonTimes // theirs, on the loop's clock
-	lastListAt           time.Duration          // when discovery last told this process a list; 0: it has not yet
-	running              bool                   // what is told from now on has just happened
-	listRevision         int64                  // of the list
-	timers               timers
-	timerSequence        uint64
-
-	queuedEvents []balance.Event // that wait for the one in hand
-	handling     bool
+	backendsByID         map[string]*backend // by discovery's id
+	backendsByEndpointID []*backend          // by the Balancer's id
+	cordons              cordons
+	cordonTimes          map[string]cordonTimes // of cordons, on the loop's clock, by discovery's id
+	listRevision         int64                  // of the last endpoint list
+	lastListAt           time.Duration          // when discovery last sent a list to this process; 0: not yet
+	awaitingFirstList    bool                   // the node is not ready until discovery has pushed a list
+	running              bool                   // set by run; what was applied before it is older than this process
+	ready                atomic.Bool            // some backend may be sent requests
+
+	timers       timerQueue
+	queuedEvents []balance.Event // of the current message
+	handling     bool            // the Balancer handles an event now
 	actions      []balance.Action
 
 	statistics        statistics
-	guard             *guard
-	shutdown          *shutdown
-	unservedLog       *lograte.Limited
 	figures           *figures
-	gaugesPublishedAt time.Duration // when what only the loop knows was last published
-	ready             atomic.Bool   // some backend may be sent to
-	awaitingFirstList bool          // lists are pushed, and this process has not read the agent's yet
+	gaugesPublishedAt time.Duration
+	unservedLog       *lograte.Limited
 }
 
-// messageBacklog is how many posts may wait. It only smooths: a full inbox makes posters wait.
+// messageBacklog is how many messages may wait for the loop before their senders do.
 const messageBacklog = 1024
 
-func newEventLoop(bal *balance.Balancer, back *upstreamTransport, figures *figures, log *slog.Logger) *eventLoop {
-	start := time.Now()
+// newEventLoop returns an event loop that has no guard rules, no discovery and no peers yet.
+func newEventLoop(
+	balancer *balance.Balancer, upstream *upstreamTransport, figures *figures, log *slog.Logger,
+) *eventLoop {
+	startedAt := time.Now()
 	return &eventLoop{
-		balancer: bal, upstream: back, figures: figures, log: log, guard: newGuard(balance.Config{}, log), unservedLog: &lograte.Limited{Log: log},
-		messages: make(chan loopMessage, messageBacklog), done: make(chan struct{}),
-		startedAt: start, origin: wallClock(),
+		messages:           make(chan loopMessage, messageBacklog),
+		done:               make(chan struct{}),
+		balancer:           balancer,
+		upstream:           upstream,
+		guard:              newGuard(balance.Config{}, log),
+		log:                log,
+		startedAt:          startedAt,
+		origin:             wallClock(),
 		requestDiscovery:   func(balance.ActionKind) {},
 		sendToPeer:         func(int, []byte) {},
 		takeDiscoveryCalls: func() int64 { return 0 },
-		requests:           map[string]*request{}, backendsByID: map[string]*backend{}, cordonTimes: map[string]cordonTimes{},
+		requests:           map[string]*request{},
+		backendsByID:       map[string]*backend{},
+		cordonTimes:        map[string]cordonTimes{},
+		figures:            figures,
+		unservedLog:        &lograte.Limited{Log: log},
 	}
 }
 
-// post sends a message to the loop, which handles it after all that were sent before. It waits while the inbox is full, and
-// returns false if the loop has ended.
+// post sends a message to the loop, which handles it after all that were sent before. It waits while the backlog is full, and
+// returns false if the loop has ended. Any goroutine but the loop's own may call it.
 func (l *eventLoop) post(message loopMessage) bool {
 	select {
 	case <-l.done:
@@ -80,21 +94,17 @@
 	}
 }
 
-// now is the Balancer's clock. It follows the monotonic clock, so that it never goes back.
+// now returns the loop's clock: Unix time when the loop was made, and by the monotonic clock since, so it never steps back.
 func (l *eventLoop) now() time.Duration { return l.origin + time.Since(l.startedAt) }
 
-// run serves until quit is closed.
+// run handles messages and timers until quit is closed.
 func (l *eventLoop) run(quit <-chan struct{}) {
 	defer close(l.done)
 	l.running = true
-	alarm := time.NewTimer(time.Hour)
+	alarm := time.NewTimer(idleWait)
 	defer alarm.Stop()
 	for {
-		wait := time.Hour
-		if len(l.timers) > 0 {
-			wait = l.timers[0].at - l.now()
-		}
-		alarm.Reset(wait)
+		alarm.Reset(l.timers.wait(l.now()))
 		var began time.Duration
 		select {
 		case <-quit:
@@ -105,25 +115,40 @@
 		case <-alarm.C:
 			began = l.now()
 		}
-		for now := l.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
-			t := heap.Pop(&l.timers).(timer)
-			l.handle(balance.TimerFired{ID: t.id})
-		}
-		now := l.now()
-		l.statistics.slowest = max(l.statistics.slowest, now-began)
-		if now-l.gaugesPublishedAt >= gaugeInterval {
-			l.publishGauges(now)
-		}
-		if l.statistics.due(now) {
-			l.statistics.dials, l.statistics.calls = l.upstream.pool.dials.Swap(0), l.takeDiscoveryCalls()
-			l.statistics.log(now, l.log, len(l.requests), l.balancer.Stats())
+		l.fireTimers()
+		l.report(began)
+	}
+}
+
+// fireTimers notifies the Balancer of the timers that are due.
+func (l *eventLoop) fireTimers() {
+	now := l.now()
+	for {
+		id, ok := l.timers.popDue(now)
+		if !ok {
+			return
 		}
+		l.handle(balance.TimerFired{ID: id})
+	}
+}
+
+// report publishes gauges and logs statistics where they are due, after a turn of the loop that began at a time.
+func (l *eventLoop) report(began time.Duration) {
+	now := l.now()
+	l.statistics.longestTurn = max(l.statistics.longestTurn, now-began)
+	if now-l.gaugesPublishedAt >= gaugeInterval {
+		l.publishGauges(now)
+	}
+	if l.statistics.due(now) {
+		l.statistics.dials = l.upstream.pool.dials.Swap(0)
+		l.statistics.discoveryCalls = l.takeDiscoveryCalls()
+		l.statistics.log(now, l.log, len(l.requests), l.balancer.Stats())
 	}
 }
 
-// handle gives an event to the Balancer and carries out what it answers. Events that this makes follow in order.
-func (l *eventLoop) handle(ev balance.Event) {
-	l.queuedEvents = append(l.queuedEvents, ev)
+// handle gives an event to the Balancer and carries out its actions. Events that these cause are handled after it, in order.
+func (l *eventLoop) handle(event balance.Event) {
+	l.queuedEvents = append(l.queuedEvents, event)
 	if l.handling {
 		return
 	}
@@ -135,9 +160,11 @@
 		}
 	}
 	clear(l.queuedEvents)
-	l.queuedEvents, l.handling = l.queuedEvents[:0], false
+	l.queuedEvents = l.queuedEvents[:0]
+	l.handling = false
 }
 
+// execute carries out one action of the Balancer. Actions on requests and endpoints that the loop does not know are dropped.
 func (l *eventLoop) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.Forward:
@@ -153,8 +180,7 @@
 	case balance.HealthCheck:
 		l.startHealthCheck(a.Endpoint)
 	case balance.SetTimer:
-		l.timerSequence++
-		heap.Push(&l.timers, timer{at: l.now() + a.Delay, sequence: l.timerSequence, id: a.TimerID})
+		l.timers.add(l.now()+a.Delay, a.TimerID)
 	case balance.WatchEndpoints, balance.UnwatchEndpoints, balance.FetchEndpoints:
 		l.requestDiscovery(a.Kind)
 	case balance.SendToPeer:
@@ -168,9 +194,10 @@
 	}
 }
 
-func (l *eventLoop) backendFor(number balance.EndpointID) *backend {
-	if int(number) >= len(l.backendsByEndpointID) {
+// backendFor returns the backend that the Balancer knows as an endpoint; nil if there is none.
+func (l *eventLoop) backendFor(id balance.EndpointID) *backend {
+	if int(id) >= len(l.backendsByEndpointID) {
 		return nil
 	}
-	return l.backendsByEndpointID[number]
+	return l.backendsByEndpointID[id]
 }
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -18,7 +18,7 @@
 		l.finishHealthCheck(number, sent, attemptResult{status: balance.StatusNotSent})
 		return
 	}
-	l.statistics.probes++
+	l.statistics.healthChecks++
 	l.upstream.checkHealth(b.process, func(res attemptResult) {
 		l.post(healthCheckFinished{endpoint: number, sent: sent, result: res})
 	})
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -114,7 +114,7 @@
 		return
 	}
 	r.disconnectedAt = l.now()
-	l.statistics.gone++
+	l.statistics.disconnected++
 	l.handle(balance.ClientDisconnected{Request: r.id})
 	l.cancelAttempts(r, balance.StatusCancelled)
 }
@@ -125,9 +125,9 @@
 		return
 	}
 	response.deadlineExceeded = !r.deadline.IsZero() && !time.Now().Before(r.deadline)
-	l.statistics.answers[response.kind]++
+	l.statistics.responses[response.kind]++
 	if response.deadlineExceeded {
-		l.statistics.late++
+		l.statistics.deadlineExceeded++
 	}
 	l.unservedLog.Warn("request not served", "request", r.id, "class", r.class,
 		"refused", response.kind == responseRejected, "late", response.deadlineExceeded,
--- a/internal/node/statistics_test.go
+++ b/internal/node/statistics_test.go
@@ -13,8 +13,8 @@
 func TestStatistics(t *testing.T) {
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
-	c := statistics{arrived: 3, sent: 4, probes: 6, dials: 8, calls: 9}
-	c.answers[responseRejected], c.outcomes[balance.StatusTimedOut] = 2, 1
+	c := statistics{arrived: 3, attemptsStarted: 4, healthChecks: 6, dials: 8, discoveryCalls: 9}
+	c.responses[responseRejected], c.attempts[balance.StatusTimedOut] = 2, 1
 	if c.due(statisticsInterval-1) || !c.due(statisticsInterval) {
 		t.Error("not due after the span")
 	}
