--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -7,38 +7,56 @@
 	"hitchvale/balance"
 )
 
-// statisticsInterval is how often the loop logs what it has counted.
+// statisticsInterval is how often the event loop logs its statistics.
 const statisticsInterval = 5 * time.Second
 
-// statistics is what the loop has seen since it last told.
+// statistics counts what the event loop has done since it last logged them.
 type statistics struct {
-	since            time.Duration
-	arrived          int
+	since            time.Duration // when they were last logged, on the loop's clock
+	arrived          int           // requests
+	responses        [responseKinds]int
+	deadlineExceeded int // responses at or after the deadline that no backend gave
+	disconnected     int // clients that closed their connection before their response
 	attemptsStarted  int
+	attempts         [balance.StatusNotSent + 1]int // that have ended, by status
 	healthChecks     int
-	dials            int64                          // connections to backends that were asked for
-	discoveryCalls   int64                          // of discovery
-	responses        [responseKinds]int             // final answers, by kind
-	deadlineExceeded int                            // those at or after the deadline, served ones aside
-	disconnected     int                            // clients that went away first
-	attempts         [balance.StatusNotSent + 1]int // attempts, by status
-	longestTurn      time.Duration                  // the longest that one event kept the loop
+	dials            int64         // of connections to backends
+	discoveryCalls   int64         // that were made
+	longestTurn      time.Duration // the longest that one message, with the timers due after it, took the loop
 }
 
-// due tells whether it is time to tell.
-func (c *statistics) due(now time.Duration) bool { return now-c.since >= statisticsInterval }
+// due says whether the statistics are to be logged.
+func (s *statistics) due(now time.Duration) bool { return now-s.since >= statisticsInterval }
 
-// log logs the counts and begins anew. Nothing is logged for a span without requests.
-func (c *statistics) log(now time.Duration, log *slog.Logger, open int, state balance.Stats) {
-	if c.arrived+c.attemptsStarted > 0 {
-		o := &c.attempts
-		log.Info("counts", "arrived", c.arrived, "open", open, "sent", c.attemptsStarted, "probes", c.healthChecks,
-			"dials", c.dials, "calls", c.discoveryCalls, "served", c.responses[responseServed],
-			"refused", c.responses[responseRejected], "failed", c.responses[responseFailed], "late", c.deadlineExceeded, "gone", c.disconnected,
-			"delivered", o[balance.StatusSucceeded], "errors", o[balance.StatusApplicationError], "shed", o[balance.StatusRejected],
-			"expired", o[balance.StatusTimedOut], "unconnected", o[balance.StatusConnectFailed], "dropped", o[balance.StatusConnectionLost],
-			"revoked", o[balance.StatusCancelled], "unsent", o[balance.StatusNotSent], "slowest", c.longestTurn,
-			"ready", state.UsableEndpoints, "part", state.QueueBudget, "base", state.UnloadedLatency, "least_wait", state.ShortestWait)
+// log logs the statistics and resets them. An interval without requests and attempts is not logged.
+func (s *statistics) log(now time.Duration, log *slog.Logger, openRequests int, state balance.Stats) {
+	if s.arrived+s.attemptsStarted > 0 {
+		log.Info("statistics",
+			"arrived", s.arrived,
+			"open", openRequests,
+			"served", s.responses[responseServed],
+			"rejected", s.responses[responseRejected],
+			"failed", s.responses[responseFailed],
+			"deadline_exceeded", s.deadlineExceeded,
+			"disconnected", s.disconnected,
+			"attempts", s.attemptsStarted,
+			"attempts_succeeded", s.attempts[balance.StatusSucceeded],
+			"attempts_application_error", s.attempts[balance.StatusApplicationError],
+			"attempts_rejected", s.attempts[balance.StatusRejected],
+			"attempts_timed_out", s.attempts[balance.StatusTimedOut],
+			"attempts_connect_failed", s.attempts[balance.StatusConnectFailed],
+			"attempts_connection_lost", s.attempts[balance.StatusConnectionLost],
+			"attempts_cancelled", s.attempts[balance.StatusCancelled],
+			"attempts_not_sent", s.attempts[balance.StatusNotSent],
+			"health_checks", s.healthChecks,
+			"dials", s.dials,
+			"discovery_calls", s.discoveryCalls,
+			"longest_turn", s.longestTurn,
+			"usable_endpoints", state.UsableEndpoints,
+			"queue_budget", state.QueueBudget,
+			"unloaded_latency", state.UnloadedLatency,
+			"shortest_wait", state.ShortestWait,
+		)
 	}
-	*c = statistics{since: now}
+	*s = statistics{since: now}
 }
