--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -6,15 +6,20 @@
 	"hitchvale/balance"
 )
 
-// availabilityChanged follows a change of what may be sent to.
+// gaugeInterval is the least time between two counts of the endpoints that the Balancer avoids.
+const gaugeInterval = 50 * time.Millisecond
+
+// availabilityChanged follows a change of phases or cordons: connections to backends that are unavailable are closed, attempts
+// that wait for one are cancelled, and the node's readiness is set anew.
 func (l *eventLoop) availabilityChanged() {
 	ready := false
 	for _, b := range l.backendsByID {
-		switch {
-		case b.available():
-			ready, b.unavailableSince = true, 0
+		if b.available() {
+			ready = true
+			b.unavailableSince = 0
 			continue
-		case b.unavailableSince == 0:
+		}
+		if b.unavailableSince == 0 {
 			b.unavailableSince = l.now()
 		}
 		l.upstream.pool.closeIdleTo(b.process)
@@ -24,35 +29,40 @@
 	l.publishGauges(l.now())
 }
 
-// stopAwaitingList has the node serve on the list that it remembers: the agent has not answered.
+// stopAwaitingList has the node serve on the cached list, where discovery has pushed none in time.
 func (l *eventLoop) stopAwaitingList() {
-	if l.awaitingFirstList {
-		l.log.Warn("no list from discovery yet: serving on the one remembered")
-		l.awaitingFirstList = false
-		l.availabilityChanged()
+	if !l.awaitingFirstList {
+		return
 	}
+	l.log.Warn("no endpoint list from discovery yet, serving on the cached one")
+	l.awaitingFirstList = false
+	l.availabilityChanged()
 }
 
-// applyCordons takes in what is out by hand now, and what has been put back.
-func (l *eventLoop) applyCordons(now cordons) {
-	if now.Version <= l.cordons.Version {
-		return // it came late
+// applyCordons takes in the record of cordons. One that is no newer than the last changes nothing.
+func (l *eventLoop) applyCordons(record cordons) {
+	if record.Version <= l.cordons.Version {
+		return
 	}
-	l.placeCordons(now)
-	l.cordons = now
+	l.placeCordons(record)
+	l.cordons = record
 	for id, b := range l.backendsByID {
-		l.applyCordon(b, now.Backends[id])
+		l.applyCordon(b, record.Backends[id])
 	}
 	l.availabilityChanged()
 }
 
-// applyCordon tells the module what is so of one backend. What it knows already changes nothing.
+// applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is notified of
+// both: the record may have changed twice since it was last read.
 func (l *eventLoop) applyCordon(b *backend, c cordon) {
-	if c.Since == 0 || c.Out == b.cordoned && (c.Out || c.Back == b.uncordonedAt) {
+	neverOut := c.Since == 0
+	unchanged := c.Out == b.cordoned && (c.Out || c.Back == b.uncordonedAt)
+	if neverOut || unchanged {
 		return
 	}
-	l.log.Info("maintenance", "backend", b.id, "out", c.Out)
-	b.cordoned, b.uncordonedAt = c.Out, c.Back
+	l.log.Info("cordon changed", "backend", b.id, "cordoned", c.Out)
+	b.cordoned = c.Out
+	b.uncordonedAt = c.Back
 	at := l.cordonTimes[b.id]
 	l.handle(balance.CordonChanged{Endpoint: b.endpointID, Cordoned: true, At: at.since})
 	if !c.Out {
@@ -60,7 +70,7 @@
 	}
 }
 
-// publishGauges publishes, for the second address, what only the loop knows.
+// publishGauges publishes the counts of backends that the second address shows.
 func (l *eventLoop) publishGauges(now time.Duration) {
 	l.gaugesPublishedAt = now
 	listed := int64(0)
@@ -72,6 +82,3 @@
 	l.figures.members.Store(listed)
 	l.figures.avoided.Store(int64(l.balancer.UnavailableEndpoints()))
 }
-
-// gaugeInterval is the least time between two looks at what the module avoids.
-const gaugeInterval = 50 * time.Millisecond
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -7,21 +7,21 @@
 	"hitchvale/balance"
 )
 
-// This file holds what the loop knows of backends, requests and attempts, and the final answers.
-
-// backend is a backend that discovery has named since the start of the node.
+// backend is a server that discovery has listed since the start of the node, and what the event loop knows of it.
+// balance.Endpoint is its entry in the endpoint list.
 type backend struct {
-	endpointID   balance.EndpointID
-	id           string
-	process      backendProcess
-	phase        balance.Phase
-	cordoned     bool          // taken out by hand
-	uncordonedAt int64         // when it was put back last, as the record has it
-	startedAt    time.Duration // when its process started, on the loop's clock
-	// stoppedAt is when it last stopped taking anything new; 0: it takes.
+	id         string             // discovery's
+	endpointID balance.EndpointID // the Balancer's
+	process    backendProcess     // the one that is listed now
+	startedAt  time.Duration      // when that process started, on the loop's clock
+	phase      balance.Phase
+	listEntry  json.RawMessage // as discovery sent it
+	cordoned   bool            // by an operator
+	// uncordonedAt is when an operator last uncordoned it, in the cordon file's Unix nanoseconds; 0: never.
+	uncordonedAt int64
+	// unavailableSince is when it last became unavailable, on the loop's clock; 0 while it is available.
 	unavailableSince time.Duration
-	listEntry        json.RawMessage
 }
 
-// available tells whether a backend may be sent anything new.
+// available says whether the backend may be sent requests and health checks.
 func (b *backend) available() bool { return b.phase == balance.Ready && !b.cordoned }
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -1,52 +1,66 @@
 package node
 
-import (
-	"hitchvale/balance"
-)
+import "hitchvale/balance"
 
-// This file takes in lists of backends, and what is out by hand.
-
-// updateEndpoints takes in what discovery says.
+// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a complete
+// list does not name count as removed.
 func (l *eventLoop) updateEndpoints(kind balance.ListKind, list List) {
 	if len(list.Members) > 0 {
-		l.log.Info("list of backends", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
+		l.log.Info("endpoint list received",
+			"revision", list.Revision, "complete", list.Complete, "endpoints", len(list.Members))
 	}
 	l.listRevision = list.Revision
 	l.awaitingFirstList = l.awaitingFirstList && kind == balance.CachedList
 	if list.Complete {
 		for _, b := range l.backendsByID {
-			b.phase = balance.Removed // unless the list names it
+			b.phase = balance.Removed
 		}
 	}
-	members := make([]balance.Endpoint, 0, len(list.Members))
-	for _, m := range list.Members {
-		b := l.backendsByID[m.ID]
-		fresh := b == nil
-		if fresh {
-			b = &backend{endpointID: balance.EndpointID(len(l.backendsByEndpointID)), id: m.ID}
-			l.backendsByID[m.ID] = b
-			l.backendsByEndpointID = append(l.backendsByEndpointID, b)
-			l.log.Info("backend named", "number", b.endpointID, "id", b.id, "address", m.Addr)
-			l.applyCordon(b, l.cordons.Backends[b.id])
-		}
-		to := backendProcess{m.Addr, m.StartedAt}
-		if m.Phase == balance.Removed {
-			to = b.process // where it was
-		}
-		if b.process != to {
-			l.upstream.pool.closeIdleTo(b.process)
-		}
-		if restarted := b.process.startedAt != to.startedAt; fresh || restarted {
-			b.startedAt = l.startOf(to.startedAt)
-		}
-		b.process, b.phase, b.listEntry = to, m.Phase, m.Line
-		line := m.Endpoint
-		line.ID, line.StartedAt = b.endpointID, b.startedAt
-		members = append(members, line)
+	endpoints := make([]balance.Endpoint, 0, len(list.Members))
+	for _, member := range list.Members {
+		endpoints = append(endpoints, l.updateBackend(member))
 	}
 	if kind != balance.CachedList {
 		l.lastListAt = l.now()
 	}
-	l.handle(balance.EndpointsListed{Kind: kind, Endpoints: members})
+	l.handle(balance.EndpointsListed{Kind: kind, Endpoints: endpoints})
 	l.availabilityChanged()
 }
+
+// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock. Idle
+// connections to a process that the entry replaces are closed.
+func (l *eventLoop) updateBackend(member Member) balance.Endpoint {
+	b := l.backendsByID[member.ID]
+	isNew := b == nil
+	if isNew {
+		b = l.addBackend(member)
+	}
+	process := backendProcess{addr: member.Addr, startedAt: member.StartedAt}
+	if member.Phase == balance.Removed {
+		process = b.process // the entry of a removed one need not have an address
+	}
+	if b.process != process {
+		l.upstream.pool.closeIdleTo(b.process)
+	}
+	if isNew || b.process.startedAt != process.startedAt {
+		b.startedAt = l.startOf(process.startedAt)
+	}
+	b.process = process
+	b.phase = member.Phase
+	b.listEntry = member.Line
+
+	endpoint := member.Endpoint
+	endpoint.ID = b.endpointID
+	endpoint.StartedAt = b.startedAt
+	return endpoint
+}
+
+// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have set.
+func (l *eventLoop) addBackend(member Member) *backend {
+	b := &backend{id: member.ID, endpointID: balance.EndpointID(len(l.backendsByEndpointID))}
+	l.backendsByID[b.id] = b
+	l.backendsByEndpointID = append(l.backendsByEndpointID, b)
+	l.log.Info("backend added", "backend", b.id, "endpoint_id", b.endpointID, "address", member.Addr)
+	l.applyCordon(b, l.cordons.Backends[b.id])
+	return b
+}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -130,8 +130,8 @@
 		l.statistics.deadlineExceeded++
 	}
 	l.unservedLog.Warn("request not served", "request", r.id, "class", r.class,
-		"refused", response.kind == responseRejected, "late", response.deadlineExceeded,
-		"attempts", len(r.attempts), "last", r.lastStatus(), "retry_in", response.retryAfter)
+		"rejected", response.kind == responseRejected, "deadline_exceeded", response.deadlineExceeded,
+		"attempts", len(r.attempts), "last_status", r.lastStatus(), "retry_after", response.retryAfter)
 	r.response <- response
 	status := balance.StatusCancelled
 	if response.deadlineExceeded {
