--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -2,80 +2,86 @@
 
 import (
 	"fmt"
-
-	"hitchvale/balance"
 	"io"
 	"sync"
 	"sync/atomic"
+
+	"hitchvale/balance"
 )
 
-// figures are what the node tells of itself on its second address. They can be read at any time, without waiting
-// for anyone.
+// counters are the node's figures for its second address, since the start of the process. They may be read at any time,
+// from any goroutine. metrics reads them too.
 type counters struct {
-	classNames           []string        // of the classes
+	classNames           []string
 	outcomes             []classOutcomes // by class
-	attemptsWritten      atomic.Int64
-	pendingRequests      atomic.Int64
-	listedEndpoints      atomic.Int64
-	unavailableEndpoints atomic.Int64
-	attempts             [balance.StatusNotSent + 1]atomic.Int64 // by status
+	attemptsWritten      atomic.Int64    // attempts whose last byte has been written to a backend
+	pendingRequests      atomic.Int64    // requests that were taken and have no final response
+	listedEndpoints      atomic.Int64    // those in the endpoint list, draining ones too
+	unavailableEndpoints atomic.Int64    // those of them that get nothing now
+	attempts             [balance.StatusNotSent + 1]atomic.Int64
 	retries              atomic.Int64
 	closes               closeCounts
 }
 
-// ends are the ways in which requests of a class end. Each request ends in one of them.
-type classOutcomes struct{ completed, rejected, failed atomic.Int64 }
+// classOutcomes counts the requests of a class by how they ended. Each request is in one of them.
+type classOutcomes struct {
+	completed atomic.Int64
+	rejected  atomic.Int64
+	failed    atomic.Int64
+}
 
-func newCounters(classes []string) *counters {
-	return &counters{classNames: classes, outcomes: make([]classOutcomes, len(classes))}
+func newCounters(classNames []string) *counters {
+	return &counters{classNames: classNames, outcomes: make([]classOutcomes, len(classNames))}
 }
 
-// count takes in the end of a request.
-func (f *counters) recordOutcome(class int, kind responseKind) {
-	e := &f.outcomes[class]
+// recordOutcome counts the end of a request.
+func (c *counters) recordOutcome(class int, kind responseKind) {
+	outcomes := &c.outcomes[class]
 	switch kind {
 	case responseServed:
-		e.completed.Add(1)
+		outcomes.completed.Add(1)
 	case responseRejected:
-		e.rejected.Add(1)
+		outcomes.rejected.Add(1)
 	default:
-		e.failed.Add(1)
+		outcomes.failed.Add(1)
 	}
 }
 
-// pend returns what a request calls when it has been taken, and when it has ended, taken or not.
-func (f *counters) trackPending() (begin, end func()) {
+// trackPending returns the functions that a request calls when it has been taken, and when it has ended, taken or not.
+// Each call after the first of end changes nothing.
+func (c *counters) trackPending() (begin, end func()) {
 	var mu sync.Mutex
-	var begun, over bool
+	var begun, ended bool
 	begin = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if !begun && !over {
+		if !begun && !ended {
 			begun = true
-			f.pendingRequests.Add(1)
+			c.pendingRequests.Add(1)
 		}
 	}
 	end = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if begun && !over {
-			f.pendingRequests.Add(-1)
+		if begun && !ended {
+			c.pendingRequests.Add(-1)
 		}
-		over = true
+		ended = true
 	}
 	return begin, end
 }
 
-func (f *counters) writeText(w io.Writer) {
-	const name = "edge_balancer."
-	for i, class := range f.classNames {
-		e := &f.outcomes[i]
-		fmt.Fprintf(w, name+"completed.%s=%d\n", class, e.completed.Load())
-		fmt.Fprintf(w, name+"rejected.%s=%d\n", class, e.rejected.Load())
-		fmt.Fprintf(w, name+"failed.%s=%d\n", class, e.failed.Load())
+// writeText writes a line for each figure.
+func (c *counters) writeText(w io.Writer) {
+	const prefix = "edge_balancer."
+	for i, class := range c.classNames {
+		outcomes := &c.outcomes[i]
+		fmt.Fprintf(w, prefix+"completed.%s=%d\n", class, outcomes.completed.Load())
+		fmt.Fprintf(w, prefix+"rejected.%s=%d\n", class, outcomes.rejected.Load())
+		fmt.Fprintf(w, prefix+"failed.%s=%d\n", class, outcomes.failed.Load())
 	}
-	fmt.Fprintf(w, name+"upstream_requests=%d\n", f.attemptsWritten.Load())
-	fmt.Fprintf(w, name+"pending=%d\n", f.pendingRequests.Load())
-	fmt.Fprintf(w, name+"members=%d\n", f.listedEndpoints.Load())
-	fmt.Fprintf(w, name+"members_unavailable=%d\n", f.unavailableEndpoints.Load())
+	fmt.Fprintf(w, prefix+"upstream_requests=%d\n", c.attemptsWritten.Load())
+	fmt.Fprintf(w, prefix+"pending=%d\n", c.pendingRequests.Load())
+	fmt.Fprintf(w, prefix+"members=%d\n", c.listedEndpoints.Load())
+	fmt.Fprintf(w, prefix+"members_unavailable=%d\n", c.unavailableEndpoints.Load())
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,22 +11,25 @@
 	"hitchvale/balance"
 )
 
-// datagramMost is the longest datagram between nodes, and peersLeast how many may wait in a small fleet: only turns of the
-// loop that follow one another at once can fill that.
-const maxDatagramBytes, minQueuedDatagrams = 256, 64
-
-// peersRetry is how long reading rests after an error.
-const peerReadRetryDelay = 2 * time.Millisecond
+const (
+	// maxDatagramBytes is the size of the longest datagram between nodes; longer ones are dropped.
+	maxDatagramBytes = 256
+	// minQueuedDatagrams is how many datagrams may be queued in a small fleet.
+	minQueuedDatagrams = 64
+	// peerReadRetryDelay is the delay after a failed read: an ICMP error that an earlier datagram caused, or a shortage
+	// that may last.
+	peerReadRetryDelay = 2 * time.Millisecond
+)
 
-// peers exchanges datagrams with the other nodes.
+// peers exchanges gossip datagrams with the other nodes. Any datagram may be lost.
 type peers struct {
 	conn      datagramConn
-	addresses []netip.AddrPort // by number
-	broadcast netip.AddrPort
+	addresses []netip.AddrPort // by the peer's index
+	broadcast netip.AddrPort   // reaches every peer; invalid: there is none
 	outgoing  chan datagram
 }
 
-// datagramConn is a socket for datagrams: net.UDPConn, or a test's.
+// datagramConn is the part of net.UDPConn that peers uses.
 type datagramConn interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
@@ -34,6 +37,7 @@
 	Close() error
 }
 
+// datagram is one that is queued for writing.
 type datagram struct {
 	to      netip.AddrPort
 	payload []byte
@@ -41,14 +45,14 @@
 
 // listenPeers opens the node's socket for datagrams.
 func listenPeers(cfg *Config) (*peers, error) {
-	// One for each may be told in a turn of the loop, before any goes out.
+	// A turn of the event loop may queue one for each peer before any is written.
 	p := &peers{outgoing: make(chan datagram, max(len(cfg.Peers), minQueuedDatagrams))}
-	for _, s := range cfg.Peers {
-		a, err := netip.ParseAddrPort(s)
+	for _, text := range cfg.Peers {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
-		p.addresses = append(p.addresses, a)
+		p.addresses = append(p.addresses, address)
 	}
 	if cfg.PeersAll != "" {
 		var err error
@@ -56,19 +60,20 @@
 			return nil, err
 		}
 	}
-	lc := net.ListenConfig{}
+	listenConfig := net.ListenConfig{}
 	if cfg.Admin != "" {
-		lc.Control = sharePort // with the other process of the node
+		listenConfig.Control = sharePort // with a predecessor or successor
 	}
-	pc, err := lc.ListenPacket(context.Background(), "udp", cfg.PeerListen)
+	conn, err := listenConfig.ListenPacket(context.Background(), "udp", cfg.PeerListen)
 	if err != nil {
 		return nil, err
 	}
-	p.conn = pc.(*net.UDPConn)
+	p.conn = conn.(*net.UDPConn)
 	return p, nil
 }
 
-// tell sends a datagram to one peer or to all of them. It never blocks: a datagram may be lost anyway.
+// enqueue queues a datagram for one peer, or for all where peer is balance.AllPeers. It never blocks: when the queue is
+// full the datagram is dropped.
 func (p *peers) enqueue(peer int, payload []byte) {
 	to := p.broadcast
 	if peer != balance.AllPeers {
@@ -81,48 +86,48 @@
 		return
 	}
 	select {
-	case p.outgoing <- datagram{to, append([]byte(nil), payload...)}:
+	case p.outgoing <- datagram{to: to, payload: append([]byte(nil), payload...)}:
 	default:
 	}
 }
 
-// send sends what is told until ctx ends. A datagram that can't be sent is lost, as any may be.
+// writeQueued writes queued datagrams until ctx ends.
 func (p *peers) writeQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case d := <-p.outgoing:
-			p.conn.WriteToUDPAddrPort(d.payload, d.to)
+			p.conn.WriteToUDPAddrPort(d.payload, d.to) // one that fails is lost
 		}
 	}
 }
 
-// run passes on what other nodes say until ctx ends. What is too long, or from nobody known, is ignored.
-func (p *peers) run(ctx context.Context, heard func(peer int, payload []byte)) {
+// run writes what is queued, and calls onMessage with each datagram of a peer, until ctx ends. Datagrams that are too
+// long or of unknown senders are dropped.
+func (p *peers) run(ctx context.Context, onMessage func(peer int, payload []byte)) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
-	var sender sync.WaitGroup
-	defer sender.Wait()
-	sender.Go(func() { p.writeQueued(ctx) })
-	number := make(map[netip.AddrPort]int, len(p.addresses))
-	for i, a := range p.addresses {
-		number[a] = i
+	var writer sync.WaitGroup
+	defer writer.Wait()
+	writer.Go(func() { p.writeQueued(ctx) })
+	indexByAddress := make(map[netip.AddrPort]int, len(p.addresses))
+	for i, address := range p.addresses {
+		indexByAddress[address] = i
 	}
-	buf := make([]byte, maxDatagramBytes+1)
+	buffer := make([]byte, maxDatagramBytes+1)
 	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// What a peer's machine sent back for a datagram of ours, or a shortage that may last.
 			pause(ctx, peerReadRetryDelay)
 			continue
 		}
-		i, ok := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if ok && n <= maxDatagramBytes {
-			heard(i, append([]byte(nil), buf[:n]...))
+		peer, known := indexByAddress[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if known && n <= maxDatagramBytes {
+			onMessage(peer, append([]byte(nil), buffer[:n]...))
 		}
 	}
 }
