--- a/internal/node/fleetmember.go
+++ b/internal/node/fleetmember.go
@@ -15,131 +15,178 @@
 )
 
 const (
-	// fleetTop is how many heavy tenants a report names.
+	// maxReportedTenants is how many heavy tenants a report names.
 	maxReportedTenants = 8
 	// fleetDialTimeout bounds connecting to a replica of the registry.
 	fleetDialTimeout = time.Second
-	// fleetAsk bounds how long a report waits for the loop.
+	// fleetIdleConnTimeout is how long a connection to a replica stays open unused.
+	fleetIdleConnTimeout = 10 * time.Second
+	// maxFleetConnections bounds the connections to a replica.
+	maxFleetConnections = 2
+	// loadQueryTimeout bounds how long a report waits for the event loop.
 	loadQueryTimeout = 500 * time.Millisecond
+	// minReportSpanSeconds keeps the rates of a report finite.
+	minReportSpanSeconds = 1e-3
 )
 
-// fleetPart is a node's part in the fleet's view, where the configuration has one: it gathers what a report tells.
+// fleetMember is the node's membership of a fleet, where its configuration has one. It gathers what the node reports to
+// the registry.
 type fleetMember struct {
 	node       *Node
 	agent      *fleet.Agent
 	httpClient *http.Client
 
 	mu           sync.Mutex
-	tenantByConn map[net.Conn]string // the tenant that asked last on each connection of a client
-	workByTenant *fleet.Sketch       // seconds of backends, by tenant, since the last report
+	tenantByConn map[net.Conn]string // the tenant of the last request on each client's connection
+	workByTenant *fleet.Sketch       // seconds of backends, since the last report
 
-	// Of the last report, for the agent alone: what rates are counted from.
-	lastReportAt             time.Time
-	lastCPUTime              time.Duration
-	lastRejected, lastFailed int64
+	last reportBaseline // for the agent's goroutine alone
 }
 
+// reportBaseline has the counts at the last report, from which the next one's rates are computed.
+type reportBaseline struct {
+	at       time.Time
+	cpuTime  time.Duration
+	rejected int64
+	failed   int64
+}
+
+// newFleetMember makes the node a member of the fleet that its configuration names.
 func newFleetMember(n *Node) *fleetMember {
-	c := n.cfg.Fleet
-	p := &fleetMember{node: n, tenantByConn: map[net.Conn]string{}, workByTenant: fleet.NewSketch(c.Tenants), lastReportAt: time.Now(), lastCPUTime: cpuTime(),
-		httpClient: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: 10 * time.Second,
-			DialContext: (&net.Dialer{Timeout: fleetDialTimeout}).DialContext}}}
-	interval := time.Duration(c.IntervalMs) * time.Millisecond
-	client := &fleet.Client{Replicas: c.Registry, HTTP: p.httpClient}
-	p.agent = fleet.NewAgent(fleet.AgentConfig{Node: n.cfg.Name, Site: c.Site, Address: n.cfg.Listen, Interval: interval,
-		OnView: newMaintenanceDriver(n, client).onView}, rand.Text(), client, p.report, n.log)
-	n.front.fleet, n.loop.onServed, n.loop.openStreams = p, p.requestServed, map[string]int{}
-	return p
+	cfg := n.cfg.Fleet
+	m := &fleetMember{
+		node: n,
+		httpClient: &http.Client{Transport: &http.Transport{
+			MaxConnsPerHost: maxFleetConnections,
+			IdleConnTimeout: fleetIdleConnTimeout,
+			DialContext:     (&net.Dialer{Timeout: fleetDialTimeout}).DialContext,
+		}},
+		tenantByConn: map[net.Conn]string{},
+		workByTenant: fleet.NewSketch(cfg.Tenants),
+		last:         reportBaseline{at: time.Now(), cpuTime: cpuTime()},
+	}
+	client := &fleet.Client{Replicas: cfg.Registry, HTTP: m.httpClient}
+	agentConfig := fleet.AgentConfig{
+		Node:     n.cfg.Name,
+		Site:     cfg.Site,
+		Address:  n.cfg.Listen,
+		Interval: time.Duration(cfg.IntervalMs) * time.Millisecond,
+		OnView:   newMaintenanceDriver(n, client).onView,
+	}
+	m.agent = fleet.NewAgent(agentConfig, rand.Text(), client, m.report, n.log)
+	n.front.fleet = m
+	n.loop.onServed = m.requestServed
+	n.loop.openStreams = map[string]int{}
+	return m
 }
 
-// run takes part until ctx ends, or until a newer process has the node's name.
-func (p *fleetMember) run(ctx context.Context) {
-	defer p.httpClient.CloseIdleConnections()
-	p.agent.Run(ctx) // it logs why it ends
+// run reports until ctx ends, or until a newer process has the node's name.
+func (m *fleetMember) run(ctx context.Context) {
+	defer m.httpClient.CloseIdleConnections()
+	m.agent.Run(ctx) // logs why it ends
 }
 
-// tenant names whose request it is: its tenant, or its class where the site has no tenants.
-func (p *fleetMember) tenant(r *request) string {
-	names := p.node.cfg.Settings
-	if len(names.Tenants) > 0 {
-		return names.Tenants[r.tenant]
+// tenant returns the name of a request's tenant, or of its class where the site has no tenants.
+func (m *fleetMember) tenant(r *request) string {
+	settings := m.node.cfg.Settings
+	if len(settings.Tenants) > 0 {
+		return settings.Tenants[r.tenant]
 	}
-	return names.Classes[r.class]
+	return settings.Classes[r.class]
 }
 
-// asked takes in that a request came on a connection.
-func (p *fleetMember) requestStarted(c net.Conn, r *request) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.tenantByConn[c] = p.tenant(r)
+// requestStarted records whose request came on a connection.
+func (m *fleetMember) requestStarted(conn net.Conn, r *request) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.tenantByConn[conn] = m.tenant(r)
 }
 
-// closed takes in that a connection of a client has ended.
-func (p *fleetMember) connClosed(c net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.tenantByConn, c)
+// connClosed forgets a client's connection.
+func (m *fleetMember) connClosed(conn net.Conn) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.tenantByConn, conn)
 }
 
-// worked takes in that a backend has served a request.
-func (p *fleetMember) requestServed(r *request, spent time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.workByTenant.Add(p.tenant(r), spent.Seconds())
+// requestServed records the time that a backend spent on a request.
+func (m *fleetMember) requestServed(r *request, spent time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.workByTenant.Add(m.tenant(r), spent.Seconds())
 }
 
-// report is what the node has to tell by now.
-func (p *fleetMember) report() fleet.Report {
-	now, cpu := time.Now(), cpuTime()
-	span := max(now.Sub(p.lastReportAt).Seconds(), 1e-3)
-	var refused, failed int64
-	for i := range p.node.counters.outcomes {
-		refused += p.node.counters.outcomes[i].rejected.Load()
-		failed += p.node.counters.outcomes[i].failed.Load()
+// report returns the node's report since the last one.
+func (m *fleetMember) report() fleet.Report {
+	metrics := m.loadMetrics()
+	report := fleet.Report{
+		Draining:  m.node.front.shutdown.begun(),
+		Endpoints: m.endpointLoads(),
+		Metrics:   metrics,
 	}
-	r := fleet.Report{Draining: p.node.front.shutdown.begun(), Endpoints: p.endpointLoads()}
-	r.Metrics = fleet.LoadMetrics{
-		Connections: float64(p.node.front.held()), DescriptorLimit: float64(cmp.Or(p.node.cfg.Limits.Sockets, defaultDescriptors)),
-		CPUFraction:       (cpu - p.lastCPUTime).Seconds() / span / cmp.Or(p.node.cfg.Limits.Cores, 1),
-		InFlight:          float64(p.node.front.inFlight.Load()),
-		RejectedPerSecond: float64(refused-p.lastRejected) / span, FailedPerSecond: float64(failed-p.lastFailed) / span,
+	byConnections := fleet.NewSketch(m.node.cfg.Fleet.Tenants)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, tenant := range m.tenantByConn {
+		byConnections.Add(tenant, 1)
 	}
-	toBackends, _ := p.node.pool.size()
-	r.Metrics.Descriptors = r.Metrics.Connections + float64(toBackends)
-	p.lastReportAt, p.lastCPUTime, p.lastRejected, p.lastFailed = now, cpu, refused, failed
-
-	byConns := fleet.NewSketch(p.node.cfg.Fleet.Tenants)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, tenant := range p.tenantByConn {
-		byConns.Add(tenant, 1)
+	report.TenantsByConnections = byConnections.Top(maxReportedTenants)
+	report.TenantsByWork = m.workByTenant.Top(maxReportedTenants)
+	m.workByTenant.Clear()
+	return report
+}
+
+// loadMetrics returns the node's load, with rates since the last report, and begins anew.
+func (m *fleetMember) loadMetrics() fleet.LoadMetrics {
+	now := reportBaseline{at: time.Now(), cpuTime: cpuTime()}
+	for i := range m.node.counters.outcomes {
+		now.rejected += m.node.counters.outcomes[i].rejected.Load()
+		now.failed += m.node.counters.outcomes[i].failed.Load()
 	}
-	r.TenantsByConnections, r.TenantsByWork = byConns.Top(maxReportedTenants), p.workByTenant.Top(maxReportedTenants)
-	p.workByTenant.Clear()
-	return r
+	span := max(now.at.Sub(m.last.at).Seconds(), minReportSpanSeconds)
+	limits := m.node.cfg.Limits
+	connections := float64(m.node.front.held())
+	backendConns, _ := m.node.pool.size()
+	metrics := fleet.LoadMetrics{
+		Connections:       connections,
+		Descriptors:       connections + float64(backendConns),
+		DescriptorLimit:   float64(cmp.Or(limits.Sockets, defaultDescriptors)),
+		CPUFraction:       (now.cpuTime - m.last.cpuTime).Seconds() / span / cmp.Or(limits.Cores, 1),
+		InFlight:          float64(m.node.front.inFlight.Load()),
+		RejectedPerSecond: float64(now.rejected-m.last.rejected) / span,
+		FailedPerSecond:   float64(now.failed-m.last.failed) / span,
+	}
+	m.last = now
+	return metrics
 }
 
-// backends asks the loop what the module has found of them; none where the loop is too busy to say.
-func (p *fleetMember) endpointLoads() []fleet.EndpointLoad {
+// endpointLoads returns the module's estimates of the endpoints; nil where the event loop is too busy to answer.
+func (m *fleetMember) endpointLoads() []fleet.EndpointLoad {
 	ctx, cancel := context.WithTimeout(context.Background(), loadQueryTimeout)
 	defer cancel()
 	reply := make(chan []fleet.EndpointLoad, 1)
-	loads, err := query(ctx, p.node.loop, endpointLoadQuery{reply}, reply)
+	loads, err := query(ctx, m.node.loop, endpointLoadQuery{reply}, reply)
 	if err != nil {
 		return nil
 	}
 	return loads
 }
 
-func fleetEndpointLoad(id string, s balance.EndpointLoad) fleet.EndpointLoad {
-	return fleet.EndpointLoad{ID: id, QueueEstimate: s.QueueEstimate, Outstanding: s.InFlight, FailureRate: s.FailureRate}
+// fleetEndpointLoad returns the module's estimate of an endpoint as the registry's protocol has it.
+func fleetEndpointLoad(id string, load balance.EndpointLoad) fleet.EndpointLoad {
+	return fleet.EndpointLoad{
+		ID:            id,
+		QueueEstimate: load.QueueEstimate,
+		Outstanding:   load.InFlight,
+		FailureRate:   load.FailureRate,
+	}
 }
 
-// processTime is the processor time that this process has used.
+// cpuTime returns the processor time that this process has used; 0 where that is unknown.
 func cpuTime() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -11,83 +11,101 @@
 	"hitchvale/internal/maintenance"
 )
 
-// turns is a node's part in the rota: with each view that tells of machines with a turn it reads the board, confirms what
-// is quiet here, and proposes what maintenance.Next says. All of it runs between two reports of the fleet's agent.
+// turnTimeout bounds what a node does about maintenance turns after one view.
+const turnTimeout = 2 * time.Second
+
+// maintenanceDriver advances the maintenance turns of machines. With each view of the fleet that has turns it reads the
+// plan, confirms the machines at which this node has nothing in flight, and submits what maintenance.Propose returns.
+// It runs on the goroutine of the fleet's agent, between two reports.
 type maintenanceDriver struct {
 	node           *Node
 	client         *fleet.Client
-	viewsUnchanged map[string]int // by machine: views for which its turn has stood
-	revisions      map[string]int64
+	viewsUnchanged map[string]int   // by machine: views for which its turn has not changed
+	revisions      map[string]int64 // by machine: of its turn in the last view
 }
 
-// turnWithin bounds what a node does about turns after one view.
-const turnTimeout = 2 * time.Second
-
 func newMaintenanceDriver(n *Node, client *fleet.Client) *maintenanceDriver {
-	return &maintenanceDriver{node: n, client: client, viewsUnchanged: map[string]int{}, revisions: map[string]int64{}}
+	return &maintenanceDriver{
+		node:           n,
+		client:         client,
+		viewsUnchanged: map[string]int{},
+		revisions:      map[string]int64{},
+	}
 }
 
-// follow acts on one view.
-func (t *maintenanceDriver) onView(ctx context.Context, v fleet.View, incarnation uint64) {
-	if v.MaintenanceTurns == 0 {
-		clear(t.viewsUnchanged)
-		clear(t.revisions)
+// onView acts on one view.
+func (d *maintenanceDriver) onView(ctx context.Context, view fleet.View, incarnation uint64) {
+	if view.MaintenanceTurns == 0 {
+		clear(d.viewsUnchanged)
+		clear(d.revisions)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	var b maintenance.PlanView
-	if err := t.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
-		t.node.log.Warn("rota not read", "error", err)
+	var plan maintenance.PlanView
+	if err := d.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &plan); err != nil {
+		d.node.log.Warn("maintenance plan not read", "error", err)
 		return
 	}
-	t.countViews(b)
-	l, ok := t.nodeState(ctx, v, incarnation)
-	if !ok {
-		return // the loop is too busy to say what is open: nothing is confirmed on a guess
+	d.countViews(plan)
+	state, err := d.nodeState(ctx, view, incarnation)
+	if err != nil {
+		return // what is in flight is unknown: nothing is confirmed
 	}
-	for _, c := range maintenance.Propose(b, l) {
-		if err := t.propose(ctx, c); err != nil && c.Op == "rota-step" {
-			t.node.log.Info("turn not taken", "machine", c.Machine, "to", c.Target, "error", err)
+	for _, command := range maintenance.Propose(plan, state) {
+		if err := d.submit(ctx, command); err != nil && command.Op == "rota-step" {
+			d.node.log.Info("maintenance step rejected",
+				"machine", command.Machine, "target", command.Target, "error", err)
 		}
 	}
 }
 
-// count takes in for how many views each turn has stood as it does.
-func (t *maintenanceDriver) countViews(b maintenance.PlanView) {
-	seen, at := map[string]int{}, map[string]int64{}
-	for _, x := range b.Turns {
-		if at[x.Machine] = x.Revision; t.revisions[x.Machine] == x.Revision {
-			seen[x.Machine] = t.viewsUnchanged[x.Machine] + 1
+// countViews counts for how many views each turn has not changed.
+func (d *maintenanceDriver) countViews(plan maintenance.PlanView) {
+	viewsUnchanged := map[string]int{}
+	revisions := map[string]int64{}
+	for _, turn := range plan.Turns {
+		revisions[turn.Machine] = turn.Revision
+		if d.revisions[turn.Machine] == turn.Revision {
+			viewsUnchanged[turn.Machine] = d.viewsUnchanged[turn.Machine] + 1
 		}
 	}
-	t.viewsUnchanged, t.revisions = seen, at
+	d.viewsUnchanged = viewsUnchanged
+	d.revisions = revisions
 }
 
-// local asks the loop for the list that it holds and what it has open at whom.
-func (t *maintenanceDriver) nodeState(ctx context.Context, v fleet.View, incarnation uint64) (maintenance.NodeState, bool) {
-	l := maintenance.NodeState{Node: t.node.cfg.Name, Incarnation: incarnation, View: maintenance.ViewVersion(v.ViewVersion), ViewsUnchanged: t.viewsUnchanged}
-	for _, n := range v.Nodes {
-		if n.Fresh {
-			l.FreshNodes = append(l.FreshNodes, n.Node)
-		}
-	}
+// nodeState returns what this node knows: the view, its endpoint list, and what it has in flight at each endpoint. The
+// error is that of a query that the event loop did not answer in time.
+func (d *maintenanceDriver) nodeState(
+	ctx context.Context, view fleet.View, incarnation uint64,
+) (maintenance.NodeState, error) {
 	reply := make(chan openWork, 1)
-	open, err := query(ctx, t.node.loop, openWorkQuery{reply}, reply)
+	open, err := query(ctx, d.node.loop, openWorkQuery{reply}, reply)
 	if err != nil {
-		return l, false
+		return maintenance.NodeState{}, err
+	}
+	state := maintenance.NodeState{
+		Node:           d.node.cfg.Name,
+		Incarnation:    incarnation,
+		View:           maintenance.ViewVersion(view.ViewVersion),
+		ViewsUnchanged: d.viewsUnchanged,
+		ListRevision:   open.revision,
+		InFlight:       open.inFlight,
+	}
+	for _, n := range view.Nodes {
+		if n.Fresh {
+			state.FreshNodes = append(state.FreshNodes, n.Node)
+		}
 	}
-	l.ListRevision, l.InFlight = open.revision, open.inFlight
-	return l, true
+	return state, nil
 }
 
-// propose makes one proposal; the record decides.
-func (t *maintenanceDriver) propose(ctx context.Context, c maintenance.Command) error {
-	switch c.Op {
-	case "rota-settle":
-		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.View, nil)
-	default:
-		path := "/registry/rota/machines/" + url.PathEscape(c.Machine) + "/" + strings.TrimPrefix(c.Op, "rota-")
-		return t.client.Call(ctx, http.MethodPost, path, c, nil)
+// submit sends a command to the registry, which accepts or rejects it.
+func (d *maintenanceDriver) submit(ctx context.Context, command maintenance.Command) error {
+	if command.Op == "rota-settle" {
+		return d.client.Call(ctx, http.MethodPost, "/registry/rota/settle", command.View, nil)
 	}
+	step := strings.TrimPrefix(command.Op, "rota-")
+	path := "/registry/rota/machines/" + url.PathEscape(command.Machine) + "/" + step
+	return d.client.Call(ctx, http.MethodPost, path, command, nil)
 }
