--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,63 +1,119 @@
 package balance
 
 import (
+	"cmp"
 	"time"
 )
 
-// This file decides how long a queue a request may join, and when to refuse instead.
+// This file bounds the queue that a request may join. Beyond the bound it is rejected: longer queues serve no one in
+// time and clear only by rejecting.
 
-// slack is the longest wait that still lets an average request be answered within its aim. Longer queues
-// serve no one in time and clear only by refusing: overload jams without this.
+const (
+	// initialQueueBudget is also the budget from which a node logs that answers come in time again.
+	initialQueueBudget = 0.3
+	minQueueBudget     = 0.12
+	maxQueueBudget     = 1.0
+	// queueBudgetRatePerSecond is how fast the budget follows the answers: a node with few answers a second must
+	// notice overload in as many seconds as a busy one.
+	queueBudgetRatePerSecond = 2.0
+	// maxQueueBudgetStep is the largest change by one answer, as a fraction of the budget.
+	maxQueueBudgetStep = 0.1
+	// answersPerLateOne is the number of answers among which one late answer leaves the budget as it is.
+	answersPerLateOne = 20
+)
+
+// queueBudget is the fraction of the latency slack that queues may take up. It falls with answers that a queue made
+// late and grows with those in time: overloaded endpoints can work so badly that a bearable queue never clears, and
+// only lateness shows it.
+//
+// Invariant: minQueueBudget <= fraction <= maxQueueBudget.
+type queueBudget struct {
+	fraction         float64
+	answerGapSeconds float64 // mean time between answers
+	lastAnswerAt     time.Duration
+	exhausted        bool // as logged
+}
+
+// adjust takes in an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
+// accounts for: a heavy request is late in any queue, and only what the queue made late counts.
+func (q *queueBudget) adjust(now time.Duration, status Status, late time.Duration, queuedSeconds float64) {
+	if q.lastAnswerAt > 0 { // the clock may start anywhere: there is no gap before the first answer
+		q.answerGapSeconds += sampleWeight * ((now - q.lastAnswerAt).Seconds() - q.answerGapSeconds)
+	}
+	q.lastAnswerAt = now
+	step := min(queueBudgetRatePerSecond*q.answerGapSeconds, maxQueueBudgetStep) * q.fraction
+	switch {
+	case status == StatusTimedOut || status == StatusSucceeded && late > 0 && late.Seconds() <= queuedSeconds:
+		q.fraction -= step
+	case status == StatusSucceeded && late <= 0:
+		q.fraction += step / answersPerLateOne
+	}
+	q.fraction = min(max(q.fraction, minQueueBudget), maxQueueBudget)
+}
+
+// adjustQueueBudget takes in an answer, and logs when the node begins to reject early and when it ends.
+func (b *Balancer) adjustQueueBudget(status Status, late time.Duration, queuedSeconds float64) {
+	q := &b.queueBudget
+	q.adjust(b.now, status, late, queuedSeconds)
+	b.logTransition(&q.exhausted, q.fraction == minQueueBudget, q.fraction >= initialQueueBudget,
+		"answers come late: refusing early", "answers in time again")
+}
+
+// tellsOfQueue tells whether how an attempt ended may adjust the queue budget. A time-out at an endpoint that
+// gave no sign in the meantime tells of that endpoint and not of overload, and so does one that no queue explains.
+func (b *Balancer) tellsOfQueue(a *attempt, ev *AttemptEnded) bool {
+	return ev.Status != StatusTimedOut || a.endpoint.silentSince > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
+}
+
+// slackSeconds is the longest wait that still lets an average request be answered within its latency objective.
 func (b *Balancer) slackSeconds() float64 {
-	return max(b.meanObjectiveSeconds-b.meanUnloadedSeconds(), 0)
+	return max(b.latency.meanObjectiveSeconds-b.latency.meanUnloadedSeconds(), 0)
 }
 
-// bound is the longest wait at which a request is still sent: a part of the slack, or of the time without a
-// queue where that is more, since with all servers slow at once there is no slack, and shorter queues would
-// leave them idle and make no answer come sooner.
+// meanMaxWaitSeconds is the longest wait at which a request of average priority is forwarded: the queue budget of the
+// slack, or of the unloaded latency where that is more. With all endpoints slow at once there is no slack, and
+// shorter queues would leave them idle and make no answer come sooner.
+func (b *Balancer) meanMaxWaitSeconds() float64 {
+	return b.queueBudget.fraction * max(b.slackSeconds(), b.latency.meanUnloadedSeconds())
+}
+
+// maxWaitSeconds is the longest wait at which a request is forwarded, by its priority.
 func (b *Balancer) maxWaitSeconds(r *request) float64 {
-	lean := min(max(b.priorityFactor(r), 1/maxPriorityFactor), maxPriorityFactor)
-	return b.queueBudget * max(b.slackSeconds(), b.meanUnloadedSeconds()) * lean
+	factor := min(max(b.priorityFactor(r), 1/maxPriorityFactor), maxPriorityFactor)
+	return b.meanMaxWaitSeconds() * factor
 }
 
-// lean is how the bound for a request compares with that of others: what is worth more for its work waits
-// longer, so that it is served where not all can be.
-// Traffic beyond its tenant's share is the first to be refused, as it earns little. Only what was sent
-// counts: what was refused comes back, often several times.
+const (
+	// maxPriorityFactor bounds the effect of priority: what is worth next to nothing is still served in a calm.
+	maxPriorityFactor = 2.0
+	// prioritySampleWeight is the weight of a request in the mean priority.
+	prioritySampleWeight = 0.01
+)
+
+// priorityFactor is how the bound for a request compares with that for an average one: a request of higher priority
+// may join a longer queue, so that it is served where not all can be. A request beyond its tenant's quota earns
+// little, and is among the first to be rejected.
 func (b *Balancer) priorityFactor(r *request) float64 {
-	lean := 1.0
+	factor := 1.0
 	if b.meanPriority > 0 {
-		lean = b.priority(r) / b.meanPriority
-		if left := b.remainingQuota(r); left != nil && *left < 1 {
-			lean *= b.cfg.OverQuotaValue
+		factor = b.priority(r) / b.meanPriority
+		if q := b.quota(r); q != nil && q.exhausted() {
+			factor *= b.cfg.OverQuotaValue
 		}
 	}
-	return lean
+	return factor
 }
 
-// value is what a request is worth for each unit of work, which is that of a mean class.
+// priority is the priority weight of a request for each unit of work, which is that of a mean class.
 func (b *Balancer) priority(r *request) float64 {
-	if b.cfg.PriorityPerWork || b.workSeconds(r) == 0 {
+	work := b.workSeconds(r)
+	if b.cfg.PriorityPerWork || work == 0 {
 		return r.class.PriorityWeight
 	}
-	return r.class.PriorityWeight * b.meanUnloadedSeconds() / b.workSeconds(r)
+	return r.class.PriorityWeight * b.latency.meanUnloadedSeconds() / work
 }
 
-// pressure moves the bound on the wait. Crowded servers can work so badly that a bearable queue never clears,
-// and only lateness shows it. Only what the queue made late counts: a heavy request is late in any queue.
-func (b *Balancer) adjustQueueBudget(st Status, late time.Duration, queued float64) {
-	if b.lastOutcomeAt > 0 { // a clock that starts anywhere tells nothing of the first gap
-		b.answerGapSeconds += sampleWeight * ((b.now - b.lastOutcomeAt).Seconds() - b.answerGapSeconds)
-	}
-	b.lastOutcomeAt = b.now
-	step := min(queueBudgetRatePerSecond*b.answerGapSeconds, maxQueueBudgetStep) * b.queueBudget
-	switch {
-	case st == StatusTimedOut || st == StatusSucceeded && late > 0 && late.Seconds() <= queued:
-		b.queueBudget -= step
-	case st == StatusSucceeded && late <= 0:
-		b.queueBudget += step / answersPerLateOne
-	}
-	b.queueBudget = min(max(b.queueBudget, minQueueBudget), maxQueueBudget)
-	b.logTransition(&b.overloaded, b.queueBudget == minQueueBudget, b.queueBudget >= initialQueueBudget,
-		"answers come late: refusing early", "answers in time again")
+func (b *Balancer) learnPriority(r *request) {
+	b.meanPriority = cmp.Or(b.meanPriority, b.priority(r))
+	b.meanPriority += prioritySampleWeight * (b.priority(r) - b.meanPriority)
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -26,6 +26,6 @@
 				r.do(AttemptEnded{Request: id, Endpoint: s.Endpoint, Elapsed: 20 * ms, Final: true})
 			}
 		}
-		r.do(TimerFired{ID: r.b.lastTimerID})
+		r.do(TimerFired{ID: r.b.timers.lastID})
 	}
 }
--- a/balance/config.go
+++ b/balance/config.go
@@ -110,7 +110,7 @@
 	WorstWindow float64 // the worst stretch of time
 }
 
-// Config is what a node is told at its start. Zero values are safe defaults: no permission is assumed, and every class is
+// Config is what a node knows at its start. Zero values are safe defaults: no permission is assumed, and every class is
 // taken as NonIdempotent.
 type Config struct {
 	Index              int // index of this instance among its peers
--- a/balance/departures_test.go
+++ b/balance/departures_test.go
@@ -60,7 +60,7 @@
 func (r *rig) holds(id EndpointID, queue float64) {
 	s := r.b.endpoints[id]
 	s.reportedLoad, s.loadBias = queue, 0
-	r.b.zoneLoads[s.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
+	r.b.loads.zones[s.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
 }
 
 func steady(EndpointID) time.Duration { return 20 * ms }
@@ -205,7 +205,7 @@
 	r.serve(100, safe, steady)
 	s := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
-		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}, &attempt{endpoint: s}, 100*ms)
+		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.latency.classes[safe]}, &attempt{endpoint: s}, 100*ms)
 	}
 	if cold, peer := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
 		t.Errorf("pace %v while cold, %v at a warm server", cold, peer)
@@ -226,8 +226,8 @@
 		r.wait(1500 * ms)
 		r.serve(1, safe, steady)
 	}
-	if now := r.b.serviceSeconds(s); now > 2*r.b.meanServiceSeconds {
-		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.meanServiceSeconds)
+	if now := r.b.serviceSeconds(s); now > 2*r.b.latency.meanServiceSeconds {
+		t.Errorf("pace %v after a minute and a half, peers %v", now, r.b.latency.meanServiceSeconds)
 	}
 }
 
@@ -274,8 +274,8 @@
 	r.serve(50, safe, steady)
 	r.serve(400, unsafe, func(EndpointID) time.Duration { return 0 })
 	s := r.b.endpoints[1]
-	if charge := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.meanObjectiveSeconds/2 {
-		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.meanFailureRate, charge)
+	if charge := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.latency.meanObjectiveSeconds/2 {
+		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.outliers.meanFailureRate, charge)
 	}
 }
 
@@ -394,16 +394,16 @@
 func TestLatenessTightensTheBound(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(1000, safe, steady)
-	if r.b.queueBudget < 2*initialQueueBudget || r.b.queueBudget > maxQueueBudget {
-		t.Fatalf("part %v while all is in time", r.b.queueBudget)
+	if r.b.queueBudget.fraction < 2*initialQueueBudget || r.b.queueBudget.fraction > maxQueueBudget {
+		t.Fatalf("part %v while all is in time", r.b.queueBudget.fraction)
 	}
 	r.late(200)
-	if r.b.queueBudget != minQueueBudget {
-		t.Errorf("part %v after 200 late answers", r.b.queueBudget)
+	if r.b.queueBudget.fraction != minQueueBudget {
+		t.Errorf("part %v after 200 late answers", r.b.queueBudget.fraction)
 	}
 	r.serve(3000, safe, steady)
-	if r.b.queueBudget < initialQueueBudget {
-		t.Errorf("part %v after 3000 in time", r.b.queueBudget)
+	if r.b.queueBudget.fraction < initialQueueBudget {
+		t.Errorf("part %v after 3000 in time", r.b.queueBudget.fraction)
 	}
 }
 
@@ -411,17 +411,17 @@
 func TestTimesWithoutAQueueIgnoreQueues(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
-	was := r.b.classes[safe].unloadedSeconds
+	was := r.b.latency.classes[safe].unloadedSeconds
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		r.b.queueBudget = maxQueueBudget
+		r.b.queueBudget.fraction = maxQueueBudget
 		r.holds(1, 2)
 		r.arrive(id, safe)
 		r.sent()
 		r.wait(100 * ms)
 		r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
 	}
-	if base := r.b.classes[safe].unloadedSeconds; base != was {
+	if base := r.b.latency.classes[safe].unloadedSeconds; base != was {
 		t.Errorf("from %v to %v", was, base)
 	}
 }
@@ -430,7 +430,7 @@
 func TestTimeOutsOfSilentServersAreNoPressure(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(300, safe, steady)
-	was := r.b.queueBudget
+	was := r.b.queueBudget.fraction
 	for i := range 5 {
 		r.arrive(fmt.Sprint(i), unsafe)
 	}
@@ -438,8 +438,8 @@
 	for i := range 5 {
 		r.outcome(fmt.Sprint(i), 0, 1, StatusTimedOut)
 	}
-	if r.b.queueBudget != was {
-		t.Errorf("part went from %v to %v", was, r.b.queueBudget)
+	if r.b.queueBudget.fraction != was {
+		t.Errorf("part went from %v to %v", was, r.b.queueBudget.fraction)
 	}
 }
 
@@ -450,7 +450,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	bound := func(tenant int) float64 {
-		return r.b.maxWaitSeconds(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]})
+		return r.b.maxWaitSeconds(&request{tenant: tenant, class: &r.b.cfg.Classes[safe], stats: &r.b.latency.classes[safe]})
 	}
 	if bound(0) >= bound(1) { // the first tenant's share is long used up
 		t.Errorf("bounds %v over the share and %v within", bound(0), bound(1))
@@ -466,12 +466,12 @@
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, safe, steady)
 		r.serve(100, unsafe, steady)
-		dear := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
-		cheap := r.b.maxWaitSeconds(&request{class: &cfg.Classes[unsafe], stats: &r.b.classes[unsafe], tenant: -1})
+		dear := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.latency.classes[safe], tenant: -1})
+		cheap := r.b.maxWaitSeconds(&request{class: &cfg.Classes[unsafe], stats: &r.b.latency.classes[unsafe], tenant: -1})
 		if dear < 2*cheap {
 			t.Errorf("by work %v: bound %v for much worth, %v for little", byWork, dear, cheap)
 		}
-		heavy := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1, workHint: time.Second})
+		heavy := r.b.maxWaitSeconds(&request{class: &cfg.Classes[safe], stats: &r.b.latency.classes[safe], tenant: -1, workHint: time.Second})
 		if byWork != (heavy == dear) {
 			t.Errorf("by work %v: bound %v for a heavy request, %v for a usual one", byWork, heavy, dear)
 		}
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -49,8 +49,8 @@
 func TestTheRetryBudgetIsCapped(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(1000, safe, steady)
-	if r.b.retryBudget != maxRetryBudget {
-		t.Errorf("%v retries saved up", r.b.retryBudget)
+	if r.b.retryBudget.retries != maxRetryBudget {
+		t.Errorf("%v retries saved up", r.b.retryBudget.retries)
 	}
 }
 
@@ -69,8 +69,8 @@
 	for i := range 100 { // one tick
 		r.arrive(fmt.Sprint("burst", i), unsafe)
 	}
-	if r.b.checkCredit > 2*maxHealthChecksPerTick {
-		t.Errorf("%v probes saved up", r.b.checkCredit)
+	if r.b.healthChecks.credit > 2*maxHealthChecksPerTick {
+		t.Errorf("%v probes saved up", r.b.healthChecks.credit)
 	}
 }
 
@@ -97,7 +97,7 @@
 		t.Fatalf("%d requests are held", len(r.b.awaitingChecks))
 	}
 	r.do(ClientDisconnected{Request: "left"})
-	if sent := of(Forward, r.do(TimerFired{ID: r.b.lastTimerID})); len(sent) != 1 || sent[0].Request != "stays" {
+	if sent := of(Forward, r.do(TimerFired{ID: r.b.timers.lastID})); len(sent) != 1 || sent[0].Request != "stays" {
 		t.Errorf("sent %+v", sent)
 	}
 	if len(r.b.requests) != 1 {
@@ -165,7 +165,7 @@
 		r.b.endpoints[3].servedWorkSeconds, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // came just now
 		r.wait(1500 * ms)
 		r.do(TimerFired{})
-		return r.b.warmThroughput
+		return r.b.slowStart.warmThroughput
 	}
 	r.wait(1500 * ms)
 	r.do(TimerFired{})
@@ -185,9 +185,9 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, safe, steady)
 	r.serve(50, unsafe, steady)
-	usual := r.b.queueBudget * max(r.b.slackSeconds(), r.b.meanUnloadedSeconds())
+	usual := r.b.queueBudget.fraction * max(r.b.slackSeconds(), r.b.latency.meanUnloadedSeconds())
 	for class, want := range map[int]float64{safe: maxPriorityFactor * usual, unsafe: usual / maxPriorityFactor} {
-		got := r.b.maxWaitSeconds(&request{class: &cfg.Classes[class], stats: &r.b.classes[class], tenant: -1})
+		got := r.b.maxWaitSeconds(&request{class: &cfg.Classes[class], stats: &r.b.latency.classes[class], tenant: -1})
 		if math.Abs(got-want) > 1e-9 && class == unsafe || got > want+1e-9 {
 			t.Errorf("class %d: bound %v, want %v", class, got, want)
 		}
@@ -198,7 +198,7 @@
 func TestSlowServersStillQueue(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(200, safe, func(EndpointID) time.Duration { return 600 * ms })
-	got := r.b.maxWaitSeconds(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe], tenant: -1})
+	got := r.b.maxWaitSeconds(&request{class: &r.b.cfg.Classes[safe], stats: &r.b.latency.classes[safe], tenant: -1})
 	if r.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
 		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.slackSeconds(), got)
 	}
@@ -209,7 +209,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(1, safe, func(EndpointID) time.Duration { return 280 * ms })
 	r.serve(9, safe, steady)
-	if base := r.b.classes[safe].unloadedSeconds; math.Abs(base-0.046) > 0.001 {
+	if base := r.b.latency.classes[safe].unloadedSeconds; math.Abs(base-0.046) > 0.001 {
 		t.Errorf("%v s, the mean is 0.046", base)
 	}
 }
@@ -305,11 +305,11 @@
 		r.arrive("x", safe)
 		r.sent()
 		r.b.requests["x"].attempts[0].waitAtSendSeconds = met * r.b.serviceSeconds(s)
-		r.b.queueBudget = 0.3
+		r.b.queueBudget.fraction = 0.3
 		r.wait(400 * ms)
 		r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 400 * ms, Final: true})
-		if got := r.b.queueBudget < 0.3; got != tightens || r.b.queueBudget > 0.3 {
-			t.Errorf("met %v: part from 0.3 to %v", met, r.b.queueBudget)
+		if got := r.b.queueBudget.fraction < 0.3; got != tightens || r.b.queueBudget.fraction > 0.3 {
+			t.Errorf("met %v: part from 0.3 to %v", met, r.b.queueBudget.fraction)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 			if known {
 				r.serve(20, safe, steady)
 			}
-			b.warmThroughput = 0 // it does little for each of so many nodes
+			b.slowStart.warmThroughput = 0 // it does little for each of so many nodes
 			cold := listedEndpoint(1, 0, 0)
 			cold.StartedAt = r.now
 			r.do(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{cold}})
@@ -365,7 +365,7 @@
 		r.b.endpoints[2].slowStartCreditSeconds = 1
 		r.do(RequestArrived{Request: "x", Class: safe, TimeLeft: time.Second, ExpectedWork: hint})
 		if len(r.b.awaitingChecks) > 0 {
-			r.do(TimerFired{ID: r.b.lastTimerID})
+			r.do(TimerFired{ID: r.b.timers.lastID})
 		}
 		if to := r.sent(); to != want {
 			t.Errorf("work of %v went to %d, want %d", hint, to, want)
@@ -455,13 +455,13 @@
 func TestLatenessCountsByTime(t *testing.T) {
 	after := func(gap time.Duration) float64 {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0))
-		r.b.answerGapSeconds = gap.Seconds()
+		r.b.queueBudget.answerGapSeconds = gap.Seconds()
 		for range int(time.Second / gap) {
 			r.wait(gap)
 			r.do(TimerFired{})
 			r.b.adjustQueueBudget(StatusSucceeded, ms, 1)
 		}
-		return r.b.queueBudget
+		return r.b.queueBudget.fraction
 	}
 	if busy, idle := after(20*ms), after(50*ms); busy > 0.2 || idle > busy*1.1 {
 		t.Errorf("after a second of lateness part %v with 50 answers a second, %v with 20", busy, idle)
@@ -515,7 +515,7 @@
 		members = append(members, listedEndpoint(EndpointID(i+1), i%3, 0))
 	}
 	r := newRig(t, cfg, members...)
-	r.b.warmThroughput = 1
+	r.b.slowStart.warmThroughput = 1
 	for range 3 {
 		r.serve(19, safe, steady)
 		r.wait(time.Second)
@@ -646,8 +646,8 @@
 			r.do(report(1, 3+float64(int(next)%2)))
 		}
 	}
-	if next == 0 || next > maxRepeatChecks || r.b.reportInterval > 0.1 {
-		t.Errorf("asked again %v times, reports taken for %v s apart", next, r.b.reportInterval)
+	if next == 0 || next > maxRepeatChecks || r.b.reportInterval.seconds > 0.1 {
+		t.Errorf("asked again %v times, reports taken for %v s apart", next, r.b.reportInterval.seconds)
 	}
 }
 
@@ -660,19 +660,19 @@
 	}
 	r := newRig(t, site(), members...)
 	r.serve(40, safe, func(EndpointID) time.Duration { return 100 * ms })
-	if r.b.meanServiceSeconds < 0.08 {
-		t.Errorf("pace %v after 40 answers of 100 ms", r.b.meanServiceSeconds)
+	if r.b.latency.meanServiceSeconds < 0.08 {
+		t.Errorf("pace %v after 40 answers of 100 ms", r.b.latency.meanServiceSeconds)
 	}
 }
 
 // A node that starts among queues must not take its first answers for the time without one.
 func TestTheHintStandsUntilAnIdleServerIsMet(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
-	r.b.fleetLoad.mean, r.b.queueBudget = 5, maxQueueBudget
+	r.b.loads.fleet.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
 	r.wait(time.Second)
 	r.do(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
 	r.do(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
-	if base := r.b.classes[safe].unloadedSeconds; base < 0.015 || base > 0.025 {
+	if base := r.b.latency.classes[safe].unloadedSeconds; base < 0.015 || base > 0.025 {
 		t.Errorf("time without a queue %v by an answer of 200 ms behind five others, hinted at 20 ms", base)
 	}
 }
@@ -698,7 +698,7 @@
 				r.do(RequestArrived{Request: id, ExpectedWork: tc.hint, TimeLeft: time.Second})
 				r.do(AttemptEnded{Request: id, Endpoint: 1, Elapsed: tc.spent, Final: true})
 			}
-			if base := r.b.classes[safe].unloadedSeconds; math.Abs(base-tc.want) > 0.1*tc.want {
+			if base := r.b.latency.classes[safe].unloadedSeconds; math.Abs(base-tc.want) > 0.1*tc.want {
 				t.Errorf("time without a queue %.4f s, want %.4f", base, tc.want)
 			}
 		})
@@ -722,7 +722,7 @@
 	cfg := site()
 	cfg.Instances, cfg.OverQuotaValue = 500, 0.05
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
-	req := &request{class: &cfg.Classes[safe], stats: &r.b.classes[safe]}
+	req := &request{class: &cfg.Classes[safe], stats: &r.b.latency.classes[safe]}
 	r.serve(3, safe, steady)
 	if l := r.b.priorityFactor(req); l != 1 {
 		t.Errorf("lean %v at the fourth request", l)
@@ -749,7 +749,7 @@
 		r.serve(50, safe, steady)
 		sent, all := 0, int(10*maxProbeAdmissionInterval)
 		for i := range all {
-			r.b.zoneLoads[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // whatever answers say
+			r.b.loads.zones[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // whatever answers say
 			r.wait(10 * ms)
 			id := fmt.Sprint(i)
 			if r.arrive(id, safe); len(of(Forward, r.last)) > 0 {
@@ -767,8 +767,8 @@
 func TestTheFirstGapIsNoGap(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(20, safe, steady)
-	if r.b.answerGapSeconds > 0.5 {
-		t.Errorf("gap %v s after answers 10 ms apart", r.b.answerGapSeconds)
+	if r.b.queueBudget.answerGapSeconds > 0.5 {
+		t.Errorf("gap %v s after answers 10 ms apart", r.b.queueBudget.answerGapSeconds)
 	}
 }
 
@@ -792,7 +792,7 @@
 	r.serve(200, safe, steady)
 	s := r.b.endpoints[1]
 	was := r.b.warmServiceSeconds(s)
-	req := &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
+	req := &request{class: &r.b.cfg.Classes[safe], stats: &r.b.latency.classes[safe]}
 	for range 3 {
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s, queueAtSend: 12}, 20*ms)
 	}
@@ -810,10 +810,10 @@
 		r.do(report(1, 1))
 		r.do(report(2, 1))
 	}
-	was := r.b.zoneMeanLoad(r.b.endpoints[1])
+	was := r.b.loads.zoneMean(0)
 	r.wait(time.Second)
 	r.do(report(2, 4))
-	if more := r.b.zoneMeanLoad(r.b.endpoints[1]) - was; more <= 0 || more > 0.5 {
+	if more := r.b.loads.zoneMean(0) - was; more <= 0 || more > 0.5 {
 		t.Errorf("three requests more at one server make it %.2f at each of its zone", more)
 	}
 }
--- /dev/null
+++ b/balance/handover.go
@@ -0,0 +1,171 @@
+package balance
+
+import "time"
+
+// HandoverState is what a process has learned, for the one that takes its place. The tags are the form in which
+// processes of different versions pass it on; they never change. Times are on the Balancers' common clock.
+type HandoverState struct {
+	QueueBudget        float64                 `json:"Part"`
+	WarmThroughput     float64                 `json:"WarmRate"` // seconds of work a second
+	RetryBudget        float64                 `json:"Retries"`
+	ReportInterval     float64                 `json:"Refresh"` // seconds
+	AnswerGap          float64                 `json:"Gap"`     // seconds
+	MeanPriority       float64                 `json:"MeanValue"`
+	MeanLatency        float64                 `json:"AllTime"` // seconds
+	MeanQueueAtArrival float64                 `json:"AllDepth"`
+	Answers            float64                 `json:"Answers"`
+	MeanFailureRate    float64                 `json:"AllFail"`
+	HealthChecksSent   float64                 `json:"Probes"`
+	SubsetSize         int                     `json:"PartSize"`
+	WindowStart        time.Duration           `json:"RolledAt"`
+	Classes            []ClassHandoverState    `json:"Classes"`
+	Endpoints          []EndpointHandoverState `json:"Servers"`
+}
+
+// ClassHandoverState is what is known of a class.
+type ClassHandoverState struct {
+	UnloadedLatency float64 `json:"Base"` // seconds
+	Samples         float64 `json:"Seen"`
+	UnqueuedSamples float64 `json:"Free"`
+}
+
+// EndpointHandoverState is what is known of the process of an endpoint that started at StartedAt.
+type EndpointHandoverState struct {
+	ID                 EndpointID    `json:"Backend"`
+	StartedAt          time.Duration `json:"Launched"`
+	ReportedAt         time.Duration `json:"ToldAt"`
+	LastAnswerAt       time.Duration `json:"Heard"`
+	ReportedLoad       float64       `json:"Told"`
+	LoadBias           float64       `json:"More"`
+	ZoneMeanLoad       float64       `json:"Others"`
+	MeanLatency        float64       `json:"Time"` // seconds
+	MeanQueueAtArrival float64       `json:"Depth"`
+	FailureRate        float64       `json:"Fail"`
+	SlowStartCredit    float64       `json:"Credit"` // unused, seconds of work
+}
+
+// HandoverState returns what this process has learned, for the one that takes over. The unused slow start credit goes
+// with it, and half of the retry budget.
+func (b *Balancer) HandoverState() HandoverState {
+	state := HandoverState{
+		QueueBudget:        b.queueBudget.fraction,
+		WarmThroughput:     b.slowStart.warmThroughput,
+		RetryBudget:        b.retryBudget.half(),
+		ReportInterval:     b.reportInterval.seconds,
+		AnswerGap:          b.queueBudget.answerGapSeconds,
+		MeanPriority:       b.meanPriority,
+		MeanLatency:        b.latency.meanLatencySeconds,
+		MeanQueueAtArrival: b.latency.meanQueueAtArrival,
+		Answers:            b.latency.answers,
+		MeanFailureRate:    b.outliers.meanFailureRate,
+		HealthChecksSent:   b.healthChecks.sent,
+		SubsetSize:         b.subset.size,
+		WindowStart:        b.windowStart,
+	}
+	for _, c := range b.latency.classes {
+		state.Classes = append(state.Classes, ClassHandoverState{
+			UnloadedLatency: c.unloadedSeconds,
+			Samples:         c.samples,
+			UnqueuedSamples: c.unqueuedSamples,
+		})
+	}
+	for _, e := range b.endpoints {
+		if e.Phase != Removed {
+			state.Endpoints = append(state.Endpoints, e.handoverState(b.loads.zoneMean(e.Zone)))
+		}
+	}
+	return state
+}
+
+func (e *endpointState) handoverState(zoneMeanLoad float64) EndpointHandoverState {
+	return EndpointHandoverState{
+		ID:                 e.ID,
+		StartedAt:          e.StartedAt,
+		ReportedAt:         e.reportedAt,
+		LastAnswerAt:       e.lastAnswerAt,
+		ReportedLoad:       e.reportedLoad,
+		LoadBias:           e.loadBias,
+		ZoneMeanLoad:       zoneMeanLoad,
+		MeanLatency:        e.meanLatencySeconds,
+		MeanQueueAtArrival: e.meanQueueAtArrival,
+		FailureRate:        e.failureRate,
+		SlowStartCredit:    e.slowStartCreditSeconds,
+	}
+}
+
+// onHandoverChanged takes in that another process of this node takes new requests from now on, or no longer does.
+func (b *Balancer) onHandoverChanged(ev *HandoverChanged) {
+	b.slowStart.handedOver = ev.HandedOver
+	b.restartSlowStartWindow()
+	if ev.HandedOver {
+		b.retryBudget.retries = b.retryBudget.half()
+	}
+}
+
+// onTookOver takes in that this process takes the requests that came to another one of this node until now.
+func (b *Balancer) onTookOver(ev *TookOver) {
+	b.slowStart.handedOver = false
+	b.restartSlowStartWindow()
+	b.restore(ev.State)
+}
+
+// restartSlowStartWindow drops this process's slow start credit and begins a window. Two processes are one node to an
+// endpoint in slow start: the new one has what the old one did not use, or, without the old one's state, nothing while
+// the window of its last credit lasts; the old one gets nothing more.
+func (b *Balancer) restartSlowStartWindow() {
+	b.windowStart = b.now
+	for _, e := range b.endpoints {
+		e.dropSlowStartCredit()
+	}
+}
+
+// restore takes in what another process of this node has learned. A state without an answer, or of other classes, is
+// not used.
+func (b *Balancer) restore(state *HandoverState) {
+	if state == nil || state.Answers == 0 || len(state.Classes) != len(b.latency.classes) {
+		return
+	}
+	b.queueBudget.fraction = state.QueueBudget
+	b.queueBudget.answerGapSeconds = state.AnswerGap
+	b.slowStart.warmThroughput = state.WarmThroughput
+	b.reportInterval.seconds = state.ReportInterval
+	b.retryBudget.retries += state.RetryBudget
+	b.meanPriority = state.MeanPriority
+	b.outliers.meanFailureRate = state.MeanFailureRate
+	b.healthChecks.sent = state.HealthChecksSent
+	b.subset.size = max(b.subset.size, state.SubsetSize)
+	b.windowStart = min(b.now, state.WindowStart)
+	b.latency.restore(state)
+	for _, known := range state.Endpoints {
+		if e := b.endpoints[known.ID]; e != nil && e.StartedAt == known.StartedAt {
+			e.restore(b.now, &known)
+			b.loads.restore(b.now, e.Zone, known.ZoneMeanLoad)
+		}
+	}
+	b.chooseSubset()
+}
+
+func (l *latencyStats) restore(state *HandoverState) {
+	l.answers = state.Answers
+	l.meanLatencySeconds = state.MeanLatency
+	l.meanQueueAtArrival = state.MeanQueueAtArrival
+	l.updateServiceSeconds()
+	for i, c := range state.Classes {
+		l.classes[i] = classStats{
+			unloadedSeconds: c.UnloadedLatency,
+			samples:         c.Samples,
+			unqueuedSamples: c.UnqueuedSamples,
+		}
+	}
+}
+
+func (e *endpointState) restore(now time.Duration, known *EndpointHandoverState) {
+	e.reportedLoad = known.ReportedLoad
+	e.reportedAt = min(now, known.ReportedAt)
+	e.loadBias = known.LoadBias
+	e.slowStartCreditSeconds = known.SlowStartCredit
+	e.lastAnswerAt = min(now, known.LastAnswerAt)
+	e.meanLatencySeconds = known.MeanLatency
+	e.meanQueueAtArrival = known.MeanQueueAtArrival
+	e.failureRate = known.FailureRate
+}
--- /dev/null
+++ b/balance/loadaverage.go
@@ -0,0 +1,55 @@
+package balance
+
+import "time"
+
+const (
+	// zoneMeanSeconds is the time over which the mean load of a zone is learned.
+	zoneMeanSeconds = 4.0
+	// zoneMeanMaxWeight is the most that one report weighs in it: a single report is chance.
+	zoneMeanMaxWeight = 0.1
+	// loadBiasSeconds is the time over which the load bias of an endpoint is learned.
+	loadBiasSeconds = 15.0
+	// loadBiasMaxWeight is the most that one report weighs in it.
+	loadBiasMaxWeight = 0.1
+)
+
+// loadAverage is the running mean of other nodes' load on some endpoints, by their load reports.
+type loadAverage struct {
+	mean      float64 // requests
+	reports   float64
+	updatedAt time.Duration
+}
+
+func (a *loadAverage) add(now time.Duration, load float64) {
+	a.reports++
+	byTime := min(zoneMeanMaxWeight, (now-a.updatedAt).Seconds()/zoneMeanSeconds)
+	a.mean += max(sampleWeight, 1/a.reports, byTime) * (load - a.mean)
+	a.updatedAt = now
+}
+
+// loadAverages are the mean loads of the fleet and of each zone: one zone may have more traffic than it can carry.
+type loadAverages struct {
+	fleet loadAverage
+	zones map[int]loadAverage
+}
+
+func (l *loadAverages) add(now time.Duration, zone int, load float64) {
+	l.fleet.add(now, load)
+	average := l.zones[zone]
+	average.add(now, load)
+	l.zones[zone] = average
+}
+
+// restore sets the mean of a zone as another process has learned it.
+func (l *loadAverages) restore(now time.Duration, zone int, mean float64) {
+	l.fleet = loadAverage{mean: mean, reports: 1 / sampleWeight, updatedAt: now}
+	l.zones[zone] = l.fleet
+}
+
+// zoneMean is the mean load of a zone's endpoints, or of the fleet's where no endpoint of the zone has reported.
+func (l *loadAverages) zoneMean(zone int) float64 {
+	if average := l.zones[zone]; average.reports > 0 {
+		return average.mean
+	}
+	return l.fleet.mean
+}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -32,7 +32,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
-	retries := old.retryBudget
+	retries := old.retryBudget.retries
 	old.Handle(now, HandoverChanged{HandedOver: true}, nil)
 	list[3].StartedAt = now // it has been restarted since
 	next := start(list)
@@ -45,13 +45,13 @@
 	if next.endpoints[4].meanLatencySeconds != 0 {
 		t.Error("what was known of the old start is taken for the new one")
 	}
-	if next.meanUnloadedSeconds() != old.meanUnloadedSeconds() || next.queueBudget != old.queueBudget || next.warmThroughput != old.warmThroughput || next.windowStart != m.WindowStart {
-		t.Errorf("base %v, part %v, warm rate %v", next.meanUnloadedSeconds(), next.queueBudget, next.warmThroughput)
+	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() || next.queueBudget.fraction != old.queueBudget.fraction || next.slowStart.warmThroughput != old.slowStart.warmThroughput || next.windowStart != m.WindowStart {
+		t.Errorf("base %v, part %v, warm rate %v", next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
 	}
 	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
 		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
 	}
-	if sum := old.retryBudget + next.retryBudget; retries == 0 || sum != retries {
+	if sum := old.retryBudget.retries + next.retryBudget.retries; retries == 0 || sum != retries {
 		t.Errorf("retry budget %v, was %v", sum, retries)
 	}
 	now += 2 * time.Second
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -41,11 +41,11 @@
 	if !ends {
 		t.Errorf("nothing ends it at its deadline: %+v", out)
 	}
-	part := b.queueBudget
+	part := b.queueBudget.fraction
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
-	if s.inFlight != 0 || b.queueBudget < part || s.meanLatencySeconds > 0.2 {
-		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget, s.meanLatencySeconds)
+	if s.inFlight != 0 || b.queueBudget.fraction < part || s.meanLatencySeconds > 0.2 {
+		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
 	}
 }
 
@@ -53,7 +53,7 @@
 func TestSpoiltRequestIsNotSentAgain(t *testing.T) {
 	for _, spoilt := range []bool{false, true} {
 		b, s := openBalancer(t)
-		b.retryBudget = maxRetryBudget
+		b.retryBudget.retries = maxRetryBudget
 		sent, refused := 0, 0
 		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: s.ID, Status: StatusConnectFailed,
 			NotReplayable: spoilt}, nil) {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -70,7 +70,7 @@
 func (r *rig) arrive(id string, class int) []Action {
 	acts := r.do(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
 	if len(r.b.awaitingChecks) > 0 {
-		r.last = append(acts, r.do(TimerFired{ID: r.b.lastTimerID})...)
+		r.last = append(acts, r.do(TimerFired{ID: r.b.timers.lastID})...)
 	}
 	return r.last
 }
@@ -212,7 +212,7 @@
 func TestRepeatsBeginWithinTheWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{safe: 0, keyedAll: 300 * ms} {
 		r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-		r.b.retryBudget = 5
+		r.b.retryBudget.retries = 5
 		first := of(Forward, r.arrive("x", class))
 		if len(first) != 1 || first[0].StartWithin != 0 {
 			t.Fatalf("the first attempt: %+v", first)
@@ -224,7 +224,7 @@
 		}
 	}
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.b.retryBudget = 5
+	r.b.retryBudget.retries = 5
 	first := of(Forward, r.arrive("x", keyedAll))
 	r.wait(200 * ms)
 	r.outcome("x", 0, first[0].Endpoint, StatusRejected) // it never ran: the window has not begun
--- a/balance/signs_test.go
+++ b/balance/signs_test.go
@@ -50,10 +50,10 @@
 			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
 			r.serve(5, safe, steady) // signs of life
 			r.wait(time.Second)
-			was := r.b.queueBudget
+			was := r.b.queueBudget.fraction
 			r.do(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
-			if less := r.b.queueBudget < was; less != tc.less {
-				t.Errorf("the part of the slack went from %v to %v", was, r.b.queueBudget)
+			if less := r.b.queueBudget.fraction < was; less != tc.less {
+				t.Errorf("the part of the slack went from %v to %v", was, r.b.queueBudget.fraction)
 			}
 		})
 	}
@@ -91,12 +91,12 @@
 func TestCalmDoesNotStretchTheBound(t *testing.T) {
 	r := newRig(t, site(), listedEndpoint(1, 0, 0))
 	r.serve(20000, safe, steady)
-	if r.b.queueBudget <= initialQueueBudget {
-		t.Fatalf("the part of the slack is %v after a long calm", r.b.queueBudget)
+	if r.b.queueBudget.fraction <= initialQueueBudget {
+		t.Fatalf("the part of the slack is %v after a long calm", r.b.queueBudget.fraction)
 	}
 	s := r.b.endpoints[1]
 	r.holds(1, 1.5*r.b.slackSeconds()/r.b.serviceSeconds(s))
-	s.reportedAt, r.b.rejectedSinceProbe = r.now, 1 // no scout
+	s.reportedAt, r.b.probeAdmission.rejected = r.now, 1 // no scout
 	if acts := r.arrive("x", safe); len(of(Reject, acts)) != 1 {
 		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWaitSeconds(s), r.b.slackSeconds(), acts)
 	}
@@ -114,7 +114,7 @@
 		full, failing := r.b.endpoints[1], r.b.endpoints[2]
 		r.holds(1, 3*r.b.slackSeconds()/r.b.serviceSeconds(full))
 		r.holds(2, 1)
-		full.reportedAt, failing.reportedAt, failing.failureRate, r.b.rejectedSinceProbe = r.now, r.now, tc.fails, 1
+		full.reportedAt, failing.reportedAt, failing.failureRate, r.b.probeAdmission.rejected = r.now, r.now, tc.fails, 1
 		if acts := r.arrive("x", safe); len(of(tc.want, acts)) != 1 {
 			t.Errorf("a rate of failures of %v: %+v", tc.fails, acts)
 		}
@@ -158,7 +158,7 @@
 	r := newRig(t, site(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, safe, steady)
 	s := r.b.endpoints[1]
-	was, req := s.meanLatencySeconds, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.classes[safe]}
+	was, req := s.meanLatencySeconds, &request{class: &r.b.cfg.Classes[safe], stats: &r.b.latency.classes[safe]}
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s}, 120*ms)
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -24,7 +24,7 @@
 			r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 			r.wait(time.Hour)
 			r.do(TimerFired{})
-			left := r.b.remainingQuota(&request{})
+			left := &r.b.quota(&request{}).requests
 			if got := *left; got != float64(c.burst) {
 				t.Errorf("%v requests may come at once, want %d", got, c.burst)
 			}
@@ -32,7 +32,7 @@
 			r.wait(500 * ms)
 			r.do(TimerFired{})
 			want := min(float64(c.burst), 0.5*c.quotaPerSecond/float64(c.instances))
-			if got := *r.b.remainingQuota(&request{}); got < 0.999*want || got > 1.001*want {
+			if got := r.b.quota(&request{}).requests; got < 0.999*want || got > 1.001*want {
 				t.Errorf("%v requests half a second after the last one, want %v", got, want)
 			}
 		})
