--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,9 +1,10 @@
-// Command simhost is the adapter: it hosts many instances of the decision module
-// and speaks the wire on standard input and output.
+// Command simhost is the adapter between the simulator and the decision module: it hosts many instances of the module
+// and speaks the simulator's protocol on standard input and output. Notes on skipped messages go to standard error.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -20,69 +21,115 @@
 	}
 }
 
-// run answers batches until the input ends. On an error the reply in the
-// making is dropped, so that only whole replies are ever written.
+// outputBufferSize, in bytes: most replies to a batch fit.
+const outputBufferSize = 1 << 16
+
+// run answers batches until the input ends. On an error the reply in the making is dropped, so that only complete
+// replies are ever written.
 func run(stdin io.Reader, stdout, notes io.Writer) error {
-	in, out := simproto.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
-	nodes := map[string]*balance.Balancer{}
-	var sheets [simproto.MaxSheet + 1][]balance.Endpoint
-	var now time.Duration
-	var reply []byte
-	var actions []balance.Action
-	inBatch := false
+	h := host{
+		out:   bufio.NewWriterSize(stdout, outputBufferSize),
+		notes: notes,
+		nodes: map[string]*balance.Balancer{},
+	}
+	in := simproto.NewReader(stdin)
 	for {
 		m, err := in.Next()
-		if err == io.EOF && !inBatch {
+		if err == io.EOF && !h.inBatch {
 			return nil
 		}
 		if err == io.EOF {
-			return fmt.Errorf("input ends inside a batch")
+			return errors.New("input ends inside a batch")
 		}
 		if err != nil {
 			return err
 		}
-		if !inBatch && m.Kind != simproto.Clock {
-			return fmt.Errorf("line %d: %s before the clock line of a batch", m.Line, m.Name)
-		}
-		switch m.Kind {
-		case simproto.Clock:
-			if inBatch || m.At < now {
-				return fmt.Errorf("line %d: clock: field atTime: a batch is open or time goes back", m.Line)
-			}
-			now, inBatch = m.At, true
-		case simproto.Turn:
-			out.Write(simproto.AppendAck(reply))
-			if err := out.Flush(); err != nil {
-				return err
-			}
-			reply, inBatch = reply[:0], false
-		case simproto.Spawn:
-			b, err := balance.New(m.Config, m.Salt)
-			if err != nil {
-				return fmt.Errorf("line %d: spawn: field conf: %w", m.Line, err)
-			}
-			nodes[m.Node] = b
-		case simproto.Teardown:
-			delete(nodes, m.Node)
-		case simproto.List:
-			sheets[m.Sheet] = m.Members
-		case simproto.Happened:
-			b := nodes[m.Node]
-			if b == nil {
-				fmt.Fprintf(notes, "line %d: %s for %s, which is not alive\n", m.Line, m.Name, m.Node)
-				continue
-			}
-			if m.UsesSheet {
-				listed := m.Event.(balance.EndpointsListed)
-				listed.Endpoints = sheets[m.Sheet]
-				m.Event = listed
-			}
-			actions = b.Handle(now, m.Event, actions[:0])
-			for i := range actions {
-				reply = simproto.AppendAction(reply, m.Node, &actions[i])
-			}
-		default:
-			fmt.Fprintf(notes, "line %d: unknown message %s\n", m.Line, m.Name)
+		if err := h.handle(&m); err != nil {
+			return err
 		}
 	}
 }
+
+// host holds the instances, and the batch in hand.
+type host struct {
+	out     *bufio.Writer
+	notes   io.Writer
+	nodes   map[string]*balance.Balancer
+	lists   [simproto.MaxListNumber + 1][]balance.Endpoint // the last list of each number
+	now     time.Duration
+	inBatch bool
+	reply   []byte // to the batch in hand, so far
+	actions []balance.Action
+}
+
+// handle takes one message. Its errors name the line and the field.
+func (h *host) handle(m *simproto.Message) error {
+	if !h.inBatch && m.Kind != simproto.BatchStarted {
+		return fmt.Errorf("line %d: %s before the clock line of a batch", m.Line, m.Name)
+	}
+	switch m.Kind {
+	case simproto.BatchStarted:
+		return h.startBatch(m)
+	case simproto.BatchEnded:
+		return h.endBatch()
+	case simproto.NodeStarted:
+		return h.startNode(m)
+	case simproto.NodeStopped:
+		delete(h.nodes, m.Node)
+	case simproto.EndpointList:
+		h.lists[m.ListNumber] = m.Endpoints
+	case simproto.NodeEvent:
+		h.handleEvent(m)
+	default:
+		fmt.Fprintf(h.notes, "line %d: unknown message %s\n", m.Line, m.Name)
+	}
+	return nil
+}
+
+func (h *host) startBatch(m *simproto.Message) error {
+	if h.inBatch || m.At < h.now {
+		return fmt.Errorf("line %d: clock: field atTime: a batch is open or time goes back", m.Line)
+	}
+	h.now = m.At
+	h.inBatch = true
+	return nil
+}
+
+// endBatch writes the reply.
+func (h *host) endBatch() error {
+	h.out.Write(simproto.AppendAck(h.reply)) // Flush returns its error
+	if err := h.out.Flush(); err != nil {
+		return err
+	}
+	h.reply = h.reply[:0]
+	h.inBatch = false
+	return nil
+}
+
+func (h *host) startNode(m *simproto.Message) error {
+	b, err := balance.New(m.Config, m.Seed)
+	if err != nil {
+		return fmt.Errorf("line %d: spawn: field conf: %w", m.Line, err)
+	}
+	h.nodes[m.Node] = b
+	return nil
+}
+
+// handleEvent passes an event to its node and adds the actions to the reply. A list that the event refers to is taken
+// as it stands now.
+func (h *host) handleEvent(m *simproto.Message) {
+	node := h.nodes[m.Node]
+	if node == nil {
+		fmt.Fprintf(h.notes, "line %d: %s for %s, which is not alive\n", m.Line, m.Name, m.Node)
+		return
+	}
+	if m.UsesList {
+		listed := m.Event.(balance.EndpointsListed)
+		listed.Endpoints = h.lists[m.ListNumber]
+		m.Event = listed
+	}
+	h.actions = node.Handle(h.now, m.Event, h.actions[:0])
+	for i := range h.actions {
+		h.reply = simproto.AppendAction(h.reply, m.Node, &h.actions[i])
+	}
+}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -58,7 +58,7 @@
 			Status: balance.StatusConnectionLost},
 	} {
 		m := one(t, line)
-		if m.Kind != Happened || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
+		if m.Kind != NodeEvent || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
 			t.Errorf("%s\n got %+v\nwant %+v", line, m.Event, want)
 		}
 	}
@@ -91,13 +91,13 @@
 		{ID: 51530247, Cell: 4, Weight: 1, MachineKind: 2, Zone: 1, Phase: balance.Draining},
 		{ID: 7, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if ms[1].Sheet != 15 || !reflect.DeepEqual(ms[1].Members, want) {
-		t.Errorf("got %+v", ms[1].Members)
+	if ms[1].ListNumber != 15 || !reflect.DeepEqual(ms[1].Endpoints, want) {
+		t.Errorf("got %+v", ms[1].Endpoints)
 	}
-	if !reflect.DeepEqual(ms[2].Event, balance.EndpointsListed{Kind: balance.CachedList}) || !ms[2].UsesSheet || ms[2].Sheet != 15 {
+	if !reflect.DeepEqual(ms[2].Event, balance.EndpointsListed{Kind: balance.CachedList}) || !ms[2].UsesList || ms[2].ListNumber != 15 {
 		t.Errorf("got %+v", ms[2])
 	}
-	if ms[3].Event != (balance.DiscoveryFailed{}) || ms[3].UsesSheet {
+	if ms[3].Event != (balance.DiscoveryFailed{}) || ms[3].UsesList {
 		t.Errorf("got %+v", ms[3])
 	}
 }
@@ -111,7 +111,7 @@
 		Classes: []balance.Class{{LatencyObjective: 5, Deadline: 6, Repeatability: balance.IdempotencyKey, KeyScope: balance.KeyScopeZone, KeyWindow: 7, PriorityWeight: 2.5}},
 		Limits:  balance.Limits{MaxAttempts: 4, Gossip: true}, Rules: balance.Rules{SlowStartFraction: 0.25},
 		Weights: balance.RoughWeights, PriorityPerWork: true, Tick: 2 * time.Millisecond}
-	if m.Salt != 1<<64-1 || !reflect.DeepEqual(m.Config, want) {
+	if m.Seed != 1<<64-1 || !reflect.DeepEqual(m.Config, want) {
 		t.Errorf("got %+v", m.Config)
 	}
 }
@@ -256,7 +256,7 @@
 			t.Fatalf("an error without a line: %v", err)
 		}
 		for _, m := range ms {
-			if m.Kind == Happened && m.Node == "" {
+			if m.Kind == NodeEvent && m.Node == "" {
 				t.Fatal("an event without a node")
 			}
 			out := AppendAction(nil, "n", &balance.Action{Kind: balance.Log, Text: fmt.Sprint(m.Event)})
