--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -18,8 +18,8 @@
 // ended says whether the result of the attempt has been recorded.
 func (a *attempt) ended() bool { return a.call.lifecycle.current() == attemptEnded }
 
-// startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard forbids ends at
-// once as not sent.
+// startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard
+// forbids ends at once as not sent.
 func (l *eventLoop) startAttempt(a *balance.Action) {
 	r := l.requests[a.Request]
 	b := l.backendFor(a.Endpoint)
@@ -49,8 +49,8 @@
 	})
 }
 
-// attemptDeadline returns the earlier of the request's deadline and the end of the attempt's own timeout. A timeout of 0 is
-// none, and a zero deadline none yet: that of a streamed request begins with its last byte.
+// attemptDeadline returns the earlier of the request's deadline and the end of the attempt's own timeout. A timeout
+// of 0 is none, and a zero deadline none yet: that of a streamed request begins with its last byte.
 func attemptDeadline(deadline time.Time, timeout time.Duration) time.Time {
 	if timeout <= 0 {
 		return deadline
@@ -62,8 +62,8 @@
 	return deadline
 }
 
-// finishAttempt records the result of an attempt, once, and notifies the Balancer. The first success of an open request is
-// its final response. Results of attempts that have ended already, such as cancelled ones, are dropped.
+// finishAttempt records the result of an attempt, once, and notifies the Balancer. The first success of an open
+// request is its final response. Results of attempts that have ended already, such as cancelled ones, are dropped.
 func (l *eventLoop) finishAttempt(r *request, number int, res attemptResult) {
 	at := r.attempts[number]
 	if res.stream != nil && (at.ended() || !r.isOpen()) {
@@ -110,7 +110,8 @@
 	}
 }
 
-// firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if it never was.
+// firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if it never
+// was.
 func (l *eventLoop) firstByteAt(at *attempt) time.Duration {
 	startedAt := at.call.startedAt.Load()
 	if startedAt.IsZero() {
@@ -129,8 +130,8 @@
 	}
 }
 
-// cancelAttempt ends an attempt, and closes its connection. It ends with the given status, or as not sent if nothing of it had
-// been written.
+// cancelAttempt ends an attempt, and closes its connection. It ends with the given status, or as not sent if nothing
+// of it had been written.
 func (l *eventLoop) cancelAttempt(r *request, number int, status balance.Status) {
 	at := r.attempts[number]
 	if at.ended() {
@@ -151,8 +152,8 @@
 	l.releaseRequest(r)
 }
 
-// cancelUnsentAttempts ends attempts that have not begun to write to a backend which must not get anything new. One whose dial
-// takes long would otherwise be written after the drain's grace.
+// cancelUnsentAttempts ends attempts that have not begun to write to a backend which must not get anything new. One
+// whose dial takes long would otherwise be written after the drain's grace.
 func (l *eventLoop) cancelUnsentAttempts() {
 	type cancelled struct {
 		request *request
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -9,8 +9,8 @@
 // gaugeInterval is the least time between two counts of the endpoints that the Balancer avoids.
 const gaugeInterval = 50 * time.Millisecond
 
-// availabilityChanged follows a change of phases or cordons: connections to backends that are unavailable are closed, attempts
-// that wait for one are cancelled, and the node's readiness is set anew.
+// availabilityChanged follows a change of phases or cordons: connections to backends that are unavailable are closed,
+// attempts that wait for one are cancelled, and the node's readiness is set anew.
 func (l *eventLoop) availabilityChanged() {
 	ready := false
 	for _, b := range l.backendsByID {
@@ -52,8 +52,8 @@
 	l.availabilityChanged()
 }
 
-// applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is notified of
-// both: the record may have changed twice since it was last read.
+// applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is
+// notified of both: the record may have changed twice since it was last read.
 func (l *eventLoop) applyCordon(b *backend, c cordon) {
 	neverOut := c.Since == 0
 	unchanged := c.Out == b.cordoned && (c.Out || c.Back == b.uncordonedAt)
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -2,8 +2,8 @@
 
 import "hitchvale/balance"
 
-// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a complete
-// list does not name count as removed.
+// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
+// complete list does not name count as removed.
 func (l *eventLoop) updateEndpoints(kind balance.ListKind, list List) {
 	if len(list.Members) > 0 {
 		l.log.Info("endpoint list received",
@@ -27,8 +27,8 @@
 	l.availabilityChanged()
 }
 
-// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock. Idle
-// connections to a process that the entry replaces are closed.
+// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock.
+// Idle connections to a process that the entry replaces are closed.
 func (l *eventLoop) updateBackend(member Member) balance.Endpoint {
 	b := l.backendsByID[member.ID]
 	isNew := b == nil
@@ -55,7 +55,8 @@
 	return endpoint
 }
 
-// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have set.
+// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have
+// set.
 func (l *eventLoop) addBackend(member Member) *backend {
 	b := &backend{id: member.ID, endpointID: balance.EndpointID(len(l.backendsByEndpointID))}
 	l.backendsByID[b.id] = b
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -9,12 +9,12 @@
 	"hitchvale/internal/lograte"
 )
 
-// eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends it messages; it
-// turns them into events for the Balancer and carries out the actions that this returns.
+// eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends it
+// messages; it turns them into events for the Balancer and carries out the actions that this returns.
 //
-// Invariants: one goroutine runs it, in run, and it alone touches the fields below the channels. It never blocks: what may
-// block runs in a goroutine of its own that sends its result as a message. So a sender may wait for the loop, and the loop
-// never waits for a sender. ready is the exception that any goroutine may read.
+// Invariants: one goroutine runs it, in run, and it alone touches the fields below the channels. It never blocks:
+// what may block runs in a goroutine of its own that sends its result as a message. So a sender may wait for the
+// loop, and the loop never waits for a sender. ready is the exception that any goroutine may read.
 type eventLoop struct {
 	messages chan loopMessage
 	done     chan struct{} // closed when the loop has ended
@@ -29,9 +29,9 @@
 
 	requestDiscovery   func(balance.ActionKind)              // passes on that endpoints are to be watched or polled
 	sendToPeer         func(peer int, payload []byte)        // sends a gossip datagram
-	takeDiscoveryCalls func() int64                          // returns the number of calls of discovery since the last time
+	takeDiscoveryCalls func() int64                          // calls of discovery since it was last called
 	onServed           func(r *request, spent time.Duration) // notified of each request served; nil: nobody is
-	openStreams        map[string]int                        // streamed responses still open, by backend; nil: not counted
+	openStreams        map[string]int                        // open streamed responses by backend; nil: not counted
 
 	requests             map[string]*request
 	backendsByID         map[string]*backend // by discovery's id
@@ -83,8 +83,8 @@
 	}
 }
 
-// post sends a message to the loop, which handles it after all that were sent before. It waits while the backlog is full, and
-// returns false if the loop has ended. Any goroutine but the loop's own may call it.
+// post sends a message to the loop, which handles it after all that were sent before. It waits while the backlog is
+// full, and returns false if the loop has ended. Any goroutine but the loop's own may call it.
 func (l *eventLoop) post(message loopMessage) bool {
 	select {
 	case <-l.done:
@@ -94,7 +94,8 @@
 	}
 }
 
-// now returns the loop's clock: Unix time when the loop was made, and by the monotonic clock since, so it never steps back.
+// now returns the loop's clock: Unix time when the loop was made, and by the monotonic clock since, so it never steps
+// back.
 func (l *eventLoop) now() time.Duration { return l.origin + time.Since(l.startedAt) }
 
 // run handles messages and timers until quit is closed.
@@ -146,7 +147,8 @@
 	}
 }
 
-// handle gives an event to the Balancer and carries out its actions. Events that these cause are handled after it, in order.
+// handle gives an event to the Balancer and carries out its actions. Events that these cause are handled after it, in
+// order.
 func (l *eventLoop) handle(event balance.Event) {
 	l.queuedEvents = append(l.queuedEvents, event)
 	if l.handling {
@@ -164,7 +166,8 @@
 	l.handling = false
 }
 
-// execute carries out one action of the Balancer. Actions on requests and endpoints that the loop does not know are dropped.
+// execute carries out one action of the Balancer. Actions on requests and endpoints that the loop does not know are
+// dropped.
 func (l *eventLoop) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.Forward:
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -251,7 +251,7 @@
 			for range 15 { // so that the node may repeat any
 				do(t, ask(t, n.url+"/api/x", "read"))
 			}
-			n.pool.closeExpired(0)
+			n.pool.sweep(0)
 			dialing, dial := make(chan struct{}), make(chan struct{})
 			n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 				if dials.Add(1) == 2 {
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -8,42 +8,55 @@
 	"hitchvale/balance"
 )
 
-func (l *eventLoop) startHealthCheck(number balance.EndpointID) {
-	b := l.backendFor(number)
+// healthCheckTimeout is how long a health check may take: a later load report would be of the past.
+const healthCheckTimeout = 150 * time.Millisecond
+
+// startHealthCheck carries out the Balancer's decision to check an endpoint. The check of one that is unavailable
+// ends at once as not sent.
+func (l *eventLoop) startHealthCheck(id balance.EndpointID) {
+	b := l.backendFor(id)
 	if b == nil {
 		return
 	}
 	sent := l.now()
 	if !b.available() {
-		l.finishHealthCheck(number, sent, attemptResult{status: balance.StatusNotSent})
+		l.finishHealthCheck(id, sent, attemptResult{status: balance.StatusNotSent})
 		return
 	}
 	l.statistics.healthChecks++
-	l.upstream.checkHealth(b.process, func(res attemptResult) {
-		l.post(healthCheckFinished{endpoint: number, sent: sent, result: res})
+	l.upstream.checkHealth(b.process, func(result attemptResult) {
+		l.post(healthCheckFinished{endpoint: id, sent: sent, result: result})
 	})
 }
 
 // finishHealthCheck notifies the Balancer of the result of a health check.
-func (l *eventLoop) finishHealthCheck(number balance.EndpointID, sent time.Duration, res attemptResult) {
+func (l *eventLoop) finishHealthCheck(id balance.EndpointID, sent time.Duration, result attemptResult) {
 	l.handle(balance.HealthChecked{
-		Endpoint: number,
+		Endpoint: id,
 		Elapsed:  l.now() - sent,
-		Status:   res.status,
-		Load:     res.load,
+		Status:   result.status,
+		Load:     result.load,
 	})
 }
 
-// probe asks an endpoint for its load report.
+// checkHealth asks a backend for its load report and calls done, from another goroutine, with the result. A backend
+// that refuses to answer counts as one that rejects requests.
 func (x *upstreamTransport) checkHealth(to backendProcess, done func(attemptResult)) {
-	x.start(new(upstreamCall), to, &forwardedRequest{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.addr, header: http.Header{}, healthCheck: true},
-		time.Now().Add(healthCheckTimeout), func(r attemptResult) {
-			if r.status == balance.StatusSucceeded && r.load.Has == 0 {
-				r.load = x.readLoadReport(string(r.body))
-			}
-			if r.status == balance.StatusApplicationError {
-				r.status = balance.StatusRejected // a probe that is turned away
-			}
-			done(r)
-		})
+	request := &forwardedRequest{
+		method:      http.MethodGet,
+		url:         &url.URL{Path: "/stats"},
+		host:        to.addr,
+		header:      http.Header{},
+		healthCheck: true,
+	}
+	deadline := time.Now().Add(healthCheckTimeout)
+	x.start(new(upstreamCall), to, request, deadline, func(result attemptResult) {
+		if result.status == balance.StatusSucceeded && result.load.Has == 0 {
+			result.load = x.readLoadReport(string(result.body))
+		}
+		if result.status == balance.StatusApplicationError {
+			result.status = balance.StatusRejected
+		}
+		done(result)
+	})
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -38,8 +38,8 @@
 
 func (e requestEvent) String() string { return requestEventNames[e] }
 
-// next returns the state that follows from an event. It returns false where the event changes nothing: a request has one
-// final response, or none if its client left first, and is released once.
+// next returns the state that follows from an event. It returns false where the event changes nothing: a request has
+// one final response, or none if its client left first, and is released once.
 func (s requestState) next(event requestEvent) (requestState, bool) {
 	switch {
 	case s == requestOpen && event == finalResponseGiven:
@@ -88,8 +88,8 @@
 
 func (e attemptEvent) String() string { return attemptEventNames[e] }
 
-// next returns the state that follows from an event. It returns false where the event must not happen any more: a cancelled
-// attempt never writes, one that writes can't be cancelled unsent, and a result is recorded once.
+// next returns the state that follows from an event. It returns false where the event must not happen any more: a
+// cancelled attempt never writes, one that writes can't be cancelled unsent, and a result is recorded once.
 func (s attemptState) next(event attemptEvent) (attemptState, bool) {
 	switch {
 	case s == attemptQueued && event == firstByteDue:
@@ -102,8 +102,8 @@
 	return s, false
 }
 
-// attemptLifecycle holds the state of an attempt. The event loop and the goroutine of the attempt change it at the same time;
-// its zero value is attemptQueued.
+// attemptLifecycle holds the state of an attempt. The event loop and the goroutine of the attempt change it at the
+// same time; its zero value is attemptQueued.
 type attemptLifecycle struct{ state atomic.Uint32 }
 
 func (a *attemptLifecycle) current() attemptState { return attemptState(a.state.Load()) }
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -9,50 +10,70 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// This file reads the load reports of backends.
+const (
+	// loadReportHeader carries a load report on a response.
+	loadReportHeader = "Endpoint-Load-Metrics"
+	// maxLoadValue bounds the values of a load report; a larger one is a backend's mistake.
+	maxLoadValue = 1e9
+)
+
+// loadReportNames maps the names in load reports to those in the settings, where they differ.
+var loadReportNames = map[string]string{
+	"inflight":   "active",
+	"queue":      "waiting",
+	"util":       "cpu",
+	"latency_ms": "avg_ms",
+	"qps":        "rps",
+	"eps":        "err_rps",
+}
 
-// readLoadReport reads a load report and complains, at a bounded rate, of one that can't be read.
+// readLoadReport returns a backend's load report, or an empty one if it is malformed, which is logged at a bounded
+// rate.
 func (x *upstreamTransport) readLoadReport(text string) balance.Load {
-	l, err := parseLoadReport(text)
+	load, err := parseLoadReport(text)
 	if err != nil {
 		x.loadReportLog.Warn("malformed load report", "error", err)
 	}
-	return l
+	return load
 }
 
-// loadReportNames are the names of the values on sockets where they differ from those of the settings.
-var loadReportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
-	"latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps"}
-
-// parseLoadReport reads "TEXT name=value, name=value". Values of other names are skipped; one malformed value
-// spoils the report.
+// parseLoadReport parses "TEXT name=value, name=value". Values of unknown names are skipped. One malformed value
+// makes the whole report malformed; an empty report, as of a backend that has just started, is not.
 func parseLoadReport(text string) (balance.Load, error) {
-	var l balance.Load
-	into := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
+	var load balance.Load
 	text = strings.TrimSpace(text)
 	text = strings.TrimSpace(strings.TrimPrefix(text, "TEXT"))
 	if text == "" {
-		return l, nil // a backend that has just started has none yet
+		return load, nil
 	}
 	for pair := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
-		if !ok {
-			return balance.Load{}, fmt.Errorf("%.40q is not name=value", pair)
-		}
-		if n, ok := loadReportNames[name]; ok {
-			name = n
-		}
-		for i, n := range siteconfig.LoadNames {
-			if n != name {
-				continue
-			}
-			v, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(v >= 0 && v < 1e9) {
-				return balance.Load{}, fmt.Errorf("%s: %.40q is not a figure", name, value)
-			}
-			*into[i] = v
-			l.Has |= 1 << i
+		if err := parseLoadValue(&load, strings.TrimSpace(pair)); err != nil {
+			return balance.Load{}, err
 		}
 	}
-	return l, nil
+	return load, nil
+}
+
+// parseLoadValue parses "name=value" into a load report.
+func parseLoadValue(load *balance.Load, pair string) error {
+	name, value, ok := strings.Cut(pair, "=")
+	if !ok {
+		return fmt.Errorf("%.40q is not name=value", pair)
+	}
+	if settingsName, ok := loadReportNames[name]; ok {
+		name = settingsName
+	}
+	// In the order of siteconfig.LoadNames, which is that of the bits of Has.
+	fields := [...]*float64{&load.Active, &load.Waiting, &load.CPU, &load.AvgMs, &load.RPS, &load.ErrRPS}
+	index := slices.Index(siteconfig.LoadNames, name)
+	if index < 0 {
+		return nil
+	}
+	parsed, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(parsed >= 0 && parsed < maxLoadValue) {
+		return fmt.Errorf("%s: %.40q is not a number from 0 to %g", name, value, maxLoadValue)
+	}
+	*fields[index] = parsed
+	load.Has |= 1 << index
+	return nil
 }
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -10,8 +10,8 @@
 	"hitchvale/internal/fleet"
 )
 
-// loopMessage is what the rest of the node sends to the event loop: something that has happened, or a query with a channel
-// for its reply. The loop handles one message at a time, in the order in which they were sent.
+// loopMessage is what the rest of the node sends to the event loop: something that has happened, or a query with a
+// channel for its reply. The loop handles one message at a time, in the order in which they were sent.
 type loopMessage interface {
 	// handle runs on the event loop, which owns all of l, and must not block.
 	handle(l *eventLoop)
@@ -20,8 +20,8 @@
 // errLoopEnded is the error of a query that the event loop has not answered before it ended.
 var errLoopEnded = errors.New("the node is ending")
 
-// query sends a message to the event loop and waits for its reply, which the message's handler sends on a buffered channel.
-// It returns the context's error if that ends first, and errLoopEnded if the loop does.
+// query sends a message to the event loop and waits for its reply, which the message's handler sends on a buffered
+// channel. It returns the context's error if that ends first, and errLoopEnded if the loop does.
 func query[T any](ctx context.Context, l *eventLoop, message loopMessage, reply <-chan T) (T, error) {
 	var none T
 	select {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -6,8 +6,8 @@
 	"hitchvale/balance"
 )
 
-// request is a client's request. The client side fills in what the client sent; the fields from attempts on belong to the event
-// loop.
+// request is a client's request. The client side fills in what the client sent; the fields from attempts on belong to
+// the event loop.
 type request struct {
 	id            string
 	class         int    // by its number in the settings
@@ -23,7 +23,7 @@
 
 	state          requestState
 	attempts       []*attempt
-	disconnectedAt time.Duration // when the node noticed that the client had disconnected, on the loop's clock; 0: never
+	disconnectedAt time.Duration // when the client's close was noticed, on the loop's clock; 0: never
 }
 
 // isOpen says whether the request still waits for its final response.
@@ -54,8 +54,8 @@
 	return ""
 }
 
-// startRequest gives a request to the Balancer. One whose id is in use already is rejected: a backend could not tell the two
-// apart.
+// startRequest gives a request to the Balancer. One whose id is in use already is rejected: a backend could not tell
+// the two apart.
 func (l *eventLoop) startRequest(r *request) {
 	if l.requests[r.id] != nil {
 		r.response <- finalResponse{kind: responseDuplicate}
@@ -86,7 +86,8 @@
 	})
 }
 
-// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows from it.
+// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows
+// from it.
 func (l *eventLoop) recordWritten(r *request, deadline time.Time) {
 	r.deadline = deadline
 	last := len(r.attempts) - 1
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -8,8 +8,8 @@
 // idleWait is how long the event loop waits for a message where no timer is set.
 const idleWait = time.Hour
 
-// timerQueue holds the timers that the Balancer has set. Timers that are due at the same time fire in the order in which they
-// were added. The zero value is empty.
+// timerQueue holds the timers that the Balancer has set. Timers that are due at the same time fire in the order in
+// which they were added. The zero value is empty.
 type timerQueue struct {
 	heap  timerHeap
 	added uint64 // how many timers were ever added
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -16,49 +16,53 @@
 )
 
 const (
-	// bodyMost bounds the body of a message, headMost its head.
-	maxBodyBytes, maxHeadBytes = 64 << 10, 16 << 10
-	// answerMost bounds an answer as it comes: small chunks take several times their body.
-	maxResponseBytes = maxHeadBytes + 4*maxBodyBytes
-	// informMost is how many 1xx answers may come ahead of the one that counts.
-	maxInformational = 8
-	// probeWithin is how long a probe may take: an answer that comes later tells of the past.
-	healthCheckTimeout = 150 * time.Millisecond
-	// reportHeader carries a load report, neverRanHeader tells that a request never ran.
-	loadReportHeader, neverRanHeader = "Endpoint-Load-Metrics", "X-Never-Ran"
+	// maxBodyBytes bounds a body that is read completely before it is passed on, a request's or a response's.
+	maxBodyBytes = 64 << 10
+	// maxHeadBytes bounds the head of a request or a response.
+	maxHeadBytes = 16 << 10
 )
 
-// upstreamTransport sends attempts and probes to backends. Each runs in a goroutine of its own on one connection.
+// upstreamTransport sends requests and health checks to backends. Each is one exchange: it runs in a goroutine of its
+// own, on one connection, and is never repeated here.
 //
-// The connections are not net/http's own. Its Transport sends a request again when a reused connection breaks,
-// and its ClientConn, which does not, reports a request as written (httptrace.WroteRequest) while it still
-// stands in a buffer: neither tells whether the last byte has left, which decides if an attempt may have run.
-// Here a request goes out whole in one Write. net/http still words it and reads the answer.
+// The connections are not net/http's own. Its Transport sends a request again when a reused connection breaks, and
+// its ClientConn, which does not, reports a request as written (httptrace.WroteRequest) while it is still in a
+// buffer: neither says whether the last byte has been written, which decides if the backend may have run the request.
+// Here a request is written in one call. net/http still encodes its header and parses the response.
 type upstreamTransport struct {
 	pool              *connPool
-	inlineLoadReports bool             // answers carry load reports
-	writtenRequests   *atomic.Int64    // counts the attempts that were written whole
-	loadReportLog     *lograte.Limited // of load reports
-	bodyMemory        *budget          // of answers kept whole
-	failureLog        *lograte.Limited // of attempts without a whole answer
+	inlineLoadReports bool             // responses carry load reports
+	writtenRequests   *atomic.Int64    // counts requests that were written completely, health checks aside
+	bodyMemory        *budget          // of responses that are read completely before they are passed on
+	loadReportLog     *lograte.Limited // of malformed load reports
+	failureLog        *lograte.Limited // of exchanges without a complete response
 }
 
-func newUpstreamTransport(p *connPool, inline bool, written *atomic.Int64, log *slog.Logger) *upstreamTransport {
-	return &upstreamTransport{pool: p, inlineLoadReports: inline, writtenRequests: written, bodyMemory: newBudget(0), loadReportLog: &lograte.Limited{Log: log}, failureLog: &lograte.Limited{Log: log}}
+func newUpstreamTransport(
+	pool *connPool, inlineLoadReports bool, writtenRequests *atomic.Int64, log *slog.Logger,
+) *upstreamTransport {
+	return &upstreamTransport{
+		pool:              pool,
+		inlineLoadReports: inlineLoadReports,
+		writtenRequests:   writtenRequests,
+		bodyMemory:        newBudget(0),
+		loadReportLog:     &lograte.Limited{Log: log},
+		failureLog:        &lograte.Limited{Log: log},
+	}
 }
 
 // attemptResult is how an exchange ended.
 type attemptResult struct {
 	status        balance.Status
-	load          balance.Load
+	load          balance.Load // the backend's load report, if there was one
 	elapsed       time.Duration
 	body          []byte
 	contentType   string
-	stream        *stream // the answer is still coming
-	notReplayable bool    // the request's body is used up
+	stream        *stream // the part of the response that is still coming; nil: none
+	notReplayable bool    // the request's body was streamed and can't be sent again
 }
 
-// upstreamCall is an exchange under way.
+// upstreamCall is an exchange under way. The zero value may be started.
 type upstreamCall struct {
 	cancel    context.CancelFunc // ends the exchange and closes its connection; set by start
 	startBy   time.Time          // the latest at which its first byte may be written; zero: any
@@ -66,140 +70,140 @@
 	startedAt monotime.Atomic // when its first byte was about to be written; zero: it never was
 }
 
-// cancelUnsent cancels the call if its first byte has not been written, and returns whether that came in time. A drain counts
-// a request as sent from its first byte, and a dial may outlast the drain's grace.
+// cancelUnsent cancels the call if its first byte has not been written, and returns whether that came in time. A
+// drain counts a request as sent from its first byte, and a dial may outlast the drain's grace.
 func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledUnsent) }
 
-// start sends a request to a backend and calls done, from another goroutine, with the result. A call that has not begun to
-// write by call.startBy never does; one that is not over by the deadline is ended then, and its connection with it.
+// beginWrite says whether the first byte may be written now, and counts it as written from here on.
+func (c *upstreamCall) beginWrite() bool {
+	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
+	if late || !c.lifecycle.apply(firstByteDue) {
+		return false
+	}
+	c.startedAt.Store(monotime.Now())
+	return true
+}
+
+// start sends a request to a backend and calls done, from another goroutine, with the result. A call that has not
+// begun to write by call.startBy never does; one that is not over by the deadline is ended then, and its connection
+// with it. A streamed request has no deadline before its last byte.
 func (x *upstreamTransport) start(
-	call *upstreamCall, to backendProcess, m *forwardedRequest, deadline time.Time, done func(attemptResult),
+	call *upstreamCall, to backendProcess, request *forwardedRequest, deadline time.Time, done func(attemptResult),
 ) {
-	ctx, cancel := context.WithCancel(context.Background())
-	if m.upload == nil { // else its time begins with its last byte
-		ctx, cancel = context.WithDeadline(context.Background(), deadline)
+	var ctx context.Context
+	if request.upload == nil {
+		ctx, call.cancel = context.WithDeadline(context.Background(), deadline)
+	} else {
+		ctx, call.cancel = context.WithCancel(context.Background())
 	}
-	call.cancel = cancel
+	cancel := call.cancel
 	go func() {
 		defer cancel()
-		start := time.Now()
-		r := x.roundTrip(ctx, call, to, m, deadline)
-		r.elapsed = time.Since(start)
-		done(r)
+		startedAt := time.Now()
+		result := x.exchange(ctx, call, to, request, deadline)
+		result.elapsed = time.Since(startedAt)
+		done(result)
 	}()
 }
 
-// roundTrip carries out one attempt on one connection, once.
-func (x *upstreamTransport) roundTrip(ctx context.Context, c *upstreamCall, to backendProcess, m *forwardedRequest, deadline time.Time) attemptResult {
-	cn, err := x.pool.acquire(ctx, to)
-	switch {
-	case errors.Is(err, errPoolExhausted):
-		return attemptResult{status: balance.StatusNotSent} // says nothing of the backend
-	case accept.IsShortage(err):
-		x.logFailure(ctx, m, to, "this machine is short of what a connection needs", err)
-		return attemptResult{status: balance.StatusNotSent} // likewise
-	case err != nil:
-		x.logFailure(ctx, m, to, "no connection", err)
-		return attemptResult{status: balance.StatusConnectFailed}
-	}
-	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
-	if ctx.Err() != nil || late || !c.lifecycle.apply(firstByteDue) {
-		x.pool.discard(cn)
-		return attemptResult{status: balance.StatusNotSent}
-	}
-	c.startedAt.Store(monotime.Now())
-	// Given up means closed, at once: nothing that comes later can reach anyone.
-	stop := context.AfterFunc(ctx, func() { cn.Close() })
-	defer stop()
-	if m.upload != nil {
-		return x.streamRequest(ctx, cn, m, stop)
-	}
-	cn.SetDeadline(deadline)
-	head := m.encodeHead(to.addr, time.Until(deadline))
-	text := net.Buffers{head, m.body}
-	if n, err := text.WriteTo(cn.Conn); err != nil {
-		x.pool.discard(cn)
-		x.logFailure(ctx, m, to, "not written", err)
-		if n < int64(len(head)+len(m.body)) {
-			return attemptResult{status: balance.StatusConnectFailed} // the last byte never left
-		}
-		return attemptResult{status: x.unansweredStatus(ctx, err)}
-	}
-	if !m.healthCheck {
-		x.writtenRequests.Add(1)
-	}
-	r, err := x.readResponse(cn, m, stop)
+// exchange sends a request on one connection and reads the response.
+func (x *upstreamTransport) exchange(
+	ctx context.Context, call *upstreamCall, to backendProcess, request *forwardedRequest, deadline time.Time,
+) attemptResult {
+	conn, err := x.pool.acquire(ctx, to)
 	if err != nil {
-		x.pool.discard(cn)
-		x.logFailure(ctx, m, to, "no whole answer", err)
-		return attemptResult{status: x.unansweredStatus(ctx, err)}
+		return attemptResult{status: x.unconnectedStatus(ctx, request, to, err)}
 	}
-	return r
-}
-
-// streamRequest carries out an attempt whose body is still coming in. Its time begins with the last byte.
-func (x *upstreamTransport) streamRequest(ctx context.Context, cn *backendConn, m *forwardedRequest, stop func() bool) attemptResult {
-	cn.SetWriteDeadline(time.Now().Add(takeWithin))
-	if _, err := cn.Write(m.encodeHead(cn.process.addr, m.timeLeft)); err != nil {
-		x.pool.discard(cn)
-		x.logFailure(ctx, m, cn.process, "not written", err)
-		return attemptResult{status: balance.StatusConnectFailed, notReplayable: m.upload.touched()}
-	}
-	type end struct{ wrote, whole bool }
-	sent := make(chan end, 1)
-	go func() {
-		wrote, err := m.upload.copyTo(cn)
-		sent <- end{wrote, err == nil}
-		switch {
-		case err == nil:
-			x.writtenRequests.Add(1)
-			cn.SetReadDeadline(m.onWritten())
-		case !wrote || timedOut(err):
-			cn.Close()
-			// After another error what the backend said before it broke off may still be read.
-		}
-	}()
-	r, err := x.readResponse(cn, m, stop)
-	if err != nil {
-		m.upload.leave()
-		x.pool.discard(cn) // from here on nothing more is written
-		status := balance.StatusConnectFailed
-		if m.upload.taken.Load() {
-			// Its last byte may have gone.
-			if e := <-sent; e.whole {
-				status = x.unansweredStatus(ctx, err)
-			}
-		} else if len(sent) > 0 && !(<-sent).wrote {
-			status = balance.StatusNotSent // its client did not send it
-		}
-		x.logFailure(ctx, m, cn.process, "no whole answer to a streamed request", err)
-		return attemptResult{status: status, notReplayable: true}
+	if ctx.Err() != nil || !call.beginWrite() {
+		x.pool.discard(conn)
+		return attemptResult{status: balance.StatusNotSent}
 	}
-	r.notReplayable = true
-	if r.status != balance.StatusSucceeded {
-		m.upload.leave() // it has said no before the end
+	// A cancelled exchange closes its connection at once: nothing that comes later can reach a client.
+	detach := context.AfterFunc(ctx, func() { conn.Close() })
+	defer detach()
+	e := &upstreamExchange{transport: x, conn: conn, request: request, detach: detach}
+	if request.upload != nil {
+		return e.streamRequest(ctx)
 	}
-	return r
+	return e.sendRequest(ctx, deadline)
 }
 
-// failed logs, at a bounded rate, why an attempt got no whole answer; of one that was cancelled there is nothing
-// to tell.
-func (x *upstreamTransport) logFailure(ctx context.Context, m *forwardedRequest, to backendProcess, what string, err error) {
-	if !errors.Is(ctx.Err(), context.Canceled) {
-		x.failureLog.Warn("attempt failed: "+what, "request", m.header.Get("X-Trace-Id"), "backend", to.addr, "error", err)
+// unconnectedStatus is the status of an exchange that got no connection. What this machine is short of says nothing
+// of the backend.
+func (x *upstreamTransport) unconnectedStatus(
+	ctx context.Context, request *forwardedRequest, to backendProcess, err error,
+) balance.Status {
+	switch {
+	case errors.Is(err, errPoolExhausted):
+		return balance.StatusNotSent
+	case accept.IsShortage(err):
+		x.logFailure(ctx, request, to, "no connection for want of resources", err)
+		return balance.StatusNotSent
 	}
+	x.logFailure(ctx, request, to, "no connection", err)
+	return balance.StatusConnectFailed
 }
 
-// unansweredStatus tells how an attempt ended that was written whole and got no whole answer. It may have run. A time-out within a
-// line shows as a malformed one, as net/http takes what came of it for all.
-func (x *upstreamTransport) unansweredStatus(ctx context.Context, err error) balance.Status {
-	until, timed := ctx.Deadline()
+// unansweredStatus is the status of an exchange whose request was written completely and that got no complete
+// response: the backend may have run it. A timeout within a line of the head comes as a parse error, so ctx is looked
+// at too.
+func unansweredStatus(ctx context.Context, err error) balance.Status {
+	deadline, hasDeadline := ctx.Deadline()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded),
-		timed && !time.Now().Before(until):
+		hasDeadline && !time.Now().Before(deadline):
 		return balance.StatusTimedOut
 	case ctx.Err() != nil:
 		return balance.StatusCancelled
 	}
 	return balance.StatusConnectionLost
 }
+
+// logFailure logs, at a bounded rate, why an exchange got no complete response; cancelled ones are not logged.
+func (x *upstreamTransport) logFailure(
+	ctx context.Context, request *forwardedRequest, to backendProcess, reason string, err error,
+) {
+	if errors.Is(ctx.Err(), context.Canceled) {
+		return
+	}
+	x.failureLog.Warn("attempt failed",
+		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.addr, "error", err)
+}
+
+// upstreamExchange is an exchange on its connection.
+type upstreamExchange struct {
+	transport *upstreamTransport
+	conn      *backendConn
+	request   *forwardedRequest
+	detach    func() bool // keeps the end of the context from closing the connection; false if it has
+}
+
+// sendRequest writes a request whose body is complete, and reads the response.
+func (e *upstreamExchange) sendRequest(ctx context.Context, deadline time.Time) attemptResult {
+	e.conn.SetDeadline(deadline)
+	head := e.request.encodeHead(e.conn.process.addr, time.Until(deadline))
+	message := net.Buffers{head, e.request.body}
+	written, err := message.WriteTo(e.conn.Conn)
+	if err != nil {
+		e.discard(ctx, "request not written", err)
+		if written < int64(len(head)+len(e.request.body)) {
+			return attemptResult{status: balance.StatusConnectFailed} // it can't have run
+		}
+		return attemptResult{status: unansweredStatus(ctx, err)}
+	}
+	if !e.request.healthCheck {
+		e.transport.writtenRequests.Add(1)
+	}
+	result, err := e.readResponse()
+	if err != nil {
+		e.discard(ctx, "no complete response", err)
+		return attemptResult{status: unansweredStatus(ctx, err)}
+	}
+	return result
+}
+
+// discard closes the connection of an exchange that has failed, and logs why.
+func (e *upstreamExchange) discard(ctx context.Context, reason string, err error) {
+	e.transport.pool.discard(e.conn)
+	e.transport.logFailure(ctx, e.request, e.conn.process, reason, err)
+}
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -2,73 +2,82 @@
 
 import (
 	"context"
-	"errors"
 	"io"
-	"math"
 	"net/http"
 	"time"
 
 	"hitchvale/balance"
 )
 
-// readResponse reads an answer. One that is large or long in coming is left to be streamed. The connection goes back to the
-// pool, or is ended, when the answer is whole.
-func (x *upstreamTransport) readResponse(cn *backendConn, m *forwardedRequest, stop func() bool) (attemptResult, error) {
-	resp, err := cn.readResponseHead(m.method)
+// neverRanHeader is set to 1 on a backend's response to a request that it has not run.
+const neverRanHeader = "X-Never-Ran"
+
+// readResponse reads a response. One that is large or long in coming is read in part, and the rest is left to be
+// streamed. The connection is given back, or closed, when all of the response has been read. After an error the
+// caller discards it.
+func (e *upstreamExchange) readResponse() (attemptResult, error) {
+	resp, err := e.conn.readResponseHead(e.request.method)
 	if err != nil {
 		return attemptResult{}, err
 	}
-	r := attemptResult{status: responseStatus(resp), contentType: resp.Header.Get("Content-Type")}
-	if text := resp.Header.Get(loadReportHeader); text != "" && x.inlineLoadReports {
-		r.load = x.readLoadReport(text)
+	result := attemptResult{status: responseStatus(resp), contentType: resp.Header.Get("Content-Type")}
+	if text := resp.Header.Get(loadReportHeader); text != "" && e.transport.inlineLoadReports {
+		result.load = e.transport.readLoadReport(text)
 	}
-	// What ends with its connection is whole if the other side says so by an orderly end: a reset is none.
-	delimited := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	done := func(whole bool) {
-		if whole && cn.reader.Buffered() > 0 {
-			x.pool.startQuarantine()
-		}
-		if !whole || resp.Close || delimited || cn.reader.Buffered() > 0 || m.upload != nil {
-			x.pool.discard(cn)
-			return
-		}
-		cn.SetDeadline(time.Time{})
-		x.pool.release(cn)
+	mayStream := !e.request.healthCheck && result.status == balance.StatusSucceeded
+	body, complete, err := e.transport.readBody(resp, mayStream)
+	if err != nil {
+		return attemptResult{}, err
 	}
-	body, ended, err := x.readBody(resp, !m.healthCheck && r.status == balance.StatusSucceeded)
+	detached := e.detach()
 	switch {
-	case err != nil:
-		return attemptResult{}, err
-	case ended && !stop():
-		x.pool.discard(cn)
-	case ended:
-		done(true)
-	case !stop():
+	case complete && detached:
+		e.finishResponse(resp, true)
+	case complete:
+		e.transport.pool.discard(e.conn)
+	case !detached:
 		return attemptResult{}, context.Canceled
 	default:
-		cn.limit.N = math.MaxInt64
-		r.stream = &stream{head: body, size: resp.ContentLength, body: resp.Body, cn: cn, end: done}
-		return r, nil
+		e.conn.unlimit()
+		result.stream = &stream{
+			head: body,
+			size: resp.ContentLength,
+			body: resp.Body,
+			cn:   e.conn,
+			end:  func(complete bool) { e.finishResponse(resp, complete) },
+		}
+		return result, nil
+	}
+	result.body = body
+	return result, nil
+}
+
+// finishResponse gives the connection back to the pool if it can carry another request, and otherwise closes it. A
+// backend that sends more than its response starts the pool's quarantine.
+func (e *upstreamExchange) finishResponse(resp *http.Response, complete bool) {
+	surplus := complete && e.conn.reader.Buffered() > 0
+	if surplus {
+		e.transport.pool.startQuarantine()
+	}
+	endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	if !complete || surplus || resp.Close || endsWithConn || e.request.upload != nil {
+		e.transport.pool.discard(e.conn)
+		return
 	}
-	r.body = body
-	return r, nil
+	e.conn.SetDeadline(time.Time{})
+	e.transport.pool.release(e.conn)
 }
 
-// readBody reads an answer's body, if it can be kept whole, and otherwise what has come of it. One that serves nobody has to
-// be short.
-func (x *upstreamTransport) readBody(resp *http.Response, served bool) (body []byte, ended bool, err error) {
+// readBody reads the body of a response, completely if it may be held in memory. Of one that may be streamed it
+// returns at least the first byte: until something has been passed on, a failure can still be answered in another
+// way. One that may not be streamed has to be short.
+func (x *upstreamTransport) readBody(resp *http.Response, mayStream bool) (body []byte, complete bool, err error) {
 	size := resp.ContentLength
 	switch {
-	case !served && size > maxBodyBytes:
-		return nil, false, errTooLong
-	case !served:
-		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
-		if err == nil && len(body) > maxBodyBytes {
-			err = errTooLong
-		}
-		return body, true, err
+	case !mayStream:
+		body, err = readShortBody(resp)
+		return body, err == nil, err
 	case size > maxBodyBytes || size > 0 && !x.bodyMemory.take(size):
-		// Nothing is passed on before some of the body is there: until then a failure can still be answered.
 		body = make([]byte, pieceSize)
 		n, err := io.ReadAtLeast(resp.Body, body, 1)
 		return body[:n], false, err
@@ -78,29 +87,48 @@
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
 	}
-	// Its length is not told. What has not been passed on can still be answered otherwise, if it breaks off or never ends: so
-	// it is kept until it ends or its time does, up to a piece, or less where there is no room.
-	most := pieceSize
+	return x.readUnsizedBody(resp.Body)
+}
+
+// readShortBody reads a body of at most maxBodyBytes.
+func readShortBody(resp *http.Response) ([]byte, error) {
+	if resp.ContentLength > maxBodyBytes {
+		return nil, errTooLong
+	}
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = errTooLong
+	}
+	return body, err
+}
+
+// readUnsizedBody reads a body whose length is not given: up to its end or pieceSize, or what comes first where
+// memory for bodies is short. What has not been passed on can be answered in another way, if the response breaks off
+// or never ends.
+func (x *upstreamTransport) readUnsizedBody(body io.Reader) (read []byte, complete bool, err error) {
+	enough := pieceSize
 	if x.bodyMemory.take(pieceSize) {
 		defer x.bodyMemory.give(pieceSize)
 	} else {
-		most = 1
+		enough = 1
 	}
-	for buf := make([]byte, 0, pieceSize); ; {
-		n, err := resp.Body.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
+	read = make([]byte, 0, pieceSize)
+	for {
+		n, err := body.Read(read[len(read):cap(read)])
+		read = read[:len(read)+n]
 		switch {
 		case err == io.EOF:
-			return buf, true, nil
+			return read, true, nil
 		case err != nil:
 			return nil, false, err
-		case len(buf) >= most:
-			return buf, false, nil
+		case len(read) >= enough:
+			return read, false, nil
 		}
 	}
 }
 
-// outcome reads a whole answer's status.
+// responseStatus returns the status of a complete response. Only a 503 or 504 with neverRanHeader says that the
+// request was not run.
 func responseStatus(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -112,19 +140,3 @@
 	}
 	return balance.StatusApplicationError
 }
-
-// answer reads the head of an answer.
-func (c *backendConn) readResponseHead(method string) (*http.Response, error) {
-	c.limit.N = maxResponseBytes
-	req := &http.Request{Method: method}
-	for range maxInformational {
-		resp, err := http.ReadResponse(c.reader, req)
-		if err != nil {
-			return nil, err
-		}
-		if resp.StatusCode < 100 || resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
-			return resp, nil
-		}
-	}
-	return nil, errors.New("too many 1xx answers")
-}
