--- a/cmd/hitchvale/problems_test.go
+++ b/cmd/hitchvale/errors_test.go
@@ -7,10 +7,10 @@
 	"slices"
 	"testing"
 
-	"hitchvale/internal/fleet"
-	"hitchvale/internal/maintenance"
+	_ "hitchvale/internal/fleet" // defines errors, as do the next two
+	_ "hitchvale/internal/maintenance"
 	"hitchvale/internal/operror"
-	"hitchvale/internal/registry"
+	_ "hitchvale/internal/registry"
 )
 
 // Every kind of error has a remedy and a row of its own in docs/oncall.md, and no row is left of one that is gone.
@@ -21,7 +21,7 @@
 	}
 	var want []string
 	seen := map[string]bool{}
-	for _, e := range slices.Concat(registry.Problems(), fleet.Problems(), maintenance.Problems()) {
+	for _, e := range operror.Kinds() {
 		if e.Remedy == "" || e.Meaning == "" || e.Status < 400 || seen[e.Code] {
 			t.Errorf("%+v: no remedy, no meaning, no status or no code of its own", e)
 		}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -12,6 +12,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"hitchvale/internal/operror"
 )
 
 // viewMost bounds the bytes of a view that a node reads.
@@ -146,7 +148,7 @@
 	if json.Unmarshal(text, &a) != nil || a.Code == "" {
 		return ErrRegistryUnreachable.Of(host, fmt.Errorf("status %d", status))
 	}
-	for _, e := range []*Error{ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady} {
+	for _, e := range []*operror.Error{ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady} {
 		if e.Code == a.Code {
 			return e.Of(host, errors.New(a.Error))
 		}
--- a/internal/operror/operror.go
+++ b/internal/operror/operror.go
@@ -1,37 +1,49 @@
-// Package operror is what the errors of the product's packages are made of: each has a type of its own in its package,
-// a stable code, what failed, on what, and what an operator can do about it. The table in docs/oncall.md is checked
-// against them.
+// Package operror defines the errors that operators see: each kind has a stable code, an HTTP status, a meaning and a
+// remedy. A package declares its kinds with Define; docs/oncall.md lists them all, and a test compares the two.
 package operror
 
 import (
 	"errors"
 	"fmt"
+	"slices"
 )
 
-// Entry is one kind of error that a package gives.
+// Kind describes one kind of error.
 type Kind struct {
-	Code    string // stable, such as "registry.unknown-member"
+	Code    string // stable and unique, such as "registry.unknown-member"
 	Meaning string // what failed
 	Remedy  string // what an operator can do
-	Status  int    // of the HTTP answer that tells of it
+	Status  int    // of the HTTP answer that carries the error
 }
 
-// Described is implemented by every error of this kind.
-type Described interface {
-	error
-	Describe() (e Kind, on string)
-}
-
-// Error is an error of the package whose marker type is P; each package names its own type by it, so that errors.As
-// tells errors of one package from those of another. Values with the same code match by errors.Is.
-type Error[P any] struct {
+// Error is an error of a Kind. Errors of the same code match by errors.Is, whatever their subject and cause.
+type Error struct {
 	Kind
-	Subject string // what it failed on; may be empty
+	Subject string // what the operation failed on; may be empty
 	Cause   error  // may be nil
 }
 
-// Error words the error with what it failed on and its cause.
-func (e *Error[P]) Error() string {
+// catalog holds the kinds of every package in the program, in the order of their definition.
+var catalog []Kind
+
+// Define adds a kind of error to the catalog and returns its error without a subject. It is to be called from
+// package-level variable declarations only: the catalog is not safe for concurrent use.
+func Define(code string, status int, meaning, remedy string) *Error {
+	kind := Kind{Code: code, Meaning: meaning, Remedy: remedy, Status: status}
+	catalog = append(catalog, kind)
+	return &Error{Kind: kind}
+}
+
+// Kinds returns every kind of error that the packages of this program define.
+func Kinds() []Kind { return slices.Clone(catalog) }
+
+// Of returns an error of the same kind with a subject and a cause, which may be nil.
+func (e *Error) Of(subject string, cause error) *Error {
+	return &Error{Kind: e.Kind, Subject: subject, Cause: cause}
+}
+
+// Error joins the subject, the meaning and the cause.
+func (e *Error) Error() string {
 	text := e.Meaning
 	if e.Subject != "" {
 		text = e.Subject + ": " + text
@@ -42,39 +54,18 @@
 	return text
 }
 
-// Unwrap gives the cause.
-func (e *Error[P]) Unwrap() error { return e.Cause }
+// Unwrap returns the cause.
+func (e *Error) Unwrap() error { return e.Cause }
 
-// Is tells whether target is of the same package and code.
-func (e *Error[P]) Is(target error) bool {
-	t, ok := target.(*Error[P])
-	return ok && t.Code == e.Code
+// Is reports whether target is an error of the same code.
+func (e *Error) Is(target error) bool {
+	other, ok := target.(*Error)
+	return ok && other.Code == e.Code
 }
 
-// Describe gives the kind of the error and what it failed on.
-func (e *Error[P]) Describe() (Kind, string) { return e.Kind, e.Subject }
-
-// Of is the same error on something, by a cause that may be nil.
-func (e *Error[P]) Of(on string, cause error) *Error[P] {
-	return &Error[P]{Kind: e.Kind, Subject: on, Cause: cause}
-}
-
-// Set is the kinds of errors of one package.
-type Set[P any] struct{ entries []Kind }
-
-// Define adds a kind to the set and gives its error.
-func (s *Set[P]) Define(code string, status int, means, remedy string) *Error[P] {
-	e := Kind{Code: code, Meaning: means, Remedy: remedy, Status: status}
-	s.entries = append(s.entries, e)
-	return &Error[P]{Kind: e}
-}
-
-// Entries are the kinds in the order of their definition.
-func (s *Set[P]) Entries() []Kind { return s.entries }
-
-// Find gives the described error in err's chain.
-func Find(err error) (Described, bool) {
-	var d Described
-	ok := errors.As(err, &d)
-	return d, ok
+// Find returns the first Error in err's chain.
+func Find(err error) (*Error, bool) {
+	var found *Error
+	ok := errors.As(err, &found)
+	return found, ok
 }
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -114,11 +114,10 @@
 // fail answers with an error: its code, what failed and on what, and what an operator can do. An error that has no code
 // is one of the input.
 func writeError(w http.ResponseWriter, err error) {
-	d, ok := operror.Find(err)
+	e, ok := operror.Find(err)
 	if !ok {
-		d = ErrMalformed.Of("", err)
+		e = ErrMalformed.Of("", err)
 	}
-	e, _ := d.Describe()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Status)
 	json.NewEncoder(w).Encode(map[string]string{"code": e.Code, "error": err.Error(), "remedy": e.Remedy})
