--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"hitchvale/internal/statemachine"
 )
 
 // The fleet in one process, on virtual time: real agents, sessions and collector, with a registry between them whose
@@ -96,7 +98,7 @@
 	w.next = make(chan struct{})
 }
 
-func (w *world) apply(op string, s Session) (Session, error) {
+func (w *world) apply(op statemachine.Operation, s Session) (Session, error) {
 	before := w.sessions.LastIncarnation[s.Node]
 	out, err := w.sessions.Apply(&SessionCommand{op, s}, w.revision+1)
 	if err == nil && !out.Unchanged {
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -46,15 +46,22 @@
 	return nil
 }
 
-// SessionCommand opens a session (session-open), ends one that its process closes (session-close) or ends one whose
-// renewals stopped (session-expire, by node and incarnation).
+// The operations on sessions, as stored in the log.
+const (
+	OpOpenSession   statemachine.Operation = "session-open"
+	OpCloseSession  statemachine.Operation = "session-close"  // by the process that has the session
+	OpExpireSession statemachine.Operation = "session-expire" // by the leader, when reports stopped for its TTL
+)
+
+// SessionCommand is a write of the sessions. OpOpenSession uses the complete session, the others its node and
+// incarnation.
 type SessionCommand struct {
-	Op      string  `json:"op"`
-	Session Session `json:"session"`
+	Op      statemachine.Operation `json:"op"`
+	Session Session                `json:"session"`
 }
 
 // Operation is the command's operation.
-func (c *SessionCommand) Operation() string { return c.Op }
+func (c *SessionCommand) Operation() statemachine.Operation { return c.Op }
 
 // Sessions is the machine of the nodes' sessions.
 type SessionStore struct {
@@ -75,9 +82,9 @@
 func (s *SessionStore) Kind() string { return "sessions" }
 
 // Commands are the operations of the machine.
-func (s *SessionStore) Commands() map[string]func() statemachine.Command {
+func (s *SessionStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &SessionCommand{} }
-	return map[string]func() statemachine.Command{"session-open": empty, "session-close": empty, "session-expire": empty}
+	return statemachine.CommandsOf(empty, OpOpenSession, OpCloseSession, OpExpireSession)
 }
 
 // Apply carries out a command. A session is opened by compare-and-set: its incarnation has to be one above the last
@@ -86,7 +93,7 @@
 func (s *SessionStore) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*SessionCommand)
 	n := c.Session
-	if c.Op != "session-open" {
+	if c.Op != OpOpenSession {
 		if err := s.VerifyHolder(n.Node, n.Incarnation); err != nil {
 			return statemachine.Outcome{}, err
 		}
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"hitchvale/internal/statemachine"
 )
 
 func session(node, process string, incarnation uint64) Session {
@@ -58,7 +60,7 @@
 		s, given := NewSessionStore(), map[uint64]string{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			n := session("n", rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(t, "process"), rapid.Uint64Range(0, 8).Draw(t, "incarnation"))
-			c := &SessionCommand{rapid.SampledFrom([]string{"session-open", "session-open", "session-close", "session-expire"}).Draw(t, "op"), n}
+			c := &SessionCommand{rapid.SampledFrom([]statemachine.Operation{"session-open", "session-open", "session-close", "session-expire"}).Draw(t, "op"), n}
 			before := s.LastIncarnation["n"]
 			out, err := s.Apply(c, 1)
 			if s.LastIncarnation["n"] < before {
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -37,7 +37,7 @@
 	var out []Command
 	step := func(t Turn, to TurnState) {
 		if proposalRank(l.FreshNodes, l.Node, t.Machine) <= l.ViewsUnchanged[t.Machine] {
-			out = append(out, Command{Op: "rota-step", Machine: t.Machine, Revision: t.Revision, Target: to})
+			out = append(out, Command{Op: OpAdvanceTurn, Machine: t.Machine, Revision: t.Revision, Target: to})
 		}
 	}
 	waiting, ordered := 0, 0
@@ -57,7 +57,7 @@
 			step(t, Draining)
 		case Draining:
 			if t.ConfirmedBy[l.Node] != l.Incarnation && l.ListRevision >= t.DrainingRevision && l.InFlight[t.Machine] == 0 {
-				out = append(out, Command{Op: "rota-confirm", Machine: t.Machine, Node: l.Node, Incarnation: l.Incarnation, ListRevision: l.ListRevision})
+				out = append(out, Command{Op: OpConfirmDrained, Machine: t.Machine, Node: l.Node, Incarnation: l.Incarnation, ListRevision: l.ListRevision})
 			}
 			if !slices.ContainsFunc(l.FreshNodes, func(n string) bool { return t.ConfirmedBy[n] == 0 }) {
 				step(t, Quiet)
@@ -66,7 +66,7 @@
 	}
 	if ordered < waiting || waiting > 0 && (b.SettledView.Term != l.View.Term || l.View.Epoch >= b.SettledView.Epoch+resettleEpochs) {
 		if proposalRank(l.FreshNodes, l.Node, "order") <= int(l.View.Epoch%uint64(max(len(l.FreshNodes), 1))) {
-			out = append(out, Command{Op: "rota-settle", View: l.View})
+			out = append(out, Command{Op: OpSettleOrder, View: l.View})
 		}
 		return out
 	}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -118,22 +118,33 @@
 	return &Plan{Turns: map[string]*Turn{}, Requests: map[string]Request{}, inventory: list, sessions: nodes}
 }
 
-// Command is a write of the rota:
-//
-//	rota-request   Request
-//	rota-withdraw  Request.ID
-//	rota-settle    Epoch, Costs
-//	rota-step      Machine, Rev, To
-//	rota-confirm   Machine, Node, Incarnation, Held
-//	rota-overdue   Machine, Rev
-//	rota-free      Machine, Rev (an operator's word)
+// The operations on the plan, as stored in the log, with the fields of Command that each uses.
+const (
+	OpAddRequest      statemachine.Operation = "rota-request"  // Request
+	OpWithdrawRequest statemachine.Operation = "rota-withdraw" // Request.ID
+	OpSettleOrder     statemachine.Operation = "rota-settle"   // View, Costs
+	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
+	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
+	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
+	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; by an operator alone
+)
+
+// TurnActions are the operations on one turn by the name that they have in the path of a call.
+var TurnActions = map[string]statemachine.Operation{
+	"step":    OpAdvanceTurn,
+	"confirm": OpConfirmDrained,
+	"overdue": OpMarkOverdue,
+	"free":    OpFreeOverdue,
+}
+
+// Command is a write of the plan.
 type Command struct {
-	Op       string      `json:"op"`
-	Request  Request     `json:"request,omitzero"`
-	Machine  string      `json:"machine,omitempty"`
-	Revision int64       `json:"rev,omitempty"` // of the turn as the proposer read it
-	Target   TurnState   `json:"to,omitempty"`
-	View     ViewVersion `json:"epoch,omitzero"`
+	Op       statemachine.Operation `json:"op"`
+	Request  Request                `json:"request,omitzero"`
+	Machine  string                 `json:"machine,omitempty"`
+	Revision int64                  `json:"rev,omitempty"` // of the turn as the proposer read it
+	Target   TurnState              `json:"to,omitempty"`
+	View     ViewVersion            `json:"epoch,omitzero"`
 	// Costs are those of the waiting machines by id: the median of what the live nodes said in the view of Epoch, as
 	// the leader compiled it.
 	Costs        map[string]float64 `json:"costs,omitempty"`
@@ -143,53 +154,50 @@
 }
 
 // Operation is the command's operation.
-func (c *Command) Operation() string { return c.Op }
+func (c *Command) Operation() statemachine.Operation { return c.Op }
 
 // Kind names the machine.
 func (r *Plan) Kind() string { return "rota" }
 
 // Commands are the operations of the machine.
-func (r *Plan) Commands() map[string]func() statemachine.Command {
+func (r *Plan) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &Command{} }
-	out := map[string]func() statemachine.Command{}
-	for _, op := range []string{"request", "withdraw", "settle", "step", "confirm", "overdue", "free"} {
-		out["rota-"+op] = empty
-	}
-	return out
+	return statemachine.CommandsOf(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn, OpConfirmDrained,
+		OpMarkOverdue, OpFreeOverdue)
 }
 
 // Apply carries out a command.
 func (r *Plan) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
 	c := cmd.(*Command)
 	switch c.Op {
-	case "rota-request":
+	case OpAddRequest:
 		return r.addRequest(c.Request, next)
-	case "rota-withdraw":
+	case OpWithdrawRequest:
 		return r.withdrawRequest(c.Request.ID, next)
-	case "rota-settle":
+	case OpSettleOrder:
 		return r.settleOrder(c)
 	}
 	t := r.Turns[c.Machine]
 	if t == nil {
 		return statemachine.Outcome{}, ErrNotFound.Of(c.Machine, nil)
 	}
-	if c.Op == "rota-confirm" {
+	if c.Op == OpConfirmDrained {
 		return r.recordConfirmation(t, c, next)
 	}
-	if c.Op == "rota-step" && t.State == c.Target {
+	if c.Op == OpAdvanceTurn && t.State == c.Target {
 		return statemachine.Outcome{Unchanged: true, Value: t.clone()}, nil // the same step twice is no step
 	}
 	if c.Revision != t.Revision && plantedFault != "cas" {
 		return statemachine.Outcome{}, ErrTurnChanged.Of(c.Machine, nil)
 	}
 	switch c.Op {
-	case "rota-overdue":
+	case OpMarkOverdue:
 		if !t.State.occupiesSlot() || t.Overdue {
 			return statemachine.Outcome{}, ErrInvalidTransition.Of(c.Machine, fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
 		}
 		t.Overdue, t.Revision = true, next
 		return statemachine.Outcome{Value: t.clone()}, nil
-	case "rota-free":
+	case OpFreeOverdue:
 		if !t.Overdue {
 			return statemachine.Outcome{}, ErrInvalidTransition.Of(c.Machine, errors.New("it is not overdue"))
 		}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -8,6 +8,8 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"hitchvale/internal/statemachine"
 )
 
 // fakeInventory is the list beside the record, and fakeSessions the sessions.
@@ -349,7 +351,7 @@
 			n := fmt.Sprint("n", rng.IntN(4))
 			c.Op, c.Node, c.Incarnation, c.ListRevision = "rota-confirm", n, r.sessions[n]-uint64(rng.IntN(2))*min(1, r.sessions[n]), r.rev-int64(rng.IntN(3))
 		case 7:
-			c.Op = []string{"rota-overdue", "rota-free"}[rng.IntN(2)]
+			c.Op = []statemachine.Operation{"rota-overdue", "rota-free"}[rng.IntN(2)]
 		default:
 			c.Op, c.Target = "rota-step", []TurnState{Waiting, Granted, Draining, Quiet, Out, Returning, Done}[rng.IntN(7)]
 			if t := r.plan.Turns[id]; t != nil && rng.IntN(2) == 0 {
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -47,7 +47,7 @@
 		return // the loop is too busy to say what is open: nothing is confirmed on a guess
 	}
 	for _, c := range maintenance.Propose(b, l) {
-		if err := t.propose(ctx, c); err != nil && c.Op == "rota-step" {
+		if err := t.propose(ctx, c); err != nil && c.Op == maintenance.OpAdvanceTurn {
 			t.n.log.Info("turn not taken", "machine", c.Machine, "to", c.Target, "error", err)
 		}
 	}
@@ -84,10 +84,10 @@
 // propose makes one proposal; the record decides.
 func (t *turns) propose(ctx context.Context, c maintenance.Command) error {
 	switch c.Op {
-	case "rota-settle":
+	case maintenance.OpSettleOrder:
 		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.View, nil)
 	default:
-		path := "/registry/rota/machines/" + url.PathEscape(c.Machine) + "/" + strings.TrimPrefix(c.Op, "rota-")
+		path := "/registry/rota/machines/" + url.PathEscape(c.Machine) + "/" + strings.TrimPrefix(string(c.Op), "rota-")
 		return t.client.Call(ctx, http.MethodPost, path, c, nil)
 	}
 }
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -204,7 +204,7 @@
 	if ttl := time.Duration(s.TTLms) * time.Millisecond; ttl < r.minTTL() {
 		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", s.TTLms, r.minTTL()))
 	}
-	return &openSessionCommand{fleet.SessionCommand{Op: "session-open", Session: s}}, s.Validate()
+	return &openSessionCommand{fleet.SessionCommand{Op: fleet.OpOpenSession, Session: s}}, s.Validate()
 }
 
 func (r *Replica) decodeCloseSession(req *http.Request) (statemachine.Command, error) {
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, ErrMalformed.Of("incarnation", err)
 	}
-	return &openSessionCommand{fleet.SessionCommand{Op: "session-close",
+	return &openSessionCommand{fleet.SessionCommand{Op: fleet.OpCloseSession,
 		Session: fleet.Session{Node: req.PathValue("node"), Incarnation: n}}}, nil
 }
 
@@ -220,7 +220,7 @@
 type openSessionCommand struct{ fleet.SessionCommand }
 
 func (c *openSessionCommand) heartbeatKey() string {
-	if c.Op == "session-open" {
+	if c.Op == fleet.OpOpenSession {
 		return sessionKey(c.Session.Node)
 	}
 	return ""
@@ -231,7 +231,7 @@
 	var due []statemachine.Command
 	for node, s := range r.sessions.Open {
 		if r.ttlElapsed(sessionKey(node), s.TTLms, now) {
-			due = append(due, &fleet.SessionCommand{Op: "session-expire", Session: fleet.Session{Node: node, Incarnation: s.Incarnation}})
+			due = append(due, &fleet.SessionCommand{Op: fleet.OpExpireSession, Session: fleet.Session{Node: node, Incarnation: s.Incarnation}})
 		}
 	}
 	return due
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -296,7 +296,7 @@
 	if err := b.Member.Validate(); err != nil {
 		return nil, err
 	}
-	return withFencingToken(req, &MemberCommand{Op: "register", Member: b.Member, TTLms: b.TTLms})
+	return withFencingToken(req, &MemberCommand{Op: opRegister, Member: b.Member, TTLms: b.TTLms})
 }
 
 func (r *Replica) decodeSetPhase(req *http.Request) (statemachine.Command, error) {
@@ -309,11 +309,11 @@
 	if err := checkPhase(b.Phase); err != nil {
 		return nil, err
 	}
-	return withFencingToken(req, &MemberCommand{Op: "phase", ID: req.PathValue("id"), Phase: b.Phase})
+	return withFencingToken(req, &MemberCommand{Op: opSetPhase, ID: req.PathValue("id"), Phase: b.Phase})
 }
 
 func (r *Replica) decodeDeregister(req *http.Request) (statemachine.Command, error) {
-	return withFencingToken(req, &MemberCommand{Op: "deregister", ID: req.PathValue("id")})
+	return withFencingToken(req, &MemberCommand{Op: opDeregister, ID: req.PathValue("id")})
 }
 
 func (r *Replica) serveHeartbeat(w http.ResponseWriter, req *http.Request) {
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -22,14 +22,22 @@
 	Token uint64 `json:"token"`
 }
 
-// LeaseCommand is a write of the leases: acquire, release or lease-expire (by token).
+// The operations on leases, as stored in the log.
+const (
+	opAcquireLease statemachine.Operation = "acquire"
+	opReleaseLease statemachine.Operation = "release"
+	opExpireLease  statemachine.Operation = "lease-expire"
+)
+
+// LeaseCommand is a write of the leases. opAcquireLease uses the lease's name, holder and TTL, opReleaseLease its name,
+// holder and token, opExpireLease its name and token.
 type LeaseCommand struct {
-	Op    string `json:"op"`
-	Lease Lease  `json:"lease"`
+	Op    statemachine.Operation `json:"op"`
+	Lease Lease                  `json:"lease"`
 }
 
 // Operation is the command's operation.
-func (c *LeaseCommand) Operation() string { return c.Op }
+func (c *LeaseCommand) Operation() statemachine.Operation { return c.Op }
 
 // leases is the machine of the leases: by name, the token counter, and for each lease the highest token that a fenced
 // write carried and that was accepted.
@@ -45,17 +53,17 @@
 
 func (s *leaseStore) Kind() string { return "leases" }
 
-func (s *leaseStore) Commands() map[string]func() statemachine.Command {
+func (s *leaseStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &LeaseCommand{} }
-	return map[string]func() statemachine.Command{"acquire": empty, "release": empty, "lease-expire": empty}
+	return statemachine.CommandsOf(empty, opAcquireLease, opReleaseLease, opExpireLease)
 }
 
 // Apply carries out acquire, release and expire. Acquire by the holder that has it gives the same token.
 func (s *leaseStore) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	c := cmd.(*LeaseCommand)
 	l, held := s.ByName[c.Lease.Name]
-	if c.Op != "acquire" {
-		if !held || l.Token != c.Lease.Token || (c.Op == "release" && l.Holder != c.Lease.Holder) {
+	if c.Op != opAcquireLease {
+		if !held || l.Token != c.Lease.Token || (c.Op == opReleaseLease && l.Holder != c.Lease.Holder) {
 			return statemachine.Outcome{}, ErrLeaseLost.Of(c.Lease.Name, nil)
 		}
 		delete(s.ByName, l.Name)
--- a/internal/registry/lease_http.go
+++ b/internal/registry/lease_http.go
@@ -49,7 +49,7 @@
 	if ttl := time.Duration(b.TTLms) * time.Millisecond; ttl < r.minTTL() {
 		return nil, ErrMalformed.Of("ttl_ms", fmt.Errorf("%d is shorter than two election timeouts (%s)", b.TTLms, r.minTTL()))
 	}
-	return &LeaseCommand{Op: "acquire", Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, TTLms: b.TTLms}}, nil
+	return &LeaseCommand{Op: opAcquireLease, Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, TTLms: b.TTLms}}, nil
 }
 
 func (r *Replica) decodeRelease(req *http.Request) (statemachine.Command, error) {
@@ -60,7 +60,7 @@
 	if err := decodeBody(req, &b); err != nil {
 		return nil, err
 	}
-	return &LeaseCommand{Op: "release", Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, Token: b.Token}}, nil
+	return &LeaseCommand{Op: opReleaseLease, Lease: Lease{Name: req.PathValue("name"), Holder: b.Holder, Token: b.Token}}, nil
 }
 
 // serveRenew keeps a lease on the leader's clock: 204 while the holder has it with that token, 409 once not.
@@ -103,7 +103,7 @@
 	var due []statemachine.Command
 	for name, l := range s.ByName {
 		if r.ttlElapsed(leaseKey(name), l.TTLms, now) {
-			due = append(due, &LeaseCommand{Op: "lease-expire", Lease: Lease{Name: name, Token: l.Token}})
+			due = append(due, &LeaseCommand{Op: opExpireLease, Lease: Lease{Name: name, Token: l.Token}})
 		}
 	}
 	return due
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"hitchvale/internal/statemachine"
 )
 
 // leaseModel is the plain model that the state machine must agree with.
@@ -54,7 +56,7 @@
 			"release or expire": func(t *rapid.T) {
 				n, h := name.Draw(t, "name"), holder.Draw(t, "holder")
 				token := rapid.Uint64Range(0, m.tokens+1).Draw(t, "token")
-				op := rapid.SampledFrom([]string{"release", "lease-expire"}).Draw(t, "op")
+				op := rapid.SampledFrom([]statemachine.Operation{"release", "lease-expire"}).Draw(t, "op")
 				r := s.Apply(&LeaseCommand{Op: op, Lease: Lease{Name: n, Holder: h, Token: token}})
 				l, ok := m.held[n]
 				if ok && l.Token == token && (op == "lease-expire" || l.Holder == h) {
--- a/internal/registry/maintenance.go
+++ b/internal/registry/maintenance.go
@@ -54,7 +54,7 @@
 }
 
 func (r *Replica) routeMaintenance(mux *http.ServeMux) {
-	step := func(op string) http.HandlerFunc {
+	step := func(op statemachine.Operation) http.HandlerFunc {
 		return r.writeHandler("turn", func(req *http.Request) (statemachine.Command, error) {
 			c := &maintenance.Command{}
 			if err := decodeBody(req, c); err != nil {
@@ -67,11 +67,11 @@
 	mux.HandleFunc("GET /registry/rota", r.leaderOnly(r.serveMaintenance))
 	mux.HandleFunc("POST /registry/rota/requests", r.writeHandler("request", r.decodeMaintenanceRequest))
 	mux.HandleFunc("DELETE /registry/rota/requests/{id}", r.writeHandler("", func(req *http.Request) (statemachine.Command, error) {
-		return &maintenance.Command{Op: "rota-withdraw", Request: maintenance.Request{ID: req.PathValue("id")}}, nil
+		return &maintenance.Command{Op: maintenance.OpWithdrawRequest, Request: maintenance.Request{ID: req.PathValue("id")}}, nil
 	}))
 	mux.HandleFunc("POST /registry/rota/settle", r.writeHandler("order", r.decodeSettleOrder))
-	for _, op := range []string{"step", "confirm", "overdue", "free"} {
-		mux.HandleFunc("POST /registry/rota/machines/{id}/"+op, step("rota-"+op))
+	for action, op := range maintenance.TurnActions {
+		mux.HandleFunc("POST /registry/rota/machines/{id}/"+action, step(op))
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	slices.Sort(q.Machines)
 	q.Machines = slices.Compact(q.Machines)
-	return &maintenance.Command{Op: "rota-request", Request: q.Request}, nil
+	return &maintenance.Command{Op: maintenance.OpAddRequest, Request: q.Request}, nil
 }
 
 // settleTurns settles the order on the view that the proposer names, which has to be the leader's last: the costs are
@@ -124,7 +124,7 @@
 	if v == nil || v.version != stamp {
 		return nil, fleet.ErrViewNotReady.Of("order", fmt.Errorf("view %d.%d is not the last", stamp.Term, stamp.Epoch))
 	}
-	c := &maintenance.Command{Op: "rota-settle", View: maintenance.ViewVersion(stamp), Costs: map[string]float64{}}
+	c := &maintenance.Command{Op: maintenance.OpSettleOrder, View: maintenance.ViewVersion(stamp), Costs: map[string]float64{}}
 	for _, b := range v.backends {
 		c.Costs[b.ID] = b.Outstanding + b.QueueEstimate
 	}
@@ -149,7 +149,7 @@
 		if s, ok := seen[id]; !ok || s.revision != t.Revision {
 			seen[id] = turnObservation{t.Revision, now}
 		} else if now.Sub(s.firstSeen) > time.Duration(r.maintenance.ExpectedMs(t))*time.Millisecond {
-			due = append(due, &maintenance.Command{Op: "rota-overdue", Machine: id, Revision: t.Revision})
+			due = append(due, &maintenance.Command{Op: maintenance.OpMarkOverdue, Machine: id, Revision: t.Revision})
 		}
 	}
 	for id := range seen {
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -55,13 +55,21 @@
 	Revision int64  `json:"changed"` // revision of its last change
 }
 
-// MemberCommand is a write of the list: register, phase, deregister or expire.
+// The operations on the member list, as stored in the log.
+const (
+	opRegister   statemachine.Operation = "register"
+	opSetPhase   statemachine.Operation = "phase"
+	opDeregister statemachine.Operation = "deregister"
+	opExpire     statemachine.Operation = "expire"
+)
+
+// MemberCommand is a write of the member list. opRegister uses Member and TTLms; the others name the member by ID.
 type MemberCommand struct {
-	Op     string `json:"op"`
-	Member Member `json:"member,omitzero"`
-	TTLms  int64  `json:"ttl_ms,omitempty"`
-	ID     string `json:"id,omitempty"`
-	Phase  string `json:"phase,omitempty"`
+	Op     statemachine.Operation `json:"op"`
+	Member Member                 `json:"member,omitzero"`
+	TTLms  int64                  `json:"ttl_ms,omitempty"`
+	ID     string                 `json:"id,omitempty"`
+	Phase  string                 `json:"phase,omitempty"`
 	// Seen is, for expire, the revision of the member's last change that the leader saw: a member registered again
 	// since is not expired.
 	SeenRevision int64 `json:"seen,omitempty"`
@@ -70,7 +78,7 @@
 }
 
 // Operation is the command's operation.
-func (c *MemberCommand) Operation() string { return c.Op }
+func (c *MemberCommand) Operation() statemachine.Operation { return c.Op }
 
 // change is one entry of the ring of recent changes.
 type memberChange struct {
@@ -95,9 +103,9 @@
 
 func (s *memberStore) Kind() string { return "members" }
 
-func (s *memberStore) Commands() map[string]func() statemachine.Command {
+func (s *memberStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &MemberCommand{} }
-	return map[string]func() statemachine.Command{"register": empty, "phase": empty, "deregister": empty, "expire": empty}
+	return statemachine.CommandsOf(empty, opRegister, opSetPhase, opDeregister, opExpire)
 }
 
 func (s *memberStore) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
@@ -105,7 +113,7 @@
 	if err := s.checkToken(c.FencingToken); err != nil {
 		return statemachine.Outcome{}, err
 	}
-	if c.Op == "register" {
+	if c.Op == opRegister {
 		if err := c.Member.Validate(); err != nil {
 			return statemachine.Outcome{}, err
 		}
@@ -116,14 +124,14 @@
 	switch {
 	case !ok:
 		return statemachine.Outcome{}, ErrMemberNotFound.Of(c.ID, nil)
-	case c.Op == "phase":
+	case c.Op == opSetPhase:
 		if err := checkPhase(c.Phase); err != nil {
 			return statemachine.Outcome{}, err
 		}
 		e.Member.Phase = c.Phase
 		s.store(e, next)
 		return statemachine.Outcome{}, nil
-	case c.Op == "expire" && e.Revision != c.SeenRevision:
+	case c.Op == opExpire && e.Revision != c.SeenRevision:
 		return statemachine.Outcome{}, ErrMemberChanged.Of(c.ID, nil)
 	}
 	e.Member.Phase = PhaseGone
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -203,14 +203,14 @@
 type ttlStarter interface{ heartbeatKey() string }
 
 func (c *MemberCommand) heartbeatKey() string {
-	if c.Op == "register" {
+	if c.Op == opRegister {
 		return c.Member.ID
 	}
 	return ""
 }
 
 func (c *LeaseCommand) heartbeatKey() string {
-	if c.Op == "acquire" {
+	if c.Op == opAcquireLease {
 		return leaseKey(c.Lease.Name)
 	}
 	return ""
@@ -325,7 +325,7 @@
 		defer r.heartbeatMu.Unlock()
 		for id, e := range s.Records {
 			if e.TTLms > 0 && r.ttlElapsed(id, e.TTLms, now) {
-				due = append(due, &MemberCommand{Op: "expire", ID: id, SeenRevision: e.Revision})
+				due = append(due, &MemberCommand{Op: opExpire, ID: id, SeenRevision: e.Revision})
 			}
 		}
 		due = append(due, r.expiredSessions(now)...)
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -24,7 +24,7 @@
 	*memberStore
 	*leaseStore
 	machines           []statemachine.Machine
-	machineByOperation map[string]statemachine.Machine
+	machineByOperation map[statemachine.Operation]statemachine.Machine
 }
 
 // Result is what applying a command gives: the revision after it, what the machine answers, or why nothing changed.
@@ -38,7 +38,7 @@
 // beside the members and the leases.
 func NewState(ringCap int, more ...statemachine.Machine) *State {
 	l := newLeaseStore()
-	s := &State{leaseStore: l, memberStore: newMemberStore(ringCap, l.checkToken), machineByOperation: map[string]statemachine.Machine{}}
+	s := &State{leaseStore: l, memberStore: newMemberStore(ringCap, l.checkToken), machineByOperation: map[statemachine.Operation]statemachine.Machine{}}
 	s.addMachines(append([]statemachine.Machine{s.memberStore, s.leaseStore}, more...)...)
 	return s
 }
@@ -59,14 +59,14 @@
 // ParseCommand reads a command from the log.
 func (s *State) ParseCommand(text []byte) (statemachine.Command, error) {
 	var head struct {
-		Op string `json:"op"`
+		Op statemachine.Operation `json:"op"`
 	}
 	if err := json.Unmarshal(text, &head); err != nil {
 		return nil, fmt.Errorf("command: %w", err)
 	}
 	m := s.machineByOperation[head.Op]
 	if m == nil {
-		return nil, ErrUnknownOperation.Of(head.Op, nil)
+		return nil, ErrUnknownOperation.Of(string(head.Op), nil)
 	}
 	c := m.Commands()[head.Op]()
 	if err := json.Unmarshal(text, c); err != nil {
@@ -79,7 +79,7 @@
 func (s *State) Apply(c statemachine.Command) Result {
 	m := s.machineByOperation[c.Operation()]
 	if m == nil {
-		return Result{Revision: s.Revision, Err: ErrUnknownOperation.Of(c.Operation(), nil)}
+		return Result{Revision: s.Revision, Err: ErrUnknownOperation.Of(string(c.Operation()), nil)}
 	}
 	out, err := m.Apply(c, s.Revision+1)
 	if err == nil && !out.Unchanged {
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -84,7 +84,7 @@
 		if r := s.Apply(c); r.Err != nil || r.Revision != int64(i+1) {
 			t.Fatalf("%s: %+v", line, r)
 		}
-		if text, err := EncodeCommand(c); err != nil || json.Valid(text) == false || !strings.Contains(string(text), c.Operation()) {
+		if text, err := EncodeCommand(c); err != nil || json.Valid(text) == false || !strings.Contains(string(text), string(c.Operation())) {
 			t.Errorf("written again: %s %v", text, err)
 		}
 	}
@@ -100,15 +100,15 @@
 type counter struct{ N int }
 
 type count struct {
-	Op string `json:"op"`
-	By int    `json:"by"`
+	Op statemachine.Operation `json:"op"`
+	By int                    `json:"by"`
 }
 
-func (c *count) Operation() string { return c.Op }
+func (c *count) Operation() statemachine.Operation { return c.Op }
 
 func (c *counter) Kind() string { return "counter" }
-func (c *counter) Commands() map[string]func() statemachine.Command {
-	return map[string]func() statemachine.Command{"count": func() statemachine.Command { return &count{} }}
+func (c *counter) Commands() map[statemachine.Operation]func() statemachine.Command {
+	return map[statemachine.Operation]func() statemachine.Command{"count": func() statemachine.Command { return &count{} }}
 }
 func (c *counter) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	by := cmd.(*count).By
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,28 +1,47 @@
-// Package statemachine is the interface between the registry's replicated log and the kinds of records kept in it. A kind is
-// a machine of its own, deterministic, with its own commands and its own part of the snapshot; the registry's State
-// dispatches commands to machines and owns the revision. See docs/ROADMAP.md, "A fleet that settles its own affairs".
+// Package statemachine defines the interface between the registry's replicated log and the state machines that its
+// entries are applied to. Each machine owns one kind of records, the commands that change them and their section of the
+// snapshot; the registry's State dispatches commands to the machines and owns the revision.
 package statemachine
 
+// Operation names what a command does. Its value is stored in the log with every command and must not change.
+type Operation string
+
 // Command is one write. In the log it is JSON: its operation as "op" beside the fields of its own type.
-type Command interface{ Operation() string }
+type Command interface {
+	// Operation returns the operation that selects the machine to apply the command to.
+	Operation() Operation
+}
 
-// Machine is one kind of records. Apply and Decode are called under the replica's lock, in the log's order, and must
-// depend on nothing but the machine's state and the command: the same log gives the same state on every replica.
+// Machine is a deterministic state machine over one kind of records. Apply and Decode are called under the replica's
+// lock, in the log's order, and must depend on the machine's state and the command alone: the same log gives the same
+// state on every replica.
 type Machine interface {
-	// Kind names the machine's part of the snapshot.
+	// Kind names the machine's section of the snapshot. It must not change.
 	Kind() string
-	// Commands makes an empty command, to decode into, for each operation that the machine takes.
-	Commands() map[string]func() Command
-	// Apply carries out a command. next is the revision that the state has once the command has changed something;
-	// an error changes nothing.
-	Apply(c Command, next int64) (Outcome, error)
-	// Encode writes the machine's part of a snapshot (JSON), Decode replaces the state with one taken at a revision.
+	// Commands returns, for each operation of the machine, a constructor of an empty command to decode into.
+	Commands() map[Operation]func() Command
+	// Apply executes a command. nextRevision is the revision of the state if the command changes something; a command
+	// that fails changes nothing.
+	Apply(c Command, nextRevision int64) (Outcome, error)
+	// Encode returns the machine's section of a snapshot as JSON.
 	Encode() ([]byte, error)
-	Decode(text []byte, revision int64) error
+	// Decode replaces the state by a section of a snapshot that was taken at the given revision.
+	Decode(section []byte, revision int64) error
 }
 
-// Outcome is what a command did.
+// Outcome is the result of a command that did not fail.
 type Outcome struct {
-	Unchanged bool // what was asked for is so already: the revision stays
-	Value     any  // what the writer is answered; may be nil
+	// Unchanged reports that the state was already as requested: the revision stays.
+	Unchanged bool
+	// Value is the record that the writer gets in its answer; nil if there is none.
+	Value any
+}
+
+// CommandsOf returns the map that Machine.Commands wants for operations that share one type of command.
+func CommandsOf(empty func() Command, operations ...Operation) map[Operation]func() Command {
+	commands := make(map[Operation]func() Command, len(operations))
+	for _, operation := range operations {
+		commands[operation] = empty
+	}
+	return commands
 }
