--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"hitchvale/internal/statemachine"
 )
 
 // leaseModel is the plain model that the state machine must agree with.
@@ -54,7 +56,7 @@
 			"release or expire": func(t *rapid.T) {
 				n, h := name.Draw(t, "name"), holder.Draw(t, "holder")
 				token := rapid.Uint64Range(0, m.tokens+1).Draw(t, "token")
-				op := rapid.SampledFrom([]string{"release", "lease-expire"}).Draw(t, "op")
+				op := rapid.SampledFrom([]statemachine.Operation{"release", "lease-expire"}).Draw(t, "op")
 				r := s.Apply(&LeaseCommand{Op: op, Lease: Lease{Name: n, Holder: h, Token: token}})
 				l, ok := m.held[n]
 				if ok && l.Token == token && (op == "lease-expire" || l.Holder == h) {
@@ -93,12 +95,12 @@
 				s = n
 			},
 			"": func(t *rapid.T) {
-				if len(s.ByName) != len(m.held) || s.LastToken != m.tokens {
-					t.Fatalf("state %d leases, token %d; model %d, %d", len(s.ByName), s.LastToken, len(m.held), m.tokens)
+				if len(s.leases.ByName) != len(m.held) || s.leases.LastToken != m.tokens {
+					t.Fatalf("state %d leases, token %d; model %d, %d", len(s.leases.ByName), s.leases.LastToken, len(m.held), m.tokens)
 				}
 				for n, l := range m.held {
-					if s.ByName[n] != l {
-						t.Fatalf("lease %s: %+v, model %+v", n, s.ByName[n], l)
+					if s.leases.ByName[n] != l {
+						t.Fatalf("lease %s: %+v, model %+v", n, s.leases.ByName[n], l)
 					}
 				}
 			},
