--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -5,8 +5,8 @@
 	"hitchvale/internal/discovery"
 )
 
-// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a complete
-// list does not name count as removed.
+// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
+// complete list does not name count as removed.
 func (l *eventLoop) updateEndpoints(kind balance.ListKind, list discovery.List) {
 	if len(list.Members) > 0 {
 		l.log.Info("endpoint list received",
@@ -30,8 +30,8 @@
 	l.availabilityChanged()
 }
 
-// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock. Idle
-// connections to a process that the entry replaces are closed.
+// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock.
+// Idle connections to a process that the entry replaces are closed.
 func (l *eventLoop) updateBackend(member discovery.Member) balance.Endpoint {
 	b := l.backendsByID[member.ID]
 	isNew := b == nil
@@ -58,7 +58,8 @@
 	return endpoint
 }
 
-// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have set.
+// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have
+// set.
 func (l *eventLoop) addBackend(member discovery.Member) *backend {
 	b := &backend{id: member.ID, endpointID: balance.EndpointID(len(l.backendsByEndpointID))}
 	l.backendsByID[b.id] = b
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -53,7 +53,7 @@
 		return // what is in flight is unknown: nothing is confirmed
 	}
 	for _, command := range maintenance.Propose(plan, state) {
-		if err := d.submit(ctx, command); err != nil && command.Op == "rota-step" {
+		if err := d.submit(ctx, command); err != nil && command.Op == maintenance.OpAdvanceTurn {
 			d.node.log.Info("maintenance step rejected",
 				"machine", command.Machine, "target", command.Target, "error", err)
 		}
@@ -102,10 +102,10 @@
 
 // submit sends a command to the registry, which accepts or rejects it.
 func (d *maintenanceDriver) submit(ctx context.Context, command maintenance.Command) error {
-	if command.Op == "rota-settle" {
+	if command.Op == maintenance.OpSettleOrder {
 		return d.client.Call(ctx, http.MethodPost, "/registry/rota/settle", command.View, nil)
 	}
-	step := strings.TrimPrefix(command.Op, "rota-")
+	step := strings.TrimPrefix(string(command.Op), "rota-")
 	path := "/registry/rota/machines/" + url.PathEscape(command.Machine) + "/" + step
 	return d.client.Call(ctx, http.MethodPost, path, command, nil)
 }
