--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -136,10 +136,10 @@
 	p.t.Fatalf("the node ended without logging %q: %v", text, p.Wait())
 }
 
-// leaves waits for the end of a node that has been told to end.
-func (p *process) leaves() {
+// awaitEnd waits for the end of a node that got SIGTERM.
+func (p *process) awaitEnd() {
 	p.t.Helper()
-	p.awaitLine("left")
+	p.awaitLine("shut down")
 	for p.logged.Scan() {
 	}
 	if err := p.Wait(); err != nil {
@@ -162,7 +162,7 @@
 	p.awaitLine("configuration replaced")
 	<-askedAfter
 	p.Process.Signal(syscall.SIGTERM)
-	p.leaves()
+	p.awaitEnd()
 }
 
 // What discovery tells counts as told 4 s after SIGHUP, whether or not the file could be read just then: it is read again
@@ -184,7 +184,7 @@
 		t.Error("discovery was not asked where it is now")
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	p.leaves()
+	p.awaitEnd()
 }
 
 // A node that has been told to end still sends what it has taken, so it still follows where discovery moves.
@@ -194,12 +194,12 @@
 	p := startProcess(t, before)
 	<-askedBefore
 	p.Process.Signal(syscall.SIGTERM)
-	p.awaitLine("leaving")
+	p.awaitLine("shutting down")
 	p.configure(after)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration replaced")
 	<-askedAfter
-	p.leaves()
+	p.awaitEnd()
 }
 
 // answers tells whether the node answers a request within a while: it has no backend, so it refuses.
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -33,7 +33,7 @@
 			}
 			listen := func(addr string) (net.Listener, error) {
 				return accept.Open(func() (net.Listener, error) { return net.Listen("tcp", addr) }, func(err error) {
-					log.Warn("an address can't be opened yet: trying again", "address", addr, "error", err)
+					log.Warn("listen failed, retrying", "address", addr, "error", err)
 				})
 			}
 			raftLn, err := listen(cfg.ListenRaft())
--- /dev/null
+++ b/internal/node/gracefulshutdown.go
@@ -0,0 +1,120 @@
+package node
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"hitchvale/internal/siteconfig"
+)
+
+const (
+	// backlogEmptyFor is how long no connection must have waited for the backlog to count as empty.
+	backlogEmptyFor = 50 * time.Millisecond
+	// drainIdleTime is how long nothing may be in flight before connections that never sent a request are closed.
+	drainIdleTime = 300 * time.Millisecond
+	// shutdownPollInterval is how often the conditions of a shutdown are checked.
+	shutdownPollInterval = 10 * time.Millisecond
+)
+
+// shutDown ends this process in the order of its schedule (shutdown.go): it goes on accepting until clients send
+// nothing new, answers what it has read, and closes each connection after a response or once it is idle. All of that is
+// done before the earliest time at which the process may be killed.
+func (n *Node) shutDown(server *http.Server) error {
+	n.log.Info("shutting down")
+	schedule := n.front.shutdown
+	n.front.plantSchedule()
+	schedule.begin()
+	if n.handover != nil {
+		n.handover.returnToPredecessor()
+	}
+	ctx, cancel := n.shutdownContext()
+	defer cancel()
+	var running sync.WaitGroup
+	defer running.Wait()
+	draining, drained := context.WithCancel(ctx)
+	defer drained()
+	running.Go(func() { n.sendFinalResponses(draining) })
+
+	pause(ctx, time.Until(schedule.acceptUntil().Time()))
+	err := n.drainClients(ctx)
+	n.listener.Close()
+	server.Close()
+	n.log.Info("shut down")
+	if err != nil && !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("closing the listener: %w", err)
+	}
+	return nil
+}
+
+// drainClients accepts the backlog, closes the listener and waits until the clients' connections have ended. While a
+// successor accepts, the listener stays open: if the successor ends, the backlog is this process's again.
+func (n *Node) drainClients(ctx context.Context) error {
+	for {
+		closed := !n.front.handed.Load()
+		var err error
+		if closed {
+			n.acceptBacklog(ctx)
+			err = n.listener.Close()
+		}
+		n.front.drain(ctx)
+		if closed || n.front.handed.Load() {
+			return err
+		}
+	}
+}
+
+// shutdownContext bounds how long a shutdown waits for what it can't end itself: bodies that are being passed on. Where
+// they may have any length they take their time, and whoever can't wait kills the process.
+func (n *Node) shutdownContext() (context.Context, context.CancelFunc) {
+	if n.front.large {
+		return context.WithCancel(context.Background())
+	}
+	return context.WithTimeout(context.Background(), killGrace+2*longestDeadline(n.cfg.Settings))
+}
+
+// acceptBacklog waits until the backlog of the listener is empty. Connections wait there when the node has no
+// descriptor for them or accept fails; closing the listener would reset them.
+func (n *Node) acceptBacklog(ctx context.Context) {
+	emptyFor := time.Duration(0)
+	for emptyFor < backlogEmptyFor && ctx.Err() == nil && !n.front.shutdown.due() {
+		pause(ctx, shutdownPollInterval)
+		if n.listener.backlogged() {
+			emptyFor = 0
+		}
+		if !n.front.shutdown.takes() {
+			n.front.endSilent()
+		}
+		emptyFor += shutdownPollInterval
+	}
+}
+
+// sendFinalResponses has each request that is still open answered from the time at which that is due, and has the event
+// loop check once, just before the earliest kill, that none is left.
+func (n *Node) sendFinalResponses(ctx context.Context) {
+	schedule := n.front.shutdown
+	pause(ctx, time.Until(schedule.answerBy().Time()))
+	checked := false
+	for ctx.Err() == nil {
+		n.loop.post(finalResponsesDue{})
+		pause(ctx, shutdownPollInterval)
+		if !checked && schedule.over() {
+			checked = true
+			n.loop.post(shutdownCheckDue{})
+		}
+	}
+}
+
+// longestDeadline returns the longest time for which a request may be in flight.
+func longestDeadline(settings siteconfig.Settings) time.Duration {
+	var longest time.Duration
+	for _, class := range settings.Config.Classes {
+		longest = max(longest, cmp.Or(class.Deadline, defaultDeadline))
+	}
+	return longest
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,66 +1,56 @@
-// Package node is one real node: the Balancer of package balance between clients, backends, discovery and peers
-// on real sockets.
 package node
 
 import (
-	"cmp"
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
-	"sync"
 	"time"
 
 	"hitchvale/balance"
 	"hitchvale/internal/accept"
 	"hitchvale/internal/admin"
 	"hitchvale/internal/discovery"
-	"hitchvale/internal/siteconfig"
 )
 
-const (
-	// clearFor is how long there must be room to accept, for the backlog to be empty.
-	backlogEmptyFor = 50 * time.Millisecond
-	// firstListWithin is how long a process waits for the first pushed list before it says that it is ready. An agent
-	// answers at once; one that is down must not keep the node away, which has 30 s to be ready.
-	firstListTimeout = 3 * time.Second
-	// stillFor is how long nothing may be in flight before connections that never sent a request are cut.
-	drainIdleTime, shutdownPollInterval = 300 * time.Millisecond, 10 * time.Millisecond
-)
-
-// Node is one node. New opens its sockets, Run serves.
+// Node is one process of a node. New opens its sockets, Run serves.
 type Node struct {
-	cfg             Config
-	log             *slog.Logger
-	listener        *boundedListener
-	peers           *peers
-	pool            *connPool
-	loop            *eventLoop
-	front           *front
-	discovery       *discovery.Client
-	counters        *counters
-	metrics         *metrics
-	maxClientConns  int           // connections of clients, over all processes of the node
-	maxBackendConns int           // and to backends
-	admin           *admin.Server // nil: none is told
-	cordons         *cordonFile   // where there is an admin
-	handover        *handover     // likewise
-	fleet           *fleetMember  // where the configuration has a part in the fleet
-
-	firstListTimeout time.Duration // how long Run waits for a pushed list before the node is ready without
+	cfg       Config
+	log       *slog.Logger
+	listener  *boundedListener
+	front     *front
+	loop      *eventLoop
+	pool      *connPool
+	discovery *discovery.Client
+	counters  *counters
+	metrics   *metrics
+
+	maxClientConns  int // of all processes of the node together
+	maxBackendConns int // likewise
+
+	peers    *peers        // nil: no gossip
+	admin    *admin.Server // nil: no second address
+	cordons  *cordonFile   // nil: no second address
+	handover *handover     // nil: no second address
+	fleet    *fleetMember  // nil: not a member of a fleet
+
+	firstListTimeout time.Duration
 }
 
-// New returns a node that is ready to run.
+// New opens the sockets of a node. With a second address it takes the listener of a process that runs already. The
+// error names what could not be opened; an address that is in use for a moment is waited for.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	bal, err := balance.New(cfg.Settings.Config, cfg.Seed)
+	balancer, err := balance.New(cfg.Settings.Config, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, log: log, firstListTimeout: firstListTimeout, counters: newCounters(cfg.Settings.Classes)}
+	n := &Node{
+		cfg:              cfg,
+		log:              log,
+		counters:         newCounters(cfg.Settings.Classes),
+		firstListTimeout: firstListTimeout,
+	}
 	n.metrics = newMetrics(n.counters)
-	limits := cfg.Settings.Config.Limits
 	if cfg.Admin != "" {
 		n.handover = newHandover(cfg, log)
 		n.handover.connectToPredecessor()
@@ -68,24 +58,53 @@
 			n.cfg.Known = list
 		}
 	}
-	n.maxClientConns, n.maxBackendConns = cfg.Limits.divideDescriptors(cfg.Admin != "")
+	n.buildUpstream(balancer)
+	n.buildFront()
+	n.buildDiscovery()
+	if err := n.openPeers(); err != nil {
+		return nil, err
+	}
+	if cfg.Fleet != nil {
+		n.fleet = newFleetMember(n)
+	}
+	if err := n.listen(); err != nil {
+		n.close()
+		return nil, err
+	}
+	return n, nil
+}
+
+// buildUpstream makes the pool of connections to backends and the event loop.
+func (n *Node) buildUpstream(balancer *balance.Balancer) {
+	settings := n.cfg.Settings.Config
+	limits := settings.Limits
+	n.maxClientConns, n.maxBackendConns = n.cfg.Limits.divideDescriptors(n.cfg.Admin != "")
 	n.pool = newConnPool(n.maxBackendConns, limits.ConnectTimeout, limits.IdleClose)
 	n.pool.closes = &n.counters.closes
-	n.loop = newEventLoop(bal, newUpstreamTransport(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.counters.attemptsWritten, log),
-		n.counters, log)
-	n.loop.guard = newGuard(cfg.Settings.Config, log)
+	inlineReports := settings.LoadReports == balance.InlineLoadReports
+	upstream := newUpstreamTransport(n.pool, inlineReports, &n.counters.attemptsWritten, n.log)
+	n.loop = newEventLoop(balancer, upstream, n.counters, n.log)
+	n.loop.guard = newGuard(settings, n.log)
 	n.metrics.guard = n.loop.guard
-	n.front = newFront(n.loop, cfg.Settings, n.maxClientConns, log)
-	n.front.kept = newBudget(cfg.Limits.MemoryMB)
+}
+
+// buildFront makes the side of the clients.
+func (n *Node) buildFront() {
+	n.front = newFront(n.loop, n.cfg.Settings, n.maxClientConns, n.log)
+	n.front.kept = newBudget(n.cfg.Limits.MemoryMB)
 	n.loop.upstream.bodyMemory = n.front.kept
 	n.front.most = min(n.front.most, int64(n.maxBackendConns))
-	n.front.large = cfg.Admin != ""
+	n.front.large = n.cfg.Admin != ""
+}
+
+// buildDiscovery makes the client of discovery, and connects it with the event loop.
+func (n *Node) buildDiscovery() {
 	n.discovery = discovery.NewClient(discovery.Config{
-		Address:   cfg.Discovery,
-		Replicas:  cfg.Registry,
-		Settings:  cfg.Settings,
+		Address:   n.cfg.Discovery,
+		Replicas:  n.cfg.Registry,
+		Settings:  n.cfg.Settings,
 		Known:     n.cfg.Known,
-		Log:       log,
+		Log:       n.log,
 		OnList:    n.onList,
 		OnFailure: func() { n.loop.post(discoveryFailed{}) },
 		OnCall:    n.metrics.observeDiscoveryCall,
@@ -93,24 +112,9 @@
 	n.metrics.listRevision.Set(float64(n.cfg.Known.Revision))
 	n.loop.requestDiscovery = n.discovery.Request
 	n.loop.takeDiscoveryCalls = n.discovery.TakeCallCount
-	if cfg.PeerListen != "" {
-		n.peers, err = accept.Open(func() (*peers, error) { return listenPeers(&cfg) }, n.logOpenRetries(cfg.PeerListen))
-		if err != nil {
-			return nil, fmt.Errorf("peer_listen: %w", err)
-		}
-		n.loop.sendToPeer = n.peers.enqueue
-	}
-	if cfg.Fleet != nil {
-		n.fleet = newFleetMember(n)
-	}
-	if err := n.listen(); err != nil {
-		n.close()
-		return nil, err
-	}
-	return n, nil
 }
 
-// onList has the loop take in a list from discovery.
+// onList sends an endpoint list to the event loop.
 func (n *Node) onList(list discovery.List) {
 	kind := balance.ListChanges
 	if list.Complete {
@@ -120,43 +124,60 @@
 	n.loop.post(endpointListReceived{kind: kind, list: list})
 }
 
-// listen opens the addresses of the node.
-func (n *Node) listen() (err error) {
+// openPeers opens the socket for gossip, if there is to be one.
+func (n *Node) openPeers() error {
+	address := n.cfg.PeerListen
+	if address == "" {
+		return nil
+	}
+	opened, err := accept.Open(func() (*peers, error) { return listenPeers(&n.cfg) }, n.logOpenRetries(address))
+	if err != nil {
+		return fmt.Errorf("peer_listen: %w", err)
+	}
+	n.peers = opened
+	n.loop.sendToPeer = opened.enqueue
+	return nil
+}
+
+// listen opens the second address and the one for clients, or takes over the predecessor's listener.
+func (n *Node) listen() error {
 	if n.cfg.Admin != "" {
 		n.cordons = newCordonFile(n.cfg.StateDir, n.cfg.Name, n.log)
-		if n.admin, err = accept.Open(func() (*admin.Server, error) {
+		server, err := accept.Open(func() (*admin.Server, error) {
 			return admin.Listen(n.cfg.Admin, adminView{n}, n.log)
-		}, n.logOpenRetries(n.cfg.Admin)); err != nil {
+		}, n.logOpenRetries(n.cfg.Admin))
+		if err != nil {
 			return err
 		}
+		n.admin = server
 	}
 	if n.handover != nil && n.handover.inheritedListener != nil {
 		n.listener = limitListener(n.handover.inheritedListener, 0)
-		n.listener.rest(true) // until the old process says that it has stopped
+		n.listener.rest(true) // until the predecessor has stopped accepting
 		return nil
 	}
-	lc := net.ListenConfig{}
+	listenConfig := net.ListenConfig{}
 	if n.handover != nil {
-		lc.Control = sharePort // with an old process that does not answer
+		listenConfig.Control = sharePort // with a predecessor that does not hand over
 	}
-	l, err := accept.Open(func() (net.Listener, error) {
-		return lc.Listen(context.Background(), "tcp", n.cfg.Listen)
+	listener, err := accept.Open(func() (net.Listener, error) {
+		return listenConfig.Listen(context.Background(), "tcp", n.cfg.Listen)
 	}, n.logOpenRetries(n.cfg.Listen))
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	n.listener = limitListener(l, n.maxClientConns)
+	n.listener = limitListener(listener, n.maxClientConns)
 	return nil
 }
 
-// waitsFor logs that the node waits until it can open an address.
-func (n *Node) logOpenRetries(addr string) func(error) {
+// logOpenRetries returns a function that logs each failed attempt to open an address.
+func (n *Node) logOpenRetries(address string) func(error) {
 	return func(err error) {
-		n.log.Warn("an address can't be opened yet: trying again", "address", addr, "error", err)
+		n.log.Warn("listen failed, retrying", "address", address, "error", err)
 	}
 }
 
-// close ends a node that does not run.
+// close closes the sockets of a node that does not run.
 func (n *Node) close() {
 	if n.peers != nil {
 		n.peers.conn.Close()
@@ -169,163 +190,12 @@
 	}
 }
 
-// Addr is the address that the node listens on for clients.
+// Addr returns the address for clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// Reload takes in a configuration that has replaced the node's own while it runs: discovery may have moved. All
-// else is fixed at the start.
+// Reload applies a configuration that replaces the node's own while it runs: discovery may have moved. All other keys
+// hold from the start of the process.
 func (n *Node) Reload(cfg Config) {
 	n.log.Info("configuration replaced", "discovery", cfg.Discovery)
 	n.discovery.SetAddress(cfg.Discovery)
 }
-
-// Run serves until ctx ends, then answers all that it has taken and returns.
-func (n *Node) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer stop()
-	if n.cordons != nil {
-		n.loop.applyCordons(n.cordons.loadAtStart())
-		wg.Go(func() {
-			n.cordons.watch(work, func(c cordonRecord) { n.loop.post(cordonsChanged{record: c}) })
-		})
-	}
-	// A pushed list counts as told from the first moment of a process, so it must not serve on an older one.
-	n.loop.awaitingFirstList = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inheritedListener == nil)
-	first := time.AfterFunc(n.firstListTimeout, func() { n.loop.post(firstListOverdue{}) })
-	defer first.Stop()
-	known := n.cfg.Known
-	known.Complete = true
-	n.loop.updateEndpoints(balance.CachedList, known)
-	wg.Go(func() { n.loop.run(work.Done()) })
-	wg.Go(func() { n.pool.run(work) })
-	wg.Go(func() { n.discovery.Run(work) })
-	if n.peers != nil {
-		wg.Go(func() {
-			n.peers.run(work, func(peer int, payload []byte) {
-				n.loop.post(peerMessageReceived{peer: peer, payload: payload})
-			})
-		})
-	}
-	if n.fleet != nil {
-		wg.Go(func() { n.fleet.run(work) })
-	}
-	srv := n.front.server()
-	listenerLost := make(chan error, 1)
-	n.listener.logFailures(n.log)
-	go func() { listenerLost <- srv.Serve(n.listener) }()
-	if n.admin != nil {
-		wg.Go(func() {
-			if err := n.admin.Run(work); err != nil {
-				n.log.Error("the second address has ended, requests are served on: restart the node when it suits", "error", err)
-			}
-		})
-	}
-	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String())
-	site := n.cfg.Settings.Config
-	n.log.Info("told", "nodes", site.Instances, "index", site.Index, "zone", site.Zone, "limits", site.Limits,
-		"prices", site.Prices, "rules", site.Rules, "classes", site.Classes, "machine", n.cfg.Limits)
-	var replaced chan struct{} // stays nil where nobody can
-	if n.handover != nil {
-		replaced = make(chan struct{})
-		wg.Go(func() { n.runHandover(work, replaced) })
-	}
-	var lost error
-	select {
-	case err := <-listenerLost:
-		// No later call could accept again. What has been taken is still owed.
-		lost = fmt.Errorf("accepting on %s, restart the node: %w", n.cfg.Listen, err)
-		n.log.Error("the listener is lost: ending", "error", err)
-	case <-replaced:
-		n.log.Info("replaced, and done")
-	case <-ctx.Done():
-	}
-	return errors.Join(lost, n.shutDown(srv))
-}
-
-// leave ends the node in order: it goes on accepting until nobody sends anything new, answers what it has taken, and closes
-// each connection after an answer or once it rests. What it takes until then is answered before it may be killed.
-func (n *Node) shutDown(srv *http.Server) error {
-	n.log.Info("leaving")
-	schedule := n.front.shutdown
-	n.front.plantSchedule()
-	schedule.begin()
-	if n.handover != nil {
-		n.handover.returnToPredecessor()
-	}
-	ctx, cancel := n.shutdownContext()
-	defer cancel()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	watched, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
-	wg.Go(func() { n.sendFinalResponses(watched) })
-
-	pause(ctx, time.Until(schedule.acceptUntil().Time()))
-	var err error
-	for accepting := true; accepting; {
-		if !n.front.handed.Load() {
-			n.acceptBacklog(ctx)
-			err, accepting = n.listener.Close(), false
-		}
-		n.front.drain(ctx)
-		if n.front.handed.Load() {
-			break // the listener stayed open for the case that the other process ends: what waits there had nobody else
-		}
-	}
-	n.listener.Close()
-	srv.Close()
-	n.log.Info("left")
-	if err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("closing the listener: %w", err)
-	}
-	return nil
-}
-
-// leaveWithin bounds the time for which a node that leaves waits for what it can't end itself: answers that are still being
-// passed on, and requests that are. Where they may have any length they take as long as they do, and whoever can't wait
-// kills the process.
-func (n *Node) shutdownContext() (context.Context, context.CancelFunc) {
-	if n.front.large {
-		return context.WithCancel(context.Background())
-	}
-	return context.WithTimeout(context.Background(), killGrace+2*longestDeadline(n.cfg.Settings))
-}
-
-// emptyBacklog accepts what stands in the backlog, for want of room or since accept fails: that has been taken too, and closing
-// the listener would reset it.
-func (n *Node) acceptBacklog(ctx context.Context) {
-	for free := time.Duration(0); free < backlogEmptyFor && ctx.Err() == nil && !n.front.shutdown.due(); free += shutdownPollInterval {
-		pause(ctx, shutdownPollInterval)
-		if n.listener.backlogged() {
-			free = 0
-		}
-		if !n.front.shutdown.takes() {
-			n.front.endSilent() // who waits is answered
-		}
-	}
-}
-
-// answerInTime has all that was taken answered when that is due, and counts what is not.
-func (n *Node) sendFinalResponses(ctx context.Context) {
-	schedule := n.front.shutdown
-	pause(ctx, time.Until(schedule.answerBy().Time()))
-	for checked := false; ctx.Err() == nil; {
-		n.loop.post(finalResponsesDue{})
-		pause(ctx, shutdownPollInterval)
-		if !checked && schedule.over() {
-			checked = true
-			n.loop.post(shutdownCheckDue{})
-		}
-	}
-}
-
-// longestDeadline is the longest time for which a request may be in flight.
-func longestDeadline(s siteconfig.Settings) time.Duration {
-	var longest time.Duration
-	for _, c := range s.Config.Classes {
-		longest = max(longest, cmp.Or(c.Deadline, defaultDeadline))
-	}
-	return longest
-}
