--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,204 +1,157 @@
 package node
 
 import (
-	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/netip"
-	"os"
-	"strconv"
 
 	"hitchvale/internal/discovery"
 	"hitchvale/internal/siteconfig"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node. Addresses have a host and a port.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Registry   []string // every replica of a replicated discovery; empty: Discovery alone, as the platform has it
+	Name       string   // of the node; all of its processes have it
+	Listen     string   // for clients
+	Discovery  string   // the address of discovery
+	Registry   []string // every replica of a replicated registry; empty: Discovery alone
 	Admin      string   // the second address; "": none
-	StateDir   string   // where processes of the node leave what the others need; with an admin
-	Seed       uint64
+	StateDir   string   // for files that the processes of a node share; used with a second address
+	Seed       uint64   // of the Balancer's random numbers
 	Limits     Limits
-	PeerListen string
-	Peers      []string
-	PeersAll   string
-	Known      discovery.List
+	PeerListen string         // for gossip; "": none
+	Peers      []string       // the other nodes, by index
+	PeersAll   string         // reaches all of them
+	Known      discovery.List // the endpoint list to begin with
 	Settings   siteconfig.Settings
-	Fleet      *FleetConfig // nil: this node has no part in the fleet's view
+	Fleet      *FleetConfig // nil: the node is not a member of a fleet
 }
 
-// FleetConfig is a node's part in the fleet's shared view; it is off unless the key `fleet` is there.
-type FleetConfig struct {
-	Registry   []string `json:"registry"`    // every replica
-	Site       string   `json:"site"`        // where the node stands
-	IntervalMs int64    `json:"interval_ms"` // between two reports; the registry's fleet_interval; 0: 1000
-	Tenants    int      `json:"tenants"`     // counters of the sketch of heavy tenants; 0: 64
-}
-
-func (c *FleetConfig) check() error {
-	if c == nil {
-		return nil
-	}
-	if c.IntervalMs == 0 {
-		c.IntervalMs = 1000
-	}
-	if c.Tenants == 0 {
-		c.Tenants = 64
-	}
-	switch {
-	case len(c.Registry) == 0:
-		return errors.New("fleet.registry: no replica named")
-	case c.IntervalMs < 10 || c.IntervalMs > 60_000:
-		return fmt.Errorf("fleet.interval_ms: %d is outside 10 to 60000", c.IntervalMs)
-	case c.Tenants < 1 || c.Tenants > 4096:
-		return fmt.Errorf("fleet.tenants: %d is outside 1 to 4096", c.Tenants)
-	}
-	return nil
-}
-
-// Limits are those of the machine that a node runs on. Zero: not told.
+// Limits are those of the machine that a node runs on. Zero: unknown.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // descriptors
 }
 
-// LoadConfig reads the configuration from a file.
-func LoadConfig(path string) (Config, error) {
-	if path == "" {
-		return Config{}, errors.New("configuration: no file named")
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
-	}
-	cfg, err := ParseConfig(text)
-	if err != nil {
-		return Config{}, fmt.Errorf("configuration: %s: %w", path, err)
-	}
-	return cfg, nil
+// FleetConfig is a node's membership of a fleet.
+type FleetConfig struct {
+	Registry   []string `json:"registry"`    // every replica
+	Site       string   `json:"site"`        // where the node is
+	IntervalMs int64    `json:"interval_ms"` // between reports, as the registry's fleet_interval; 0: default
+	Tenants    int      `json:"tenants"`     // counters of the sketch of heavy tenants; 0: default
 }
 
-// ParseConfig decodes and checks a configuration. Unknown keys are skipped.
-func ParseConfig(text []byte) (Config, error) {
-	var raw struct {
-		Name       string          `json:"name"`
-		Listen     string          `json:"listen"`
-		Discovery  string          `json:"discovery"`
-		Registry   []string        `json:"registry"`
-		Admin      string          `json:"admin"`
-		Seed       string          `json:"seed"`
-		Limits     Limits          `json:"limits"`
-		PeerListen string          `json:"peer_listen"`
-		Peers      []string        `json:"peers"`
-		PeersAll   string          `json:"peers_all"`
-		Known      json.RawMessage `json:"known"`
-		Settings   json.RawMessage `json:"settings"`
-		Fleet      *FleetConfig    `json:"fleet"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
-		return Config{}, err
-	}
-	cfg := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Registry: raw.Registry, Admin: raw.Admin, StateDir: os.TempDir(), Limits: raw.Limits,
-		PeerListen: raw.PeerListen, Peers: raw.Peers, PeersAll: raw.PeersAll, Fleet: raw.Fleet}
-	var err error
-	if raw.Seed != "" {
-		if cfg.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-			return Config{}, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", raw.Seed)
-		}
-	}
-	if len(raw.Settings) == 0 || bytes.Equal(raw.Settings, []byte("null")) {
-		return Config{}, errors.New("settings: missing")
-	}
-	if cfg.Settings, err = siteconfig.Parse(raw.Settings); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	if len(cfg.Settings.Classes) == 0 {
-		return Config{}, errors.New("settings: no classes")
-	}
-	if err := cfg.Settings.CheckNames(); err != nil {
-		return Config{}, fmt.Errorf("settings: %w", err)
-	}
-	if len(raw.Known) > 0 && !bytes.Equal(raw.Known, []byte("null")) {
-		if cfg.Known, err = discovery.ParseList(raw.Known, cfg.Settings); err != nil {
-			return Config{}, fmt.Errorf("known: %w", err)
-		}
-	}
-	return cfg, cfg.check()
-}
+const (
+	defaultFleetIntervalMs = 1000
+	minFleetIntervalMs     = 10
+	maxFleetIntervalMs     = 60_000
+	defaultFleetTenants    = 64
+	maxFleetTenants        = 4096
+)
 
-// SetAdmin names another second address.
-func (c *Config) SetAdmin(addr string) error {
-	c.Admin = addr
+// SetAdmin replaces the second address. The error names an address that is malformed.
+func (c *Config) SetAdmin(address string) error {
+	c.Admin = address
 	return c.check()
 }
 
+// check returns an error that names the first key with a value that can't be used.
 func (c *Config) check() error {
-	for _, a := range []struct {
-		name, addr string
-		needed     bool
+	if err := c.checkAddresses(); err != nil {
+		return err
+	}
+	if err := c.Fleet.check(); err != nil {
+		return err
+	}
+	if err := c.checkAddressLists(); err != nil {
+		return err
+	}
+	return c.Limits.check()
+}
+
+// checkAddresses checks the keys that hold one address.
+func (c *Config) checkAddresses() error {
+	for _, entry := range []struct {
+		key      string
+		address  string
+		required bool
 	}{
-		{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"admin", c.Admin, false},
-		{"peer_listen", c.PeerListen, false}, {"peers_all", c.PeersAll, false},
+		{key: "listen", address: c.Listen, required: true},
+		{key: "discovery", address: c.Discovery, required: true},
+		{key: "admin", address: c.Admin},
+		{key: "peer_listen", address: c.PeerListen},
+		{key: "peers_all", address: c.PeersAll},
 	} {
-		if a.addr == "" && !a.needed {
+		if entry.address == "" && !entry.required {
 			continue
 		}
-		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %q is not an address with a port", a.name, a.addr)
+		if err := checkAddress(entry.key, entry.address); err != nil {
+			return err
 		}
 	}
-	if err := c.Fleet.check(); err != nil {
-		return err
-	}
-	var replicas []string
+	return nil
+}
+
+// checkAddressLists checks the keys that hold a list of addresses.
+func (c *Config) checkAddressLists() error {
+	var fleetRegistry []string
 	if c.Fleet != nil {
-		replicas = c.Fleet.Registry
+		fleetRegistry = c.Fleet.Registry
 	}
 	for _, list := range []struct {
-		name  string
-		addrs []string
-	}{{"peers", c.Peers}, {"registry", c.Registry}, {"fleet.registry", replicas}} {
-		for _, a := range list.addrs {
-			if _, err := netip.ParseAddrPort(a); err != nil {
-				return fmt.Errorf("%s: %q is not an address with a port", list.name, a)
+		key       string
+		addresses []string
+	}{
+		{key: "peers", addresses: c.Peers},
+		{key: "registry", addresses: c.Registry},
+		{key: "fleet.registry", addresses: fleetRegistry},
+	} {
+		for _, address := range list.addresses {
+			if err := checkAddress(list.key, address); err != nil {
+				return err
 			}
 		}
 	}
-	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
+	return nil
+}
+
+func checkAddress(key, address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return fmt.Errorf("%s: %q is not an address with a port", key, address)
+	}
+	return nil
+}
+
+func (l Limits) check() error {
+	if l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
 		return errors.New("limits: a negative limit")
 	}
-	if s := c.Limits.Sockets; s > 0 && s < minDescriptors {
-		return fmt.Errorf("limits: %d sockets are too few, %d are needed", s, minDescriptors)
+	if l.Sockets > 0 && l.Sockets < minDescriptors {
+		return fmt.Errorf("limits: %d sockets are too few, %d are needed", l.Sockets, minDescriptors)
 	}
 	return nil
 }
 
-const (
-	// leastSockets is the smallest limit on descriptors that a node starts with, otherSockets what it keeps
-	// for all but clients and backends: listeners, discovery, standard streams, the runtime's own. adminSockets
-	// are kept beside for the second address and for what a second process of the node opens.
-	minDescriptors, reservedDescriptors, adminDescriptors = 64, 32, 16
-	// usualSockets stands for a limit that is not told.
-	defaultDescriptors = 1024
-)
-
-// share divides the descriptors: so many connections of clients, and so many to backends. A request in flight
-// holds one of each; backends get the rest as idle ones are kept there and probes need some.
-func (l Limits) divideDescriptors(admin bool) (clients, backends int) {
-	n := l.Sockets
-	if n == 0 {
-		n = defaultDescriptors
+// check sets defaults and checks the values. A nil FleetConfig is valid.
+func (c *FleetConfig) check() error {
+	if c == nil {
+		return nil
 	}
-	n -= reservedDescriptors
-	if admin {
-		// Many connections of clients may stand idle, and those need none at a backend.
-		n -= min(adminDescriptors, n/2)
-		return n * 5 / 8, n - n*5/8
+	if c.IntervalMs == 0 {
+		c.IntervalMs = defaultFleetIntervalMs
 	}
-	return n / 2, n - n/2
+	if c.Tenants == 0 {
+		c.Tenants = defaultFleetTenants
+	}
+	switch {
+	case len(c.Registry) == 0:
+		return errors.New("fleet.registry: no replica named")
+	case c.IntervalMs < minFleetIntervalMs || c.IntervalMs > maxFleetIntervalMs:
+		return fmt.Errorf("fleet.interval_ms: %d is outside %d to %d", c.IntervalMs,
+			minFleetIntervalMs, maxFleetIntervalMs)
+	case c.Tenants < 1 || c.Tenants > maxFleetTenants:
+		return fmt.Errorf("fleet.tenants: %d is outside 1 to %d", c.Tenants, maxFleetTenants)
+	}
+	return nil
 }
--- a/internal/node/unixsocket.go
+++ b/internal/node/unixsocket.go
@@ -8,23 +8,28 @@
 	"syscall"
 )
 
-// This file opens the sockets through which processes of a node meet.
+// This file opens the sockets that the processes of a node share.
 
-// sharePort lets both processes of a node listen on one address.
-func sharePort(_, _ string, c syscall.RawConn) error {
+// maxSocketPath is a length that the path of a Unix socket may have on every platform.
+const maxSocketPath = 89
+
+// sharePort is a net.ListenConfig.Control that lets two processes of a node listen on one address.
+func sharePort(_, _ string, conn syscall.RawConn) error {
 	const soReusePort = 15 // package syscall does not name it on every platform
-	var err error
-	if cerr := c.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
-	}); cerr != nil {
-		return cerr
+	var optionErr error
+	controlErr := conn.Control(func(fd uintptr) {
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
+	})
+	if controlErr != nil {
+		return controlErr
 	}
-	return err
+	return optionErr
 }
 
-// A path to a Unix socket holds some hundred characters. A longer one goes by way of its open folder.
+// withShortPath calls use with a path of the same socket that is short enough: a longer one goes by way of the
+// descriptor of its folder.
 func withShortPath(path string, use func(short string) error) error {
-	if len(path) < 90 {
+	if len(path) <= maxSocketPath {
 		return use(path)
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -35,29 +40,30 @@
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-func dialUnix(path string) (c *net.UnixConn, err error) {
+// dialUnix connects to the socket at a path.
+func dialUnix(path string) (conn *net.UnixConn, err error) {
 	err = withShortPath(path, func(short string) (err error) {
-		c, err = net.DialUnix("unix", nil, &net.UnixAddr{Name: short, Net: "unix"})
+		conn, err = net.DialUnix("unix", nil, &net.UnixAddr{Name: short, Net: "unix"})
 		return err
 	})
-	return c, err
+	return conn, err
 }
 
-// listenUnix listens at a path, in place of whoever did before.
-func listenUnix(path string) (l *net.UnixListener, err error) {
-	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own)
-	err = withShortPath(own, func(short string) (err error) {
-		l, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
+// listenUnix listens at a path, and replaces a socket that is there.
+func listenUnix(path string) (listener *net.UnixListener, err error) {
+	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(ownPath)
+	err = withShortPath(ownPath, func(short string) (err error) {
+		listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then it may be another process's
-	if err := os.Rename(own, path); err != nil {
-		l.Close()
+	listener.SetUnlinkOnClose(false) // the path may be another process's by then
+	if err := os.Rename(ownPath, path); err != nil {
+		listener.Close()
 		return nil, err
 	}
-	return l, nil
+	return listener, nil
 }
