--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// New staff read the module whole: its size is part of the contract.
+// New staff read the module's main file first: its size is part of the contract.
 func TestModuleStaysPrintable(t *testing.T) {
 	f, err := os.Open("balance.go")
 	if err != nil {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// One request with its probes and its answer, in a fleet of full size that the node keeps to whole.
+// One request with its health checks and its answer, in a large fleet without subsets.
 func BenchmarkRequestAtFullSize(b *testing.B) {
-	cfg := site()
+	cfg := testConfig()
 	cfg.Instances, cfg.Prices.HealthCheck = 600, 0.001
 	cfg.Tenants = nil
 	members := make([]Endpoint, 250)
@@ -18,14 +18,14 @@
 	r := newRig(b, cfg, members...)
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
-		r.wait(200 * time.Millisecond)
-		r.do(RequestArrived{Request: id, ExpectedWork: 20 * ms, TimeLeft: time.Second})
-		for _, a := range of(HealthCheck, r.last) {
-			r.do(report(a.Endpoint, 1))
-			for _, s := range of(Forward, r.last) {
-				r.do(AttemptEnded{Request: id, Endpoint: s.Endpoint, Elapsed: 20 * ms, Final: true})
+		r.advance(200 * time.Millisecond)
+		r.handle(RequestArrived{Request: id, ExpectedWork: 20 * ms, TimeLeft: time.Second})
+		for _, a := range ofKind(HealthCheck, r.last) {
+			r.handle(loadReported(a.Endpoint, 1))
+			for _, s := range ofKind(Forward, r.last) {
+				r.handle(AttemptEnded{Request: id, Endpoint: s.Endpoint, Elapsed: 20 * ms, Final: true})
 			}
 		}
-		r.do(TimerFired{ID: r.b.timers.lastID})
+		r.handle(TimerFired{ID: r.b.timers.lastID})
 	}
 }
--- a/balance/comeback_test.go
+++ b/balance/comeback_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A refusal says when to come back: later behind longer queues, and never beyond what clients heed.
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+// A rejection says when to try again: later behind longer queues, and never beyond what clients heed.
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	advice := func(others float64, members ...Endpoint) time.Duration {
-		cfg := site()
+		cfg := testConfig()
 		cfg.Limits.MaxRetryAfter = 2 * time.Second
 		r := newRig(t, cfg, members...)
-		r.serve(100, safe, steady)
+		r.serve(100, idempotent, in20ms)
 		for _, s := range r.b.endpoints {
 			s.loadBias, s.reportedLoad = others, others
 		}
@@ -22,6 +22,6 @@
 		t.Errorf("behind no queue %v, behind a long one %v", free, full)
 	}
 	if none := advice(0, Endpoint{ID: 1, Phase: Draining}); none <= 0 || none > 2*time.Second {
-		t.Errorf("with no server: %v", none)
+		t.Errorf("without an endpoint: %v", none)
 	}
 }
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// picks counts what each backend gets of so many requests, each answered at once.
-func picks(b *Balancer, from time.Duration, n int) map[EndpointID]int {
+// countForwarded counts what each endpoint gets of n requests, each answered at once.
+func countForwarded(b *Balancer, from time.Duration, n int) map[EndpointID]int {
 	got := map[EndpointID]int{}
 	for i := range n {
 		now := from + time.Duration(i)*time.Millisecond
@@ -23,7 +23,8 @@
 	return got
 }
 
-func TestCordonedServerGetsNothingUntilPutBack(t *testing.T) {
+// A cordoned endpoint gets nothing, whatever the lists say, and starts slowly once it is uncordoned.
+func TestCordonedEndpointGetsNothingUntilUncordoned(t *testing.T) {
 	cfg := Config{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Rules: Rules{
 		SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}
 	b, err := New(cfg, 1)
@@ -33,19 +34,19 @@
 	list := []Endpoint{{ID: 1}, {ID: 2}}
 	now := 100 * time.Second
 	b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: list}, nil)
-	picks(b, now, 3000) // so that the rate of a warm server is known
+	countForwarded(b, now, 3000) // so that the warm throughput is known
 	now += 4 * time.Second
 	for range 2 {
 		b.Handle(now, CordonChanged{Endpoint: 1, Cordoned: true, At: now}, nil)
 	}
-	if got := picks(b, now, 100); got[1] != 0 || got[2] == 0 {
+	if got := countForwarded(b, now, 100); got[1] != 0 || got[2] == 0 {
 		t.Errorf("out: %v", got)
 	}
 	now += time.Second
 	// A list that names it, even as another process, does not bring it back.
 	list[0].StartedAt = now
 	b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: list}, nil)
-	if got := picks(b, now, 100); got[1] != 0 {
+	if got := countForwarded(b, now, 100); got[1] != 0 {
 		t.Errorf("out, and listed: %v", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 1 {
@@ -56,17 +57,17 @@
 	if w := b.slowStartFraction(b.endpoints[1]); w >= 0.5 {
 		t.Errorf("warmth %v at once", w)
 	}
-	if got := picks(b, now, 900); got[1] == 0 || got[1] > got[2]/2 {
-		t.Errorf("put back, and cold: %v", got)
+	if got := countForwarded(b, now, 900); got[1] == 0 || got[1] > got[2]/2 {
+		t.Errorf("in slow start: %v", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 0 {
 		t.Errorf("%d avoided, want none", n)
 	}
 }
 
-// A server that was put back is cold from then on where no list has told of its restart, and for a list that tells
-// of it later nothing begins anew.
-func TestPutBackIsCold(t *testing.T) {
+// An endpoint that was uncordoned is in slow start from then on where no list has told of its restart, and a list
+// that tells of it later changes nothing.
+func TestUncordonedEndpointIsInSlowStart(t *testing.T) {
 	b, err := New(Config{Classes: []Class{{LatencyObjective: time.Second}}, Rules: Rules{SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second,
 		OverloadMultiple: 3, OverloadWindow: time.Second}}, 1)
 	if err != nil {
@@ -83,7 +84,7 @@
 	s.slowStartCreditSeconds = 0.125
 	b.Handle(at(120.5), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(112)}}}, nil)
 	if s.slowStartCreditSeconds != 0.125 {
-		t.Errorf("credit %v: the grant was given twice", s.slowStartCreditSeconds)
+		t.Errorf("credit %v: it was granted twice", s.slowStartCreditSeconds)
 	}
 	if w := b.slowStartFraction(s); w <= 0.8 {
 		t.Errorf("warmth %v by the list's start", w)
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -18,10 +18,10 @@
 		"after a list":                       {10 * time.Second, 2, 0, 100 * ms},
 		"after a list, fleet of 40":          {10 * time.Second, 40, 0, 2 * time.Second},
 		"after a list, fleet of 1000":        {10 * time.Second, 1000, 0, 3750 * ms},
-		"after a list, no interval told":     {0, 2, 0, 100 * ms},
+		"after a list, no interval set":      {0, 2, 0, 100 * ms},
 		"after a failure":                    {10 * time.Second, 2, 1, time.Second},
 		"after a failure, short interval":    {2 * time.Second, 2, 1, 200 * ms},
-		"after a failure, no interval told":  {0, 2, 1, time.Second},
+		"after a failure, no interval set":   {0, 2, 1, time.Second},
 		"after a failure, fleet of 30":       {10 * time.Second, 30, 1, 3 * time.Second},
 		"after two failures":                 {10 * time.Second, 2, 2, 2 * time.Second},
 		"after three failures":               {10 * time.Second, 2, 3, 3750 * ms},
@@ -32,7 +32,7 @@
 			var longest, sum time.Duration
 			const nodes = 2000
 			for seed := range uint64(nodes) {
-				cfg := site()
+				cfg := testConfig()
 				cfg.PollDiscovery, cfg.Instances, cfg.Rules.PollInterval = true, c.instances, c.interval
 				b, err := New(cfg, seed)
 				if err != nil {
@@ -42,7 +42,7 @@
 				for range c.failures {
 					acts = b.Handle(time.Hour, DiscoveryFailed{}, nil)
 				}
-				timers := of(SetTimer, acts)
+				timers := ofKind(SetTimer, acts)
 				if len(timers) != 1 {
 					t.Fatalf("%+v", acts)
 				}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -79,8 +79,8 @@
 		}
 	}
 	fmt.Println("more than 190 of 200 answered:", answered > 190)
-	fmt.Println("the backend in error was left alone:", tries[2] < 20)
+	fmt.Println("the failing endpoint got little:", tries[2] < 20)
 	// Output:
 	// more than 190 of 200 answered: true
-	// the backend in error was left alone: true
+	// the failing endpoint got little: true
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The process that takes over knows what the old one has learned, and the two have one grant and one retry budget.
-func TestMemoryIsHandedOn(t *testing.T) {
+// The process that takes over knows what the old one has learned, and the two have one slow start credit and one
+// retry budget.
+func TestStateIsHandedOver(t *testing.T) {
 	cfg := Config{Instances: 1, Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Rules: Rules{
 		SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}
 	now := 100 * time.Second
@@ -21,7 +22,7 @@
 		return b
 	}
 	old := start(list)
-	picks(old, now, 2500)
+	countForwarded(old, now, 2500)
 	now += 2600 * time.Millisecond
 	old.endpoints[3].slowStartCreditSeconds = 0.125
 	text, err := json.Marshal(old.HandoverState())
@@ -39,14 +40,14 @@
 	next.Handle(now, TookOver{State: &m}, nil)
 	for id := EndpointID(1); id <= 2; id++ {
 		if got, want := next.serviceSeconds(next.endpoints[id]), old.serviceSeconds(old.endpoints[id]); got != want || want == 0 {
-			t.Errorf("backend %d: pace %v, want %v", id, got, want)
+			t.Errorf("endpoint %d: service time %v, want %v", id, got, want)
 		}
 	}
 	if next.endpoints[4].meanLatencySeconds != 0 {
 		t.Error("what was known of the old start is taken for the new one")
 	}
 	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() || next.queueBudget.fraction != old.queueBudget.fraction || next.slowStart.warmThroughput != old.slowStart.warmThroughput || next.windowStart != m.WindowStart {
-		t.Errorf("base %v, part %v, warm rate %v", next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
+		t.Errorf("unloaded latency %v, queue budget %v, warm throughput %v", next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
 	}
 	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
 		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
@@ -68,8 +69,9 @@
 	}
 }
 
-// A process that is told nothing gives no cold server anything in the window of the old one's last grant.
-func TestTakeOverWithoutMemory(t *testing.T) {
+// A process that takes over without a state gives no endpoint in slow start anything in the window of the old one's
+// last credit.
+func TestTakeoverWithoutState(t *testing.T) {
 	b, err := New(Config{Instances: 1, Classes: []Class{{LatencyObjective: time.Second}}, Rules: Rules{SlowStartFraction: 0.2,
 		SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}, 1)
 	if err != nil {
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// openBalancer has one server and one open request out at it.
-func openBalancer(t *testing.T) (*Balancer, *endpointState) {
+// withIncompleteRequest returns a Balancer with an incomplete request, and the endpoint that has it.
+func withIncompleteRequest(t *testing.T) (*Balancer, *endpointState) {
 	t.Helper()
 	b, err := New(Config{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Limits: Limits{MaxAttempts: 3}}, 1)
 	if err != nil {
@@ -23,16 +23,16 @@
 	return nil, nil
 }
 
-// While a request comes in its server has no more to do, and its time has not begun.
-func TestOpenRequestCountsFromItsLastByte(t *testing.T) {
-	b, s := openBalancer(t)
+// While a request comes in its endpoint has no more to do, and its time has not begun.
+func TestIncompleteRequestCountsFromItsLastByte(t *testing.T) {
+	b, s := withIncompleteRequest(t)
 	if s.inFlight != 0 || b.silenceSeconds(s) != 0 {
-		t.Errorf("out %v", s.inFlight)
+		t.Errorf("in flight %v", s.inFlight)
 	}
 	at := 9 * time.Second // far beyond what its client waits
 	out := b.Handle(at, RequestWritten{Request: "a", TimeLeft: time.Second}, nil)
 	if s.inFlight != 1 {
-		t.Errorf("out %v once it is written", s.inFlight)
+		t.Errorf("in flight %v once it is written", s.inFlight)
 	}
 	ends := false
 	for _, a := range out {
@@ -41,31 +41,31 @@
 	if !ends {
 		t.Errorf("nothing ends it at its deadline: %+v", out)
 	}
-	part := b.queueBudget.fraction
+	budget := b.queueBudget.fraction
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
-	if s.inFlight != 0 || b.queueBudget.fraction < part || s.meanLatencySeconds > 0.2 {
-		t.Errorf("out %v, part %v, time %v: its client's time was taken for the server's", s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
+	if s.inFlight != 0 || b.queueBudget.fraction < budget || s.meanLatencySeconds > 0.2 {
+		t.Errorf("in flight %v, queue budget %v, mean latency %v: its client's time was taken for the endpoint's", s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
 	}
 }
 
-// What is used up is not sent again; what is not may be.
-func TestSpoiltRequestIsNotSentAgain(t *testing.T) {
-	for _, spoilt := range []bool{false, true} {
-		b, s := openBalancer(t)
+// A request whose body is used up is rejected; one that can be replayed is retried.
+func TestRequestThatIsNotReplayableIsNotRetried(t *testing.T) {
+	for _, notReplayable := range []bool{false, true} {
+		b, s := withIncompleteRequest(t)
 		b.retryBudget.retries = maxRetryBudget
-		sent, refused := 0, 0
+		sent, rejected := 0, 0
 		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: s.ID, Status: StatusConnectFailed,
-			NotReplayable: spoilt}, nil) {
+			NotReplayable: notReplayable}, nil) {
 			switch a.Kind {
 			case Forward:
 				sent++
 			case Reject:
-				refused++
+				rejected++
 			}
 		}
-		if s.inFlight != 0 || (sent == 0) != spoilt || (refused == 1) != spoilt {
-			t.Errorf("spoilt %v: sent %d times, refused %d, out %v", spoilt, sent, refused, s.inFlight)
+		if s.inFlight != 0 || (sent == 0) != notReplayable || (rejected == 1) != notReplayable {
+			t.Errorf("not replayable %v: sent %d times, rejected %d, in flight %v", notReplayable, sent, rejected, s.inFlight)
 		}
 	}
 }
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -19,18 +19,18 @@
 		"four requests of less than it": {quotaPerSecond: 7, instances: 2, burst: 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := site()
+			cfg := testConfig()
 			cfg.Instances, cfg.Tenants[0].QuotaPerSecond = c.instances, c.quotaPerSecond
 			r := newRig(t, cfg, listedEndpoint(1, 0, 0))
-			r.wait(time.Hour)
-			r.do(TimerFired{})
+			r.advance(time.Hour)
+			r.handle(TimerFired{})
 			left := &r.b.quota(&request{}).requests
 			if got := *left; got != float64(c.burst) {
 				t.Errorf("%v requests may come at once, want %d", got, c.burst)
 			}
 			*left = 0
-			r.wait(500 * ms)
-			r.do(TimerFired{})
+			r.advance(500 * ms)
+			r.handle(TimerFired{})
 			want := min(float64(c.burst), 0.5*c.quotaPerSecond/float64(c.instances))
 			if got := r.b.quota(&request{}).requests; got < 0.999*want || got > 1.001*want {
 				t.Errorf("%v requests half a second after the last one, want %v", got, want)
