--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -65,12 +65,14 @@
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		r.serve(100, nonIdempotent, in20ms)
-		dear := r.b.maxWaitSeconds(&request{class: &cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent], tenant: -1})
-		cheap := r.b.maxWaitSeconds(&request{class: &cfg.Classes[nonIdempotent], stats: &r.b.latency.classes[nonIdempotent], tenant: -1})
+		dear := r.b.maxWaitSeconds(r.request(idempotent, -1))
+		cheap := r.b.maxWaitSeconds(r.request(nonIdempotent, -1))
 		if dear < 2*cheap {
 			t.Errorf("by work %v: bound %v at a high priority, %v at a low one", byWork, dear, cheap)
 		}
-		heavy := r.b.maxWaitSeconds(&request{class: &cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent], tenant: -1, workHint: time.Second})
+		heavyRequest := r.request(idempotent, -1)
+		heavyRequest.workHint = time.Second
+		heavy := r.b.maxWaitSeconds(heavyRequest)
 		if byWork != (heavy == dear) {
 			t.Errorf("by work %v: bound %v for a heavy request, %v for a usual one", byWork, heavy, dear)
 		}
@@ -85,8 +87,9 @@
 	r.serve(50, idempotent, in20ms)
 	r.serve(50, nonIdempotent, in20ms)
 	usual := r.b.queueBudget.fraction * max(r.b.slackSeconds(), r.b.latency.meanUnloadedSeconds())
-	for class, want := range map[int]float64{idempotent: maxPriorityFactor * usual, nonIdempotent: usual / maxPriorityFactor} {
-		got := r.b.maxWaitSeconds(&request{class: &cfg.Classes[class], stats: &r.b.latency.classes[class], tenant: -1})
+	bounds := map[int]float64{idempotent: maxPriorityFactor * usual, nonIdempotent: usual / maxPriorityFactor}
+	for class, want := range bounds {
+		got := r.b.maxWaitSeconds(r.request(class, -1))
 		if math.Abs(got-want) > 1e-9 && class == nonIdempotent || got > want+1e-9 {
 			t.Errorf("class %d: bound %v, want %v", class, got, want)
 		}
@@ -97,7 +100,7 @@
 func TestSlowEndpointsStillGetAQueue(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, func(EndpointID) time.Duration { return 600 * ms })
-	got := r.b.maxWaitSeconds(&request{class: &r.b.cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent], tenant: -1})
+	got := r.b.maxWaitSeconds(r.request(idempotent, -1))
 	if r.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
 		t.Errorf("slack %v, bound %v s where answers take 0.6 s", r.b.slackSeconds(), got)
 	}
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -7,8 +7,7 @@
 
 // A cordoned endpoint gets nothing, whatever the lists say, and starts slowly once it is uncordoned.
 func TestCordonedEndpointGetsNothingUntilUncordoned(t *testing.T) {
-	cfg := Config{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Rules: Rules{
-		SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}
+	cfg := slowStartConfig()
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -50,8 +49,7 @@
 // An endpoint that was uncordoned is in slow start from then on where no list has told of its restart, and a list
 // that tells of it later changes nothing.
 func TestUncordonedEndpointIsInSlowStart(t *testing.T) {
-	b, err := New(Config{Classes: []Class{{LatencyObjective: time.Second}}, Rules: Rules{SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second,
-		OverloadMultiple: 3, OverloadWindow: time.Second}}, 1)
+	b, err := New(slowStartConfig(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -25,7 +25,8 @@
 	cfg.PollDiscovery = true
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	first := ofKind(SetTimer, r.last)
-	if len(first) != 1 || first[0].Delay > 100*ms || len(ofKind(WatchEndpoints, r.handle(TimerFired{ID: first[0].TimerID}))) != 1 {
+	if len(first) != 1 || first[0].Delay > 100*ms ||
+		len(ofKind(WatchEndpoints, r.handle(TimerFired{ID: first[0].TimerID}))) != 1 {
 		t.Fatal("no watch at the start of one node of two")
 	}
 	timers := ofKind(SetTimer, r.handle(DiscoveryFailed{}))
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -30,9 +30,19 @@
 // A small node: one class of requests, two backends of which the second has an error for everything.
 func Example() {
 	cfg := balance.Config{
-		Classes: []balance.Class{{LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, Repeatability: balance.Idempotent, PriorityWeight: 1}},
-		Limits:  balance.Limits{MaxAttempts: 2},
-		Rules:   balance.Rules{OverloadWindow: time.Second, SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3},
+		Classes: []balance.Class{{
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         time.Second,
+			Repeatability:    balance.Idempotent,
+			PriorityWeight:   1,
+		}},
+		Limits: balance.Limits{MaxAttempts: 2},
+		Rules: balance.Rules{
+			OverloadWindow:    time.Second,
+			SlowStartFraction: 0.2,
+			SlowStartDuration: 10 * time.Second,
+			OverloadMultiple:  3,
+		},
 	}
 	b, err := balance.New(cfg, 42)
 	if err != nil {
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -9,8 +9,7 @@
 // The process that takes over knows what the old one has learned, and the two have one slow start credit and one
 // retry budget.
 func TestStateIsHandedOver(t *testing.T) {
-	cfg := Config{Instances: 1, Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Rules: Rules{
-		SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}
+	cfg := slowStartConfig()
 	now := 100 * time.Second
 	list := []Endpoint{{ID: 1}, {ID: 2}, {ID: 3, StartedAt: now}, {ID: 4}}
 	start := func(members []Endpoint) *Balancer {
@@ -39,15 +38,19 @@
 	next := start(list)
 	next.Handle(now, TookOver{State: &m}, nil)
 	for id := EndpointID(1); id <= 2; id++ {
-		if got, want := next.serviceSeconds(next.endpoints[id]), old.serviceSeconds(old.endpoints[id]); got != want || want == 0 {
+		got, want := next.serviceSeconds(next.endpoints[id]), old.serviceSeconds(old.endpoints[id])
+		if got != want || want == 0 {
 			t.Errorf("endpoint %d: service time %v, want %v", id, got, want)
 		}
 	}
 	if next.endpoints[4].meanLatencySeconds != 0 {
 		t.Error("what was known of the old start is taken for the new one")
 	}
-	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() || next.queueBudget.fraction != old.queueBudget.fraction || next.slowStart.warmThroughput != old.slowStart.warmThroughput || next.windowStart != m.WindowStart {
-		t.Errorf("unloaded latency %v, queue budget %v, warm throughput %v", next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
+	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() ||
+		next.queueBudget.fraction != old.queueBudget.fraction ||
+		next.slowStart.warmThroughput != old.slowStart.warmThroughput || next.windowStart != m.WindowStart {
+		t.Errorf("unloaded latency %v, queue budget %v, warm throughput %v",
+			next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
 	}
 	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
 		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
@@ -72,8 +75,7 @@
 // A process that takes over without a state gives no endpoint in slow start anything in the window of the old one's
 // last credit.
 func TestTakeoverWithoutState(t *testing.T) {
-	b, err := New(Config{Instances: 1, Classes: []Class{{LatencyObjective: time.Second}}, Rules: Rules{SlowStartFraction: 0.2,
-		SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second}}, 1)
+	b, err := New(slowStartConfig(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -13,7 +13,7 @@
 	r.serve(100, idempotent, in20ms)
 	s := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
-		r.b.learnServiceTime(s, &request{class: &r.b.cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent]}, &attempt{endpoint: s}, 100*ms)
+		r.b.learnServiceTime(s, r.request(idempotent, 0), &attempt{endpoint: s}, 100*ms)
 	}
 	if cold, peer := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
 		t.Errorf("service time %v in slow start, %v at a warm endpoint", cold, peer)
@@ -129,7 +129,7 @@
 	r.serve(200, idempotent, in20ms)
 	s := r.b.endpoints[1]
 	was := r.b.warmServiceSeconds(s)
-	req := &request{class: &r.b.cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent]}
+	req := r.request(idempotent, 0)
 	for range 3 {
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s, queueAtSend: 12}, 20*ms)
 	}
@@ -144,7 +144,7 @@
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, idempotent, in20ms)
 	s := r.b.endpoints[1]
-	was, req := s.meanLatencySeconds, &request{class: &r.b.cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent]}
+	was, req := s.meanLatencySeconds, r.request(idempotent, 0)
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
 		r.b.learnServiceTime(s, req, &attempt{endpoint: s}, 120*ms)
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -48,7 +48,8 @@
 
 // A zone with more traffic than it can carry must not pass for the entire fleet, or the others stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
+	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
+		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
 	for range 20 {
 		r.advance(200 * ms)
 		r.handle(loadReported(1, 10))
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -28,7 +28,8 @@
 func TestEqualReportsPastTheIntervalAreNews(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(5, idempotent, in20ms)
-	r.b.endpoints[1].meanLatencySeconds, r.b.endpoints[1].meanQueueAtArrival = 1, 0 // so slow that its reports still hold when they come
+	// So slow that its reports still hold when they come.
+	r.b.endpoints[1].meanLatencySeconds, r.b.endpoints[1].meanQueueAtArrival = 1, 0
 	for _, q := range []float64{5, 9, 0} {
 		r.advance(200 * ms)
 		r.handle(loadReported(1, q))
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -33,8 +33,10 @@
 	r.serve(50, idempotent, in20ms)
 	r.serve(400, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	s := r.b.endpoints[1]
-	if charge := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s); s.failureRate < 0.3 || charge > s.failureRate*failureCostObjectives*r.b.latency.meanObjectiveSeconds/2 {
-		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.outliers.meanFailureRate, charge)
+	cost := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s)
+	alone := s.failureRate * failureCostObjectives * r.b.latency.meanObjectiveSeconds // if its peer did not fail
+	if s.failureRate < 0.3 || cost > alone/2 {
+		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.outliers.meanFailureRate, cost)
 	}
 }
 
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -96,7 +96,13 @@
 // One that was never sent tells nothing of the endpoint, and is not counted; abandoned ones have a test of their
 // own.
 func TestUnacceptedAttemptsFade(t *testing.T) {
-	for status, left := range map[Status]float64{StatusConnectFailed: 1, StatusConnectionLost: 1, StatusApplicationError: 1, StatusRejected: 1, StatusNotSent: 0} {
+	for status, want := range map[Status]float64{
+		StatusConnectFailed:    1,
+		StatusConnectionLost:   1,
+		StatusApplicationError: 1,
+		StatusRejected:         1,
+		StatusNotSent:          0,
+	} {
 		cfg := testConfig()
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
@@ -107,8 +113,8 @@
 			t.Fatalf("%d: %v out", status, s.inFlight)
 		}
 		r.endAttempt("x", 0, 1, status)
-		if s.unaccepted != left {
-			t.Errorf("status %d counts %v attempts, want %v", status, s.unaccepted, left)
+		if s.unaccepted != want {
+			t.Errorf("status %d counts %v attempts, want %v", status, s.unaccepted, want)
 		}
 		for range 4 {
 			r.advance(max(cfg.Rules.OverloadWindow, time.Second))
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -180,7 +180,8 @@
 			budget := time.Duration(50+rng.IntN(1000)) * ms
 			w.requests[id] = &trackedRequest{class: &cfg.Classes[class], deadline: w.now + budget}
 			w.step(RequestArrived{Request: id, Class: class, TimeLeft: budget,
-				Tenant: rng.IntN(3) - 1, ExpectedWork: time.Duration(rng.IntN(50)) * ms, RoutingKey: rng.Uint64N(9), HasRoutingKey: true})
+				Tenant: rng.IntN(3) - 1, ExpectedWork: time.Duration(rng.IntN(50)) * ms,
+				RoutingKey: rng.Uint64N(9), HasRoutingKey: true})
 		case k < 17:
 			w.finish()
 		case k == 17:
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -46,7 +46,8 @@
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
 	if s.inFlight != 0 || b.queueBudget.fraction < budget || s.meanLatencySeconds > 0.2 {
-		t.Errorf("in flight %v, queue budget %v, mean latency %v: its client's time was taken for the endpoint's", s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
+		t.Errorf("in flight %v, queue budget %v, mean latency %v: its client's time was taken for the endpoint's",
+			s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -97,7 +97,12 @@
 
 // Which attempts may be retried, and where, by the repeatability of the class.
 func TestRetriesByRepeatability(t *testing.T) {
-	members := []Endpoint{listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1), listedEndpoint(3, 1, 2), listedEndpoint(4, 1, 2)}
+	members := []Endpoint{
+		listedEndpoint(1, 0, 0),
+		listedEndpoint(2, 0, 1),
+		listedEndpoint(3, 1, 2),
+		listedEndpoint(4, 1, 2),
+	}
 	zoneOf := map[EndpointID]int{1: 0, 2: 0, 3: 1, 4: 1}
 	cellOf := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 2}
 	for _, c := range []struct {
--- a/balance/retryafter_test.go
+++ b/balance/retryafter_test.go
@@ -17,7 +17,8 @@
 		}
 		return r.b.retryAfter()
 	}
-	free, full := advice(0, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0)), advice(500, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	free := advice(0, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	full := advice(500, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	if free <= 0 || full <= free || full > 2*time.Second {
 		t.Errorf("behind no queue %v, behind a long one %v", free, full)
 	}
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -7,6 +7,119 @@
 	"time"
 )
 
+const ms = time.Millisecond
+
+// testConfig has one class of each repeatability and key scope.
+func testConfig() Config {
+	class := func(repeatability Repeatability, scope KeyScope) Class {
+		return Class{
+			LatencyObjective: 300 * ms,
+			Deadline:         1200 * ms,
+			Repeatability:    repeatability,
+			KeyScope:         scope,
+			KeyWindow:        500 * ms,
+			PriorityWeight:   1,
+		}
+	}
+	return Config{
+		Instances: 2,
+		Classes: []Class{
+			idempotent:    class(Idempotent, KeyScopeAll),
+			nonIdempotent: class(NonIdempotent, KeyScopeAll),
+			keyedAll:      class(IdempotencyKey, KeyScopeAll),
+			keyedZone:     class(IdempotencyKey, KeyScopeZone),
+			keyedCell:     class(IdempotencyKey, KeyScopeCell),
+		},
+		Tenants: []Tenant{{QuotaPerSecond: 100, Share: 1}},
+		Limits: Limits{Cancellation: true, HealthChecks: true, HedgedRequests: true, MaxAttempts: 3, RetryAfter: true,
+			MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms, StreamsPerConn: 1},
+		Prices:      Prices{HealthCheck: 0.01, CrossZone: 0.01},
+		LoadReports: HealthCheckLoadReports,
+		Rules: Rules{AnswerGrace: 8 * ms, DrainGrace: time.Second, PollInterval: 10 * time.Second, SlowStartFraction: 0.2,
+			SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms},
+		Tick: 2 * ms,
+	}
+}
+
+// Classes of testConfig.
+const (
+	idempotent = iota
+	nonIdempotent
+	keyedAll
+	keyedZone
+	keyedCell
+)
+
+// rig drives a Balancer and records what it did.
+type rig struct {
+	t    testing.TB
+	b    *Balancer
+	now  time.Duration
+	last []Action // of the last event
+	logs []string
+}
+
+func newRig(t testing.TB, cfg Config, members ...Endpoint) *rig {
+	t.Helper()
+	b, err := New(cfg, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, b: b, now: time.Hour}
+	r.handle(EndpointsListed{Kind: CachedList, Endpoints: members})
+	return r
+}
+
+func (r *rig) handle(ev Event) []Action {
+	r.last = r.b.Handle(r.now, ev, nil)
+	return r.last
+}
+
+func (r *rig) advance(d time.Duration) { r.now += d }
+
+// arrive takes a request to its final answer or its first attempt; health checks that it waits for have no result.
+func (r *rig) arrive(id string, class int) []Action {
+	acts := r.handle(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
+	if len(r.b.awaitingChecks) > 0 {
+		r.last = append(acts, r.handle(TimerFired{ID: r.b.timers.lastID})...)
+	}
+	return r.last
+}
+
+func (r *rig) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
+	return r.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
+		Elapsed: 20 * ms, Final: st == StatusSucceeded})
+}
+
+// request returns a request that the Balancer does not know, for rules that judge one; tenant -1 has no quota.
+func (r *rig) request(class, tenant int) *request {
+	return &request{class: &r.b.cfg.Classes[class], stats: &r.b.latency.classes[class], tenant: tenant}
+}
+
+func ofKind(kind ActionKind, acts []Action) []Action {
+	var out []Action
+	for _, a := range acts {
+		if a.Kind == kind {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+// forwardedTo returns the endpoint of the only Forward.
+func (r *rig) forwardedTo() EndpointID {
+	r.t.Helper()
+	s := ofKind(Forward, r.last)
+	if len(s) != 1 {
+		r.t.Fatalf("%d forwards, want 1: %+v", len(s), r.last)
+	}
+	return s[0].Endpoint
+}
+
+func listedEndpoint(id EndpointID, zone, cell int) Endpoint {
+	return Endpoint{ID: id, Zone: zone, Cell: cell, Weight: 1}
+}
+
 // countForwarded counts what each endpoint gets of n requests, each answered at once.
 func countForwarded(b *Balancer, from time.Duration, n int) map[EndpointID]int {
 	got := map[EndpointID]int{}
@@ -100,7 +213,7 @@
 	}
 }
 
-// mark returns the mark of the timer set by the last actions.
+// timerID returns the id of the first timer that the last actions set.
 func (r *rig) timerID() uint64 {
 	r.t.Helper()
 	s := ofKind(SetTimer, r.last)
@@ -113,7 +226,10 @@
 // withIncompleteRequest returns a Balancer with an incomplete request, and the endpoint that has it.
 func withIncompleteRequest(t *testing.T) (*Balancer, *endpointState) {
 	t.Helper()
-	b, err := New(Config{Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}}, Limits: Limits{MaxAttempts: 3}}, 1)
+	b, err := New(Config{
+		Classes: []Class{{LatencyObjective: time.Second, Deadline: time.Second}},
+		Limits:  Limits{MaxAttempts: 3},
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,97 +244,16 @@
 	return nil, nil
 }
 
-const ms = time.Millisecond
-
-// site is a Config with one class of each effect and scope.
-func testConfig() Config {
-	class := func(e Repeatability, sc KeyScope) Class {
-		return Class{LatencyObjective: 300 * ms, Deadline: 1200 * ms, Repeatability: e, KeyScope: sc, KeyWindow: 500 * ms, PriorityWeight: 1}
-	}
+// slowStartConfig has one class, and a slow start of ten seconds from a fifth of the capacity.
+func slowStartConfig() Config {
 	return Config{
-		Instances: 2,
-		Classes: []Class{class(Idempotent, KeyScopeAll), class(NonIdempotent, KeyScopeAll), class(IdempotencyKey, KeyScopeAll),
-			class(IdempotencyKey, KeyScopeZone), class(IdempotencyKey, KeyScopeCell)},
-		Tenants: []Tenant{{QuotaPerSecond: 100, Share: 1}},
-		Limits: Limits{Cancellation: true, HealthChecks: true, HedgedRequests: true, MaxAttempts: 3, RetryAfter: true,
-			MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms, StreamsPerConn: 1},
-		Prices:      Prices{HealthCheck: 0.01, CrossZone: 0.01},
-		LoadReports: HealthCheckLoadReports,
-		Rules: Rules{AnswerGrace: 8 * ms, DrainGrace: time.Second, PollInterval: 10 * time.Second, SlowStartFraction: 0.2,
-			SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms},
-		Tick: 2 * ms,
-	}
-}
-
-const (
-	idempotent = iota
-	nonIdempotent
-	keyedAll
-	keyedZone
-	keyedCell
-)
-
-// rig drives a Balancer and keeps what it did.
-type rig struct {
-	t    testing.TB
-	b    *Balancer
-	now  time.Duration
-	last []Action
-	logs []string
-}
-
-func newRig(t testing.TB, cfg Config, members ...Endpoint) *rig {
-	t.Helper()
-	b, err := New(cfg, 7)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &rig{t: t, b: b, now: time.Hour}
-	r.handle(EndpointsListed{Kind: CachedList, Endpoints: members})
-	return r
-}
-
-func (r *rig) handle(ev Event) []Action {
-	r.last = r.b.Handle(r.now, ev, nil)
-	return r.last
-}
-
-func (r *rig) advance(d time.Duration) { r.now += d }
-
-// arrive takes a request to its end or its first send: where it is held for its probes, none of them answers.
-func (r *rig) arrive(id string, class int) []Action {
-	acts := r.handle(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
-	if len(r.b.awaitingChecks) > 0 {
-		r.last = append(acts, r.handle(TimerFired{ID: r.b.timers.lastID})...)
+		Instances: 1,
+		Classes:   []Class{{LatencyObjective: time.Second, Deadline: time.Second}},
+		Rules: Rules{
+			SlowStartFraction: 0.2,
+			SlowStartDuration: 10 * time.Second,
+			OverloadMultiple:  3,
+			OverloadWindow:    time.Second,
+		},
 	}
-	return r.last
-}
-
-func (r *rig) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
-	return r.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
-		Elapsed: 20 * ms, Final: st == StatusSucceeded})
-}
-
-func ofKind(kind ActionKind, acts []Action) []Action {
-	var out []Action
-	for _, a := range acts {
-		if a.Kind == kind {
-			out = append(out, a)
-		}
-	}
-	return out
-}
-
-// forwardedTo returns the endpoint of the only Forward.
-func (r *rig) forwardedTo() EndpointID {
-	r.t.Helper()
-	s := ofKind(Forward, r.last)
-	if len(s) != 1 {
-		r.t.Fatalf("%d forwards, want 1: %+v", len(s), r.last)
-	}
-	return s[0].Endpoint
-}
-
-func listedEndpoint(id EndpointID, zone, cell int) Endpoint {
-	return Endpoint{ID: id, Zone: zone, Cell: cell, Weight: 1}
 }
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -47,7 +47,8 @@
 	if n := r.serve(100, idempotent, in20ms); n[2] > 5 {
 		t.Errorf("%d of 100 crossed to an equal endpoint", n[2])
 	}
-	if n := r.serve(300, idempotent, func(b EndpointID) time.Duration { return time.Duration(3-b) * 100 * ms }); n[2] < 100 {
+	fasterThere := func(id EndpointID) time.Duration { return time.Duration(3-id) * 100 * ms }
+	if n := r.serve(300, idempotent, fasterThere); n[2] < 100 {
 		t.Errorf("only %d of 300 crossed to a much faster one", n[2])
 	}
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -53,8 +53,10 @@
 				work += hint.Seconds()
 			}
 			end := min((at[i]+cfg.Rules.OverloadWindow-starting.StartedAt).Seconds()/cfg.Rules.SlowStartDuration.Seconds(), 1)
-			can := (cfg.Rules.SlowStartFraction + (1-cfg.Rules.SlowStartFraction)*end) * rate * cfg.Rules.OverloadWindow.Seconds()
-			if at[i] < starting.StartedAt+cfg.Rules.SlowStartDuration-cfg.Rules.OverloadWindow && work > 0.5*cfg.Rules.OverloadMultiple*can {
+			fraction := cfg.Rules.SlowStartFraction + (1-cfg.Rules.SlowStartFraction)*end
+			can := fraction * rate * cfg.Rules.OverloadWindow.Seconds()
+			lastStart := starting.StartedAt + cfg.Rules.SlowStartDuration - cfg.Rules.OverloadWindow
+			if at[i] < lastStart && work > 0.5*cfg.Rules.OverloadMultiple*can {
 				t.Fatalf("heavy %v: %.2f s of work within a window of %.2f s", heavy, work, can)
 			}
 		}
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// testFleet is balancers that share nothing but their endpoints, on random arrivals. Each endpoint works through what it gets
-// one request after another, more slowly in slow start.
+// testFleet is balancers that share nothing but their endpoints, on random arrivals. Each endpoint works through
+// what it gets one request after another, more slowly in slow start.
 type testFleet struct {
 	cfg         Config
 	work        time.Duration // of a mean request
@@ -88,7 +88,8 @@
 	if m.StartedAt == 0 {
 		return 1
 	}
-	return min(1, f.cfg.Rules.SlowStartFraction+(1-f.cfg.Rules.SlowStartFraction)*float64(f.now-m.StartedAt)/float64(f.cfg.Rules.SlowStartDuration))
+	first := f.cfg.Rules.SlowStartFraction
+	return min(1, first+(1-first)*float64(f.now-m.StartedAt)/float64(f.cfg.Rules.SlowStartDuration))
 }
 
 func (f *testFleet) handle(b *Balancer, ev Event) {
@@ -120,15 +121,16 @@
 	f.after(time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		f.sequence++
 		hint := time.Duration(float64(f.work) * math.Exp(0.8*f.rng.NormFloat64()-0.32))
-		f.handle(f.nodes[i], RequestArrived{Request: fmt.Sprint(f.sequence), Class: idempotent, TimeLeft: time.Second, ExpectedWork: hint})
+		f.handle(f.nodes[i], RequestArrived{Request: fmt.Sprint(f.sequence), Class: idempotent,
+			TimeLeft: time.Second, ExpectedWork: hint})
 		f.traffic(i, perSecond)
 	})
 }
 
-// An endpoint that has just started bears so many requests from all processes together, and beyond them twice their root
-// and 2 by chance, in any span of the length that the rules name: with one node, some and thirty, of which one sees
-// several times the mean, with light work and heavy, with low load and overload, with load reports and without any,
-// with all nodes notified at once, and with most restarted a moment after. In overload its budget is used.
+// An endpoint that has just started bears so many requests from all processes together, and beyond them twice their
+// root and 2 by chance, in any span of the length that the rules name: with one node, some and thirty, of which one
+// sees several times the mean, with light work and heavy, with low load and overload, with load reports and without
+// any, with all nodes notified at once, and with most restarted a moment after. In overload its budget is used.
 //
 // A node knows its part without asking anyone: it grants slowStartMargin of the budget times the work a second that one
 // warm endpoint does for it, of which all nodes together get no more than an endpoint can do, or times one part in
@@ -142,7 +144,8 @@
 					for seed := range uint64(2) {
 						over, used := slowStartRun(t, instances, work, load, 6, blind, restarts, seed)
 						if over > 1 || load > 1 && used < 0.05 {
-							t.Errorf("%d nodes, work of %v, load %v, blind %v, restarts %v, seed %d: %.2f of what it bears in the worst span, %.2f of the budget in all",
+							t.Errorf("%d nodes, work of %v, load %v, blind %v, restarts %v, seed %d: "+
+								"%.2f of what it bears in the worst span, %.2f of the budget in all",
 								instances, work, load, blind, restarts, seed, over, used)
 						}
 					}
@@ -152,9 +155,10 @@
 	}
 }
 
-// slowStartRun returns the load of the worst span, as a multiple of what an endpoint in slow start bears, and the fraction of
-// its budget that was used.
-func slowStartRun(t *testing.T, instances int, work time.Duration, load float64, replaced int, blind, restarts bool, seed uint64) (worst, used float64) {
+// slowStartRun returns the load of the worst span, as a multiple of what an endpoint in slow start bears, and the
+// fraction of its budget that was used.
+func slowStartRun(t *testing.T, instances int, work time.Duration, load float64, replaced int, blind, restarts bool,
+	seed uint64) (worst, used float64) {
 	const warm, starting = 8, EndpointID(9)
 	cfg := testConfig()
 	cfg.Instances, cfg.Tenants, cfg.Limits.HealthChecks = instances, nil, !blind
@@ -195,7 +199,8 @@
 	// The budget is that of the start of a span, which is the least in it.
 	budget := func(at time.Duration) float64 {
 		g := testFleet{cfg: cfg, now: at, endpoints: f.endpoints}
-		return cfg.Rules.OverloadMultiple * g.slowStartFraction(starting) * cfg.Rules.OverloadWindow.Seconds() / f.work.Seconds()
+		window := cfg.Rules.OverloadWindow.Seconds()
+		return cfg.Rules.OverloadMultiple * g.slowStartFraction(starting) * window / f.work.Seconds()
 	}
 	sent := f.forwardedAt[starting]
 	for i, from := range sent {
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -13,7 +13,7 @@
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	bound := func(tenant int) float64 {
-		return r.b.maxWaitSeconds(&request{tenant: tenant, class: &r.b.cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent]})
+		return r.b.maxWaitSeconds(r.request(idempotent, tenant))
 	}
 	if bound(0) >= bound(1) { // the first tenant's quota is long used up
 		t.Errorf("bounds %v beyond the quota and %v within", bound(0), bound(1))
@@ -25,7 +25,7 @@
 	cfg := testConfig()
 	cfg.Instances, cfg.OverQuotaValue = 500, 0.05
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
-	req := &request{class: &cfg.Classes[idempotent], stats: &r.b.latency.classes[idempotent]}
+	req := r.request(idempotent, 0)
 	r.serve(3, idempotent, in20ms)
 	if l := r.b.priorityFactor(req); l != 1 {
 		t.Errorf("priority factor %v at the fourth request", l)
