--- a/balance/action.go
+++ b/balance/action.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ActionKind says what to do.
+// ActionKind is what to do.
 type ActionKind uint8
 
 // Kinds of actions, with the fields of Action that each one uses.
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -34,7 +34,7 @@
 	exhausted        bool // as logged
 }
 
-// adjust takes in an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
+// adjust follows an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
 // accounts for: a heavy request is late in any queue, and only what the queue made late counts.
 func (q *queueBudget) adjust(now time.Duration, status Status, late time.Duration, queuedSeconds float64) {
 	if q.lastAnswerAt > 0 { // the clock may start anywhere: there is no gap before the first answer
@@ -51,17 +51,17 @@
 	q.fraction = min(max(q.fraction, minQueueBudget), maxQueueBudget)
 }
 
-// adjustQueueBudget takes in an answer, and logs when the node begins to reject early and when it ends.
+// adjustQueueBudget follows an answer, and logs when the node begins to reject early and when it ends.
 func (b *Balancer) adjustQueueBudget(status Status, late time.Duration, queuedSeconds float64) {
 	q := &b.queueBudget
 	q.adjust(b.now, status, late, queuedSeconds)
 	b.logTransition(&q.exhausted, q.fraction == minQueueBudget, q.fraction >= initialQueueBudget,
-		"answers come late: refusing early", "answers in time again")
+		"answers come late: rejecting early", "answers in time again")
 }
 
-// tellsOfQueue tells whether how an attempt ended may adjust the queue budget. A time-out at an endpoint that
-// gave no sign in the meantime tells of that endpoint and not of overload, and so does one that no queue explains.
-func (b *Balancer) tellsOfQueue(a *attempt, ev *AttemptEnded) bool {
+// showsQueueing reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint that
+// gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue explains.
+func (b *Balancer) showsQueueing(a *attempt, ev *AttemptEnded) bool {
 	return ev.Status != StatusTimedOut || a.endpoint.silentSince > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
 }
 
@@ -84,7 +84,7 @@
 }
 
 const (
-	// maxPriorityFactor bounds the effect of priority: what is worth next to nothing is still served in a calm.
+	// maxPriorityFactor bounds the effect of priority: a request of the lowest priority is still served at low load.
 	maxPriorityFactor = 2.0
 	// prioritySampleWeight is the weight of a request in the mean priority.
 	prioritySampleWeight = 0.01
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -33,8 +33,14 @@
 	r.keepLogs(r.handle(DiscoveryFailed{}))
 	r.keepLogs(r.handle(DiscoveryFailed{}))
 	r.keepLogs(r.handle(EndpointsListed{Kind: CompleteList}))
-	for _, text := range []string{"backend N fails: traffic withheld", "backend N answers again", "no ready backend",
-		"answers come late: refusing early", "answers in time again", "discovery refused: asking again"} {
+	for _, text := range []string{
+		"endpoint N is an outlier: traffic withheld",
+		"endpoint N has recovered",
+		"no ready endpoint",
+		"answers come late: rejecting early",
+		"answers in time again",
+		"discovery unavailable: polling again",
+	} {
 		if !strings.Contains(string(page), "`"+text+"`") {
 			t.Errorf("the page lacks %q", text)
 		}
--- a/balance/config.go
+++ b/balance/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Repeatability says what may happen when a request of a class runs twice.
+// Repeatability is what happens when a request of a class runs twice.
 type Repeatability uint8
 
 // Repeatabilities of a class. The zero value is the strictest.
@@ -41,7 +41,7 @@
 	Share          float64 // its fraction of the service
 }
 
-// Limits says what the site permits.
+// Limits is what the site permits.
 type Limits struct {
 	Cancellation   bool          // CancelAttempt is permitted
 	HealthChecks   bool          // HealthCheck is permitted
@@ -49,12 +49,12 @@
 	HedgedRequests bool          // two attempts of one request may be pending at once
 	RetryAfter     bool          // clients receive the RetryAfter of a Reject
 	MaxAttempts    int           // attempts per request; 0 means 1
-	MaxRetryAfter  time.Duration // the longest RetryAfter that a client heeds; 0: not told
+	MaxRetryAfter  time.Duration // the longest RetryAfter that a client heeds; 0: unknown
 	ConnectTimeout time.Duration // a connection that is not up by then counts as failed
 	IdleClose      time.Duration // endpoints close a connection that has been idle for this long
 	StreamsPerConn int           // attempts that one connection carries at the same time
 	MaxOpen        int           // requests open at once; more never reach the node
-	CPUPerSecond   time.Duration // CPU that the node may use in a second; 0: not told
+	CPUPerSecond   time.Duration // CPU that the node may use in a second; 0: unknown
 	CPUPerRequest  time.Duration // CPU for a request with its outcomes; 0: no such limit
 }
 
@@ -74,14 +74,14 @@
 type Rules struct {
 	AnswerGrace       time.Duration // final answers are valid for this long past the deadline
 	DrainGrace        time.Duration // nothing new goes to an endpoint this long after news of its drain
-	PollInterval      time.Duration // how long a list may be held without a subscription
+	PollInterval      time.Duration // how long a list may be used without a subscription
 	SlowStartFraction float64       // an endpoint starts with at least this fraction of its capacity
 	SlowStartDuration time.Duration // and has all of it after this time at the latest
 	OverloadMultiple  float64       // more than this multiple of its present capacity,
 	OverloadWindow    time.Duration // for this time, brings an endpoint in slow start down
 }
 
-// LoadReportSource says where endpoints report their load.
+// LoadReportSource is where endpoints report their load.
 type LoadReportSource uint8
 
 // Sources of load reports.
@@ -91,7 +91,7 @@
 	InlineLoadReports                       // in outcomes of attempts too
 )
 
-// WeightKind says what Endpoint.Weight means.
+// WeightKind is the meaning of Endpoint.Weight.
 type WeightKind uint8
 
 // Kinds of weight.
@@ -122,7 +122,7 @@
 	PriorityPerWork    bool    // priority weights count for each unit of work, not for each request
 	WarmKeys           bool    // an endpoint that has lately served a routing key needs less work for it
 	ClientsMarkRetries bool    // clients mark their retries
-	PollDiscovery      bool    // the list is told only after WatchEndpoints or FetchEndpoints
+	PollDiscovery      bool    // the list comes only after WatchEndpoints or FetchEndpoints
 	LoadReports        LoadReportSource
 	Weights            WeightKind
 	Limits             Limits
--- a/balance/cordon.go
+++ b/balance/cordon.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// cordon tells whether an operator has taken an endpoint out of service. Invariant: an active one has cordonedAt; one
-// that is not active has uncordonedAt too, unless the endpoint was never cordoned.
+// cordon is whether an operator has taken an endpoint out of service. Invariant: an active one has cordonedAt; one that
+// is not active has uncordonedAt too, unless the endpoint was never cordoned.
 type cordon struct {
 	active       bool
 	cordonedAt   time.Duration // the last time
@@ -31,8 +31,8 @@
 	b.chooseSubset()
 }
 
-// resetAtUncordon tells whether a start that a list tells of came while the endpoint was cordoned: its state was reset
-// when it was uncordoned.
+// resetAtUncordon reports whether a start in a list came while the endpoint was cordoned: its state was reset when it
+// was uncordoned.
 func (b *Balancer) resetAtUncordon(listed Endpoint) bool {
 	c := b.cordons[listed.ID]
 	return !c.active && c.uncordonedAt > 0 && c.cordonedAt <= listed.StartedAt && listed.StartedAt <= c.uncordonedAt
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -35,7 +35,7 @@
 	if !b.cfg.PollDiscovery {
 		return
 	}
-	b.logTransition(&b.discovery.unavailable, true, false, "discovery refused: asking again", "")
+	b.logTransition(&b.discovery.unavailable, true, false, "discovery unavailable: polling again", "")
 	b.discovery.failures++
 	b.pollWithin(b.pollBackoff())
 }
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EndpointID names an endpoint. It is opaque: it tells nothing of zone or age.
+// EndpointID names an endpoint. It is opaque: zone and age do not follow from it.
 type EndpointID uint32
 
 // Phase is the state of an endpoint in the list.
@@ -11,7 +11,7 @@
 // Phases of an endpoint.
 const (
 	Ready    Phase = iota
-	Draining       // finishes what it has and wants nothing new
+	Draining       // finishes what it has, and must get nothing new
 	Removed
 )
 
@@ -41,7 +41,7 @@
 	StatusNotSent
 )
 
-// NeverRan tells whether the status proves that the attempt never ran.
+// NeverRan reports whether the status proves that the attempt never ran.
 func (s Status) NeverRan() bool {
 	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
 }
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -54,13 +54,13 @@
 	e.silentSince = now
 }
 
-// inService tells whether an endpoint may get requests: it is listed as ready, and not cordoned.
+// inService reports whether an endpoint may get requests: it is listed as ready, and not cordoned.
 func (b *Balancer) inService(e *endpointState) bool {
 	return e.Phase == Ready && !b.cordons[e.ID].active
 }
 
-// startedAt is when an endpoint's process started; 0: long ago. One that was uncordoned has been restarted while it
-// was out, whether or not a list has told of it yet.
+// startedAt is when an endpoint's process started; 0: long ago. One that was uncordoned has been restarted while it was
+// cordoned, whether or not a list shows it yet.
 func (b *Balancer) startedAt(e *endpointState) time.Duration {
 	if c := b.cordons[e.ID]; c.uncordonedAt > 0 && e.StartedAt < c.cordonedAt {
 		return c.uncordonedAt
@@ -68,7 +68,7 @@
 	return e.StartedAt
 }
 
-// onEndpointsListed takes in a list of endpoints.
+// onEndpointsListed applies a list of endpoints.
 func (b *Balancer) onEndpointsListed(ev *EndpointsListed) {
 	b.discovery.succeeded()
 	if ev.Kind != ListChanges {
@@ -81,14 +81,14 @@
 	}
 	b.chooseSubset()
 	if len(b.usable) == 0 {
-		b.log("no ready backend")
+		b.log("no ready endpoint")
 	}
 	if ev.Kind == CachedList && b.cfg.PollDiscovery {
 		b.pollWithin(b.pollSpread())
 	}
 }
 
-// updateEndpoint takes in one entry of a list. A changed start time is a new process with a new queue.
+// updateEndpoint applies one entry of a list. A changed start time is a new process with a new queue.
 func (b *Balancer) updateEndpoint(listed Endpoint) {
 	e := b.endpoints[listed.ID]
 	started := e == nil || e.StartedAt != listed.StartedAt && !b.resetAtUncordon(listed)
--- a/balance/event.go
+++ b/balance/event.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Event is one thing that a node saw: one of the types below. Slices in it are not kept by the Balancer.
+// Event is one thing that a node saw: one of the types below. The Balancer does not retain slices in it.
 type Event interface{ isEvent() }
 
-// ListKind says what a list of endpoints holds.
+// ListKind is what a list of endpoints contains.
 type ListKind uint8
 
 // Kinds of lists.
 const (
-	CachedList   ListKind = iota // the complete list as it was last held, maybe stale
+	CachedList   ListKind = iota // the complete list as it was known last, maybe stale
 	CompleteList                 // the complete list: what it does not name has been removed
 	ListChanges                  // changed entries only
 )
 
-// EndpointsListed is a list of endpoints that discovery told.
+// EndpointsListed is a list of endpoints from discovery.
 type EndpointsListed struct {
 	Kind      ListKind
 	Endpoints []Endpoint
@@ -32,22 +32,22 @@
 	RoutingKey    uint64
 	HasRoutingKey bool
 	TimeLeft      time.Duration // until the client abandons this attempt of its own
-	ExpectedWork  time.Duration // 0 if not told
+	ExpectedWork  time.Duration // 0: unknown
 	ClientRetry   bool          // the client marked it as a retry
 	Mutates       bool
-	// Incomplete is set while the request's body is still coming in: its deadline and TimeLeft begin when RequestWritten
-	// tells that the last byte has gone.
+	// Incomplete is set while the request's body is still coming in: its deadline and TimeLeft begin with
+	// RequestWritten.
 	Incomplete bool
 }
 
-// RequestWritten tells that the last byte of a request that arrived incomplete has gone to its endpoint.
+// RequestWritten is sent when the last byte of an incomplete request has gone to its endpoint.
 type RequestWritten struct {
 	Request  string
 	Attempt  int
 	TimeLeft time.Duration
 }
 
-// StreamStarted tells that the answer has begun to reach the client: the request has no deadline any more.
+// StreamStarted is sent when the answer has begun to reach the client: the request has no deadline any more.
 type StreamStarted struct {
 	Request  string
 	Attempt  int
@@ -55,10 +55,10 @@
 	Elapsed  time.Duration // since the attempt was sent
 }
 
-// ClientDisconnected tells that the client has left before its answer.
+// ClientDisconnected is sent when the client has disconnected before its answer.
 type ClientDisconnected struct{ Request string }
 
-// TimerFired tells that a timer set by SetTimer is due.
+// TimerFired is sent when a timer set by SetTimer is due.
 type TimerFired struct{ ID uint64 }
 
 // HealthChecked is the result of one HealthCheck.
@@ -87,15 +87,15 @@
 	Payload []byte
 }
 
-// HandoverChanged tells that another process of this node takes new requests from now on, or no longer does.
+// HandoverChanged is sent when another process of this node takes new requests from now on, or no longer does.
 type HandoverChanged struct{ HandedOver bool }
 
-// TookOver tells that this process takes the requests that came to another process of this node until now.
+// TookOver is sent when this process takes the requests that came to another process of this node until now.
 type TookOver struct {
-	State *HandoverState // what the other process has learned; nil if not told
+	State *HandoverState // what the other process has learned; nil: unknown
 }
 
-// CordonChanged tells that an operator has taken an endpoint out of service, or put it back.
+// CordonChanged is sent when an operator has taken an endpoint out of service, or put it back.
 type CordonChanged struct {
 	Endpoint EndpointID
 	Cordoned bool
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// onHandoverChanged takes in that another process of this node takes new requests from now on, or no longer does.
+// onHandoverChanged handles that another process of this node takes new requests from now on, or no longer does.
 func (b *Balancer) onHandoverChanged(ev *HandoverChanged) {
 	b.slowStart.handedOver = ev.HandedOver
 	b.restartSlowStartWindow()
@@ -102,7 +102,7 @@
 	}
 }
 
-// onTookOver takes in that this process takes the requests that came to another one of this node until now.
+// onTookOver handles that this process takes the requests that came to another one of this node until now.
 func (b *Balancer) onTookOver(ev *TookOver) {
 	b.slowStart.handedOver = false
 	b.restartSlowStartWindow()
@@ -119,8 +119,8 @@
 	}
 }
 
-// restore takes in what another process of this node has learned. A state without an answer, or of other classes, is
-// not used.
+// restore applies what another process of this node has learned. A state without an answer, or of other classes, is not
+// used.
 func (b *Balancer) restore(state *HandoverState) {
 	if state == nil || state.Answers == 0 || len(state.Classes) != len(b.latency.classes) {
 		return
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxHealthChecksPerTick is the most health checks in a tick: with the shortest of three random queues all nodes
-	// don't choose the same endpoint.
+	// maxHealthChecksPerTick is the most health checks in a tick: nodes that choose among a few random endpoints don't
+	// all choose the same one.
 	maxHealthChecksPerTick = 3
 	// healthCheckSpend is what health checks may take off the site's result; dear ones go with some arrivals only.
 	healthCheckSpend = 0.004
@@ -20,8 +20,8 @@
 	maxRepeatChecks = 16
 )
 
-// healthChecks counts the health checks of a node. Invariant: credit <= 2*maxHealthChecksPerTick, so that a calm saves
-// up none for a burst.
+// healthChecks counts the health checks of a node. Invariant: credit <= 2*maxHealthChecksPerTick, so that few are saved
+// up for a burst.
 type healthChecks struct {
 	credit      float64       // checks that arrivals have paid for
 	sent        float64       // since the node's start, repeated checks aside
@@ -30,8 +30,8 @@
 	repeats     int           // endpoints checked twice in a row
 }
 
-// earn takes in an arrival. A node that has not yet checked as many times as it has endpoints checks at each arrival:
-// it knows nothing.
+// earn adds what an arrival pays for. A node that has not yet checked as many times as it has endpoints checks at each
+// arrival: it knows nothing.
 func (h *healthChecks) earn(price float64, endpoints int) {
 	perArrival := min(maxHealthChecksPerTick, healthCheckSpend/max(price, minHealthCheckPrice))
 	if h.sent < float64(endpoints) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// awaitChecks tells whether an arrival waits for the health checks of its tick, which takes one round trip. Where a
-// node sees little traffic its queue estimates are older than a queue, and only these checks tell anything.
+// awaitChecks reports whether an arrival waits for the health checks of its tick, which takes one round trip. Where a
+// node sees little traffic its queue estimates are older than a queue, and only these checks are fresh.
 func (b *Balancer) awaitChecks(r *request, timeLeft time.Duration) bool {
 	if b.healthChecks.awaited <= 0 {
 		return false
@@ -71,8 +71,8 @@
 	return true
 }
 
-// stopAwaitingChecks places what waits with a request that has waited for long enough: a check that stays out tells
-// enough.
+// stopAwaitingChecks places what waits with a request that has waited for long enough: a check without a result by now
+// would show nothing good.
 func (b *Balancer) stopAwaitingChecks(r *request) {
 	if slices.Contains(b.awaitingChecks, r) {
 		b.placeAwaiting()
@@ -89,8 +89,8 @@
 	}
 }
 
-// onHealthChecked takes in the result of a health check. A success is a sign of life: where one request is lost at an
-// endpoint that has little else to answer, only health checks tell that it goes on serving.
+// onHealthChecked handles the result of a health check. A success is a sign of life: where one request is lost at an
+// endpoint that has little else to answer, only health checks show that it goes on serving.
 func (b *Balancer) onHealthChecked(ev *HealthChecked) {
 	if e := b.endpoints[ev.Endpoint]; e != nil {
 		b.handleLoadReport(e, ev.Load)
@@ -105,7 +105,7 @@
 	}
 }
 
-// repeatHealthCheck checks the same endpoint again soon: checks that are seconds apart can't tell how often an endpoint
+// repeatHealthCheck checks the same endpoint again soon: checks that are seconds apart can't show how often an endpoint
 // reports, and every report would pass for seconds old.
 func (b *Balancer) repeatHealthCheck(e *endpointState) {
 	if b.healthChecks.repeats < maxRepeatChecks && e.reportedQueue > 0 {
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -70,7 +70,7 @@
 	return unloaded.value()
 }
 
-// learnService takes in an answer of any endpoint.
+// learnService adds an answer of any endpoint.
 func (l *latencyStats) learnService(weight, seconds, queueAtArrival float64) {
 	l.answers++
 	weight = max(weight, 1/l.answers)
@@ -83,8 +83,8 @@
 	l.meanServiceSeconds = l.meanLatencySeconds / (l.meanQueueAtArrival + 1)
 }
 
-// learnUnloaded takes in the latency of an answer that met no queue. Overloaded endpoints drain while the node rejects
-// early, and then show that they are fast, slow ones that they are slow: nothing else tells the two apart. Until an
+// learnUnloaded adds the latency of an answer, if it met no queue. Overloaded endpoints drain while the node rejects
+// early, and then show that they are fast, slow ones that they are slow: nothing else distinguishes the two. Until an
 // answer meets no queue the work hint stands for it: a node that starts among queues must not take them for the work.
 func (c *classStats) learnUnloaded(queueAtSend, seconds, hintSeconds float64) {
 	weight := unloadedSampleWeight
@@ -102,8 +102,8 @@
 	c.unloadedSeconds += max(weight, 1/c.samples) * (seconds - c.unloadedSeconds)
 }
 
-// learnServiceTime takes in the latency of an answer, relative to the unloaded latency of its class, and the queue
-// that it met.
+// learnServiceTime adds the latency of an answer, relative to the unloaded latency of its class, and the queue that it
+// met.
 func (b *Balancer) learnServiceTime(e *endpointState, r *request, a *attempt, elapsed time.Duration) {
 	if r.stats.unloadedSeconds == 0 {
 		return
@@ -113,8 +113,8 @@
 	b.latency.learnService(weight/float64(len(b.usable)+1), seconds, a.queueAtSend)
 }
 
-// learnService takes in an answer and returns its weight. An answer out of a long queue tells more of the service time:
-// a short queue is no load to an endpoint of many cores.
+// learnService adds an answer and returns its weight. An answer out of a long queue weighs more in the service time: a
+// short queue is no load to an endpoint of many cores.
 func (e *endpointState) learnService(now time.Duration, fleetServiceSeconds, seconds, queue float64) (weight float64) {
 	if e.meanLatencySeconds == 0 {
 		e.meanLatencySeconds = fleetServiceSeconds * (queue + 1)
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -13,14 +13,14 @@
 )
 
 // reportInterval is the time between two reports of an endpoint that differ: the age that a report may have. It is
-// learned, since the site doesn't tell it.
+// learned, since no setting has it.
 type reportInterval struct {
 	seconds float64 // 0: not known yet
 }
 
-// isNews tells whether a report tells anything new, and learns from it. ageSeconds is the time since the last queue was
-// first reported. The same queue within the interval is the same report again. Past the interval it is news: an idle
-// endpoint reports an empty queue again and again.
+// isNews reports whether a load report is new, and learns the interval from it. ageSeconds is the time since the last
+// queue was first reported. The same queue within the interval is the same report again. Past the interval it is news:
+// an idle endpoint reports an empty queue again and again.
 func (i *reportInterval) isNews(changed, busy bool, ageSeconds float64) bool {
 	switch {
 	case changed && (i.seconds == 0 || ageSeconds < 2*i.seconds):
@@ -34,7 +34,7 @@
 	return true
 }
 
-// handleLoadReport takes in a load report. It is old and counts this node's own requests too: these are taken off, and
+// handleLoadReport applies a load report. It is old and counts this node's own requests too: these are taken off, and
 // what is in flight now stays counted.
 func (b *Balancer) handleLoadReport(e *endpointState, l Load) {
 	queue := l.Active
@@ -56,7 +56,7 @@
 	b.recordLoad(e, max(0, queue-e.inFlight), b.reportInterval.seconds)
 }
 
-// recordLoad takes in the load of other nodes that an endpoint had some seconds ago.
+// recordLoad records the load of other nodes that an endpoint had some seconds ago.
 func (b *Balancer) recordLoad(e *endpointState, load, secondsAgo float64) {
 	at := b.now - time.Duration(secondsAgo*float64(time.Second))
 	weight := min(loadBiasMaxWeight, max(0, at-e.reportedAt).Seconds()/loadBiasSeconds)
--- a/balance/lossdetection.go
+++ b/balance/lossdetection.go
@@ -10,7 +10,7 @@
 	return lossMultiple * (a.waitAtSendSeconds + b.latency.meanUnloadedSeconds())
 }
 
-// isLost tells whether an attempt without an answer must have been lost, at an endpoint that answered others.
+// isLost reports whether an attempt without an answer must have been lost, at an endpoint that answered others.
 func (b *Balancer) isLost(a *attempt, elapsed time.Duration) bool {
 	return a.endpoint.silentSince > a.sentAt && elapsed.Seconds() > b.lossSeconds(a)
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -48,7 +48,7 @@
 }
 
 // recordOutcome keeps an endpoint's failure rate, by this node's own attempts: an endpoint that fails fast looks idle
-// to any health check. Cancelled and unsent attempts tell nothing of the endpoint.
+// to any health check. Cancelled and unsent attempts are no evidence.
 func (b *Balancer) recordOutcome(e *endpointState, status Status, a *attempt, elapsed time.Duration) {
 	switch status {
 	case StatusSucceeded, StatusRejected:
@@ -62,8 +62,7 @@
 	}
 }
 
-// recordTimeout: an attempt that timed out while others were answered tells little of its endpoint, unless it must have
-// been lost.
+// recordTimeout: an attempt that timed out while others were answered is no failure, unless it must have been lost.
 func (b *Balancer) recordTimeout(e *endpointState, a *attempt, elapsed time.Duration) {
 	switch {
 	case a.lost: // counted by checkLoss
@@ -77,7 +76,7 @@
 // updateOutlier compares an endpoint's failure rate with that of all, and logs when traffic is withheld.
 func (b *Balancer) updateOutlier(e *endpointState) {
 	b.outliers.learn(e.failureRate, len(b.usable))
-	name := fmt.Sprintf("backend %d ", e.ID)
+	name := fmt.Sprintf("endpoint %d ", e.ID)
 	b.logTransition(&e.outlier, e.failureRate > outlierFailureRate, e.failureRate < recoveredFailureRate,
-		name+"fails: traffic withheld", name+"answers again")
+		name+"is an outlier: traffic withheld", name+"has recovered")
 }
--- a/balance/probeadmission.go
+++ b/balance/probeadmission.go
@@ -31,8 +31,8 @@
 	p.interval = min(p.interval*2, maxProbeAdmissionInterval)
 }
 
-// recordProbeAdmission takes in how the first attempt of a probe admission ended. One that waited less than the bound
-// shows that rejecting was wrong; one that waited longer or failed shows that it was right.
+// recordProbeAdmission learns from how the first attempt of a probe admission ended. One that waited less than the
+// bound shows that rejecting was wrong; one that waited longer or failed shows that it was right.
 func (b *Balancer) recordProbeAdmission(r *request, ev *AttemptEnded) {
 	switch {
 	case r.probeBoundSeconds == 0 || ev.Attempt > 0 || ev.Status == StatusCancelled:
@@ -43,7 +43,7 @@
 	}
 }
 
-// queuedLess tells whether an attempt of a probe admission spent less time in a queue than its bound.
+// queuedLess reports whether an attempt of a probe admission spent less time in a queue than its bound.
 func (b *Balancer) queuedLess(elapsed time.Duration, r *request) bool {
 	return elapsed.Seconds()-b.workSeconds(r) < r.probeBoundSeconds
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -21,7 +21,7 @@
 	probeBoundSeconds float64 // the bound on its wait when it was a probe admission; 0 for others
 	incomplete        bool    // its body is still coming in
 	notReplayable     bool    // what came of its body is used up
-	finished          bool    // the final answer is out, or the client has gone
+	finished          bool    // the final answer is out, or the client has disconnected
 	streamStarted     bool    // the answer has begun to reach the client
 }
 
@@ -132,9 +132,9 @@
 	}
 }
 
-// onRequestWritten takes in that the last byte of an incomplete request has gone: its time begins. Endpoints start a
-// request when its last byte has come. Before that it takes no place in the queue, and how long its client takes tells
-// nothing of the endpoint.
+// onRequestWritten starts the time of an incomplete request: its last byte has gone. Endpoints start a request when its
+// last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing about the
+// endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// onAttemptEnded takes in how an attempt ended, and places its request again where the client still waits.
+// onAttemptEnded handles the end of an attempt, and places its request again where the client still waits.
 func (b *Balancer) onAttemptEnded(ev *AttemptEnded) {
 	r := b.requests[ev.Request]
 	if r == nil {
@@ -193,11 +193,11 @@
 	}
 }
 
-// learnFrom takes in what an attempt's end tells of its endpoint and of queues.
+// learnFrom updates the state of the attempt's endpoint, and the estimates, by how the attempt ended.
 func (b *Balancer) learnFrom(r *request, a *attempt, ev *AttemptEnded) {
 	e := a.endpoint
 	b.keepQueuePlace(a, ev)
-	if !a.incomplete && b.tellsOfQueue(a, ev) {
+	if !a.incomplete && b.showsQueueing(a, ev) {
 		b.adjustQueueBudget(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.waitAtSendSeconds)
 	}
 	b.recordProbeAdmission(r, ev)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -27,7 +27,7 @@
 // half is the part that a process hands over to the one that takes its place.
 func (t *retryBudget) half() float64 { return t.retries / 2 }
 
-// attemptAllowed tells whether another attempt of a request may be sent at all: its deadline lies ahead, it can be
+// attemptAllowed reports whether another attempt of a request may be sent at all: its deadline lies ahead, it can be
 // replayed, it has attempts left, and a retry is within the budget.
 func (b *Balancer) attemptAllowed(r *request) bool {
 	if r.notReplayable || b.now >= r.deadline || len(r.attempts) >= b.cfg.Limits.MaxAttempts {
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// attempted tells whether the request has had an attempt at an endpoint: a retry goes to another one.
+// attempted reports whether the request has had an attempt at an endpoint: a retry goes to another one.
 func (r *request) attempted(e *endpointState) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// repeatAllowed tells whether another attempt may go to an endpoint without an effect happening twice: nothing has run
-// yet, or the request is idempotent, or it has an idempotency key and the endpoint drops repeats of the first run.
+// repeatAllowed reports whether another attempt may go to an endpoint without an effect happening twice: nothing has
+// run yet, or the request is idempotent, or it has an idempotency key and the endpoint drops repeats of the first run.
 func (b *Balancer) repeatAllowed(r *request, e *endpointState) bool {
 	first := r.firstPossibleRun()
 	if first == nil || r.class.Repeatability == Idempotent {
@@ -64,7 +64,7 @@
 		r.class.KeyScope == KeyScopeCell && e.Cell == first.endpoint.Cell
 }
 
-// rejectAllowed tells whether a request may be rejected, which promises the client that trying again is harmless.
+// rejectAllowed reports whether a request may be rejected, which promises the client that trying again is harmless.
 func (b *Balancer) rejectAllowed(r *request) bool {
 	first := r.firstPossibleRun()
 	if first == nil || r.class.Repeatability == Idempotent {
--- a/balance/retryafter.go
+++ b/balance/retryafter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// retryAfter is the advice that goes with a rejection: when the shortest queue will have fallen to the length that an
-// average request may join. Where no queue is the reason it is the time of one place in a queue; without a usable
-// endpoint it is the latency objective. Never above Limits.MaxRetryAfter, beyond which clients don't heed it.
+// retryAfter is the Retry-After of a rejection: when the shortest queue will have fallen to the length that an average
+// request may join. Where no queue is the reason it is the time of one place in a queue; without a usable endpoint it
+// is the latency objective. Never above Limits.MaxRetryAfter, beyond which clients don't heed it.
 func (b *Balancer) retryAfter() time.Duration {
 	bound := b.meanMaxWaitSeconds()
 	seconds := math.Inf(1)
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -1,7 +1,8 @@
 package balance
 
 const (
-	// crossZoneObjectives is the wait, in mean latency objectives, that costs as much as a request's whole weight.
+	// crossZoneObjectives is the wait, in mean latency objectives, that costs as much as a request's full priority
+	// weight.
 	crossZoneObjectives = 1.5
 	// maxIdleQueue is the largest queue estimate at which an endpoint counts as idle: it makes nobody wait, however
 	// slow it has become.
@@ -40,7 +41,7 @@
 	return best
 }
 
-// isFull tells whether a request would wait too long at an endpoint: longer than the bound, or in slow start too long
+// isFull reports whether a request would wait too long at an endpoint: longer than the bound, or in slow start too long
 // for its latency objective. An idle warm endpoint is never full.
 func (b *Balancer) isFull(r *request, e *endpointState, maxWaitSeconds float64) bool {
 	if b.slowStartFraction(e) < 1 {
@@ -57,7 +58,7 @@
 	return queue + b.failureCostSeconds(e) + silence + b.crossZoneCostSeconds(e)
 }
 
-// crossZoneCostSeconds is the time that crossing zones must save to be worth its price. The time of the way is in the
+// crossZoneCostSeconds is the time that crossing zones must save to be worth its price. The network time is in the
 // latencies already.
 func (b *Balancer) crossZoneCostSeconds(e *endpointState) float64 {
 	if e.Zone == b.cfg.Zone {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -11,7 +11,7 @@
 	// slowStartObjectiveFraction is the fraction of the latency objective within which an endpoint in slow start
 	// must be able to answer what is sent to it.
 	slowStartObjectiveFraction = 0.5
-	// warmThroughputDecay is what an old peak of the warm throughput keeps of itself, a window.
+	// warmThroughputDecay is the factor by which an old peak of the warm throughput fades, a window.
 	warmThroughputDecay = 0.9
 	// minSlowStartFraction: work is divided by the fraction.
 	minSlowStartFraction = 0.01
@@ -28,7 +28,7 @@
 	handedOver bool
 }
 
-// endWindow takes in the mean work that warm endpoints did in a window, in seconds a second.
+// endWindow learns from the mean work that warm endpoints did in a window, in seconds a second.
 func (s *slowStart) endWindow(throughput mean) {
 	if throughput.count > 0 {
 		s.warmThroughput = max(s.warmThroughput*warmThroughputDecay, throughput.value())
@@ -58,7 +58,7 @@
 }
 
 // slowStartSurchargeSeconds is the part of an endpoint's cost that it has for slow start. Selection takes it off: what
-// is granted is little and is answered in time, and the endpoint would stay cold without it.
+// is granted is little and is answered in time, and without it the endpoint would get no work at all.
 func (b *Balancer) slowStartSurchargeSeconds(e *endpointState) float64 {
 	return (1 - b.slowStartFraction(e)) * (b.queueEstimate(e) + 1) * b.serviceSeconds(e)
 }
@@ -88,8 +88,8 @@
 	e.slowStartCreditSeconds = min(e.slowStartCreditSeconds, 0)
 }
 
-// slowStartAdmits tells whether an endpoint is warm, or has credit for most of the request: two heavy requests on the
-// rests of two windows' credits would be as much as two windows may hold.
+// slowStartAdmits reports whether an endpoint is warm, or has credit for most of the request: two heavy requests on
+// what remains of two windows' credits would be as much as two windows may get.
 func (b *Balancer) slowStartAdmits(r *request, e *endpointState) bool {
 	return b.isWarm(e) || e.slowStartCreditSeconds > b.workSeconds(r)/2
 }
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -32,11 +32,11 @@
 	s.forwarded = 0
 }
 
-// chooseSubset sets b.usable to the endpoints of each zone that this node uses: the first ones in its own order.
-// A node with little traffic would learn too little of each of all endpoints, and each would need a connection from
-// every node. Outliers are used beside the subset, but no more of them than it holds: under overload many endpoints
-// seem to fail, and a node that goes on to others each time meets more and more endpoints, knows none of them and pays
-// a handshake for each.
+// chooseSubset sets b.usable to the endpoints of each zone that this node uses: the first ones in its own order. A node
+// with little traffic would learn too little of each of all endpoints, and each would need a connection from every
+// node. Outliers are used beside the subset, but no more of them than its size: under overload many endpoints seem to
+// fail, and a node that goes on to others each time meets more and more endpoints, knows none of them and pays a
+// handshake for each.
 func (b *Balancer) chooseSubset() {
 	b.usable = b.usable[:0]
 	inZone := map[int]int{}
--- a/balance/tenantquota.go
+++ b/balance/tenantquota.go
@@ -11,7 +11,7 @@
 )
 
 // quotaBucket is a token bucket of this node's part of a tenant's quota. Invariant: never below zero, since the quota
-// only tells what is rejected first, and requests beyond it are forwarded while there is capacity.
+// only decides what is rejected first, and requests beyond it are forwarded while there is capacity.
 type quotaBucket struct {
 	requests  float64 // within the quota now
 	updatedAt time.Duration
--- a/balance/timer.go
+++ b/balance/timer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// timerKind says what a timer is for.
+// timerKind is what a timer is for.
 type timerKind uint8
 
 // Kinds of timers, with the fields of timer that each one uses.
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -9,7 +9,7 @@
 	"hitchvale/balance"
 )
 
-// Kind says what a message is.
+// Kind is what a message is.
 type Kind uint8
 
 // Kinds of messages, with the fields of Message that each one uses beside Line and Name.
