--- a/balance/balance.go
+++ b/balance/balance.go
@@ -32,7 +32,7 @@
 	subset         subsetSize
 	slowStart      slowStart
 	queueBudget    queueBudget
-	meanPriority   float64 // running mean of the requests' priority
+	meanPriority   float64 // of the requests, a running mean
 	quotas         []quotaBucket
 	probeAdmission probeAdmission
 	retryBudget    retryBudget
@@ -129,14 +129,3 @@
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) log(text string) { b.emit(Action{Kind: Log, Text: text}) }
-
-// logTransition logs when a state begins and when it ends. Neither changes a state in between.
-func (b *Balancer) logTransition(state *bool, begins, ends bool, begin, end string) {
-	switch {
-	case begins && !*state:
-		b.log(begin)
-	case ends && *state:
-		b.log(end)
-	}
-	*state = (*state || begins) && !ends
-}
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -21,21 +21,19 @@
 
 // discoveryState is how the last calls to discovery went.
 type discoveryState struct {
-	unavailable bool // as logged
-	failures    int  // in a row
+	failures int // in a row
 }
 
-func (d *discoveryState) succeeded() {
-	d.unavailable = false
-	d.failures = 0
-}
+func (d *discoveryState) succeeded() { d.failures = 0 }
 
 // onDiscoveryFailed polls again after a while: without a subscription the node learns of no drain.
 func (b *Balancer) onDiscoveryFailed() {
 	if !b.cfg.PollDiscovery {
 		return
 	}
-	b.logTransition(&b.discovery.unavailable, true, false, "discovery unavailable: polling again", "")
+	if b.discovery.failures == 0 {
+		b.log("discovery unavailable: polling again")
+	}
 	b.discovery.failures++
 	b.pollWithin(b.pollBackoff())
 }
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -3,7 +3,8 @@
 import "time"
 
 // HandoverState is what a process has learned, for the one that takes its place. The tags are the form in which
-// processes of different versions pass it on; they never change. Times are on the Balancers' common clock.
+// processes of different versions pass it on; they never change: a value under another name would be 0 in the other
+// version, without an error. Times are on the Balancers' common clock.
 type HandoverState struct {
 	QueueBudget        float64                 `json:"Part"`
 	WarmThroughput     float64                 `json:"WarmRate"` // seconds of work a second
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -10,12 +10,13 @@
 	// maxHealthChecksPerTick is the most health checks in a tick: nodes that choose among a few random endpoints don't
 	// all choose the same one.
 	maxHealthChecksPerTick = 3
-	// healthCheckSpend is what health checks may take off the site's result; dear ones go with some arrivals only.
+	// healthCheckSpend is what the health checks of an arrival may cost, in the unit of Prices: with dear ones only some
+	// arrivals check.
 	healthCheckSpend = 0.004
 	// minHealthCheckPrice avoids a division by zero where health checks are free.
 	minHealthCheckPrice = 1e-9
-	// maxHoldFraction is the fraction of its latency objective for which a request may wait for health checks.
-	maxHoldFraction = 0.05
+	// maxCheckWaitFraction is the fraction of its latency objective for which a request may wait for health checks.
+	maxCheckWaitFraction = 0.05
 	// maxRepeatChecks bounds the checks that only learn the interval between load reports.
 	maxRepeatChecks = 16
 )
@@ -66,7 +67,7 @@
 		return false
 	}
 	b.awaitingChecks = append(b.awaitingChecks, r)
-	longest := time.Duration(maxHoldFraction * float64(r.class.LatencyObjective))
+	longest := time.Duration(maxCheckWaitFraction * float64(r.class.LatencyObjective))
 	b.setTimer(min(longest, timeLeft), timer{kind: healthCheckWait, request: r})
 	return true
 }
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// sampleWeight is the least weight of a new sample in a running mean.
+	// sampleWeight is the weight of a new sample in a running mean, where no rule gives it more.
 	sampleWeight = 0.05
 	// unloadedSampleWeight is that weight in the unloaded latency of a class.
 	unloadedSampleWeight = 0.03
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -76,7 +76,12 @@
 // updateOutlier compares an endpoint's failure rate with that of all, and logs when traffic is withheld.
 func (b *Balancer) updateOutlier(e *endpointState) {
 	b.outliers.learn(e.failureRate, len(b.usable))
-	name := fmt.Sprintf("endpoint %d ", e.ID)
-	b.logTransition(&e.outlier, e.failureRate > outlierFailureRate, e.failureRate < recoveredFailureRate,
-		name+"is an outlier: traffic withheld", name+"has recovered")
+	switch {
+	case !e.outlier && e.failureRate > outlierFailureRate:
+		e.outlier = true
+		b.log(fmt.Sprintf("endpoint %d is an outlier: traffic withheld", e.ID))
+	case e.outlier && e.failureRate < recoveredFailureRate:
+		e.outlier = false
+		b.log(fmt.Sprintf("endpoint %d has recovered", e.ID))
+	}
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -39,7 +39,7 @@
 
 func (r *request) lastAttempt() *attempt { return &r.attempts[len(r.attempts)-1] }
 
-// pendingAttempt returns an attempt without an outcome, or nil.
+// pendingAttempt returns attempt n, or nil where there is none or it has ended.
 func (r *request) pendingAttempt(n int) *attempt {
 	if n < 0 || n >= len(r.attempts) || !r.attempts[n].pending {
 		return nil
@@ -77,7 +77,7 @@
 
 // place forwards a request, or gives its final answer where no attempt is possible.
 func (b *Balancer) place(r *request) {
-	e := b.choose(r)
+	e := b.nextEndpoint(r)
 	if e == nil {
 		b.endRequest(r)
 		return
@@ -92,9 +92,9 @@
 	b.forward(r, e)
 }
 
-// choose returns the endpoint for the next attempt of a request, or nil. A first attempt that no endpoint is good
+// nextEndpoint returns the endpoint for the next attempt of a request, or nil. A first attempt that no endpoint is good
 // enough for may be a probe admission, with no bound on its wait.
-func (b *Balancer) choose(r *request) *endpointState {
+func (b *Balancer) nextEndpoint(r *request) *endpointState {
 	if !b.attemptAllowed(r) {
 		return nil
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,8 +2,14 @@
 
 import "math"
 
-// An endpoint that has just started has a fraction of its capacity, and more than a multiple of that for a while
-// brings it down. This file bounds what all nodes together send to it.
+// An endpoint that has just started has a fraction of its capacity, and more than OverloadMultiple times that for an
+// OverloadWindow brings it down. This file bounds what all nodes together send to it: in each window a node grants it
+//
+//	slowStartMargin * OverloadMultiple * slow start fraction * warm throughput of this node * OverloadWindow
+//
+// seconds of work. The nodes' warm throughputs add up to what one warm endpoint can do at most, whatever part of the
+// traffic each node has; one below 1/Instances, or not known yet, counts as that. A grant is a number of requests of
+// the mean unloaded latency, rounded up or down at random.
 
 const (
 	// slowStartMargin is the fraction of the site's overload bound that is granted: the rest is for uneven work.
