--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -111,11 +111,11 @@
 	for met, tightens := range map[float64]bool{0: false, 12: true} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
-		s := r.b.endpoints[1]
-		s.meanLatencySeconds, s.meanQueueAtArrival = 0.02*(met+1), met
+		e := r.b.endpoints[1]
+		e.meanLatencySeconds, e.meanQueueAtArrival = 0.02*(met+1), met
 		r.arrive("x", idempotent)
 		r.forwardedTo()
-		r.b.requests["x"].attempts[0].waitAtSendSeconds = met * r.b.serviceSeconds(s)
+		r.b.requests["x"].attempts[0].waitAtSendSeconds = met * r.b.serviceSeconds(e)
 		r.b.queueBudget.fraction = 0.3
 		r.advance(400 * ms)
 		r.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 400 * ms, Final: true})
@@ -205,10 +205,10 @@
 	if r.b.queueBudget.fraction <= initialQueueBudget {
 		t.Fatalf("the queue budget is %v after a long calm", r.b.queueBudget.fraction)
 	}
-	s := r.b.endpoints[1]
-	r.setOtherNodesLoad(1, 1.5*r.b.slackSeconds()/r.b.serviceSeconds(s))
-	s.reportedAt, r.b.probeAdmission.rejected = r.now, 1 // no probe admission
+	e := r.b.endpoints[1]
+	r.setOtherNodesLoad(1, 1.5*r.b.slackSeconds()/r.b.serviceSeconds(e))
+	e.reportedAt, r.b.probeAdmission.rejected = r.now, 1 // no probe admission
 	if acts := r.arrive("x", idempotent); len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWaitSeconds(s), r.b.slackSeconds(), acts)
+		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", r.b.expectedWaitSeconds(e), r.b.slackSeconds(), acts)
 	}
 }
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -53,24 +53,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	at := func(e float64) time.Duration { return time.Duration(e * float64(time.Second)) }
 	b.Handle(at(100), EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}}, nil)
 	b.Handle(at(110), CordonChanged{Endpoint: 1, Cordoned: true, At: at(110)}, nil)
 	b.Handle(at(120), CordonChanged{Endpoint: 1, At: at(120)}, nil)
-	s := b.endpoints[1]
-	if w := b.slowStartFraction(s); w != 0.2 {
+	e := b.endpoints[1]
+	if w := b.slowStartFraction(e); w != 0.2 {
 		t.Errorf("warmth %v, want 0.2", w)
 	}
-	s.slowStartCreditSeconds = 0.125
+	e.slowStartCreditSeconds = 0.125
 	b.Handle(at(120.5), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(112)}}}, nil)
-	if s.slowStartCreditSeconds != 0.125 {
-		t.Errorf("credit %v: it was granted twice", s.slowStartCreditSeconds)
+	if e.slowStartCreditSeconds != 0.125 {
+		t.Errorf("credit %v: it was granted twice", e.slowStartCreditSeconds)
 	}
-	if w := b.slowStartFraction(s); w <= 0.8 {
+	if w := b.slowStartFraction(e); w <= 0.8 {
 		t.Errorf("warmth %v by the list's start", w)
 	}
 	b.Handle(at(121), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(121)}}}, nil)
-	if w := b.slowStartFraction(s); w != 0.2 {
+	if w := b.slowStartFraction(e); w != 0.2 {
 		t.Errorf("warmth %v after another restart, want 0.2", w)
 	}
 }
--- a/balance/endpointstate_test.go
+++ b/balance/endpointstate_test.go
@@ -13,12 +13,12 @@
 	old.StartedAt = time.Hour
 	r := newRig(t, testConfig(), old, listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	s := r.b.endpoints[1]
-	s.slowStartCreditSeconds, s.servedWorkSeconds, s.meanLatencySeconds = -9, 9, 9
+	e := r.b.endpoints[1]
+	e.slowStartCreditSeconds, e.servedWorkSeconds, e.meanLatencySeconds = -9, 9, 9
 	old.StartedAt = r.now
 	r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
-	if s.slowStartCreditSeconds < 0 || s.servedWorkSeconds != 0 || s.meanLatencySeconds != 0 || s.knownSince != r.now {
-		t.Errorf("%+v", *s)
+	if e.slowStartCreditSeconds < 0 || e.servedWorkSeconds != 0 || e.meanLatencySeconds != 0 || e.knownSince != r.now {
+		t.Errorf("%+v", *e)
 	}
 }
 
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -143,15 +143,15 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(50, idempotent, in20ms)
-			s := r.b.endpoints[1]
-			s.failureRate = 0
+			e := r.b.endpoints[1]
+			e.failureRate = 0
 			r.arrive("lost", idempotent)
 			r.advance(300 * ms)
 			r.handle(HealthChecked{Endpoint: 1, Status: tc.check, Elapsed: 10 * ms})
 			r.advance(700 * ms)
 			r.endAttempt("lost", 0, 1, StatusTimedOut)
-			if s.failureRate != tc.fails {
-				t.Errorf("failure rate %v, want %v", s.failureRate, tc.fails)
+			if e.failureRate != tc.fails {
+				t.Errorf("failure rate %v, want %v", e.failureRate, tc.fails)
 			}
 		})
 	}
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -11,15 +11,15 @@
 func TestAnswersInSlowStartCountAsWarm(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
 	r.serve(100, idempotent, in20ms)
-	s := r.b.endpoints[2]
+	e := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
-		r.b.learnServiceTime(s, r.request(idempotent, 0), &attempt{endpoint: s}, 100*ms)
+		r.b.learnServiceTime(e, r.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
 	}
-	if cold, peer := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
+	if cold, peer := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
 		t.Errorf("service time %v in slow start, %v at a warm endpoint", cold, peer)
 	}
-	s.StartedAt = 1
-	if cold, warm := r.b.serviceSeconds(s), r.b.serviceSeconds(r.b.endpoints[1]); cold > 1.5*warm {
+	e.StartedAt = 1
+	if cold, warm := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); cold > 1.5*warm {
 		t.Errorf("service time %v once warm, %v at an endpoint that was always warm", cold, warm)
 	}
 }
@@ -28,13 +28,13 @@
 func TestServiceTimeRecoversWithoutAnswers(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	s := r.b.endpoints[2]
-	s.meanLatencySeconds, s.meanQueueAtArrival = 1, 0 // a service time of one second, fifty times that of its peer
+	e := r.b.endpoints[2]
+	e.meanLatencySeconds, e.meanQueueAtArrival = 1, 0 // a service time of one second, fifty times that of its peer
 	for range 60 {
 		r.advance(1500 * ms)
 		r.serve(1, idempotent, in20ms)
 	}
-	if now := r.b.serviceSeconds(s); now > 2*r.b.latency.meanServiceSeconds {
+	if now := r.b.serviceSeconds(e); now > 2*r.b.latency.meanServiceSeconds {
 		t.Errorf("service time %v after a minute and a half, peers %v", now, r.b.latency.meanServiceSeconds)
 	}
 }
@@ -127,13 +127,13 @@
 func TestAnswersOutOfLongQueuesTellTheServiceTime(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, in20ms)
-	s := r.b.endpoints[1]
-	was := r.b.warmServiceSeconds(s)
+	e := r.b.endpoints[1]
+	was := r.b.warmServiceSeconds(e)
 	req := r.request(idempotent, 0)
 	for range 3 {
-		r.b.learnServiceTime(s, req, &attempt{endpoint: s, queueAtSend: 12}, 20*ms)
+		r.b.learnServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
 	}
-	if is := r.b.warmServiceSeconds(s); is > was/4 {
+	if is := r.b.warmServiceSeconds(e); is > was/4 {
 		t.Errorf("service time %v, then %v after three answers as fast behind twelve others", was, is)
 	}
 }
@@ -143,13 +143,13 @@
 func TestRareAnswersCountMore(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, idempotent, in20ms)
-	s := r.b.endpoints[1]
-	was, req := s.meanLatencySeconds, r.request(idempotent, 0)
+	e := r.b.endpoints[1]
+	was, req := e.meanLatencySeconds, r.request(idempotent, 0)
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
-		r.b.learnServiceTime(s, req, &attempt{endpoint: s}, 120*ms)
+		r.b.learnServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
 	}
-	if s.meanLatencySeconds < was+70e-3 {
-		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, s.meanLatencySeconds)
+	if e.meanLatencySeconds < was+70e-3 {
+		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, e.meanLatencySeconds)
 	}
 }
--- a/balance/lossdetection_test.go
+++ b/balance/lossdetection_test.go
@@ -47,17 +47,17 @@
 				marks = append(marks, a.TimerID)
 			}
 			r.serve(tc.signs, idempotent, in20ms)
-			s := r.b.endpoints[1]
-			s.failureRate = 0
+			e := r.b.endpoints[1]
+			e.failureRate = 0
 			r.advance(400 * ms)
 			r.handle(TimerFired{ID: marks[len(marks)-1]})
-			if s.inFlight != tc.out || s.failureRate != tc.fails {
-				t.Errorf("%v in flight and a failure rate of %v, want %v and %v", s.inFlight, s.failureRate, tc.out, tc.fails)
+			if e.inFlight != tc.out || e.failureRate != tc.fails {
+				t.Errorf("%v in flight and a failure rate of %v, want %v and %v", e.inFlight, e.failureRate, tc.out, tc.fails)
 			}
 			if tc.signs > 0 {
 				r.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
-				if s.inFlight != 0 || s.failureRate != tc.fails {
-					t.Errorf("counted twice: %v in flight, a failure rate of %v", s.inFlight, s.failureRate)
+				if e.inFlight != 0 || e.failureRate != tc.fails {
+					t.Errorf("counted twice: %v in flight, a failure rate of %v", e.inFlight, e.failureRate)
 				}
 			}
 		})
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -32,11 +32,11 @@
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(400, nonIdempotent, func(EndpointID) time.Duration { return 0 })
-	s := r.b.endpoints[1]
-	cost := r.b.costSeconds(s) - (r.b.queueEstimate(s)+1)*r.b.serviceSeconds(s)
-	alone := s.failureRate * failureCostObjectives * r.b.latency.meanObjectiveSeconds // if its peer did not fail
-	if s.failureRate < 0.3 || cost > alone/2 {
-		t.Errorf("rate %v, of all %v, charged %v", s.failureRate, r.b.outliers.meanFailureRate, cost)
+	e := r.b.endpoints[1]
+	cost := r.b.costSeconds(e) - (r.b.queueEstimate(e)+1)*r.b.serviceSeconds(e)
+	alone := e.failureRate * failureCostObjectives * r.b.latency.meanObjectiveSeconds // if its peer did not fail
+	if e.failureRate < 0.3 || cost > alone/2 {
+		t.Errorf("rate %v, of all %v, charged %v", e.failureRate, r.b.outliers.meanFailureRate, cost)
 	}
 }
 
@@ -116,16 +116,16 @@
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
-	s := r.b.endpoints[1]
-	was := r.b.costSeconds(s)
+	e := r.b.endpoints[1]
+	was := r.b.costSeconds(e)
 	r.advance(10 * ms)
 	r.handle(TimerFired{})
-	if c := r.b.costSeconds(s); c != was {
+	if c := r.b.costSeconds(e); c != was {
 		t.Errorf("cost %v after 10 ms, %v at once", c, was)
 	}
 	r.advance(time.Second)
 	r.handle(TimerFired{})
-	if c := r.b.costSeconds(s); c < was+0.9 {
+	if c := r.b.costSeconds(e); c < was+0.9 {
 		t.Errorf("cost %v after a second of silence, %v at once", c, was)
 	}
 }
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -40,19 +40,19 @@
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, idempotent, in20ms)
-		s := r.b.endpoints[1]
+		e := r.b.endpoints[1]
 		for i := range 300 { // what the time between reports is learned from
 			r.advance(c.gap)
 			r.handle(loadReported(1, float64(10+i%2)))
 			r.handle(loadReported(2, 10))
 		}
 		r.setOtherNodesLoad(1, 10)
-		s.meanLatencySeconds, s.meanQueueAtArrival = c.serviceTime.Seconds(), 0
+		e.meanLatencySeconds, e.meanQueueAtArrival = c.serviceTime.Seconds(), 0
 		r.advance(c.gap)
 		r.handle(loadReported(2, 10))
 		r.handle(loadReported(1, 0))
-		if kept := r.b.queueEstimate(s) > 5; kept != c.kept {
-			t.Errorf("reports %v apart, %v a request: queue estimate 10 became %v", c.gap, c.serviceTime, r.b.queueEstimate(s))
+		if kept := r.b.queueEstimate(e) > 5; kept != c.kept {
+			t.Errorf("reports %v apart, %v a request: queue estimate 10 became %v", c.gap, c.serviceTime, r.b.queueEstimate(e))
 		}
 	}
 }
@@ -77,17 +77,17 @@
 func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	s := r.b.endpoints[1]
+	e := r.b.endpoints[1]
 	r.setOtherNodesLoad(1, 2)
-	s.reportedLoad, s.reportedAt = 10, r.now
+	e.reportedLoad, e.reportedAt = 10, r.now
 	r.handle(TimerFired{})
-	if e := r.b.queueEstimate(s); e != 10 {
-		t.Errorf("queue estimate %v just after a report of 10", e)
+	if estimate := r.b.queueEstimate(e); estimate != 10 {
+		t.Errorf("queue estimate %v just after a report of 10", estimate)
 	}
 	r.advance(10 * time.Second)
 	r.handle(TimerFired{})
-	if e := r.b.queueEstimate(s); e > 2.2 {
-		t.Errorf("queue estimate %v ten seconds later, 2 is expected", e)
+	if estimate := r.b.queueEstimate(e); estimate > 2.2 {
+		t.Errorf("queue estimate %v ten seconds later, 2 is expected", estimate)
 	}
 }
 
@@ -106,22 +106,22 @@
 		cfg := testConfig()
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
-		s := r.b.endpoints[1]
-		s.unaccepted = 0
+		e := r.b.endpoints[1]
+		e.unaccepted = 0
 		r.arrive("x", nonIdempotent)
-		if s.unaccepted = 0; s.inFlight != 1 {
-			t.Fatalf("%d: %v out", status, s.inFlight)
+		if e.unaccepted = 0; e.inFlight != 1 {
+			t.Fatalf("%d: %v out", status, e.inFlight)
 		}
 		r.endAttempt("x", 0, 1, status)
-		if s.unaccepted != want {
-			t.Errorf("status %d counts %v attempts, want %v", status, s.unaccepted, want)
+		if e.unaccepted != want {
+			t.Errorf("status %d counts %v attempts, want %v", status, e.unaccepted, want)
 		}
 		for range 4 {
 			r.advance(max(cfg.Rules.OverloadWindow, time.Second))
 			r.handle(EndpointsListed{Kind: ListChanges})
 		}
-		if s.unaccepted > 0.1 {
-			t.Errorf("status %d: %v attempts are counted after four windows without a report", status, s.unaccepted)
+		if e.unaccepted > 0.1 {
+			t.Errorf("status %d: %v attempts are counted after four windows without a report", status, e.unaccepted)
 		}
 	}
 }
@@ -136,11 +136,11 @@
 		cfg := testConfig()
 		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
-		s := r.b.endpoints[1]
-		before := r.b.queueEstimate(s)
+		e := r.b.endpoints[1]
+		before := r.b.queueEstimate(e)
 		r.arrive("x", nonIdempotent)
 		r.endAttempt("x", 0, 1, status)
-		if left := r.b.queueEstimate(s) - before; left < 0.9 {
+		if left := r.b.queueEstimate(e) - before; left < 0.9 {
 			t.Errorf("status %d counts %v attempts, want one", status, left)
 		}
 		for _, want := range []struct{ least, most float64 }{{0.25, 0.45}, {0, 0.15}} {
@@ -148,7 +148,7 @@
 				r.advance(max(cfg.Rules.OverloadWindow, time.Second))
 				r.handle(EndpointsListed{Kind: ListChanges})
 			}
-			if left := r.b.queueEstimate(s) - r.b.otherNodesLoad(s) - s.inFlight; left < want.least || left > want.most {
+			if left := r.b.queueEstimate(e) - r.b.otherNodesLoad(e) - e.inFlight; left < want.least || left > want.most {
 				t.Errorf("status %d: %v attempts are counted, want %v to %v", status, left, want.least, want.most)
 			}
 		}
@@ -159,13 +159,13 @@
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	s := r.b.endpoints[1]
-	s.unaccepted, s.abandoned = 0, 0
+	e := r.b.endpoints[1]
+	e.unaccepted, e.abandoned = 0, 0
 	r.arrive("x", nonIdempotent)
 	r.b.requests["x"].attempts[0].lost = true
-	s.inFlight--
+	e.inFlight--
 	r.endAttempt("x", 0, 1, StatusCancelled)
-	if s.unaccepted != 1 || s.abandoned != 0 {
-		t.Errorf("%v unaccepted attempts, %v abandoned ones", s.unaccepted, s.abandoned)
+	if e.unaccepted != 1 || e.abandoned != 0 {
+		t.Errorf("%v unaccepted attempts, %v abandoned ones", e.unaccepted, e.abandoned)
 	}
 }
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -26,14 +26,14 @@
 
 // While a request comes in its endpoint has no more to do, and its time has not begun.
 func TestIncompleteRequestCountsFromItsLastByte(t *testing.T) {
-	b, s := withIncompleteRequest(t)
-	if s.inFlight != 0 || b.silenceSeconds(s) != 0 {
-		t.Errorf("in flight %v", s.inFlight)
+	b, e := withIncompleteRequest(t)
+	if e.inFlight != 0 || b.silenceSeconds(e) != 0 {
+		t.Errorf("in flight %v", e.inFlight)
 	}
 	at := 9 * time.Second // far beyond what its client waits
 	out := b.Handle(at, RequestWritten{Request: "a", TimeLeft: time.Second}, nil)
-	if s.inFlight != 1 {
-		t.Errorf("in flight %v once it is written", s.inFlight)
+	if e.inFlight != 1 {
+		t.Errorf("in flight %v once it is written", e.inFlight)
 	}
 	ends := false
 	for _, a := range out {
@@ -43,11 +43,11 @@
 		t.Errorf("nothing ends it at its deadline: %+v", out)
 	}
 	budget := b.queueBudget.fraction
-	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: s.ID, Elapsed: 20 * time.Millisecond,
+	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: e.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
-	if s.inFlight != 0 || b.queueBudget.fraction < budget || s.meanLatencySeconds > 0.2 {
+	if e.inFlight != 0 || b.queueBudget.fraction < budget || e.meanLatencySeconds > 0.2 {
 		t.Errorf("in flight %v, queue budget %v, mean latency %v: its client's time was taken for the endpoint's",
-			s.inFlight, b.queueBudget.fraction, s.meanLatencySeconds)
+			e.inFlight, b.queueBudget.fraction, e.meanLatencySeconds)
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -77,10 +77,10 @@
 // A request whose body is used up is rejected; one that can be replayed is retried.
 func TestRequestThatIsNotReplayableIsNotRetried(t *testing.T) {
 	for _, notReplayable := range []bool{false, true} {
-		b, s := withIncompleteRequest(t)
+		b, e := withIncompleteRequest(t)
 		b.retryBudget.retries = maxRetryBudget
 		sent, rejected := 0, 0
-		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: s.ID, Status: StatusConnectFailed,
+		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: e.ID, Status: StatusConnectFailed,
 			NotReplayable: notReplayable}, nil) {
 			switch a.Kind {
 			case Forward:
@@ -89,8 +89,8 @@
 				rejected++
 			}
 		}
-		if s.inFlight != 0 || (sent == 0) != notReplayable || (rejected == 1) != notReplayable {
-			t.Errorf("not replayable %v: sent %d times, rejected %d, in flight %v", notReplayable, sent, rejected, s.inFlight)
+		if e.inFlight != 0 || (sent == 0) != notReplayable || (rejected == 1) != notReplayable {
+			t.Errorf("not replayable %v: sent %d times, rejected %d, in flight %v", notReplayable, sent, rejected, e.inFlight)
 		}
 	}
 }
--- a/balance/rig_test.go
+++ b/balance/rig_test.go
@@ -187,9 +187,9 @@
 
 // setOtherNodesLoad makes the node believe that other nodes have so much at an endpoint, now and usually.
 func (r *rig) setOtherNodesLoad(id EndpointID, queue float64) {
-	s := r.b.endpoints[id]
-	s.reportedLoad, s.loadBias = queue, 0
-	r.b.loads.zones[s.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
+	e := r.b.endpoints[id]
+	e.reportedLoad, e.loadBias = queue, 0
+	r.b.loads.zones[e.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
 }
 
 func in20ms(EndpointID) time.Duration { return 20 * ms }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -52,16 +52,16 @@
 	for node := range cfg.Instances {
 		cfg.Index = node
 		r := newRig(t, cfg, members...)
-		for _, s := range r.b.usable {
-			users[s.ID]++
+		for _, e := range r.b.usable {
+			users[e.ID]++
 		}
-		for _, s := range r.b.usable[:3] {
-			s.outlier = true
+		for _, e := range r.b.usable[:3] {
+			e.outlier = true
 		}
 		r.handle(EndpointsListed{Kind: ListChanges})
 		counted := 0
-		for _, s := range r.b.usable {
-			if !s.outlier {
+		for _, e := range r.b.usable {
+			if !e.outlier {
 				counted++
 			}
 		}
@@ -107,8 +107,8 @@
 	r := newRig(t, cfg, members...)
 	size := len(r.b.usable)
 	for range 5 {
-		for _, s := range r.b.usable {
-			s.outlier = true
+		for _, e := range r.b.usable {
+			e.outlier = true
 		}
 		r.handle(EndpointsListed{Kind: ListChanges})
 	}
