--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -172,7 +172,7 @@
 // A node that drops one request that it has taken while it drains is found out.
 func TestPlantedDropInADrainIsCaught(t *testing.T) {
 	t.Parallel()
-	nodeBinary, hitchvale := plantedNode(t, "plantDropInDrain=1")
+	nodeBinary, hitchvale := plantedNode(t, "faultDropInDrain=1")
 	r := playWith(t, nodeToldToEnd, nodeBinary, hitchvale)
 	if r.Passed || len(r.Checks) == 0 || r.Checks[0].Violations != 1 {
 		t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
@@ -232,7 +232,7 @@
 	} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
-			nodeBinary, hitchvale := plantedNode(t, "plantShutdown="+plant)
+			nodeBinary, hitchvale := plantedNode(t, "faultShutdown="+plant)
 			r := playWith(t, scenario, nodeBinary, hitchvale)
 			if r.Passed || len(r.Checks) == 0 || r.Checks[0].OK {
 				t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -72,7 +72,7 @@
 	failing.Store(true)
 	s.dialed(t, "").Close() // ends the call of accept that waits already
 	s.stop()
-	eventually(t, "the drain", s.front.shutdown.begun)
+	eventually(t, "the drain", s.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
 		tr := &http.Transport{DisableKeepAlives: true}
@@ -86,7 +86,7 @@
 		resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	time.Sleep(acceptFor + 4*clearFor)
+	time.Sleep(acceptPeriod + 4*clearFor)
 	failing.Store(false)
 	if status := receive(t, "the answer", answered); status != http.StatusOK {
 		t.Errorf("answered %d", status)
@@ -111,7 +111,7 @@
 	receive(t, "the request at the backend", held)
 	lost.Store(true)
 	s.dialed(t, "").Close()
-	eventually(t, "the drain", s.front.shutdown.begun)
+	eventually(t, "the drain", s.server.shutdown.started)
 	close(hold)
 	if body := receive(t, "the answer", answered); body != "done" {
 		t.Errorf("answered %q", body)
--- a/internal/node/adminview.go
+++ b/internal/node/adminview.go
@@ -10,7 +10,7 @@
 
 func (v adminView) Ready() bool {
 	n := v.n
-	return n.loop.ready.Load() && !n.front.shutdown.begun() && (n.handover == nil || n.handover.serving.Load())
+	return n.loop.ready.Load() && !n.server.shutdown.started() && (n.handover == nil || n.handover.serving.Load())
 }
 
 func (v adminView) Figures(w io.Writer) { v.n.figures.write(w) }
--- a/internal/node/age.go
+++ b/internal/node/age.go
@@ -8,11 +8,11 @@
 )
 
 // ageLeast is the shortest wait that counts: the system tells it by its own ticks, of up to 10 ms.
-const ageLeast = 20 * time.Millisecond
+const minReceiveWait = 20 * time.Millisecond
 
 // age is how long ago the last byte came to this machine on a connection: a request may have waited there until the node got to
 // accept or read it. 0 where the system does not tell.
-func age(c syscall.Conn) time.Duration {
+func sinceLastReceive(c syscall.Conn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -23,7 +23,7 @@
 			waited = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	if waited < ageLeast {
+	if waited < minReceiveWait {
 		return 0
 	}
 	return waited
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -44,7 +44,7 @@
 	deadline := attemptDeadline(r.deadline, a.Timeout)
 	l.upstream.start(&at.call, b.process, &r.forwarded, deadline, func(res attemptResult) {
 		if !l.post(attemptFinished{request: r, attempt: number, result: res}) && res.stream != nil {
-			res.stream.end(false)
+			res.stream.release(false)
 		}
 	})
 }
@@ -67,13 +67,13 @@
 func (l *eventLoop) finishAttempt(r *request, number int, res attemptResult) {
 	at := r.attempts[number]
 	if res.stream != nil && (at.ended() || !r.isOpen()) {
-		res.stream.end(false)
+		res.stream.release(false)
 	}
 	if !at.call.lifecycle.apply(resultRecorded) {
 		return
 	}
 	at.status = res.status
-	l.guard.began(r, at, l.firstByteAt(at))
+	l.guard.checkStart(r, at, l.firstByteAt(at))
 	l.statistics.attempts[res.status]++
 	l.figures.attempts[res.status].Add(1)
 	if res.status == balance.StatusSucceeded && r.isOpen() {
@@ -121,10 +121,10 @@
 }
 
 // trackStream counts a streamed response as open at its backend until all of it has been passed on.
-func (l *eventLoop) trackStream(backendID string, s *stream) {
+func (l *eventLoop) trackStream(backendID string, s *responseStream) {
 	l.openStreams[backendID]++
-	end := s.end
-	s.end = func(complete bool) {
+	end := s.release
+	s.release = func(complete bool) {
 		end(complete)
 		l.post(responseStreamEnded{backendID})
 	}
--- a/internal/node/backendconn.go
+++ b/internal/node/backendconn.go
@@ -65,12 +65,12 @@
 
 // check says whether an idle connection is still open, with nothing to be read on it. A backend that was restarted
 // under its old address leaves connections behind on which a request would be lost.
-func (c *backendConn) check() peeked {
+func (c *backendConn) check() socketState {
 	if c.reader.Buffered() > 0 {
-		return bytesWait
+		return socketReadable
 	}
 	if conn, ok := c.Conn.(syscall.Conn); ok {
-		return peekAt(conn)
+		return peekSocket(conn)
 	}
-	return peerLeft // can't be checked
+	return socketPeerClosed // can't be checked
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -86,7 +86,7 @@
 				t.Errorf("%d with %d bytes, %d attempts", resp.StatusCode, len(body), heads.Load())
 			}
 			eventually(t, "what it took of the budget is given back", func() bool {
-				return n.front.kept.left.Load() == newBudget(0).left.Load()
+				return n.server.bodyMemory.available.Load() == newMemoryBudget(0).available.Load()
 			})
 		})
 	}
@@ -310,7 +310,7 @@
 	if err := receive(t, "the end at the backend", seen); err == nil {
 		t.Error("the backend took the request for whole")
 	}
-	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
+	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.server.inFlight.Load() == 0 })
 	if got := stats(t, n); got["upstream_requests"] != 0 || got["pending"] != 0 {
 		t.Errorf("figures %v", got)
 	}
@@ -396,7 +396,7 @@
 						}
 					}
 				}()
-				p := &pacedBody{src: io.LimitReader(out, int64(c.size)), until: out.SetReadDeadline, waited: c.head, most: requestMost}
+				p := &minRateBody{source: io.LimitReader(out, int64(c.size)), setReadDeadline: out.SetReadDeadline, waited: c.head, limit: maxStreamedBody}
 				n, err := io.Copy(io.Discard, p)
 				if ok := err == nil && n == int64(c.size); ok != c.ok {
 					t.Errorf("%d bytes, %v", n, err)
@@ -408,25 +408,25 @@
 
 // A body longer than is served is an error, and a budget that is used up has bodies streamed.
 func TestBoundsOfBodies(t *testing.T) {
-	p := &pacedBody{src: strings.NewReader("hello"), until: func(time.Time) error { return nil }, most: 4}
-	if _, err := io.ReadAll(p); !errors.Is(err, errTooLong) {
+	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: func(time.Time) error { return nil }, limit: 4}
+	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
 		t.Errorf("%v", err)
 	}
-	b := newBudget(1)
-	if !b.take(1<<20/bodyParts) || b.take(1) {
+	b := newMemoryBudget(1)
+	if !b.tryAcquire(1<<20/bodyMemoryDivisor) || b.tryAcquire(1) {
 		t.Error("the budget is not kept")
 	}
-	if b.room(0, 1, false) || !b.room(0, maxBodyBytes, true) || b.room(maxBodyBytes, 1, true) {
+	if b.reserve(0, 1, false) || !b.reserve(0, maxBodyBytes, true) || b.reserve(maxBodyBytes, 1, true) {
 		t.Error("short bodies are kept, and others only where there is room")
 	}
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
-	n.front.kept.force(n.front.kept.left.Load())
+	n.server.bodyMemory.acquire(n.server.bodyMemory.available.Load())
 	resp, body := do(t, ask(t, n.url+"/x", "order")) // "payload"
 	if sum := sha256.Sum256([]byte("payload")); resp.StatusCode != 200 || body != fmt.Sprintf("7 %x", sum) {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
-	if n.front.kept.left.Load() != 0 {
-		t.Errorf("%d left of nothing", n.front.kept.left.Load())
+	if n.server.bodyMemory.available.Load() != 0 {
+		t.Errorf("%d left of nothing", n.server.bodyMemory.available.Load())
 	}
 }
 
@@ -434,7 +434,7 @@
 // the connection, and the answer with it.
 func TestUnwantedBodyIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upload{src: &slowReader{left: 20}, size: -1}
+		u := &requestStream{source: &slowReader{left: 20}, size: -1}
 		u.discard()
 		if u.err != io.EOF {
 			t.Errorf("stopped early: %v", u.err)
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -16,67 +16,67 @@
 const (
 	// headWithin is how long a client may take to send a head, and messageWithin a whole request, counted from
 	// connecting or from the first byte of a later one: who sends nothing proper has to hear so within 3 s.
-	headWithin, messageWithin = 2600 * time.Millisecond, 2800 * time.Millisecond
+	headTimeout, requestReadTimeout = 2600 * time.Millisecond, 2800 * time.Millisecond
 	// headPatience is how many times as long a connection may keep the node waiting within a head as without one.
-	headPatience = 4
+	slowHeadFactor = 4
 	// idleWithin is how long a client may keep a connection without a request.
-	idleWithin = 30 * time.Second
+	keepAliveTimeout = 30 * time.Second
 	// lingerMost is how much of a body is read that nobody wants: closing on unread bytes is a reset, which may
 	// overtake the answer.
-	lingerMost = 4 * maxBodyBytes
+	maxDiscardedBody = 4 * maxBodyBytes
 	// answerWithin is how long a client may take to read its answer.
-	answerWithin = 5 * time.Second
+	responseWriteTimeout = 5 * time.Second
 	// early is how much sooner than the client's deadline a request ends: its way here and the answer's way
 	// back take part of the time, and neither can be seen from here.
-	early = 8 * time.Millisecond
+	deadlineMargin = 8 * time.Millisecond
 	// defaultDeadline stands for a class's deadline that is not told.
 	defaultDeadline = time.Minute
 	// fullRetry is when a client may come back that was refused because the node is full.
-	fullRetry = 250 * time.Millisecond
+	overloadRetryAfter = 250 * time.Millisecond
 )
 
 // front is the client side: it reads requests, has the loop decide and writes the answers.
-type front struct {
-	loop     *eventLoop
-	names    siteconfig.Settings
-	log      *slog.Logger
-	complain *lograte.Limited
-	most     int64 // requests at once
-	inFlight atomic.Int64
-	figures  *figures
-	crowded  int         // so many connections that idle ones give way
-	shutdown *shutdown   // what is taken, and answered by when, once the process is told to end
-	handed   atomic.Bool // another process accepts its connections
-	large    bool        // bodies of any length are streamed, and connections kept in a crowd
-	kept     *budget     // of requests kept whole
-	fleet    *fleetPart  // nil: none
-	closes   *closeCounts
+type clientServer struct {
+	loop        *eventLoop
+	settings    siteconfig.Settings
+	log         *slog.Logger
+	warnings    *lograte.Limited
+	maxInFlight int64 // requests at once
+	inFlight    atomic.Int64
+	figures     *figures
+	evictAbove  int               // so many connections that idle ones give way
+	shutdown    *shutdownSchedule // what is taken, and answered by when, once the process is told to end
+	handedOver  atomic.Bool       // another process accepts its connections
+	streaming   bool              // bodies of any length are streamed, and connections kept in a crowd
+	bodyMemory  *memoryBudget     // of requests kept whole
+	fleet       *fleetPart        // nil: none
+	closeCounts *closeCounters
 
-	mu    sync.Mutex
-	conns map[net.Conn]time.Time // connections of clients; since when one is idle, zero while it is not
-	heads map[net.Conn]bool      // those that have not brought a whole head yet
+	mu           sync.Mutex
+	conns        map[net.Conn]time.Time // connections of clients; since when one is idle, zero while it is not
+	awaitingHead map[net.Conn]bool      // those that have not brought a whole head yet
 }
 
 // newFront returns the client side for a node that may hold so many connections of clients.
-func newFront(l *eventLoop, names siteconfig.Settings, conns int, log *slog.Logger) *front {
-	l.shutdown = newShutdown(names)
+func newClientServer(eventLoop *eventLoop, settings siteconfig.Settings, maxConns int, log *slog.Logger) *clientServer {
+	eventLoop.shutdown = newShutdownSchedule(settings)
 	// Each request in flight may need a connection to a backend, beside those of probes.
-	return &front{loop: l, shutdown: l.shutdown, figures: l.figures, kept: newBudget(0), names: names, log: log,
-		complain: &lograte.Limited{Log: log}, closes: &l.figures.closes, most: int64(conns) * 7 / 8, crowded: conns * 3 / 4,
-		conns: map[net.Conn]time.Time{}, heads: map[net.Conn]bool{}}
+	return &clientServer{loop: eventLoop, shutdown: eventLoop.shutdown, figures: eventLoop.figures, bodyMemory: newMemoryBudget(0), settings: settings, log: log,
+		warnings: &lograte.Limited{Log: log}, closeCounts: &eventLoop.figures.closes, maxInFlight: int64(maxConns) * 7 / 8, evictAbove: maxConns * 3 / 4,
+		conns: map[net.Conn]time.Time{}, awaitingHead: map[net.Conn]bool{}}
 }
 
 // server returns the HTTP server of the client side.
-func (f *front) server() *http.Server {
+func (f *clientServer) httpServer() *http.Server {
 	return &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headWithin,
-		IdleTimeout:       idleWithin,
-		WriteTimeout:      messageWithin + longestDeadline(f.names) + answerWithin,
+		ReadHeaderTimeout: headTimeout,
+		IdleTimeout:       keepAliveTimeout,
+		WriteTimeout:      requestReadTimeout + longestDeadline(f.settings) + responseWriteTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
-		ConnState:         f.track,
-		ConnContext:       withFramed,
+		ConnState:         f.trackState,
+		ConnContext:       withClientConn,
 		// "OPTIONS *" is no request of a client either: the library would answer it with 200.
 		DisableGeneralOptionsHandler: true,
 	}
@@ -84,48 +84,48 @@
 
 // track follows the connections of clients. When they become many, the one that has been idle longest is closed:
 // else a crowd that keeps its connections would lock out who has something to ask.
-func (f *front) track(c net.Conn, s http.ConnState) {
+func (f *clientServer) trackState(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.heads, c)
+	delete(f.awaitingHead, c)
 	switch s {
 	case http.StateNew, http.StateActive:
 		f.conns[c] = time.Time{}
 		if s == http.StateNew {
-			f.heads[c] = true
+			f.awaitingHead[c] = true
 		}
 	case http.StateIdle:
 		f.conns[c] = time.Now()
-		if b, ok := c.(*boundedConn); ok {
-			b.framed.rests()
+		if b, ok := c.(*limitedConn); ok {
+			b.client.markIdle()
 		}
 	case http.StateClosed, http.StateHijacked:
 		delete(f.conns, c)
-		if b, ok := c.(*boundedConn); ok && f.fleet != nil {
-			f.fleet.closed(b.framed)
+		if b, ok := c.(*limitedConn); ok && f.fleet != nil {
+			f.fleet.closed(b.client)
 		}
 	}
-	if s == http.StateNew && len(f.conns) > f.crowded {
-		f.giveWay()
+	if s == http.StateNew && len(f.conns) > f.evictAbove {
+		f.evictSlowest()
 	}
 }
 
 // ServeHTTP answers one request of a client.
-func (f *front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+func (f *clientServer) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	received := time.Now()
-	if f.shutdown.begun() || f.handed.Load() || f.isCrowded() {
+	if f.shutdown.started() || f.handedOver.Load() || f.nearConnLimit() {
 		// Closing after an answer crosses no request, as closing an idle connection may.
 		w.Header().Set("Connection", "close")
 	}
-	h := framing(hr, received)
+	h := takeHead(hr, received)
 	if h.ended {
 		panic(http.ErrAbortHandler) // nobody can be answered
 	}
 	// Set before anything else: what the library does with an unread body would wait for it without end.
-	http.NewResponseController(w).SetReadDeadline(h.since.Add(messageWithin))
+	http.NewResponseController(w).SetReadDeadline(h.since.Add(requestReadTimeout))
 	if h.trouble != "" {
-		f.complain.Warn("request refused for its framing", "trouble", h.trouble, "from", hr.RemoteAddr)
-		reject(w, hr, http.StatusBadRequest, h.trouble) // nobody can tell where the next request would begin
+		f.warnings.Warn("request refused for its framing", "trouble", h.trouble, "from", hr.RemoteAddr)
+		rejectMalformed(w, hr, http.StatusBadRequest, h.trouble) // nobody can tell where the next request would begin
 		return
 	}
 	if h.last {
@@ -133,34 +133,34 @@
 	}
 	switch hr.URL.Path {
 	case "/health/ready":
-		f.health(w, f.loop.ready.Load() && (f.handed.Load() || !f.shutdown.begun()))
+		f.writeHealth(w, f.loop.ready.Load() && (f.handedOver.Load() || !f.shutdown.started()))
 		return
 	case "/health/live":
-		f.health(w, true)
+		f.writeHealth(w, true)
 		return
 	}
-	if f.inFlight.Add(1) > f.most {
+	if f.inFlight.Add(1) > f.maxInFlight {
 		f.inFlight.Add(-1)
 		w.Header().Set("Connection", "close")
-		refuse(w, fullRetry)
-		if class := slices.Index(f.names.Classes, hr.Header.Get("X-Qos")); class >= 0 {
+		writeRejected(w, overloadRetryAfter)
+		if class := slices.Index(f.settings.Classes, hr.Header.Get("X-Qos")); class >= 0 {
 			f.figures.count(class, responseRejected)
 		}
 		return
 	}
 	defer f.inFlight.Add(-1)
-	r, status, err := f.read(w, hr, h.since)
-	late := !f.shutdown.takes()
+	r, status, err := f.readRequest(w, hr, h.since)
+	late := !f.shutdown.admits()
 	if err != nil {
 		if late && status == http.StatusRequestTimeout {
 			status = http.StatusServiceUnavailable // cut short here: nothing was done for it
 		}
-		reject(w, hr, status, err.Error())
+		rejectMalformed(w, hr, status, err.Error())
 		return
 	}
-	defer f.kept.give(r.bodyBytes)
-	if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok {
-		if r.forwarded.upload == nil && c.gone() {
+	defer f.bodyMemory.release(r.bodyBytes)
+	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
+		if r.forwarded.upload == nil && c.peerClosed() {
 			panic(http.ErrAbortHandler) // while it waited to be read: nobody wants what would be done for it
 		}
 		if f.fleet != nil {
@@ -168,9 +168,9 @@
 		}
 	}
 	if late {
-		f.complain.Warn("request refused: this process is about to end", "request", r.id, "class", r.class)
+		f.warnings.Warn("request refused: this process is about to end", "request", r.id, "class", r.class)
 		f.figures.count(r.class, responseRejected)
-		reject(w, hr, http.StatusServiceUnavailable, "this process is about to end")
+		rejectMalformed(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
 	if r.forwarded.upload != nil {
@@ -178,27 +178,27 @@
 		w.Header().Set("Connection", "close")
 		http.NewResponseController(w).EnableFullDuplex()
 	}
-	f.dropPlanted()
-	f.serve(w, hr, r)
+	f.injectDropInDrain()
+	f.dispatch(w, hr, r)
 }
 
 // framing returns what the head of a request says of its end.
-func framing(hr *http.Request, received time.Time) head {
-	if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok {
-		return c.take()
+func takeHead(hr *http.Request, received time.Time) head {
+	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
+		return c.takeHead()
 	}
 	return head{since: received}
 }
 
 // serve has the loop decide on a request and passes on the one final answer.
-func (f *front) serve(w http.ResponseWriter, hr *http.Request, r *request) {
+func (f *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
 	end, u := responseFailed, r.forwarded.upload
 	begin, over := f.figures.pend()
 	if u == nil {
 		begin()
 	} else {
-		u.whole = begin   // a request is taken with its last byte
-		defer u.discard() // which may take its time: the request has been counted by then
+		u.onComplete = begin // a request is taken with its last byte
+		defer u.discard()    // which may take its time: the request has been counted by then
 	}
 	var counted bool
 	count := func(kind responseKind) {
@@ -215,30 +215,30 @@
 		if end = a.kind; a.stream != nil {
 			end = responseFailed // until all of it has been passed on
 		}
-		if f.shutdown.begun() || f.handed.Load() {
+		if f.shutdown.started() || f.handedOver.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		if u != nil {
-			http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWithin))
+			http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 		}
 		// Who has read the whole answer finds it counted: so it is counted before its last byte goes.
-		err := write(w, a, func() { count(a.kind) })
+		err := writeAnswer(w, a, func() { count(a.kind) })
 		if u != nil {
 			http.NewResponseController(w).Flush() // the rest of the body may take long to come
 		}
 		if err != nil {
-			f.complain.Warn("answer not passed on", "error", err)
-			abort(w, hr.ProtoAtLeast(1, 1) || a.stream.size >= 0)
+			f.warnings.Warn("answer not passed on", "error", err)
+			abortResponse(w, hr.ProtoAtLeast(1, 1) || a.stream.size >= 0)
 		}
 		end = a.kind
 	case <-hr.Context().Done():
-		if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok && c.endedHere() {
-			f.loop.guard.violated(ruleAnswer, r.id, "trouble", "connection ended under it")
+		if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok && c.isClosed() {
+			f.loop.guard.reportViolation(ruleAnswer, r.id, "trouble", "connection ended under it")
 		}
 		f.loop.post(clientDisconnected{r})
 		// Returning would have the library word an empty 200.
 		panic(http.ErrAbortHandler)
 	case <-f.loop.done: // the node is ending
-		fail(w, http.StatusBadGateway)
+		writeFailed(w, http.StatusBadGateway)
 	}
 }
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -167,7 +167,7 @@
 	c.Close()
 	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
-		return n.front.inFlight.Load() == 0 && n.front.connections() == 0
+		return n.server.inFlight.Load() == 0 && n.server.connections() == 0
 	})
 }
 
@@ -206,7 +206,7 @@
 	}))
 	n := startOn(t, b.Addr().String())
 	n.onLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most - 1) // all places but one are taken
+	n.server.inFlight.Store(n.server.maxInFlight - 1) // all places but one are taken
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
@@ -221,7 +221,7 @@
 	if status := receive(t, "the answer of the one taken", first); status != 200 {
 		t.Errorf("the one taken: %d", status)
 	}
-	n.front.inFlight.Add(1 - n.front.most)
+	n.server.inFlight.Add(1 - n.server.maxInFlight)
 }
 
 // A crowd of idle connections gives way to clients that have something to ask.
@@ -255,10 +255,10 @@
 		io.WriteString(c, "GET /api/x HTTP/1.1\r\n")
 	}
 	eventually(t, "all of the busy connections at once", func() bool {
-		n.front.mu.Lock()
-		defer n.front.mu.Unlock()
+		n.server.mu.Lock()
+		defer n.server.mu.Unlock()
 		at := 0
-		for _, since := range n.front.conns {
+		for _, since := range n.server.conns {
 			if since.IsZero() {
 				at++
 			}
@@ -287,7 +287,7 @@
 	}
 }
 
-func (f *front) connections() int {
+func (f *clientServer) connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
--- a/internal/node/closes.go
+++ b/internal/node/closes.go
@@ -7,22 +7,22 @@
 
 // The reasons, in the order of closeNames: of connections of clients, and of those to backends.
 const (
-	closedForRoom     closeReason = iota // the one that kept the node waiting longest made room for another
+	closedEvicted     closeReason = iota // the one that kept the node waiting longest made room for another
 	closedForHandOver                    // it was idle at a process that hands over
-	closedInDrain                        // it came to rest at a node that drains
-	closedAtEnd                          // it was left when the node ended
-	closedUnfinished                     // half a request was on it when the last answers were due: it was refused
+	closedDraining                       // it came to rest at a node that drains
+	closedShutdown                       // it was left when the node ended
+	closedIncomplete                     // half a request was on it when the last answers were due: it was refused
 	closedIdle                           // a connection to a backend was idle for too long
 	closedStale                          // one to a backend had ended, or had something to read, before it was used again
 	closedUnlisted                       // its backend takes nothing new
-	closedUsed                           // it can't carry another request: its answer was not whole, or was its last
-	closeReasons
+	closedNotReusable                    // it can't carry another request: its answer was not whole, or was its last
+	closeReasonCount
 )
 
-var closeNames = [closeReasons]string{"room", "hand_over", "drain", "end", "unfinished", "backend_idle", "backend_stale", "backend_unlisted",
+var closeReasonNames = [closeReasonCount]string{"room", "hand_over", "drain", "end", "unfinished", "backend_idle", "backend_stale", "backend_unlisted",
 	"backend_used"}
 
 // closeCounts counts the connections that the node ended, by reason.
-type closeCounts [closeReasons]atomic.Int64
+type closeCounters [closeReasonCount]atomic.Int64
 
-func (c *closeCounts) add(reason closeReason) { c[reason].Add(1) }
+func (c *closeCounters) add(reason closeReason) { c[reason].Add(1) }
--- a/internal/node/connpool.go
+++ b/internal/node/connpool.go
@@ -45,7 +45,7 @@
 	quarantine time.Duration
 
 	dials           atomic.Int64 // connections dialed since the event loop last logged them
-	closes          *closeCounts
+	closes          *closeCounters
 	quarantineUntil monotime.Atomic
 
 	mu      sync.Mutex
@@ -68,7 +68,7 @@
 		dialer:     net.Dialer{Timeout: connectTimeout, KeepAlive: -1},
 		maxIdle:    idleClose * maxIdlePercent / 100,
 		quarantine: min(quarantineTime, idleClose/10),
-		closes:     new(closeCounts),
+		closes:     new(closeCounters),
 		maxOpen:    maxOpen,
 		idle:       map[backendProcess][]*backendConn{},
 	}
@@ -117,16 +117,16 @@
 
 // discard closes a connection that can't carry another request.
 func (p *connPool) discard(c *backendConn) {
-	p.closes.add(closedUsed)
+	p.closes.add(closedNotReusable)
 	p.close(c)
 }
 
 // isReusable says whether an idle connection is open and has nothing unread on it, which starts the quarantine.
 func (p *connPool) isReusable(c *backendConn) bool {
 	switch c.check() {
-	case nothingWaits:
+	case socketEmpty:
 		return true
-	case bytesWait:
+	case socketReadable:
 		p.startQuarantine()
 	}
 	return false
--- a/internal/node/counted_test.go
+++ b/internal/node/counted_test.go
@@ -36,10 +36,10 @@
 // Whoever has read the last byte of an answer finds it in the figures, and the request no more pending.
 func TestAnswersAreCountedBeforeTheirLastByte(t *testing.T) {
 	body := noise(40 << 10)
-	streamOf := func(t *testing.T, src io.Reader, size int64) *stream {
+	streamOf := func(t *testing.T, src io.Reader, size int64) *responseStream {
 		here, there := net.Pipe()
 		t.Cleanup(func() { here.Close(); there.Close() })
-		return &stream{head: body[:1000], size: size, body: src, cn: &backendConn{Conn: here}, end: func(bool) {}}
+		return &responseStream{buffered: body[:1000], size: size, body: src, backend: &backendConn{Conn: here}, release: func(bool) {}}
 	}
 	rest := func() io.Reader { return bytes.NewReader(body[1000:]) }
 	for name, tc := range map[string]struct {
@@ -61,10 +61,10 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
-				r.forwarded.upload = &upload{src: bytes.NewReader(nil), err: io.EOF}
+				r.forwarded.upload = &requestStream{source: bytes.NewReader(nil), err: io.EOF}
 			}
 			r.response <- tc.answer(t)
 			ends, looked := &f.figures.ends[0], false
@@ -77,7 +77,7 @@
 			}
 			func() {
 				defer func() { _ = recover() }() // a broken answer aborts its handler
-				f.serve(w, httptest.NewRequest(http.MethodGet, "/x", nil), r)
+				f.dispatch(w, httptest.NewRequest(http.MethodGet, "/x", nil), r)
 			}()
 			if looked == tc.broken || ends.completed.Load()+ends.failed.Load() != 1 || (ends.failed.Load() == 1) != tc.broken {
 				t.Errorf("last byte seen %v, completed %d, failed %d", looked, ends.completed.Load(), ends.failed.Load())
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -32,21 +32,21 @@
 // reset followed: so the system held nothing unread at the close.
 func TestNothingIsReadOnceAConnectionCountsAsEnded(t *testing.T) {
 	client, server := tcpPair(t)
-	framed := &framedConn{Conn: server, opened: time.Now()}
+	framed := &clientConn{Conn: server, openedAt: time.Now()}
 	read := make(chan int, 1)
 	go func() {
 		n, _ := framed.Read(make([]byte, 1<<10))
 		read <- n
 	}()
 	time.Sleep(20 * time.Millisecond) // it waits for the first byte
-	if !framed.endBetween(false) {
+	if !framed.closeIfWaiting(false) {
 		t.Fatal("not ended")
 	}
 	io.WriteString(client, "GET /x HTTP/1.1\r\n")
 	if n := receive(t, "the end of the read", read); n > 0 {
 		t.Errorf("%d bytes served after the end", n)
 	}
-	if peekAt(server.(*net.TCPConn)) != bytesWait {
+	if peekSocket(server.(*net.TCPConn)) != socketReadable {
 		t.Error("what came after the end was read and dropped")
 	}
 }
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	if got := n.listener.held(); got > n.clients {
+	if got := n.listener.openConns(); got > n.clients {
 		t.Errorf("%d connections, %d allowed", got, n.clients)
 	}
 }
@@ -53,18 +53,18 @@
 // quarter of its time.
 func TestWhoGivesWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
-		f.large = true
-		conn := func() *boundedConn {
-			framed := &framedConn{opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed}
-			f.track(c, http.StateNew)
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f.streaming = true
+		conn := func() *limitedConn {
+			framed := &clientConn{openedAt: time.Now()}
+			c := &limitedConn{Conn: framed, client: framed}
+			f.trackState(c, http.StateNew)
 			return c
 		}
-		heard := func(c *boundedConn) { c.framed.at.Store(monotime.Now()) }
-		expect := func(what string, want *boundedConn) {
+		heard := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
+		expect := func(what string, want *limitedConn) {
 			t.Helper()
-			if got := f.longestIdle(); got != net.Conn(want) {
+			if got := f.slowestConn(); got != net.Conn(want) {
 				t.Errorf("%s does not go first", what)
 			}
 		}
@@ -75,17 +75,17 @@
 		time.Sleep(time.Second)
 		expect("the silent one", silent)
 		time.Sleep(time.Second)
-		f.track(silent, http.StateActive)
+		f.trackState(silent, http.StateActive)
 		expect("the one with half a head", begun)
 		idle := conn()
-		f.track(idle, http.StateActive)
-		f.track(idle, http.StateIdle)
+		f.trackState(idle, http.StateActive)
+		f.trackState(idle, http.StateIdle)
 		time.Sleep(2 * time.Second)
 		expect("the idle one", idle)
-		f.track(idle, http.StateClosed)
+		f.trackState(idle, http.StateClosed)
 		heard(begun)
-		f.track(begun, http.StateActive)
-		if got := f.longestIdle(); got != nil {
+		f.trackState(begun, http.StateActive)
+		if got := f.slowestConn(); got != nil {
 			t.Error("one that waits for its answer gives way")
 		}
 	})
@@ -111,23 +111,23 @@
 // been read whole is served, and its connection not closed under it.
 func TestCrossingRequestIsServedOnceOrNotAtAll(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-	enders := map[string]func(f *front){
-		"ended as idle":     func(f *front) { f.endIdle(0, closedInDrain) },
-		"gives way":         func(f *front) { f.giveWay() },
+	enders := map[string]func(f *clientServer){
+		"ended as idle":     func(f *clientServer) { f.closeIdle(0, closedDraining) },
+		"gives way":         func(f *clientServer) { f.evictSlowest() },
 		"the server's end":  nil,
-		"ended in the read": func(f *front) { f.endIdle(0, closedInDrain) },
+		"ended in the read": func(f *clientServer) { f.closeIdle(0, closedDraining) },
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
 			within := func() {}
-			framed := &framedConn{Conn: lateConn{server, &within}, opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed, release: func() {}}
-			f.track(c, http.StateNew)
-			f.track(c, http.StateActive)
-			f.track(c, http.StateIdle)
+			framed := &clientConn{Conn: lateConn{server, &within}, openedAt: time.Now()}
+			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
+			f.trackState(c, http.StateNew)
+			f.trackState(c, http.StateActive)
+			f.trackState(c, http.StateIdle)
 			go io.WriteString(client, text)
 			if name == "ended in the read" {
 				within = func() { end(f) } // the bytes have left the system and are not seen yet
@@ -147,15 +147,15 @@
 			} else {
 				c.Close()
 			}
-			f.track(c, http.StateActive)
+			f.trackState(c, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
-				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.ended) {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.ended)
+				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.closed) {
+					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.closed)
 				}
 			}()
 			f.loop.ready.Store(true)
-			f.ServeHTTP(w, hr.WithContext(withFramed(t.Context(), c)))
+			f.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), c)))
 		})
 	}
 }
@@ -163,28 +163,28 @@
 // Before the server's own end, which closes everything, who is being served has the answer, and who is not is ended for good.
 func TestDrainWaitsForWhoIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
-		conn := func() *boundedConn {
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
-			framed := &framedConn{Conn: server, opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed, release: func() {}}
-			f.track(c, http.StateNew)
+			framed := &clientConn{Conn: server, openedAt: time.Now()}
+			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
+			f.trackState(c, http.StateNew)
 			return c
 		}
 		served, waits := conn(), conn()
-		served.framed.heads = []head{{}}
-		served.framed.take()
+		served.client.heads = []head{{}}
+		served.client.takeHead()
 		done := make(chan struct{})
 		f.inFlight.Add(1)
-		f.shutdown.begin()
+		f.shutdown.start()
 		go func() { f.drain(t.Context()); close(done) }()
-		time.Sleep(time.Until(f.shutdown.killAt().Add(time.Second).Time()))
+		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
-		ended := func(c *boundedConn) bool {
-			c.framed.mu.Lock()
-			defer c.framed.mu.Unlock()
-			return c.framed.ended
+		ended := func(c *limitedConn) bool {
+			c.client.mu.Lock()
+			defer c.client.mu.Unlock()
+			return c.client.closed
 		}
 		if ended(served) || !ended(waits) {
 			t.Errorf("ended: the one being served %v, the other %v", ended(served), ended(waits))
@@ -195,10 +195,10 @@
 		default:
 		}
 		f.inFlight.Add(-1)
-		f.track(served, http.StateActive)
-		f.track(served, http.StateIdle)
+		f.trackState(served, http.StateActive)
+		f.trackState(served, http.StateIdle)
 		<-done
-		if waits.framed.take(); waits.framed.serving {
+		if waits.client.takeHead(); waits.client.serving {
 			t.Error("what was read after the end is served")
 		}
 	})
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,32 +9,32 @@
 // This file ends connections of clients: to make room, at a hand-over, in a drain and at the end.
 
 // held is how many connections of clients there are.
-func (f *front) held() int {
+func (f *clientServer) openConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
 // giveWay ends the connection that has kept the node waiting longest. It tells whether there was one.
-func (f *front) giveWay() bool {
+func (f *clientServer) evictSlowest() bool {
 	for {
-		oldest := f.longestIdle()
+		oldest := f.slowestConn()
 		if oldest == nil {
 			return false
 		}
 		f.conns[oldest] = time.Time{}
-		delete(f.heads, oldest)
-		if endBetween(oldest, true) {
-			f.closes.add(closedForRoom)
+		delete(f.awaitingHead, oldest)
+		if closeIfWaiting(oldest, true) {
+			f.closeCounts.add(closedEvicted)
 			return true
 		}
 	}
 }
 
 // endBetween closes a connection that waits for its client, if it still does.
-func endBetween(c net.Conn, evenBegun bool) bool {
-	b, ok := c.(*boundedConn)
-	if !ok || !b.framed.endBetween(evenBegun) {
+func closeIfWaiting(c net.Conn, evenPartial bool) bool {
+	b, ok := c.(*limitedConn)
+	if !ok || !b.client.closeIfWaiting(evenPartial) {
 		return false
 	}
 	b.Close()
@@ -42,38 +42,38 @@
 }
 
 // allow sets how many connections there may be, of which those that are idle give way to new ones.
-func (f *front) allow(most int) {
+func (f *clientServer) setConnLimit(limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crowded = most * 3 / 4
+	f.evictAbove = limit * 3 / 4
 }
 
 // shed ends connections that keep the node waiting until there are no more than so many, if it can.
-func (f *front) shed(most int) {
+func (f *clientServer) evictDownTo(limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for n := len(f.conns); n > most && f.giveWay(); n-- {
+	for n := len(f.conns); n > limit && f.evictSlowest(); n-- {
 	}
 }
 
 // endIdle ends connections that have brought their requests and have been idle for so long.
-func (f *front) endIdle(least time.Duration, reason closeReason) {
+func (f *clientServer) closeIdle(least time.Duration, reason closeReason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, at := range f.conns {
-		if !at.IsZero() && time.Since(at) >= least && endBetween(c, false) {
+		if !at.IsZero() && time.Since(at) >= least && closeIfWaiting(c, false) {
 			f.conns[c] = time.Time{}
-			f.closes.add(reason)
+			f.closeCounts.add(reason)
 		}
 	}
 }
 
 // busy counts the connections on which a request is under way or has begun to come in.
-func (f *front) busy() (n int) {
+func (f *clientServer) busyConns() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if b, ok := c.(*boundedConn); ok && b.framed.busy() {
+		if b, ok := c.(*limitedConn); ok && b.client.busy() {
 			n++
 		}
 	}
@@ -81,50 +81,50 @@
 }
 
 // endSilent ends connections on which nothing of a request has come.
-func (f *front) endSilent() {
+func (f *clientServer) closeUnused() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if endBetween(c, false) {
-			f.closes.add(closedAtEnd)
+		if closeIfWaiting(c, false) {
+			f.closeCounts.add(closedShutdown)
 		}
 	}
 }
 
 // refuseUnfinished answers requests that have not come whole.
-func (f *front) refuseUnfinished() {
+func (f *clientServer) rejectIncomplete() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		b, ok := c.(*boundedConn)
+		b, ok := c.(*limitedConn)
 		if !ok {
 			continue
 		}
-		if b.framed.refuseBegun() {
-			f.closes.add(closedUnfinished)
+		if b.client.rejectIncomplete() {
+			f.closeCounts.add(closedIncomplete)
 		}
-		b.framed.cutBody()
+		b.client.interruptBody()
 	}
 }
 
 // drain ends connections as they come to rest, until none is left. Those on which nothing has ever come are ended when nothing
 // has happened for stillFor, or nothing more is taken; half a request is answered when the last answers are due. It
 // returns early when ctx ends, or when there are only clients left that do not close.
-func (f *front) drain(ctx context.Context) {
-	for still := time.Duration(0); f.held() > 0 && ctx.Err() == nil; still += lookEvery {
-		f.endIdle(0, closedInDrain)
-		if f.handed.Load() || f.busy() > 0 {
+func (f *clientServer) drain(ctx context.Context) {
+	for still := time.Duration(0); f.openConns() > 0 && ctx.Err() == nil; still += lookEvery {
+		f.closeIdle(0, closedDraining)
+		if f.handedOver.Load() || f.busyConns() > 0 {
 			still = 0 // where another process serves nobody new comes here, and who has connected may yet ask
 		}
-		if still >= stillFor || !f.shutdown.takes() {
-			if f.endSilent(); f.busy() == 0 {
+		if still >= stillFor || !f.shutdown.admits() {
+			if f.closeUnused(); f.busyConns() == 0 {
 				return
 			}
 		}
-		if f.shutdown.due() {
-			f.refuseUnfinished()
+		if f.shutdown.answersDue() {
+			f.rejectIncomplete()
 		}
-		if f.shutdown.over() && f.inFlight.Load() == 0 {
+		if f.shutdown.expired() && f.inFlight.Load() == 0 {
 			return
 		}
 		pause(ctx, lookEvery)
@@ -133,7 +133,7 @@
 
 // longestIdle returns the connection that has kept the node waiting longest, if any. One that has begun a request may
 // take headPatience times as long: a slow client is still one that asks.
-func (f *front) longestIdle() net.Conn {
+func (f *clientServer) slowestConn() net.Conn {
 	var oldest net.Conn
 	var longest time.Duration
 	now := time.Now()
@@ -147,12 +147,12 @@
 			wait(c, now.Sub(at))
 		}
 	}
-	for c := range f.heads {
-		if b, ok := c.(*boundedConn); ok {
-			at, begun := b.framed.heard()
+	for c := range f.awaitingHead {
+		if b, ok := c.(*limitedConn); ok {
+			at, begun := b.client.lastActivity()
 			d := now.Sub(at)
 			if begun {
-				d /= headPatience
+				d /= slowHeadFactor
 			}
 			wait(c, d)
 		}
@@ -162,8 +162,8 @@
 
 // isCrowded tells whether there are so many connections that answers should close theirs. Where unfinished heads give
 // way too there is always room, and clients should keep the connections that they use.
-func (f *front) isCrowded() bool {
+func (f *clientServer) nearConnLimit() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.large && len(f.conns) > f.crowded
+	return !f.streaming && len(f.conns) > f.evictAbove
 }
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -71,7 +71,7 @@
 				}
 				n.dialed(t, text)
 			}
-			eventually(t, "a node full of idle clients", func() bool { return n.front.held() >= n.clients*3/4 })
+			eventually(t, "a node full of idle clients", func() bool { return n.server.openConns() >= n.clients*3/4 })
 			close(back)
 			eventually(t, "the drain", func() (heard bool) {
 				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
@@ -81,7 +81,7 @@
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
 			open, _ := n.pool.size()
-			if held := n.listener.held(); held+open+otherSockets > cfg.Limits.Sockets {
+			if held := n.listener.openConns(); held+open+otherSockets > cfg.Limits.Sockets {
 				t.Errorf("%d connections of clients and %d to backends, of %d descriptors", held, open, cfg.Limits.Sockets)
 			}
 		})
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -22,7 +22,7 @@
 	balancer  *balance.Balancer
 	upstream  *upstreamTransport
 	guard     *guard
-	shutdown  *shutdown
+	shutdown  *shutdownSchedule
 	log       *slog.Logger
 	startedAt time.Time
 	origin    time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -20,7 +20,7 @@
 	avoided  atomic.Int64
 	attempts [balance.StatusNotSent + 1]atomic.Int64 // by status
 	retries  atomic.Int64
-	closes   closeCounts
+	closes   closeCounters
 }
 
 // ends are the ways in which requests of a class end. Each request ends in one of them.
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -46,7 +46,7 @@
 	client := &fleet.Client{Replicas: c.Registry, HTTP: p.http}
 	p.agent = fleet.NewAgent(fleet.AgentConfig{Node: n.cfg.Name, Site: c.Site, Address: n.cfg.Listen, Interval: interval,
 		OnView: newTurns(n, client).follow}, rand.Text(), client, p.report, n.log)
-	n.front.fleet, n.loop.onServed, n.loop.openStreams = p, p.worked, map[string]int{}
+	n.server.fleet, n.loop.onServed, n.loop.openStreams = p, p.worked, map[string]int{}
 	return p
 }
 
@@ -95,11 +95,11 @@
 		refused += p.n.figures.ends[i].rejected.Load()
 		failed += p.n.figures.ends[i].failed.Load()
 	}
-	r := fleet.Report{Draining: p.n.front.shutdown.begun(), Endpoints: p.backends()}
+	r := fleet.Report{Draining: p.n.server.shutdown.started(), Endpoints: p.backends()}
 	r.Metrics = fleet.LoadMetrics{
-		Connections: float64(p.n.front.held()), DescriptorLimit: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
+		Connections: float64(p.n.server.openConns()), DescriptorLimit: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
 		CPUFraction:       (cpu - p.cpu).Seconds() / span / cmp.Or(p.n.cfg.Limits.Cores, 1),
-		InFlight:          float64(p.n.front.inFlight.Load()),
+		InFlight:          float64(p.n.server.inFlight.Load()),
 		RejectedPerSecond: float64(refused-p.refused) / span, FailedPerSecond: float64(failed-p.failed) / span,
 	}
 	toBackends, _ := p.n.pool.size()
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -18,7 +18,7 @@
 	n := startAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
 	do(t, ask(t, n.url+"/api/x", "read"))
-	if n.fleet != nil || n.front.fleet != nil || n.loop.onServed != nil {
+	if n.fleet != nil || n.server.fleet != nil || n.loop.onServed != nil {
 		t.Error("a part in the fleet without the key")
 	}
 	stacks := make([]byte, 4<<20)
--- a/internal/node/forwardedrequest.go
+++ b/internal/node/forwardedrequest.go
@@ -22,7 +22,7 @@
 	healthCheck bool
 
 	// Of a request whose body is streamed:
-	upload    *upload          // the body; nil: it is complete
+	upload    *requestStream   // the body; nil: it is complete
 	timeLeft  time.Duration    // how long its client waits from the last byte on
 	onWritten func() time.Time // called when the last byte has been written; returns the deadline
 }
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -17,39 +17,39 @@
 
 const (
 	// lineMost bounds a line of a head; the HTTP server bounds the whole.
-	lineMost = 2 * maxHeadBytes
+	maxHeadLine = 2 * maxHeadBytes
 	// aheadMost bounds what is read behind a request that is being served.
-	aheadMost = maxHeadBytes + maxBodyBytes
+	maxReadAhead = maxHeadBytes + maxBodyBytes
 )
 
 // errFlood ends the connection of a peer that sends on and on behind a request that is being served: no client does.
-var errFlood = errors.New("too much behind a request that is being served")
+var errPipelineFlood = errors.New("too much behind a request that is being served")
 
 // framedConn hands the HTTP server one message at a time and judges how the head of each says where it ends.
 //
 // net/http takes a head that gives both Content-Length and Transfer-Encoding by the latter, says so to nobody
 // and reads on: what the sender meant as the rest of the body is then taken for a request of its own. It also
 // overlooks Transfer-Encoding in HTTP/1.0. The handler no longer sees either header, so the head is read here.
-type framedConn struct {
+type clientConn struct {
 	net.Conn
-	raw     syscall.RawConn // of the connection, once something has been read of it; nil where the system has none
-	surplus []byte          // read past the end of a head
-	line    []byte          // the line of a head so far
-	begun   bool            // the request line has been read
-	next    head            // the head that is coming in
-	left    int64           // bytes of the body to come
-	last    bool            // where this message ends only its reader can tell: no other may follow on the connection
-
-	opened time.Time
-	at     monotime.Atomic // when the last byte came; zero: none has
-
-	mu      sync.Mutex
-	ended   bool   // this side has closed the connection
-	partly  bool   // some of a message has been read that the handler has not taken
-	serving bool   // a message is with the handler
-	refused bool   // half a message was answered in place of the server: its client may still send the rest
-	reading bool   // the handler keeps a body whole, and is not done
-	heads   []head // that the handler has not taken; more than one only of a peer that does not wait for answers
+	raw         syscall.RawConn // of the connection, once something has been read of it; nil where the system has none
+	buffered    []byte          // read past the end of a head
+	line        []byte          // the line of a head so far
+	begun       bool            // the request line has been read
+	next        head            // the head that is coming in
+	bodyLeft    int64           // bytes of the body to come
+	lastMessage bool            // where this message ends only its reader can tell: no other may follow on the connection
+
+	openedAt   time.Time
+	lastByteAt monotime.Atomic // when the last byte came; zero: none has
+
+	mu        sync.Mutex
+	closed    bool   // this side has closed the connection
+	receiving bool   // some of a message has been read that the handler has not taken
+	serving   bool   // a message is with the handler
+	rejected  bool   // half a message was answered in place of the server: its client may still send the rest
+	buffering bool   // the handler keeps a body whole, and is not done
+	heads     []head // that the handler has not taken; more than one only of a peer that does not wait for answers
 }
 
 // head is what a message's head says of the message's end.
@@ -64,36 +64,36 @@
 	since   time.Time // its first byte, or the start of the connection for the first one
 }
 
-func (c *framedConn) Read(p []byte) (int, error) {
+func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if c.left > 0 && !c.last {
-		p = p[:min(int64(len(p)), c.left)]
-	} else if c.waits(len(p)) {
-		return 0, c.lookAhead(p)
+	if c.bodyLeft > 0 && !c.lastMessage {
+		p = p[:min(int64(len(p)), c.bodyLeft)]
+	} else if c.awaitsDisconnect(len(p)) {
+		return 0, c.readAhead(p)
 	}
 	var n int
 	var err error
-	if len(c.surplus) > 0 {
-		n = copy(p, c.surplus)
-		c.surplus = c.surplus[n:]
+	if len(c.buffered) > 0 {
+		n = copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
 	} else {
-		c.surplus = nil
+		c.buffered = nil
 		if n, err = c.receive(p); n > 0 {
-			c.at.Store(monotime.Now())
+			c.lastByteAt.Store(monotime.Now())
 		}
 	}
-	if n > 0 && !c.part() {
-		return 0, c.crossed(p)
+	if n > 0 && !c.markReceiving() {
+		return 0, c.discardAfterClose(p)
 	}
 	switch {
-	case c.last:
-	case c.left > 0:
-		c.left -= int64(n)
+	case c.lastMessage:
+	case c.bodyLeft > 0:
+		c.bodyLeft -= int64(n)
 	default:
 		if used := c.scan(p[:n]); used < n {
-			c.surplus = append(bytes.Clone(p[used:n]), c.surplus...)
+			c.buffered = append(bytes.Clone(p[used:n]), c.buffered...)
 			n = used
 		}
 	}
@@ -102,19 +102,19 @@
 
 // waits tells whether the server reads only to hear of its client's leaving: a whole message is with it, and it asks for
 // the first byte of the next. Where a body's end is not known here that is when it asks for a single byte.
-func (c *framedConn) waits(size int) bool {
+func (c *clientConn) awaitsDisconnect(size int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.serving || len(c.heads) > 0) && (!c.last || size == 1)
+	return (c.serving || len(c.heads) > 0) && (!c.lastMessage || size == 1)
 }
 
 // lookAhead keeps what comes behind a message that is being served, until the client leaves or the server stops waiting.
 // The server itself would stop at the first byte, and never hear that a client has sent more and left.
-func (c *framedConn) lookAhead(piece []byte) error {
-	for len(c.surplus) <= aheadMost {
+func (c *clientConn) readAhead(piece []byte) error {
+	for len(c.buffered) <= maxReadAhead {
 		n, err := c.Conn.Read(piece)
-		if !c.last { // else no message may follow
-			c.surplus = append(c.surplus, piece[:n]...)
+		if !c.lastMessage { // else no message may follow
+			c.buffered = append(c.buffered, piece[:n]...)
 		}
 		if err != nil {
 			return err
@@ -123,51 +123,51 @@
 			piece = make([]byte, 1<<10)
 		}
 	}
-	return errFlood
+	return errPipelineFlood
 }
 
 // part takes in that some of a message has been read. It tells whether the connection is still open.
-func (c *framedConn) part() bool {
+func (c *clientConn) markReceiving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partly = true
-	return !c.ended
+	c.receiving = true
+	return !c.closed
 }
 
 // rests takes in that a message has been answered and the connection kept.
-func (c *framedConn) rests() {
+func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.partly = false, len(c.surplus) > 0
+	c.serving, c.receiving = false, len(c.buffered) > 0
 }
 
 // busy tells whether a message is coming in or being served.
-func (c *framedConn) busy() bool {
+func (c *clientConn) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refused || !c.ended && (c.partly || c.serving || len(c.heads) > 0)
+	return c.rejected || !c.closed && (c.receiving || c.serving || len(c.heads) > 0)
 }
 
 // refusal answers half a request: whatever its client sends yet, nothing is done for it.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const incompleteResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // refusalWithin bounds the writing of a refusal, which waits for no client that reads.
-const refusalWithin = 20 * time.Millisecond
+const incompleteResponseTimeout = 20 * time.Millisecond
 
 // refuseBegun answers a client that has begun a message and not ended it, and takes no more of it. The connection stays until
 // the client closes it: a reset could overtake the answer. It tells whether there was one.
-func (c *framedConn) refuseBegun() bool {
+func (c *clientConn) rejectIncomplete() bool {
 	c.mu.Lock()
-	begun := !c.ended && c.partly && !c.serving && len(c.heads) == 0
+	begun := !c.closed && c.receiving && !c.serving && len(c.heads) == 0
 	if begun {
-		c.ended, c.refused = true, true
+		c.closed, c.rejected = true, true
 	}
 	c.mu.Unlock()
 	if !begun {
 		return false
 	}
-	c.Conn.SetWriteDeadline(time.Now().Add(refusalWithin))
-	io.WriteString(c.Conn, refusal)
+	c.Conn.SetWriteDeadline(time.Now().Add(incompleteResponseTimeout))
+	io.WriteString(c.Conn, incompleteResponse)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
@@ -176,9 +176,9 @@
 
 // crossed takes in that something came after this side had closed the connection, or answered half a message on it: in that
 // case it reads on until the client closes.
-func (c *framedConn) crossed(p []byte) error {
+func (c *clientConn) discardAfterClose(p []byte) error {
 	c.mu.Lock()
-	refused := c.refused
+	refused := c.rejected
 	c.mu.Unlock()
 	for refused {
 		if _, err := c.Conn.Read(p); err != nil {
@@ -189,49 +189,49 @@
 }
 
 // collect takes in that the handler begins, or is done, to keep a body whole.
-func (c *framedConn) collect(reading bool) {
+func (c *clientConn) setBuffering(reading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = reading
+	c.buffering = reading
 }
 
 // cutBody ends the wait for a body that is to be kept whole. It may be called again while its reader sets other times.
-func (c *framedConn) cutBody() {
+func (c *clientConn) interruptBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reading {
+	if c.buffering {
 		c.Conn.SetReadDeadline(time.Now())
 	}
 }
 
 // endBetween ends the connection if no message is being served, nor has begun to come in unless that doesn't matter. It
 // tells whether it has. From then on nothing that is read of it is served.
-func (c *framedConn) endBetween(evenBegun bool) bool {
+func (c *clientConn) closeIfWaiting(evenPartial bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended || c.serving || len(c.heads) > 0 || !evenBegun && (c.partly || c.peek() == bytesWait) {
+	if c.closed || c.serving || len(c.heads) > 0 || !evenPartial && (c.receiving || c.peek() == socketReadable) {
 		return false
 	}
-	c.ended = true
+	c.closed = true
 	return true
 }
 
 // peek tells what has come on the connection and was not read.
-func (c *framedConn) peek() peeked {
+func (c *clientConn) peek() socketState {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
-		return peekAt(sc)
+		return peekSocket(sc)
 	}
-	return nothingWaits
+	return socketEmpty
 }
 
 // gone tells whether the client has left, before anything is done for what it sent. What was sent behind the request
 // may hide it for the moment that reading ahead takes.
-func (c *framedConn) gone() bool {
+func (c *clientConn) peerClosed() bool {
 	for range 8 {
 		switch c.peek() {
-		case nothingWaits:
+		case socketEmpty:
 			return false
-		case peerLeft:
+		case socketPeerClosed:
 			return true
 		}
 		time.Sleep(250 * time.Microsecond)
@@ -240,20 +240,20 @@
 }
 
 // heard tells when the peer last sent something, or connected if it has not.
-func (c *framedConn) heard() (at time.Time, begun bool) {
-	if last := c.at.Load(); !last.IsZero() {
+func (c *clientConn) lastActivity() (at time.Time, receiving bool) {
+	if last := c.lastByteAt.Load(); !last.IsZero() {
 		return last.Time(), true
 	}
-	return c.opened, false
+	return c.openedAt, false
 }
 
 // scan follows a head and returns how many of the bytes belong to it.
-func (c *framedConn) scan(p []byte) int {
+func (c *clientConn) scan(p []byte) int {
 	if len(p) > 0 && c.next.since.IsZero() {
 		c.next.since = time.Now()
 	}
 	for i, b := range p {
-		if b != '\n' && len(c.line) < lineMost {
+		if b != '\n' && len(c.line) < maxHeadLine {
 			c.line = append(c.line, b)
 			continue
 		}
@@ -273,7 +273,7 @@
 }
 
 // finish takes a head as complete.
-func (c *framedConn) finish() {
+func (c *clientConn) finish() {
 	h := c.next
 	if h.coded && h.trouble == "" {
 		switch {
@@ -284,7 +284,7 @@
 		}
 	}
 	h.last = h.coded || h.trouble != ""
-	c.begun, c.next, c.left, c.last = false, head{}, h.size, h.last
+	c.begun, c.next, c.bodyLeft, c.lastMessage = false, head{}, h.size, h.last
 	c.line = nil
 	c.mu.Lock()
 	c.heads = append(c.heads, h)
@@ -312,28 +312,28 @@
 
 // end takes in that this side closes the connection. Its client takes a request that crosses the close for unread and
 // sends it again, so it must not be served.
-func (c *framedConn) end() {
+func (c *clientConn) markClosed() {
 	c.mu.Lock()
-	c.ended = true
+	c.closed = true
 	c.mu.Unlock()
 }
 
 // endedHere tells whether this side has closed the connection.
-func (c *framedConn) endedHere() bool {
+func (c *clientConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.closed
 }
 
 // take returns the head of the request that the handler serves now. Without one the server has found a request
 // where none began.
-func (c *framedConn) take() head {
+func (c *clientConn) takeHead() head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return head{last: true, ended: true}
 	}
-	c.serving, c.partly = true, false
+	c.serving, c.receiving = true, false
 	if len(c.heads) == 0 {
 		return head{last: true, trouble: "no head", since: time.Now()}
 	}
@@ -343,11 +343,11 @@
 }
 
 // framedKey finds the connection of a request in its context.
-type framedKey struct{}
+type clientConnKey struct{}
 
-func withFramed(ctx context.Context, c net.Conn) context.Context {
-	if b, ok := c.(*boundedConn); ok {
-		return context.WithValue(ctx, framedKey{}, b.framed)
+func withClientConn(ctx context.Context, c net.Conn) context.Context {
+	if b, ok := c.(*limitedConn); ok {
+		return context.WithValue(ctx, clientConnKey{}, b.client)
 	}
 	return ctx
 }
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -57,7 +57,7 @@
 // left it does before it serves the next one.
 func (s *started) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
-	eventually(t, "an end of all connections", func() bool { return s.front.held() == 0 })
+	eventually(t, "an end of all connections", func() bool { return s.server.openConns() == 0 })
 	if _, body := do(t, ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })); body != "last" {
 		t.Errorf("the last one got %q", body)
 	}
@@ -135,7 +135,7 @@
 	c := n.dialed(t, reading("left"))
 	receive(t, "a dial", dialing)
 	c.Close()
-	eventually(t, "the node to know", func() bool { return n.front.inFlight.Load() == 0 && n.open(t) == 0 })
+	eventually(t, "the node to know", func() bool { return n.server.inFlight.Load() == 0 && n.open(t) == 0 })
 	close(dial)
 	n.nothingElse(t, came)
 }
@@ -154,9 +154,9 @@
 	c := n.dialed(t, reading("one")+strings.Repeat("y", 40<<10))
 	c.(*net.TCPConn).SetReadBuffer(4 << 10) // so that most of the answer waits at the node when it closes
 	receive(t, "the attempt", held)
-	n.front.shutdown.begin()
+	n.server.shutdown.start()
 	close(hold)
-	eventually(t, "the node's close", func() bool { return n.front.held() == 0 })
+	eventually(t, "the node's close", func() bool { return n.server.openConns() == 0 })
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 		}
 		send(kept, text[:20])
 		synctest.Wait()
-		f.shutdown.deadline = killDeadlineMost
-		f.shutdown.begin()
+		f.shutdown.deadline = maxDeadlineInGrace
+		f.shutdown.start()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		drained := make(chan struct{})
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -33,46 +33,46 @@
 var ruleNames = [ruleCount]string{"recipient", "owner", "effect", "attempts", "answer", "shutdown"}
 
 // goneGrace is how long after its client has gone an attempt may still begin.
-const goneGrace = 100 * time.Millisecond
+const disconnectGrace = 100 * time.Millisecond
 
 // guard holds the rules on sending and closing in one place, apart from the decisions, and counts what breaks them. An
 // attempt that would break one is not made; a count above zero is a fault of the program.
 type guard struct {
-	classes  []balance.Class
-	grace    time.Duration // of a drain
-	attempts int           // of a request, by the settings; 0: not told
-	broken   [ruleCount]atomic.Int64
-	complain *lograte.Limited
+	classes     []balance.Class
+	drainGrace  time.Duration // of a drain
+	maxAttempts int           // of a request, by the settings; 0: not told
+	violations  [ruleCount]atomic.Int64
+	warnings    *lograte.Limited
 }
 
-func newGuard(cfg balance.Config, log *slog.Logger) *guard {
-	return &guard{classes: cfg.Classes, grace: cfg.Rules.DrainGrace, attempts: max(cfg.Limits.MaxAttempts, 1), complain: &lograte.Limited{Log: log}}
+func newGuard(config balance.Config, log *slog.Logger) *guard {
+	return &guard{classes: config.Classes, drainGrace: config.Rules.DrainGrace, maxAttempts: max(config.Limits.MaxAttempts, 1), warnings: &lograte.Limited{Log: log}}
 }
 
 // violated counts and logs a broken rule.
-func (g *guard) violated(r rule, request string, args ...any) {
-	g.broken[r].Add(1)
-	g.complain.Warn("invariant violated", append([]any{"rule", ruleNames[r], "request", request}, args...)...)
+func (g *guard) reportViolation(r rule, request string, args ...any) {
+	g.violations[r].Add(1)
+	g.warnings.Warn("invariant violated", append([]any{"rule", ruleNames[r], "request", request}, args...)...)
 }
 
 // maySend tells whether another attempt for a request may go to a backend. What the Balancer can't know yet, such as a drain
 // that it is being told of, is refused and breaks nothing.
-func (g *guard) maySend(r *request, to *backend, now time.Duration) bool {
+func (g *guard) maySend(r *request, target *backend, now time.Duration) bool {
 	switch {
-	case !to.available() || !r.isOpen():
+	case !target.available() || !r.isOpen():
 		return false
-	case len(r.attempts) >= g.attempts:
-		g.violated(ruleAttempts, r.id, "attempts", len(r.attempts))
+	case len(r.attempts) >= g.maxAttempts:
+		g.reportViolation(ruleAttempts, r.id, "attempts", len(r.attempts))
 		return false
-	case g.mayDouble(r, now):
-		g.violated(ruleEffect, r.id, "class", r.class, "attempts", len(r.attempts))
+	case g.mayRunTwice(r, now):
+		g.reportViolation(ruleEffect, r.id, "class", r.class, "attempts", len(r.attempts))
 		return false
 	}
 	return true
 }
 
 // mayDouble tells whether an effect could happen twice if a request were sent once more.
-func (g *guard) mayDouble(r *request, now time.Duration) bool {
+func (g *guard) mayRunTwice(r *request, now time.Duration) bool {
 	if r.class >= len(g.classes) || g.classes[r.class].Repeatability == balance.Idempotent {
 		return false
 	}
@@ -88,11 +88,11 @@
 }
 
 // began checks, on the loop, an attempt that began to go at a time: what it was sent for still stood then.
-func (g *guard) began(r *request, at *attempt, begin time.Duration) {
-	if stopped := at.backend.unavailableSince; stopped > 0 && begin > stopped+g.grace {
-		g.violated(ruleRecipient, r.id, "backend", at.backend.id, "after", begin-stopped)
+func (g *guard) checkStart(r *request, sent *attempt, startedAt time.Duration) {
+	if stopped := sent.backend.unavailableSince; stopped > 0 && startedAt > stopped+g.drainGrace {
+		g.reportViolation(ruleRecipient, r.id, "backend", sent.backend.id, "after", startedAt-stopped)
 	}
-	if r.disconnectedAt > 0 && begin > r.disconnectedAt+goneGrace {
-		g.violated(ruleOwner, r.id, "backend", at.backend.id, "after", begin-r.disconnectedAt)
+	if r.disconnectedAt > 0 && startedAt > r.disconnectedAt+disconnectGrace {
+		g.reportViolation(ruleOwner, r.id, "backend", sent.backend.id, "after", startedAt-r.disconnectedAt)
 	}
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("may be sent: %v", may)
 			}
 			for r := range ruleCount {
-				if n := g.broken[r].Load(); (n > 0) != (r == tc.broken) {
+				if n := g.violations[r].Load(); (n > 0) != (r == tc.broken) {
 					t.Errorf("%s: %d violations", ruleNames[r], n)
 				}
 			}
@@ -56,13 +56,13 @@
 func TestGuardCountsWhatBeganTooLate(t *testing.T) {
 	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, quiet())
 	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
-	g.began(&request{disconnectedAt: time.Second}, stopped, time.Second+goneGrace)
-	g.began(&request{}, stopped, 0)
-	if g.broken[ruleOwner].Load()+g.broken[ruleRecipient].Load() > 0 {
+	g.checkStart(&request{disconnectedAt: time.Second}, stopped, time.Second+disconnectGrace)
+	g.checkStart(&request{}, stopped, 0)
+	if g.violations[ruleOwner].Load()+g.violations[ruleRecipient].Load() > 0 {
 		t.Error("what began in time counts")
 	}
-	g.began(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
-	if g.broken[ruleOwner].Load() != 1 || g.broken[ruleRecipient].Load() != 1 {
+	g.checkStart(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
+	if g.violations[ruleOwner].Load() != 1 || g.violations[ruleRecipient].Load() != 1 {
 		t.Error("what began late does not count")
 	}
 }
@@ -84,10 +84,10 @@
 		}
 	}()
 	receive(t, "the request at the backend", held)
-	n.front.mu.Lock()
-	for c := range n.front.conns {
+	n.server.mu.Lock()
+	for c := range n.server.conns {
 		c.Close() // the planted fault
 	}
-	n.front.mu.Unlock()
-	eventually(t, "the violation", func() bool { return n.loop.guard.broken[ruleAnswer].Load() == 1 })
+	n.server.mu.Unlock()
+	eventually(t, "the violation", func() bool { return n.loop.guard.violations[ruleAnswer].Load() == 1 })
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -119,7 +119,7 @@
 		stop := context.AfterFunc(ctx, func() { h.old.Close() })
 		n.succeed(ctx)
 		stop()
-		if n.front.shutdown.begun() {
+		if n.server.shutdown.started() {
 			return // what comes next takes over from the old process, if that is still there
 		}
 	} else {
@@ -161,7 +161,7 @@
 // allow shares the node's descriptors with the other process.
 func (n *Node) allow(other holds) {
 	clients := max(n.clients-other.Clients, 1)
-	n.listener.allow(clients)
-	n.front.allow(clients)
+	n.listener.setLimit(clients)
+	n.server.setConnLimit(clients)
 	n.pool.setMaxOpen(max(n.backends-other.Backends, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -45,7 +45,7 @@
 	if err == nil {
 		err = n.tellHolds(ctx, c, &done)
 	}
-	if !done && ctx.Err() == nil && plantShutdown != plantSuccessor {
+	if !done && ctx.Err() == nil && faultShutdown != faultSuccessor {
 		// Also while this process leaves: the listener is both processes', and what waits there has nobody else.
 		n.handed(false)
 		n.allow(holds{})
@@ -57,8 +57,8 @@
 
 // handed has this process stop, or begin again, to take what comes.
 func (n *Node) handed(out bool) {
-	n.front.handed.Store(out)
-	n.listener.rest(out)
+	n.server.handedOver.Store(out)
+	n.listener.setPaused(out)
 	n.loop.post(handoverChanged{handedOver: out})
 }
 
@@ -108,13 +108,13 @@
 	told, open, busyAt := holds{Clients: -1}, n.backends, time.Now()
 	for {
 		// What begins here now may not end in time. Who asks on a kept connection as it is closed asks again.
-		n.front.endIdle(idleLeast, closedForHandOver)
-		n.front.shed(n.clients / 4)
+		n.server.closeIdle(idleLeast, closedForHandOver)
+		n.server.evictDownTo(n.clients / 4)
 		inUse, idle := n.pool.size()
 		// Never more than before: the new process uses what this one has told that it left.
 		open = max(min(open, inUse), min(keepBackends, n.backends/4))
 		n.pool.setMaxOpen(open)
-		now := holds{Clients: n.listener.held(), Backends: open, Busy: n.front.busy()}
+		now := holds{Clients: n.listener.openConns(), Backends: open, Busy: n.server.busyConns()}
 		if now != told {
 			text, _ := json.Marshal(now)
 			if _, err := c.Write(append(text, '\n')); err != nil {
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -100,7 +100,7 @@
 	h := n.handover
 	defer h.old.Close()
 	for !n.loop.ready.Load() && ctx.Err() == nil {
-		if n.front.shutdown.begun() {
+		if n.server.shutdown.started() {
 			return // the old process keeps the node: this one could not serve it for long
 		}
 		pause(ctx, lookEvery)
@@ -108,7 +108,7 @@
 	known, left, err := h.take()
 	n.loop.post(nodeTakenOver{known})
 	n.allow(left)
-	n.listener.rest(false)
+	n.listener.setPaused(false)
 	n.log.Info("took over", "old", left, "error", err)
 	settled := time.AfterFunc(time.Until(h.start.Add(settleWithin)), func() { h.serving.Store(true) })
 	defer settled.Stop()
@@ -121,7 +121,7 @@
 		}
 	}
 	h.serving.Store(true)
-	if ctx.Err() == nil && !n.front.shutdown.begun() {
+	if ctx.Err() == nil && !n.server.shutdown.started() {
 		n.log.Info("the old process has ended")
 		n.allow(holds{})
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -114,7 +114,7 @@
 		defer next.listener.mu.Unlock()
 		next.pool.mu.Lock()
 		defer next.pool.mu.Unlock()
-		return next.listener.most == next.clients && next.pool.maxOpen == next.backends
+		return next.listener.limit == next.clients && next.pool.maxOpen == next.backends
 	})
 }
 
@@ -166,14 +166,14 @@
 		t.Fatalf("%+v, %+v, %v", known, left, err)
 	}
 	var handed bool
-	old.onLoop(t, func() { handed = old.front.handed.Load() })
+	old.onLoop(t, func() { handed = old.server.handedOver.Load() })
 	if !handed {
 		t.Error("the old process goes on accepting")
 	}
 	h.close()
 	eventually(t, "the old process serves again", func() bool {
 		resp, _ := do(t, ask(t, old.url+"/x", "read"))
-		return resp.StatusCode == http.StatusOK && !old.front.handed.Load()
+		return resp.StatusCode == http.StatusOK && !old.server.handedOver.Load()
 	})
 }
 
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	old.stop()
-	eventually(t, "the old process leaves", old.front.shutdown.begun)
+	eventually(t, "the old process leaves", old.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, old.url+"/x", "read"))
@@ -232,8 +232,8 @@
 	}()
 	receive(t, "the slow request", held)
 	next.stop()
-	time.Sleep(acceptFor + 4*clearFor)
-	if old.front.handed.Load() {
+	time.Sleep(acceptPeriod + 4*clearFor)
+	if old.server.handedOver.Load() {
 		t.Error("the old process does not serve, though the new one leaves")
 	} else if resp, _ := do(t, ask(t, old.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
@@ -291,7 +291,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limitListener(raw, 4)
+	l := newLimitListener(raw, 4)
 	defer l.Close()
 	accepted := make(chan net.Conn, 4)
 	go func() {
@@ -304,7 +304,7 @@
 			accepted <- c
 		}
 	}()
-	l.rest(true)
+	l.setPaused(true)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -315,9 +315,9 @@
 		t.Error("accepted while it rests")
 	case <-time.After(20 * time.Millisecond):
 	}
-	l.rest(false)
+	l.setPaused(false)
 	receive(t, "the connection", accepted).Close()
-	eventually(t, "it is released", func() bool { return l.held() == 0 })
+	eventually(t, "it is released", func() bool { return l.openConns() == 0 })
 }
 
 // While another process takes what comes, cold servers get nothing from this one.
@@ -355,7 +355,7 @@
 	}
 	defer resp.Body.Close()
 	next := process(t, dir, old.Addr().String(), list)
-	eventually(t, "it is handed over", func() bool { return old.front.handed.Load() })
+	eventually(t, "it is handed over", func() bool { return old.server.handedOver.Load() })
 	if next.handover.serving.Load() && time.Since(next.handover.start) < settleWithin {
 		t.Error("the new process says yes while the old one is at work")
 	}
@@ -363,7 +363,7 @@
 	select {
 	case <-old.err:
 		t.Fatal("the old process ended within an answer")
-	case <-time.After(acceptFor + 2*deadline):
+	case <-time.After(acceptPeriod + 2*deadline):
 	}
 	close(more)
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != 100000 {
@@ -386,14 +386,14 @@
 		}
 		defer c.Close()
 	}
-	eventually(t, "the crowd is in", func() bool { return old.listener.held() >= old.clients/2 })
+	eventually(t, "the crowd is in", func() bool { return old.listener.openConns() >= old.clients/2 })
 	next := process(t, dir, old.Addr().String(), list)
 	eventually(t, "the crowd is shed", func() bool {
-		return old.front.handed.Load() && old.listener.held() <= old.clients/4
+		return old.server.handedOver.Load() && old.listener.openConns() <= old.clients/4
 	})
 	eventually(t, "the new process has room", func() bool {
-		next.front.mu.Lock()
-		defer next.front.mu.Unlock()
-		return next.front.crowded >= (next.clients-next.clients/4)*3/4
+		next.server.mu.Lock()
+		defer next.server.mu.Unlock()
+		return next.server.evictAbove >= (next.clients-next.clients/4)*3/4
 	})
 }
--- a/internal/node/improper_test.go
+++ b/internal/node/improper_test.go
@@ -57,14 +57,14 @@
 	return l
 }
 
-func inMemoryFront(t *testing.T) (*pipeListener, *front) {
+func inMemoryFront(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
 	names := testNames()
-	f := newFront(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), names, 64, quiet())
+	f := newClientServer(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), names, 64, quiet())
 	l := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
-	srv := f.server()
+	srv := f.httpServer()
 	ended := make(chan struct{})
-	go func() { srv.Serve(limitListener(l, 64)); close(ended) }()
+	go func() { srv.Serve(newLimitListener(l, 64)); close(ended) }()
 	t.Cleanup(func() { srv.Close(); <-ended })
 	return l, f
 }
@@ -144,7 +144,7 @@
 			if err != nil || !strings.HasPrefix(string(b[:n]), "HTTP/1.1 200") {
 				t.Fatalf("answered %q, %v", b[:n], err)
 			}
-			time.Sleep(2 * messageWithin)
+			time.Sleep(2 * requestReadTimeout)
 		}
 	})
 }
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -13,61 +13,61 @@
 
 // limitListener bounds how many connections are open at once. Beyond that they wait in the backlog, where
 // accepting them would run the process out of descriptors.
-func limitListener(l net.Listener, most int) *boundedListener {
-	b := &boundedListener{Listener: l, most: most}
-	b.cond = sync.NewCond(&b.mu)
-	return b
+func newLimitListener(listener net.Listener, limit int) *limitListener {
+	limited := &limitListener{Listener: listener, limit: limit}
+	limited.cond = sync.NewCond(&limited.mu)
+	return limited
 }
 
 // boundedListener can also rest: it accepts nothing, and leaves what comes to the other process of the node.
-type boundedListener struct {
+type limitListener struct {
 	net.Listener
 
-	mu      sync.Mutex
-	cond    *sync.Cond // any of these has changed
-	most    int
-	open    int // accepted and not closed, with one place for Accept while it waits
-	taken   int // accepted and not closed
-	resting bool
-	closed  bool
+	mu       sync.Mutex
+	cond     *sync.Cond // any of these has changed
+	limit    int
+	reserved int // accepted and not closed, with one place for Accept while it waits
+	open     int // accepted and not closed
+	paused   bool
+	closed   bool
 
 	retry accept.Retry
 }
 
 // backlogged tells whether connections may have to wait in the backlog, for want of room or since accept fails.
-func (l *boundedListener) backlogged() bool {
+func (l *limitListener) backlogged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.retry.Failing() || l.taken >= l.most
+	return l.retry.Failing() || l.open >= l.limit
 }
 
 // logFailures has the listener log, at a bounded rate, failed calls of accept. It is called before the first Accept.
-func (l *boundedListener) logFailures(log *slog.Logger) {
+func (l *limitListener) logFailures(log *slog.Logger) {
 	l.retry.OnRetry = accept.LogRetries(log, "clients")
 }
 
 // held is how many connections are open.
-func (l *boundedListener) held() int {
+func (l *limitListener) openConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken
+	return l.open
 }
 
 // allow sets how many connections may be open from now on. Those that are open already stay.
-func (l *boundedListener) allow(most int) {
+func (l *limitListener) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most = most
+	l.limit = limit
 	l.cond.Broadcast()
 }
 
 // rest has the listener accept nothing, or accept again.
-func (l *boundedListener) rest(resting bool) {
+func (l *limitListener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resting = resting
+	l.paused = paused
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-		if resting {
+		if paused {
 			d.SetDeadline(time.Now()) // wakes an Accept that waits
 		} else {
 			d.SetDeadline(time.Time{})
@@ -78,62 +78,62 @@
 
 // Accept waits for room and a connection. It returns an error only when no later call could succeed: net/http would end the
 // server at most errors that pass.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
-		if err := l.awaitRoom(); err != nil {
+		if err := l.acquireSlot(); err != nil {
 			return nil, err
 		}
 		c, err := l.retry.Accept(l.Listener.Accept)
-		resting := l.accepted(err)
+		paused := l.recordAccept(err)
 		if err == nil {
 			now := time.Now()
-			framed := &framedConn{Conn: c, opened: now, next: head{since: now}}
-			return &boundedConn{Conn: framed, framed: framed, release: sync.OnceFunc(l.release)}, nil
+			client := &clientConn{Conn: c, openedAt: now, next: head{since: now}}
+			return &limitedConn{Conn: client, client: client, release: sync.OnceFunc(l.releaseSlot)}, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if !resting {
-			l.rest(false) // it rested for a moment
+		if !paused {
+			l.setPaused(false) // it rested for a moment
 		}
 	}
 }
 
 // awaitRoom waits until a connection may be accepted, and takes its place.
-func (l *boundedListener) awaitRoom() error {
+func (l *limitListener) acquireSlot() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && (l.open >= l.most || l.resting) {
+	for !l.closed && (l.reserved >= l.limit || l.paused) {
 		l.cond.Wait()
 	}
 	if l.closed {
 		return net.ErrClosed
 	}
-	l.open++
+	l.reserved++
 	return nil
 }
 
 // accepted takes in how a call of accept ended, and tells whether the listener rests.
-func (l *boundedListener) accepted(err error) (resting bool) {
+func (l *limitListener) recordAccept(err error) (paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		l.taken++
+		l.open++
 	} else {
-		l.open--
+		l.reserved--
 	}
-	return l.resting
+	return l.paused
 }
 
-func (l *boundedListener) release() {
+func (l *limitListener) releaseSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	l.reserved--
 	l.open--
-	l.taken--
 	l.cond.Broadcast()
 }
 
-func (l *boundedListener) Close() error {
+func (l *limitListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
 	l.cond.Broadcast()
@@ -141,21 +141,21 @@
 	return l.Listener.Close()
 }
 
-type boundedConn struct {
+type limitedConn struct {
 	net.Conn
-	framed  *framedConn
+	client  *clientConn
 	release func()
 }
 
 // reset has closing the connection tell the other side that something went wrong.
-func (c *boundedConn) reset() {
-	if t, ok := c.framed.Conn.(*net.TCPConn); ok {
+func (c *limitedConn) resetOnClose() {
+	if t, ok := c.client.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 }
 
-func (c *boundedConn) Close() error {
-	c.framed.end()
+func (c *limitedConn) Close() error {
+	c.client.markClosed()
 	err := c.Conn.Close()
 	c.release()
 	return err
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -70,11 +70,11 @@
 		ch <- prometheus.MustNewConstMetric(attemptsDesc, prometheus.CounterValue, float64(f.attempts[s].Load()), name)
 	}
 	ch <- prometheus.MustNewConstMetric(retriesDesc, prometheus.CounterValue, float64(f.retries.Load()))
-	for reason, name := range closeNames {
+	for reason, name := range closeReasonNames {
 		ch <- prometheus.MustNewConstMetric(closesDesc, prometheus.CounterValue, float64(f.closes[reason].Load()), name)
 	}
 	for r, name := range ruleNames {
-		ch <- prometheus.MustNewConstMetric(violationsDesc, prometheus.CounterValue, float64(m.guard.broken[r].Load()), name)
+		ch <- prometheus.MustNewConstMetric(violationsDesc, prometheus.CounterValue, float64(m.guard.violations[r].Load()), name)
 	}
 	members := f.members.Load()
 	ch <- prometheus.MustNewConstMetric(upstreamDesc, prometheus.CounterValue, float64(f.upstream.Load()))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,11 +33,11 @@
 type Node struct {
 	cfg      Config
 	log      *slog.Logger
-	listener *boundedListener
+	listener *limitListener
 	peers    *peers
 	pool     *connPool
 	loop     *eventLoop
-	front    *front
+	server   *clientServer
 	disco    *discovery
 	figures  *figures
 	metrics  *metrics
@@ -74,11 +74,11 @@
 		n.figures, log)
 	n.loop.guard = newGuard(cfg.Settings.Config, log)
 	n.metrics.guard = n.loop.guard
-	n.front = newFront(n.loop, cfg.Settings, n.clients, log)
-	n.front.kept = newBudget(cfg.Limits.MemoryMB)
-	n.loop.upstream.bodyMemory = n.front.kept
-	n.front.most = min(n.front.most, int64(n.backends))
-	n.front.large = cfg.Admin != ""
+	n.server = newClientServer(n.loop, cfg.Settings, n.clients, log)
+	n.server.bodyMemory = newMemoryBudget(cfg.Limits.MemoryMB)
+	n.loop.upstream.bodyMemory = n.server.bodyMemory
+	n.server.maxInFlight = min(n.server.maxInFlight, int64(n.backends))
+	n.server.streaming = cfg.Admin != ""
 	n.disco = newDiscovery(cfg.Discovery, cfg.Registry, cfg.Settings, log,
 		func(list List) {
 			kind := balance.ListChanges
@@ -122,8 +122,8 @@
 		}
 	}
 	if n.handover != nil && n.handover.inherited != nil {
-		n.listener = limitListener(n.handover.inherited, 0)
-		n.listener.rest(true) // until the old process says that it has stopped
+		n.listener = newLimitListener(n.handover.inherited, 0)
+		n.listener.setPaused(true) // until the old process says that it has stopped
 		return nil
 	}
 	lc := net.ListenConfig{}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	n.listener = limitListener(l, n.clients)
+	n.listener = newLimitListener(l, n.clients)
 	return nil
 }
 
@@ -202,7 +202,7 @@
 	if n.fleet != nil {
 		wg.Go(func() { n.fleet.run(work) })
 	}
-	srv := n.front.server()
+	srv := n.server.httpServer()
 	listenerLost := make(chan error, 1)
 	n.listener.logFailures(n.log)
 	go func() { listenerLost <- srv.Serve(n.listener) }()
@@ -239,9 +239,9 @@
 // each connection after an answer or once it rests. What it takes until then is answered before it may be killed.
 func (n *Node) leave(srv *http.Server) error {
 	n.log.Info("leaving")
-	schedule := n.front.shutdown
-	n.front.plantSchedule()
-	schedule.begin()
+	schedule := n.server.shutdown
+	n.server.injectShutdownFault()
+	schedule.start()
 	if n.handover != nil {
 		n.handover.giveBack()
 	}
@@ -256,12 +256,12 @@
 	pause(ctx, time.Until(schedule.acceptUntil().Time()))
 	var err error
 	for accepting := true; accepting; {
-		if !n.front.handed.Load() {
+		if !n.server.handedOver.Load() {
 			n.emptyBacklog(ctx)
 			err, accepting = n.listener.Close(), false
 		}
-		n.front.drain(ctx)
-		if n.front.handed.Load() {
+		n.server.drain(ctx)
+		if n.server.handedOver.Load() {
 			break // the listener stayed open for the case that the other process ends: what waits there had nobody else
 		}
 	}
@@ -278,34 +278,34 @@
 // passed on, and requests that are. Where they may have any length they take as long as they do, and whoever can't wait
 // kills the process.
 func (n *Node) leaveWithin() (context.Context, context.CancelFunc) {
-	if n.front.large {
+	if n.server.streaming {
 		return context.WithCancel(context.Background())
 	}
-	return context.WithTimeout(context.Background(), killGrace+2*longestDeadline(n.cfg.Settings))
+	return context.WithTimeout(context.Background(), gracePeriodBase+2*longestDeadline(n.cfg.Settings))
 }
 
 // emptyBacklog accepts what stands in the backlog, for want of room or since accept fails: that has been taken too, and closing
 // the listener would reset it.
 func (n *Node) emptyBacklog(ctx context.Context) {
-	for free := time.Duration(0); free < clearFor && ctx.Err() == nil && !n.front.shutdown.due(); free += lookEvery {
+	for free := time.Duration(0); free < clearFor && ctx.Err() == nil && !n.server.shutdown.answersDue(); free += lookEvery {
 		pause(ctx, lookEvery)
 		if n.listener.backlogged() {
 			free = 0
 		}
-		if !n.front.shutdown.takes() {
-			n.front.endSilent() // who waits is answered
+		if !n.server.shutdown.admits() {
+			n.server.closeUnused() // who waits is answered
 		}
 	}
 }
 
 // answerInTime has all that was taken answered when that is due, and counts what is not.
 func (n *Node) answerInTime(ctx context.Context) {
-	schedule := n.front.shutdown
-	pause(ctx, time.Until(schedule.answerBy().Time()))
+	schedule := n.server.shutdown
+	pause(ctx, time.Until(schedule.answerDeadline().Time()))
 	for checked := false; ctx.Err() == nil; {
 		n.loop.post(finalResponsesDue{})
 		pause(ctx, lookEvery)
-		if !checked && schedule.over() {
+		if !checked && schedule.expired() {
 			checked = true
 			n.loop.post(shutdownCheckDue{})
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -349,7 +349,7 @@
 	receive(t, "the slow request at the backend", held)
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.front.shutdown.begun() })
+	eventually(t, "leaving", func() bool { return n.server.shutdown.started() })
 	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
 		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
 	}
@@ -392,7 +392,7 @@
 	cfg.Limits.Sockets = leastSockets
 	n := start(t, cfg)
 	clients, _ := cfg.Limits.share(false)
-	n.front.allow(2 * clients) // else the silent ones would give way
+	n.server.setConnLimit(2 * clients) // else the silent ones would give way
 	slow := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
@@ -415,7 +415,7 @@
 		waits <- body
 	}()
 	n.stop()
-	time.Sleep(acceptFor + 100*time.Millisecond)
+	time.Sleep(acceptPeriod + 100*time.Millisecond)
 	for _, c := range silent {
 		c.Close()
 	}
@@ -456,7 +456,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounded := limitListener(l, 2)
+	bounded := newLimitListener(l, 2)
 	defer bounded.Close()
 	got := make(chan net.Conn, 8)
 	go func() {
--- a/internal/node/peek.go
+++ b/internal/node/peek.go
@@ -3,40 +3,40 @@
 import "syscall"
 
 // peeked is what a look at the receiving side of a connection shows.
-type peeked int
+type socketState int
 
 const (
-	nothingWaits peeked = iota
-	bytesWait
-	peerLeft // it has closed its side or reset the connection, or this side has
+	socketEmpty socketState = iota
+	socketReadable
+	socketPeerClosed // it has closed its side or reset the connection, or this side has
 )
 
 // looksMost is how often a look that a signal interrupts is made. One that always is shows nothing.
-const looksMost = 8
+const maxPeekTries = 8
 
 // peekAt tells what has come on a connection and was not read, and reads none of it.
-func peekAt(c syscall.Conn) peeked {
+func peekSocket(c syscall.Conn) socketState {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return peerLeft
+		return socketPeerClosed
 	}
-	seen := nothingWaits
+	seen := socketEmpty
 	// Control and not Read, as somebody may be reading at the same time.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, err := 0, error(syscall.EINTR)
-		for looks := 0; err == syscall.EINTR && looks < looksMost; looks++ {
+		for tries := 0; err == syscall.EINTR && tries < maxPeekTries; tries++ {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
 		switch {
 		case n > 0:
-			seen = bytesWait
+			seen = socketReadable
 		case err != syscall.EAGAIN && err != syscall.EINTR:
-			seen = peerLeft
+			seen = socketPeerClosed
 		}
 	})
 	if err != nil {
-		return peerLeft
+		return socketPeerClosed
 	}
 	return seen
 }
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -21,11 +21,11 @@
 // This file reads what a client asks for: the head, the checks of it, and the body.
 
 // hopByHop are the headers that belong to one connection, beside those that Connection names.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
 // read checks a request and reads its body. An error comes with the status to answer.
-func (f *front) read(w http.ResponseWriter, hr *http.Request, since time.Time) (*request, int, error) {
+func (f *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, since time.Time) (*request, int, error) {
 	bad := func(format string, args ...any) (*request, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
@@ -39,16 +39,16 @@
 	if r.id == "" {
 		return bad("X-Trace-Id: missing")
 	}
-	if r.class = slices.Index(f.names.Classes, h.Get("X-Qos")); r.class < 0 {
+	if r.class = slices.Index(f.settings.Classes, h.Get("X-Qos")); r.class < 0 {
 		return bad("X-Qos: no such class")
 	}
-	if len(f.names.Tenants) > 0 {
-		if r.tenant = slices.Index(f.names.Tenants, h.Get("X-Customer")); r.tenant < 0 {
+	if len(f.settings.Tenants) > 0 {
+		if r.tenant = slices.Index(f.settings.Tenants, h.Get("X-Customer")); r.tenant < 0 {
 			return bad("X-Customer: no such customer")
 		}
 	}
 	key := h.Get("Idempotency-Key")
-	class := &f.names.Config.Classes[r.class]
+	class := &f.settings.Config.Classes[r.class]
 	method, keyed := http.MethodPost, false
 	switch class.Repeatability {
 	case balance.Idempotent:
@@ -78,49 +78,49 @@
 		io.WriteString(sum, subject)
 		r.routingKey, r.hasRoutingKey = sum.Sum64()>>11, true
 	}
-	body, open, taken, err := f.body(w, hr, since)
+	body, open, taken, err := f.readBody(w, hr, since)
 	r.bodyBytes = taken
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		return nil, http.StatusRequestEntityTooLarge, err
-	case errors.Is(err, errNoMemory):
+	case errors.Is(err, errBodyMemory):
 		return nil, http.StatusServiceUnavailable, err // nothing has been sent on: it may come again
 	case err != nil:
 		return nil, http.StatusRequestTimeout, errors.New("body cut short")
 	case open == nil:
 		// The time of a request counts from its last byte, which may have come before the node got to read it.
-		left = max(left-waited(hr), early)
+		left = max(left-socketWait(hr), deadlineMargin)
 		// Whether or not another process serves: the kill does not ask.
-		r.deadline = f.shutdown.bound(time.Now().Add(left - early))
+		r.deadline = f.shutdown.capDeadline(time.Now().Add(left - deadlineMargin))
 	}
-	endToEnd(h)
+	removeHopByHopHeaders(h)
 	// Whatever Connection named, a backend needs these to tell a request from its repeat.
 	h.Set("X-Trace-Id", r.id)
 	if key != "" {
 		h.Set("Idempotency-Key", key)
 	}
-	r.forwarded = forwardedRequest{method: method, url: hr.URL, host: hr.Host, header: h, body: body, upload: open, timeLeft: left - early}
+	r.forwarded = forwardedRequest{method: method, url: hr.URL, host: hr.Host, header: h, body: body, upload: open, timeLeft: left - deadlineMargin}
 	return r, 0, nil
 }
 
 // waited is how long a request that has been read whole had been at this machine by then.
-func waited(hr *http.Request) time.Duration {
-	if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok {
+func socketWait(hr *http.Request) time.Duration {
+	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
 		if sc, ok := c.Conn.(syscall.Conn); ok {
-			return age(sc)
+			return sinceLastReceive(sc)
 		}
 	}
 	return 0
 }
 
 // endToEnd drops the headers that belong to one connection.
-func endToEnd(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
@@ -128,48 +128,48 @@
 // body reads a request's body if it can be kept whole, and tells what of the budget it has taken: a body that is whole can go
 // to another backend, and counts from its last byte. Else it returns what is to be streamed, where that is served: nothing of
 // what a peer sends without end may reach a backend otherwise.
-func (f *front) body(w http.ResponseWriter, hr *http.Request, since time.Time) (body []byte, open *upload, taken int64, err error) {
-	size, most := hr.ContentLength, f.kept.one
-	if f.large {
-		most = requestMost
+func (f *clientServer) readBody(w http.ResponseWriter, hr *http.Request, since time.Time) (body []byte, open *requestStream, taken int64, err error) {
+	size, most := hr.ContentLength, f.bodyMemory.maxPerRequest
+	if f.streaming {
+		most = maxStreamedBody
 	}
 	if size > most {
-		return nil, nil, 0, errTooLong
+		return nil, nil, 0, errBodyTooLong
 	}
-	paced := newPacedBody(w, hr, since, most)
-	if c, ok := hr.Context().Value(framedKey{}).(*framedConn); ok {
-		c.collect(true)
-		defer func() { c.collect(false) }()
+	paced := newMinRateBody(w, hr, since, most)
+	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
+		c.setBuffering(true)
+		defer func() { c.setBuffering(false) }()
 	}
 	var ended bool
 	switch {
 	case size < 0:
-		body, taken, ended, err = f.gather(paced)
-	case size == 0 || f.kept.room(0, size, !f.large):
+		body, taken, ended, err = f.readChunkedBody(paced)
+	case size == 0 || f.bodyMemory.reserve(0, size, !f.streaming):
 		body, taken, ended = make([]byte, size), size, true
 		_, err = io.ReadFull(paced, body)
 	}
 	if err != nil {
-		f.kept.give(taken)
+		f.bodyMemory.release(taken)
 		return nil, nil, 0, err
 	}
 	switch {
-	case !ended && !f.large:
-		f.kept.give(taken)
-		return nil, nil, 0, errNoMemory
+	case !ended && !f.streaming:
+		f.bodyMemory.release(taken)
+		return nil, nil, 0, errBodyMemory
 	case !ended:
-		return nil, &upload{src: paced, size: size, head: body}, taken, nil
+		return nil, &requestStream{source: paced, size: size, buffered: body}, taken, nil
 	}
-	paced.until(time.Time{})
+	paced.setReadDeadline(time.Time{})
 	return body, nil, taken, nil
 }
 
 // gather reads a body whose length is not told, as far as it can be kept.
-func (f *front) gather(src io.Reader) (body []byte, taken int64, ended bool, err error) {
-	for f.kept.room(taken, pieceSize, !f.large) {
-		taken += pieceSize
-		body = slices.Grow(body, pieceSize)
-		for room := len(body) + pieceSize; len(body) < room; {
+func (f *clientServer) readChunkedBody(src io.Reader) (body []byte, taken int64, ended bool, err error) {
+	for f.bodyMemory.reserve(taken, streamBufferSize, !f.streaming) {
+		taken += streamBufferSize
+		body = slices.Grow(body, streamBufferSize)
+		for room := len(body) + streamBufferSize; len(body) < room; {
 			n, err := src.Read(body[len(body):room])
 			body = body[:len(body)+n]
 			switch {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -11,7 +11,7 @@
 // receive reads some of a message. It takes bytes off the system only while the connection has not been ended, and in one step
 // with taking in that some of a message has come: what is left unread at a close is reset, and its client sends it again, while
 // what has been read has to be answered.
-func (c *framedConn) receive(p []byte) (n int, err error) {
+func (c *clientConn) receive(p []byte) (n int, err error) {
 	if c.raw == nil {
 		socket, ok := c.Conn.(syscall.Conn)
 		if !ok {
@@ -22,7 +22,7 @@
 		}
 	}
 	waiting := c.raw.Read(func(fd uintptr) (done bool) {
-		n, err = c.readOpen(int(fd), p)
+		n, err = c.readUnlessClosed(int(fd), p)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	var failed *net.OpError
@@ -43,16 +43,16 @@
 }
 
 // readOpen reads what has come, without waiting, if the connection has not been ended.
-func (c *framedConn) readOpen(fd int, p []byte) (n int, err error) {
+func (c *clientConn) readUnlessClosed(fd int, p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended && !c.refused {
+	if c.closed && !c.rejected {
 		return 0, net.ErrClosed
 	}
 	for n, err = syscall.Read(fd, p); err == syscall.EINTR; n, err = syscall.Read(fd, p) {
 	}
 	if n > 0 {
-		c.partly = true
+		c.receiving = true
 	}
 	return max(n, 0), err
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -68,7 +68,7 @@
 	if streamed {
 		timeLeft = r.forwarded.timeLeft
 		r.forwarded.onWritten = func() time.Time {
-			deadline := l.shutdown.bound(time.Now().Add(r.forwarded.timeLeft))
+			deadline := l.shutdown.capDeadline(time.Now().Add(r.forwarded.timeLeft))
 			l.post(requestWritten{request: r, deadline: deadline})
 			return deadline
 		}
@@ -107,7 +107,7 @@
 	select {
 	case unread := <-r.response:
 		if unread.stream != nil {
-			unread.stream.end(false)
+			unread.stream.release(false)
 		}
 	default:
 	}
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -11,7 +11,7 @@
 
 // reject answers what can't be served, and ends the connection: the rest of the body is of no use. With its length the
 // answer is whole at once, and not only when the rest has come: http.Error leaves the length out.
-func reject(w http.ResponseWriter, hr *http.Request, status int, text string) {
+func rejectMalformed(w http.ResponseWriter, hr *http.Request, status int, text string) {
 	h := w.Header()
 	h.Set("Connection", "close")
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -19,10 +19,10 @@
 	w.WriteHeader(status)
 	io.WriteString(w, text+"\n")
 	http.NewResponseController(w).Flush()
-	io.CopyN(io.Discard, hr.Body, lingerMost)
+	io.CopyN(io.Discard, hr.Body, maxDiscardedBody)
 }
 
-func (f *front) health(w http.ResponseWriter, ok bool) {
+func (f *clientServer) writeHealth(w http.ResponseWriter, ok bool) {
 	status, text := http.StatusOK, "ok\n"
 	if !ok {
 		status, text = http.StatusServiceUnavailable, "not ready\n"
@@ -34,7 +34,7 @@
 
 // write words an answer, and calls whole before the last byte of it may go. Its error tells that a client was not given
 // all of one that was streamed.
-func write(w http.ResponseWriter, a finalResponse, whole func()) error {
+func writeAnswer(w http.ResponseWriter, a finalResponse, whole func()) error {
 	if a.stream == nil {
 		whole()
 	}
@@ -56,13 +56,13 @@
 		w.WriteHeader(http.StatusOK)
 		w.Write(a.body)
 	case responseRejected:
-		refuse(w, a.retryAfter)
+		writeRejected(w, a.retryAfter)
 	case responseFailed:
 		status := http.StatusBadGateway
 		if a.deadlineExceeded {
 			status = http.StatusGatewayTimeout
 		}
-		fail(w, status)
+		writeFailed(w, status)
 	case responseDuplicate:
 		http.Error(w, "another request with this id is open", http.StatusConflict)
 	}
@@ -72,11 +72,11 @@
 // abort ends a client's connection within an answer, so that it can tell. An answer that ends with its connection looks
 // whole after an orderly end, so it is a reset; any other one is better ended in order, as a reset may overtake what has
 // come of it.
-func abort(w http.ResponseWriter, framed bool) {
+func abortResponse(w http.ResponseWriter, framed bool) {
 	if h, ok := w.(http.Hijacker); ok && !framed {
 		if c, _, err := h.Hijack(); err == nil {
-			if b, ok := c.(*boundedConn); ok {
-				b.reset()
+			if b, ok := c.(*limitedConn); ok {
+				b.resetOnClose()
 			}
 			c.Close()
 		}
@@ -85,7 +85,7 @@
 }
 
 // refuse tells the client that trying again is harmless, and when it may do so.
-func refuse(w http.ResponseWriter, retryIn time.Duration) {
+func writeRejected(w http.ResponseWriter, retryIn time.Duration) {
 	if retryIn > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
 	}
@@ -94,7 +94,7 @@
 }
 
 // fail promises nothing.
-func fail(w http.ResponseWriter, status int) {
+func writeFailed(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -24,5 +24,5 @@
 	retryAfter       time.Duration // of a rejected one: when the client may try again; 0: not given
 	body             []byte
 	contentType      string
-	stream           *stream // the part of a served one that is still coming; nil: none
+	stream           *responseStream // the part of a served one that is still coming; nil: none
 }
--- a/internal/node/streamedrequest.go
+++ b/internal/node/streamedrequest.go
@@ -17,17 +17,17 @@
 // before the body's end. The exchange's time begins with the last byte.
 func (e *upstreamExchange) streamRequest(ctx context.Context) attemptResult {
 	upload := e.request.upload
-	e.conn.SetWriteDeadline(time.Now().Add(takeWithin))
+	e.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
 	head := e.request.encodeHead(e.conn.process.addr, e.request.timeLeft)
 	if _, err := e.conn.Write(head); err != nil {
 		e.discard(ctx, "request not written", err)
-		return attemptResult{status: balance.StatusConnectFailed, notReplayable: upload.touched()}
+		return attemptResult{status: balance.StatusConnectFailed, notReplayable: upload.anyForwarded()}
 	}
 	sent := make(chan uploadEnd, 1)
 	go e.copyUpload(sent)
 	result, err := e.readResponse()
 	if err != nil {
-		upload.leave()
+		upload.abandon()
 		e.transport.pool.discard(e.conn) // nothing more is written from here on
 		status := e.brokenUploadStatus(ctx, sent, err)
 		e.transport.logFailure(ctx, e.request, e.conn.process, "no complete response to a streamed request", err)
@@ -35,7 +35,7 @@
 	}
 	result.notReplayable = true
 	if result.status != balance.StatusSucceeded {
-		upload.leave() // the backend has refused it, perhaps before its end
+		upload.abandon() // the backend has refused it, perhaps before its end
 	}
 	return result
 }
@@ -57,7 +57,7 @@
 // brokenUploadStatus is the status of a streamed request without a complete response. It may have run only if its
 // client has sent the last byte, and that was written.
 func (e *upstreamExchange) brokenUploadStatus(ctx context.Context, sent <-chan uploadEnd, err error) balance.Status {
-	if e.request.upload.taken.Load() {
+	if e.request.upload.complete.Load() {
 		if end := <-sent; end.complete {
 			return unansweredStatus(ctx, err)
 		}
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -33,7 +33,7 @@
 	pool              *connPool
 	inlineLoadReports bool             // responses carry load reports
 	writtenRequests   *atomic.Int64    // counts requests that were written completely, health checks aside
-	bodyMemory        *budget          // of responses that are read completely before they are passed on
+	bodyMemory        *memoryBudget    // of responses that are read completely before they are passed on
 	loadReportLog     *lograte.Limited // of malformed load reports
 	failureLog        *lograte.Limited // of exchanges without a complete response
 }
@@ -45,7 +45,7 @@
 		pool:              pool,
 		inlineLoadReports: inlineLoadReports,
 		writtenRequests:   writtenRequests,
-		bodyMemory:        newBudget(0),
+		bodyMemory:        newMemoryBudget(0),
 		loadReportLog:     &lograte.Limited{Log: log},
 		failureLog:        &lograte.Limited{Log: log},
 	}
@@ -58,8 +58,8 @@
 	elapsed       time.Duration
 	body          []byte
 	contentType   string
-	stream        *stream // the part of the response that is still coming; nil: none
-	notReplayable bool    // the request's body was streamed and can't be sent again
+	stream        *responseStream // the part of the response that is still coming; nil: none
+	notReplayable bool            // the request's body was streamed and can't be sent again
 }
 
 // upstreamCall is an exchange under way. The zero value may be started.
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -39,12 +39,12 @@
 		return attemptResult{}, context.Canceled
 	default:
 		e.conn.unlimit()
-		result.stream = &stream{
-			head: body,
-			size: resp.ContentLength,
-			body: resp.Body,
-			cn:   e.conn,
-			end:  func(complete bool) { e.finishResponse(resp, complete) },
+		result.stream = &responseStream{
+			buffered: body,
+			size:     resp.ContentLength,
+			body:     resp.Body,
+			backend:  e.conn,
+			release:  func(complete bool) { e.finishResponse(resp, complete) },
 		}
 		return result, nil
 	}
@@ -77,12 +77,12 @@
 	case !mayStream:
 		body, err = readShortBody(resp)
 		return body, err == nil, err
-	case size > maxBodyBytes || size > 0 && !x.bodyMemory.take(size):
-		body = make([]byte, pieceSize)
+	case size > maxBodyBytes || size > 0 && !x.bodyMemory.tryAcquire(size):
+		body = make([]byte, streamBufferSize)
 		n, err := io.ReadAtLeast(resp.Body, body, 1)
 		return body[:n], false, err
 	case size >= 0:
-		defer x.bodyMemory.give(size)
+		defer x.bodyMemory.release(size)
 		body = make([]byte, size)
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
@@ -93,11 +93,11 @@
 // readShortBody reads a body of at most maxBodyBytes.
 func readShortBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodyBytes {
-		return nil, errTooLong
+		return nil, errBodyTooLong
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
 	if err == nil && len(body) > maxBodyBytes {
-		err = errTooLong
+		err = errBodyTooLong
 	}
 	return body, err
 }
@@ -106,13 +106,13 @@
 // memory for bodies is short. What has not been passed on can be answered in another way, if the response breaks off
 // or never ends.
 func (x *upstreamTransport) readUnsizedBody(body io.Reader) (read []byte, complete bool, err error) {
-	enough := pieceSize
-	if x.bodyMemory.take(pieceSize) {
-		defer x.bodyMemory.give(pieceSize)
+	enough := streamBufferSize
+	if x.bodyMemory.tryAcquire(streamBufferSize) {
+		defer x.bodyMemory.release(streamBufferSize)
 	} else {
 		enough = 1
 	}
-	read = make([]byte, 0, pieceSize)
+	read = make([]byte, 0, streamBufferSize)
 	for {
 		n, err := body.Read(read[len(read):cap(read)])
 		read = read[:len(read)+n]
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -18,7 +18,7 @@
 		n.loop.onServed = func(r *request, _ time.Duration) { deadlines <- r.deadline }
 	})
 	n.stop()
-	eventually(t, "the drain", n.front.shutdown.begun)
+	eventually(t, "the drain", n.server.shutdown.started)
 	do(t, ask(t, n.url+"/api/x", "order"))
 	if deadline := receive(t, "a request", deadlines); !strings.Contains(deadline.String(), " m=") {
 		t.Errorf("the deadline %v is a wall time", deadline)
