--- a/internal/node/close_reasons.go
+++ b/internal/node/close_reasons.go
@@ -2,27 +2,47 @@
 
 import "sync/atomic"
 
-// closeReason is why the node ended a connection itself.
+// closeReason is why the node itself closed a connection.
 type closeReason uint8
 
-// The reasons, in the order of closeNames: of connections of clients, and of those to backends.
+// The reasons. The first five are of connections of clients, the others of connections to backends.
 const (
-	closedEvicted     closeReason = iota // the one that kept the node waiting longest made room for another
-	closedForHandOver                    // it was idle at a process that hands over
-	closedDraining                       // it came to rest at a node that drains
-	closedShutdown                       // it was left when the node ended
-	closedIncomplete                     // half a request was on it when the last answers were due: it was refused
-	closedIdle                           // a connection to a backend was idle for too long
-	closedStale                          // one to a backend had ended, or had something to read, before it was used again
-	closedUnlisted                       // its backend takes nothing new
-	closedNotReusable                    // it can't carry another request: its answer was not whole, or was its last
+	// closedEvicted: it kept the node waiting longest and made way for a new connection.
+	closedEvicted closeReason = iota
+	// closedForHandOver: it was idle at a process that hands over.
+	closedForHandOver
+	// closedDraining: it became idle at a draining node.
+	closedDraining
+	// closedShutdown: nothing had come on it when the node stopped admitting requests.
+	closedShutdown
+	// closedIncomplete: its request was incomplete when the last answers were due, and was rejected.
+	closedIncomplete
+	// closedIdle: it was idle for too long.
+	closedIdle
+	// closedStale: before its reuse it had ended or held unexpected bytes.
+	closedStale
+	// closedUnlisted: its backend takes no new requests.
+	closedUnlisted
+	// closedNotReusable: its answer was incomplete, or was declared its last.
+	closedNotReusable
 	closeReasonCount
 )
 
-var closeReasonNames = [closeReasonCount]string{"room", "hand_over", "drain", "end", "unfinished", "backend_idle", "backend_stale", "backend_unlisted",
-	"backend_used"}
+// closeReasonNames are the values of the metrics' label.
+var closeReasonNames = [closeReasonCount]string{
+	closedEvicted:     "room",
+	closedForHandOver: "hand_over",
+	closedDraining:    "drain",
+	closedShutdown:    "end",
+	closedIncomplete:  "unfinished",
+	closedIdle:        "backend_idle",
+	closedStale:       "backend_stale",
+	closedUnlisted:    "backend_unlisted",
+	closedNotReusable: "backend_used",
+}
 
-// closeCounts counts the connections that the node ended, by reason.
+// closeCounters counts the connections that the node closed, by reason.
 type closeCounters [closeReasonCount]atomic.Int64
 
+// add counts one connection.
 func (c *closeCounters) add(reason closeReason) { c[reason].Add(1) }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -191,7 +191,7 @@
 		}
 		send(kept, text[:20])
 		synctest.Wait()
-		f.shutdown.deadline = maxDeadlineInGrace
+		f.shutdown.longestDeadline = maxDeadlineInGrace
 		f.shutdown.start()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/internal/node/fault_injection.go
+++ b/internal/node/fault_injection.go
@@ -6,34 +6,42 @@
 	"time"
 )
 
-// faultDropInDrain is a planted fault for the lab's tests alone, set by the linker (-X): where it is not empty, a node that
-// drains ends the connection of the first request that it takes then, without an answer.
-var faultDropInDrain string
+// Faults that the lab's tests inject, to prove that its checks find them. The linker sets the variables (-X); they are
+// empty in every other build.
+var (
+	// faultDropInDrain, where not empty, has a draining node close the connection of the first request that it admits,
+	// without an answer.
+	faultDropInDrain string
+	// faultShutdown names the part of the shutdown that is left out: one of the constants below.
+	faultShutdown string
+)
+
+const (
+	// faultUpgrade lengthens the shutdown schedule of a process that has handed over.
+	faultUpgrade = "upgrade"
+	// faultRestart lengthens the shutdown schedule of a process that has not.
+	faultRestart = "restart"
+	// faultSuccessor has a process whose successor has ended not serve again.
+	faultSuccessor = "successor"
+)
+
+// faultDeadline puts the times of a lengthened schedule far behind the kill.
+const faultDeadline = 10 * time.Second
 
+// dropInjected is set once faultDropInDrain has had its effect.
 var dropInjected atomic.Bool
 
-// dropPlanted ends a request's connection where that is planted.
+// injectDropInDrain closes a request's connection where faultDropInDrain says so.
 func (f *clientServer) injectDropInDrain() {
 	if faultDropInDrain != "" && f.shutdown.started() && dropInjected.CompareAndSwap(false, true) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// faultShutdown is a planted fault for the lab's tests alone, set by the linker (-X): what of a shutdown is left out.
-var faultShutdown string
-
-const (
-	faultUpgrade   = "upgrade"   // the schedule of a process that another one replaces is far too long
-	faultRestart   = "restart"   // that of one that nobody replaces is
-	faultSuccessor = "successor" // a process whose successor has gone does not serve again
-)
-
-// plantedDeadline puts the times of a planted schedule far behind the kill.
-const faultDeadline = 10 * time.Second
-
-// plantSchedule lengthens the schedule of a process that is told to end, where that is planted.
+// injectShutdownFault lengthens the schedule of a process that is shutting down where faultShutdown says so.
 func (f *clientServer) injectShutdownFault() {
-	if way := f.handedOver.Load(); way && faultShutdown == faultUpgrade || !way && faultShutdown == faultRestart {
-		f.shutdown.deadline = faultDeadline
+	handedOver := f.handedOver.Load()
+	if handedOver && faultShutdown == faultUpgrade || !handedOver && faultShutdown == faultRestart {
+		f.shutdown.longestDeadline = faultDeadline
 	}
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -9,54 +9,68 @@
 	"hitchvale/internal/lograte"
 )
 
-// rule is a rule that the node keeps whatever the Balancer decides and in whatever order events come.
+// rule is an invariant of the node. It holds whatever the Balancer decides and in whatever order events arrive.
 type rule uint8
 
-// The rules, in the order of ruleNames.
 const (
-	// ruleRecipient: nothing begins to go to a backend that has taken nothing new for longer than the grace.
+	// ruleRecipient: no attempt starts at a backend that stopped taking requests longer than the drain grace ago.
 	ruleRecipient rule = iota
-	// ruleOwner: nothing begins to go for a request whose client has gone for longer than goneGrace.
+	// ruleOwner: no attempt starts for a client that disconnected longer than disconnectGrace ago.
 	ruleOwner
-	// ruleEffect: no effect happens twice. An unsafe request is not sent again once an attempt may have run, and a keyed one
-	// not after its window.
+	// ruleEffect: no effect happens twice. A non-idempotent request is not retried once an attempt may have run, and
+	// one with an idempotency key not after its key's window.
 	ruleEffect
-	// ruleAttempts: a request is sent no more often than the settings allow.
+	// ruleAttempts: a request has no more attempts than the settings allow.
 	ruleAttempts
-	// ruleAnswer: the node ends no connection under a request that it has read.
+	// ruleAnswer: the node closes no connection under a request that it has read.
 	ruleAnswer
-	// ruleShutdown: a process that was told to end has answered all that it took before it may be killed.
+	// ruleShutdown: a process has answered all that it admitted before SIGKILL may come.
 	ruleShutdown
 	ruleCount
 )
 
-var ruleNames = [ruleCount]string{"recipient", "owner", "effect", "attempts", "answer", "shutdown"}
+// ruleNames are the names in the log and the values of the metrics' label.
+var ruleNames = [ruleCount]string{
+	ruleRecipient: "recipient",
+	ruleOwner:     "owner",
+	ruleEffect:    "effect",
+	ruleAttempts:  "attempts",
+	ruleAnswer:    "answer",
+	ruleShutdown:  "shutdown",
+}
 
-// goneGrace is how long after its client has gone an attempt may still begin.
+// disconnectGrace is how long after a client's disconnect an attempt for it may still start.
 const disconnectGrace = 100 * time.Millisecond
 
-// guard holds the rules on sending and closing in one place, apart from the decisions, and counts what breaks them. An
-// attempt that would break one is not made; a count above zero is a fault of the program.
+// guard checks the invariants on attempts and connections, apart from the code that decides on them. It prevents an
+// attempt that would violate one, and counts violations: a count above zero is a fault of the program. It belongs to
+// the loop, but for reportViolation, which may be called from any goroutine.
 type guard struct {
 	classes     []balance.Class
-	drainGrace  time.Duration // of a drain
-	maxAttempts int           // of a request, by the settings; 0: not told
+	drainGrace  time.Duration
+	maxAttempts int // of a request
 	violations  [ruleCount]atomic.Int64
 	warnings    *lograte.Limited
 }
 
+// newGuard returns the guard for a site's settings.
 func newGuard(config balance.Config, log *slog.Logger) *guard {
-	return &guard{classes: config.Classes, drainGrace: config.Rules.DrainGrace, maxAttempts: max(config.Limits.MaxAttempts, 1), warnings: &lograte.Limited{Log: log}}
+	return &guard{
+		classes:     config.Classes,
+		drainGrace:  config.Rules.DrainGrace,
+		maxAttempts: max(config.Limits.MaxAttempts, 1),
+		warnings:    &lograte.Limited{Log: log},
+	}
 }
 
-// violated counts and logs a broken rule.
+// reportViolation counts and logs a violation, with further attributes for the log.
 func (g *guard) reportViolation(r rule, request string, args ...any) {
 	g.violations[r].Add(1)
 	g.warnings.Warn("invariant violated", append([]any{"rule", ruleNames[r], "request", request}, args...)...)
 }
 
-// maySend tells whether another attempt for a request may go to a backend. What the Balancer can't know yet, such as a drain
-// that it is being told of, is refused and breaks nothing.
+// maySend reports whether another attempt for a request may go to a backend. It is no violation where the Balancer
+// could not know yet that it may not, as when a drain of the backend is just being announced.
 func (g *guard) maySend(r *request, target *backend, now time.Duration) bool {
 	switch {
 	case !target.available() || !r.isOpen():
@@ -71,7 +85,7 @@
 	return true
 }
 
-// mayDouble tells whether an effect could happen twice if a request were sent once more.
+// mayRunTwice reports whether the effect of a request could happen twice with another attempt.
 func (g *guard) mayRunTwice(r *request, now time.Duration) bool {
 	if r.class >= len(g.classes) || g.classes[r.class].Repeatability == balance.Idempotent {
 		return false
@@ -87,7 +101,7 @@
 	return false
 }
 
-// began checks, on the loop, an attempt that began to go at a time: what it was sent for still stood then.
+// checkStart checks that an attempt which began to be written at a time had a backend and a client then.
 func (g *guard) checkStart(r *request, sent *attempt, startedAt time.Duration) {
 	if stopped := sent.backend.unavailableSince; stopped > 0 && startedAt > stopped+g.drainGrace {
 		g.reportViolation(ruleRecipient, r.id, "backend", sent.backend.id, "after", startedAt-stopped)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,71 +8,87 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// The spans of a shutdown, from SIGTERM on (PROTOCOL).
+// The termination grace period: after SIGTERM, SIGKILL follows no earlier than the longest deadline of any class,
+// capped at maxDeadlineInGrace, plus gracePeriodBase.
 const (
-	// killDeadlineMost is the most that the longest deadline puts off SIGKILL, and killGrace comes on top.
-	maxDeadlineInGrace, gracePeriodBase = 3 * time.Second, 700 * time.Millisecond
-	// killMargin is how long before the earliest kill the last answer is written: a process may be held up for 0.15 s.
-	answerMargin = 200 * time.Millisecond
-	// lastPart is the part of the longest deadline that is left to a request which is taken at the last moment.
-	lateRequestShare = 4
-	// exitMargin is how long before the earliest kill a process ends itself that only waits for clients to close.
-	exitMargin = 50 * time.Millisecond
-	// acceptFor is how long connections are accepted: the front needs up to 0.4 s to see that the process leaves.
-	acceptPeriod = 600 * time.Millisecond
+	maxDeadlineInGrace = 3 * time.Second
+	gracePeriodBase    = 700 * time.Millisecond
 )
 
-// shutdown is the schedule of a process that was told to end. It has one form whatever else runs under the node's name, as the
-// kill does not ask: what is taken until takeUntil is answered by answerBy, and what comes later is refused.
+// answerMargin is how long before the earliest SIGKILL the last answer is written: a process may stall for 150 ms.
+const answerMargin = 200 * time.Millisecond
+
+// exitMargin is how long before the earliest SIGKILL a process exits that only waits for clients to close.
+const exitMargin = 50 * time.Millisecond
+
+// lateRequestDivisor: a request admitted at the last moment has this fraction of the longest deadline left.
+const lateRequestDivisor = 4
+
+// acceptPeriod is how long connections are accepted after SIGTERM: the load balancer in front needs up to 0.4 s to
+// notice that the node is not ready any more.
+const acceptPeriod = 600 * time.Millisecond
+
+// shutdownSchedule says what a process does when, from SIGTERM to its exit:
+//
+//	SIGTERM         start: not ready any more, each answer closes its connection
+//	acceptUntil     connections are accepted until now, and further while some wait in the backlog
+//	admitUntil      requests are admitted until now, later ones get 503
+//	answerDeadline  every admitted request has its answer, incomplete ones get 503
+//	expired         the process exits, but for answers that are still being streamed
+//	earliestKill    SIGKILL may come
+//
+// It is the same whether or not another process of the node runs: the time of the kill does not depend on that. Before
+// start it admits everything. It is safe for concurrent use.
 type shutdownSchedule struct {
-	deadline  time.Duration   // the longest of the settings, as far as it puts off the kill
-	startedAt monotime.Atomic // when the process was told to end; zero: it was not
+	longestDeadline time.Duration   // of any class, capped at maxDeadlineInGrace
+	startedAt       monotime.Atomic // when the process got SIGTERM; zero: it has not
 }
 
-func newShutdownSchedule(s siteconfig.Settings) *shutdownSchedule {
-	return &shutdownSchedule{deadline: min(longestDeadline(s), maxDeadlineInGrace)}
+// newShutdownSchedule returns the schedule for a site's settings, not started.
+func newShutdownSchedule(settings siteconfig.Settings) *shutdownSchedule {
+	return &shutdownSchedule{longestDeadline: min(longestDeadline(settings), maxDeadlineInGrace)}
 }
 
-// begin starts the schedule now.
+// start starts the schedule now.
 func (s *shutdownSchedule) start() { s.startedAt.Store(monotime.Now()) }
 
-// begun tells whether the process was told to end.
+// started reports whether the process is shutting down.
 func (s *shutdownSchedule) started() bool { return !s.startedAt.Load().IsZero() }
 
-// killAt is the earliest at which the process may be killed.
+// earliestKill returns when SIGKILL may come at the earliest.
 func (s *shutdownSchedule) earliestKill() monotime.Instant {
-	return s.startedAt.Load().Add(s.deadline + gracePeriodBase)
+	return s.startedAt.Load().Add(s.longestDeadline + gracePeriodBase)
 }
 
-// answerBy is when the last answer has to be written.
+// answerDeadline returns when the last answer has to be written.
 func (s *shutdownSchedule) answerDeadline() monotime.Instant {
 	return s.earliestKill().Add(-answerMargin)
 }
 
-// takeUntil is until when requests are taken.
+// admitUntil returns until when requests are admitted.
 func (s *shutdownSchedule) admitUntil() monotime.Instant {
-	return s.answerDeadline().Add(-s.deadline / lateRequestShare)
+	return s.answerDeadline().Add(-s.longestDeadline / lateRequestDivisor)
 }
 
-// acceptUntil is until when connections are accepted, whether or not any wait.
+// acceptUntil returns until when connections are accepted even if none waits in the backlog.
 func (s *shutdownSchedule) acceptUntil() monotime.Instant {
 	return min(s.startedAt.Load().Add(acceptPeriod), s.admitUntil())
 }
 
-// takes tells whether a request that has come whole may be taken.
+// admits reports whether a request that is complete now may be admitted.
 func (s *shutdownSchedule) admits() bool { return !s.started() || monotime.Now() < s.admitUntil() }
 
-// due tells whether all that was taken has to be answered now.
+// answersDue reports whether every admitted request has to be answered now.
 func (s *shutdownSchedule) answersDue() bool {
 	return s.started() && monotime.Now() >= s.answerDeadline()
 }
 
-// over tells whether it is time to end, but for answers that are still being passed on.
+// expired reports whether it is time to exit, but for answers that are still being streamed.
 func (s *shutdownSchedule) expired() bool {
 	return s.started() && monotime.Now() >= s.earliestKill().Add(-exitMargin)
 }
 
-// bound returns the deadline of a request in a process that may have been told to end.
+// capDeadline returns a request's deadline, brought forward to answerDeadline in a process that is shutting down.
 func (s *shutdownSchedule) capDeadline(deadline time.Time) time.Time {
 	if s.started() && monotime.At(deadline) > s.answerDeadline() {
 		return s.answerDeadline().Time()
@@ -80,8 +96,8 @@
 	return deadline
 }
 
-// answerOpen gives every request that has no answer yet its final one, at the time by which that has to be written: also those
-// that were taken before the process was told to end and have more time than that. Answers that are being passed on go on.
+// answerAllOpen fails every request that has no final answer at answerDeadline, also those admitted before SIGTERM with
+// a later deadline of their own. Answers that are being streamed go on.
 func (l *eventLoop) answerAllOpen() {
 	var open []*request
 	for _, r := range l.requests {
@@ -95,7 +111,7 @@
 	}
 }
 
-// checkShutdown counts the requests that the earliest kill would find unanswered.
+// checkAllAnswered reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
 func (l *eventLoop) checkAllAnswered() {
 	for id, r := range l.requests {
 		if r.isOpen() {
