--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -351,3 +351,17 @@
 	}
 	return ctx
 }
+
+// sinceLastByte returns how long ago the client's last byte reached this machine.
+func (c *clientConn) sinceLastByte() time.Duration {
+	if sc, ok := c.Conn.(syscall.Conn); ok {
+		return sinceLastReceive(sc)
+	}
+	return 0
+}
+
+// clientConnOf returns the connection of a request; ok is false for a request that came on none, as in some tests.
+func clientConnOf(ctx context.Context) (c *clientConn, ok bool) {
+	c, ok = ctx.Value(clientConnKey{}).(*clientConn)
+	return c, ok
+}
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -26,11 +26,6 @@
 	maxDiscardedBody = 4 * maxBodyBytes
 	// answerWithin is how long a client may take to read its answer.
 	responseWriteTimeout = 5 * time.Second
-	// early is how much sooner than the client's deadline a request ends: its way here and the answer's way
-	// back take part of the time, and neither can be seen from here.
-	deadlineMargin = 8 * time.Millisecond
-	// defaultDeadline stands for a class's deadline that is not told.
-	defaultDeadline = time.Minute
 	// fullRetry is when a client may come back that was refused because the node is full.
 	overloadRetryAfter = 250 * time.Millisecond
 )
@@ -149,9 +144,10 @@
 		return
 	}
 	defer f.inFlight.Add(-1)
-	r, status, err := f.readRequest(w, hr, h.since)
+	r, err := f.readRequest(w, hr, h.since)
 	late := !f.shutdown.admits()
 	if err != nil {
+		status := statusOf(err)
 		if late && status == http.StatusRequestTimeout {
 			status = http.StatusServiceUnavailable // cut short here: nothing was done for it
 		}
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -12,108 +12,181 @@
 	"slices"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
 	"hitchvale/balance"
 )
 
-// This file reads what a client asks for: the head, the checks of it, and the body.
+const (
+	// deadlineMargin is how much sooner than the client's deadline a request ends: its way here and the answer's way
+	// back take part of the time, and the node sees neither.
+	deadlineMargin = 8 * time.Millisecond
+	// defaultDeadline is the deadline of a class that the settings give none.
+	defaultDeadline = time.Minute
+	// maxExpiresIn bounds X-Expires-In, in seconds, so that it fits a time.Duration.
+	maxExpiresIn = 1e6
+	// maxSizeHint is the least X-Size-Hint, in microseconds, that is ignored.
+	maxSizeHint = 1e12
+)
+
+// singleHeaders may be given once.
+var singleHeaders = []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "Idempotency-Key"}
 
-// hopByHop are the headers that belong to one connection, beside those that Connection names.
+// hopByHopHeaders belong to one connection, like those that Connection names.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
-// read checks a request and reads its body. An error comes with the status to answer.
-func (f *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, since time.Time) (*request, int, error) {
-	bad := func(format string, args ...any) (*request, int, error) {
-		return nil, http.StatusBadRequest, fmt.Errorf(format, args...)
+// requestError is why a request is rejected before it is dispatched.
+type requestError struct {
+	status int // to answer
+	cause  error
+}
+
+func (e *requestError) Error() string { return e.cause.Error() }
+
+func (e *requestError) Unwrap() error { return e.cause }
+
+// badRequest returns a requestError with status 400.
+func badRequest(format string, args ...any) error {
+	return &requestError{status: http.StatusBadRequest, cause: fmt.Errorf(format, args...)}
+}
+
+// statusOf returns the status to answer for an error of readRequest.
+func statusOf(err error) int {
+	var rejected *requestError
+	if errors.As(err, &rejected) {
+		return rejected.status
+	}
+	return http.StatusInternalServerError
+}
+
+// readRequest checks a request, whose first byte came at start, and reads its body. Its error is a requestError.
+func (f *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, start time.Time) (*request, error) {
+	r, err := f.parseHeaders(hr)
+	if err != nil {
+		return nil, err
 	}
+	timeLeft, err := f.timeLeft(hr.Header, r.class)
+	if err != nil {
+		return nil, err
+	}
+	parseHints(r, hr)
+	body, err := f.readBody(w, hr, start)
+	if err != nil {
+		return nil, bodyError(err)
+	}
+	r.bodyBytes = body.memory
+	if body.stream == nil {
+		// The deadline counts from the last byte, which may have come before the node got to read it.
+		timeLeft = max(timeLeft-socketWait(hr), deadlineMargin)
+		r.deadline = f.shutdown.capDeadline(time.Now().Add(timeLeft - deadlineMargin))
+	}
+	key := hr.Header.Get("Idempotency-Key")
+	removeHopByHopHeaders(hr.Header)
+	// Backends recognize a retry by these, even if Connection names them.
+	hr.Header.Set("X-Trace-Id", r.id)
+	if key != "" {
+		hr.Header.Set("Idempotency-Key", key)
+	}
+	r.forwarded = forwardedRequest{
+		method:   hr.Method,
+		url:      hr.URL,
+		host:     hr.Host,
+		header:   hr.Header,
+		body:     body.buffered,
+		upload:   body.stream,
+		timeLeft: timeLeft - deadlineMargin,
+	}
+	return r, nil
+}
+
+// parseHeaders returns a request with its identity: id, class and tenant. It checks what the class requires.
+func (f *clientServer) parseHeaders(hr *http.Request) (*request, error) {
 	h := hr.Header
-	for _, name := range []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "Idempotency-Key"} {
+	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
-			return bad("%s: given more than once", name)
+			return nil, badRequest("%s: given more than once", name)
 		}
 	}
-	r := &request{id: h.Get("X-Trace-Id"), response: make(chan finalResponse, 1), clientRetry: h.Get("X-Second-Try") == "1"}
+	r := &request{
+		id:          h.Get("X-Trace-Id"),
+		response:    make(chan finalResponse, 1),
+		clientRetry: h.Get("X-Second-Try") == "1",
+	}
 	if r.id == "" {
-		return bad("X-Trace-Id: missing")
+		return nil, badRequest("X-Trace-Id: missing")
 	}
 	if r.class = slices.Index(f.settings.Classes, h.Get("X-Qos")); r.class < 0 {
-		return bad("X-Qos: no such class")
+		return nil, badRequest("X-Qos: no such class")
 	}
 	if len(f.settings.Tenants) > 0 {
 		if r.tenant = slices.Index(f.settings.Tenants, h.Get("X-Customer")); r.tenant < 0 {
-			return bad("X-Customer: no such customer")
+			return nil, badRequest("X-Customer: no such customer")
 		}
 	}
-	key := h.Get("Idempotency-Key")
-	class := &f.settings.Config.Classes[r.class]
-	method, keyed := http.MethodPost, false
-	switch class.Repeatability {
-	case balance.Idempotent:
+	repeatability := f.settings.Config.Classes[r.class].Repeatability
+	method := http.MethodPost
+	if repeatability == balance.Idempotent {
 		method = http.MethodGet
-	case balance.IdempotencyKey:
-		keyed = true
 	}
-	switch {
-	case hr.Method != method:
-		return nil, http.StatusMethodNotAllowed, fmt.Errorf("requests of this class use %s", method)
-	case keyed && key == "":
-		return bad("Idempotency-Key: missing")
-	}
-	left := cmp.Or(class.Deadline, defaultDeadline)
-	if text := h.Get("X-Expires-In"); text != "" {
-		s, err := strconv.ParseFloat(text, 64)
-		if err != nil || math.IsNaN(s) || math.IsInf(s, 0) || s < 0 {
-			return bad("X-Expires-In: not a time in seconds")
-		}
-		left = min(left, time.Duration(min(s, 1e6)*float64(time.Second)))
+	if hr.Method != method {
+		cause := fmt.Errorf("requests of this class use %s", method)
+		return nil, &requestError{status: http.StatusMethodNotAllowed, cause: cause}
 	}
-	if us, err := strconv.ParseFloat(h.Get("X-Size-Hint"), 64); err == nil && us > 0 && us < 1e12 {
+	if repeatability == balance.IdempotencyKey && h.Get("Idempotency-Key") == "" {
+		return nil, badRequest("Idempotency-Key: missing")
+	}
+	return r, nil
+}
+
+// timeLeft returns how long the client waits from its last byte on: the class's deadline, or less by X-Expires-In.
+func (f *clientServer) timeLeft(h http.Header, class int) (time.Duration, error) {
+	left := cmp.Or(f.settings.Config.Classes[class].Deadline, defaultDeadline)
+	text := h.Get("X-Expires-In")
+	if text == "" {
+		return left, nil
+	}
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
+		return 0, badRequest("X-Expires-In: not a time in seconds")
+	}
+	return min(left, time.Duration(min(seconds, maxExpiresIn)*float64(time.Second))), nil
+}
+
+// parseHints sets the expected work and the routing key of a request, where it has them. A malformed hint is ignored.
+func parseHints(r *request, hr *http.Request) {
+	us, err := strconv.ParseFloat(hr.Header.Get("X-Size-Hint"), 64)
+	if err == nil && us > 0 && us < maxSizeHint {
 		r.expectedWork = time.Duration(us * float64(time.Microsecond))
 	}
 	if subject := path.Base(hr.URL.Path); subject != "/" && subject != "." {
 		sum := fnv.New64a()
 		io.WriteString(sum, subject)
-		r.routingKey, r.hasRoutingKey = sum.Sum64()>>11, true
+		r.routingKey = sum.Sum64() >> 11 // 53 bits, which a JSON number can hold
+		r.hasRoutingKey = true
 	}
-	body, open, taken, err := f.readBody(w, hr, since)
-	r.bodyBytes = taken
+}
+
+// bodyError returns the requestError for an error of readBody.
+func bodyError(err error) error {
 	switch {
 	case errors.Is(err, errBodyTooLong):
-		return nil, http.StatusRequestEntityTooLarge, err
+		return &requestError{status: http.StatusRequestEntityTooLarge, cause: err}
 	case errors.Is(err, errBodyMemory):
-		return nil, http.StatusServiceUnavailable, err // nothing has been sent on: it may come again
-	case err != nil:
-		return nil, http.StatusRequestTimeout, errors.New("body cut short")
-	case open == nil:
-		// The time of a request counts from its last byte, which may have come before the node got to read it.
-		left = max(left-socketWait(hr), deadlineMargin)
-		// Whether or not another process serves: the kill does not ask.
-		r.deadline = f.shutdown.capDeadline(time.Now().Add(left - deadlineMargin))
-	}
-	removeHopByHopHeaders(h)
-	// Whatever Connection named, a backend needs these to tell a request from its repeat.
-	h.Set("X-Trace-Id", r.id)
-	if key != "" {
-		h.Set("Idempotency-Key", key)
+		return &requestError{status: http.StatusServiceUnavailable, cause: err} // not forwarded: a retry is harmless
 	}
-	r.forwarded = forwardedRequest{method: method, url: hr.URL, host: hr.Host, header: h, body: body, upload: open, timeLeft: left - deadlineMargin}
-	return r, 0, nil
+	return &requestError{status: http.StatusRequestTimeout, cause: errors.New("body cut short")}
 }
 
-// waited is how long a request that has been read whole had been at this machine by then.
+// socketWait returns how long a request that has been read had been at this machine by then.
 func socketWait(hr *http.Request) time.Duration {
-	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
-		if sc, ok := c.Conn.(syscall.Conn); ok {
-			return sinceLastReceive(sc)
-		}
+	if c, ok := clientConnOf(hr.Context()); ok {
+		return c.sinceLastByte()
 	}
 	return 0
 }
 
-// endToEnd drops the headers that belong to one connection.
+// removeHopByHopHeaders removes the headers that belong to one connection.
 func removeHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -124,69 +197,3 @@
 		h.Del(name)
 	}
 }
-
-// body reads a request's body if it can be kept whole, and tells what of the budget it has taken: a body that is whole can go
-// to another backend, and counts from its last byte. Else it returns what is to be streamed, where that is served: nothing of
-// what a peer sends without end may reach a backend otherwise.
-func (f *clientServer) readBody(w http.ResponseWriter, hr *http.Request, since time.Time) (body []byte, open *requestStream, taken int64, err error) {
-	size, most := hr.ContentLength, f.bodyMemory.maxPerRequest
-	if f.streaming {
-		most = maxStreamedBody
-	}
-	if size > most {
-		return nil, nil, 0, errBodyTooLong
-	}
-	paced := newMinRateBody(w, hr, since, most)
-	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
-		c.setBuffering(true)
-		defer func() { c.setBuffering(false) }()
-	}
-	var ended bool
-	switch {
-	case size < 0:
-		body, taken, ended, err = f.readChunkedBody(paced)
-	case size == 0 || f.bodyMemory.reserve(0, size, !f.streaming):
-		body, taken, ended = make([]byte, size), size, true
-		_, err = io.ReadFull(paced, body)
-	}
-	if err != nil {
-		f.bodyMemory.release(taken)
-		return nil, nil, 0, err
-	}
-	switch {
-	case !ended && !f.streaming:
-		f.bodyMemory.release(taken)
-		return nil, nil, 0, errBodyMemory
-	case !ended:
-		return nil, &requestStream{source: paced, size: size, buffered: body}, taken, nil
-	}
-	paced.setReadDeadline(time.Time{})
-	return body, nil, taken, nil
-}
-
-// gather reads a body whose length is not told, as far as it can be kept.
-func (f *clientServer) readChunkedBody(src io.Reader) (body []byte, taken int64, ended bool, err error) {
-	for f.bodyMemory.reserve(taken, streamBufferSize, !f.streaming) {
-		taken += streamBufferSize
-		body = slices.Grow(body, streamBufferSize)
-		for room := len(body) + streamBufferSize; len(body) < room; {
-			n, err := src.Read(body[len(body):room])
-			body = body[:len(body)+n]
-			switch {
-			case err == io.EOF:
-				return body, taken, true, nil
-			case err != nil:
-				return nil, taken, false, err
-			}
-		}
-	}
-	var next [1]byte // one that ends just there is whole; one that goes on beyond all bounds says so itself
-	n, err := src.Read(next[:])
-	switch {
-	case n == 0 && err == io.EOF:
-		return body, taken, true, nil
-	case err != nil && err != io.EOF:
-		return nil, taken, false, err
-	}
-	return append(body, next[:n]...), taken, false, nil
-}
