--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -109,7 +109,7 @@
 		"by halves": iotest.HalfReader,
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := &clientConn{Conn: fakeConn{read: wrap(strings.NewReader(one + "abc" + two + "rest"))}}
+			c := newClientConn(fakeConn{read: wrap(strings.NewReader(one + "abc" + two + "rest"))}, time.Now())
 			var got string
 			for i, want := range []string{one, one + "abc", one + "abc" + two} {
 				p := make([]byte, 1<<10)
@@ -126,12 +126,12 @@
 				if i == 0 {
 					continue // its body is to come
 				}
-				if h := c.takeHead(); h.trouble != "" || h.last || h.size != []int64{0, 3, 0}[i] {
+				if h, _ := c.takeHead(); h.Fault != "" || h.Final || h.ContentLength != []int64{0, 3, 0}[i] {
 					t.Errorf("head %+v after %q", h, got)
 				}
 				c.markIdle() // the server reads the next one once it has answered
 			}
-			if h := c.takeHead(); h.trouble == "" {
+			if h, _ := c.takeHead(); h.Fault == "" {
 				t.Error("a request without a head passed")
 			}
 		})
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"hitchvale/internal/httpframing"
 	"hitchvale/internal/lograte"
 	"hitchvale/internal/siteconfig"
 )
@@ -112,18 +113,18 @@
 		// Closing after an answer crosses no request, as closing an idle connection may.
 		w.Header().Set("Connection", "close")
 	}
-	h := takeHead(hr, received)
-	if h.ended {
+	h, open := requestHead(hr, received)
+	if !open {
 		panic(http.ErrAbortHandler) // nobody can be answered
 	}
 	// Set before anything else: what the library does with an unread body would wait for it without end.
-	http.NewResponseController(w).SetReadDeadline(h.since.Add(requestReadTimeout))
-	if h.trouble != "" {
-		f.warnings.Warn("request refused for its framing", "trouble", h.trouble, "from", hr.RemoteAddr)
-		rejectMalformed(w, hr, http.StatusBadRequest, h.trouble) // nobody can tell where the next request would begin
+	http.NewResponseController(w).SetReadDeadline(h.Start.Add(requestReadTimeout))
+	if h.Fault != "" {
+		f.warnings.Warn("request refused for its framing", "trouble", h.Fault, "from", hr.RemoteAddr)
+		rejectMalformed(w, hr, http.StatusBadRequest, h.Fault) // nobody can tell where the next request would begin
 		return
 	}
-	if h.last {
+	if h.Final {
 		w.Header().Set("Connection", "close")
 	}
 	switch hr.URL.Path {
@@ -144,7 +145,7 @@
 		return
 	}
 	defer f.inFlight.Add(-1)
-	r, err := f.readRequest(w, hr, h.since)
+	r, err := f.readRequest(w, hr, h.Start)
 	late := !f.shutdown.admits()
 	if err != nil {
 		status := statusOf(err)
@@ -155,7 +156,7 @@
 		return
 	}
 	defer f.bodyMemory.release(r.bodyBytes)
-	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
+	if c, ok := clientConnOf(hr.Context()); ok {
 		if r.forwarded.upload == nil && c.peerClosed() {
 			panic(http.ErrAbortHandler) // while it waited to be read: nobody wants what would be done for it
 		}
@@ -178,12 +179,12 @@
 	f.dispatch(w, hr, r)
 }
 
-// framing returns what the head of a request says of its end.
-func takeHead(hr *http.Request, received time.Time) head {
-	if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok {
+// requestHead returns what the head of a request says of its end; open is false if this side has closed the connection.
+func requestHead(hr *http.Request, received time.Time) (head httpframing.Head, open bool) {
+	if c, ok := clientConnOf(hr.Context()); ok {
 		return c.takeHead()
 	}
-	return head{since: received}
+	return httpframing.Head{Start: received}, true
 }
 
 // serve has the loop decide on a request and passes on the one final answer.
@@ -228,7 +229,7 @@
 		}
 		end = a.kind
 	case <-hr.Context().Done():
-		if c, ok := hr.Context().Value(clientConnKey{}).(*clientConn); ok && c.isClosed() {
+		if c, ok := clientConnOf(hr.Context()); ok && c.isClosed() {
 			f.loop.guard.reportViolation(ruleAnswer, r.id, "trouble", "connection ended under it")
 		}
 		f.loop.post(clientDisconnected{r})
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"hitchvale/internal/httpframing"
 	"hitchvale/internal/monotime"
 )
 
@@ -56,7 +57,7 @@
 		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 		f.streaming = true
 		conn := func() *limitedConn {
-			framed := &clientConn{openedAt: time.Now()}
+			framed := newClientConn(nil, time.Now())
 			c := &limitedConn{Conn: framed, client: framed}
 			f.trackState(c, http.StateNew)
 			return c
@@ -123,7 +124,7 @@
 			client, server := net.Pipe()
 			defer client.Close()
 			within := func() {}
-			framed := &clientConn{Conn: lateConn{server, &within}, openedAt: time.Now()}
+			framed := newClientConn(lateConn{server, &within}, time.Now())
 			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
 			f.trackState(c, http.StateNew)
 			f.trackState(c, http.StateActive)
@@ -150,8 +151,8 @@
 			f.trackState(c, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
-				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.closed) {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.closed)
+				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.isClosed()) {
+					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.isClosed())
 				}
 			}()
 			f.loop.ready.Store(true)
@@ -167,13 +168,13 @@
 		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
-			framed := &clientConn{Conn: server, openedAt: time.Now()}
+			framed := newClientConn(server, time.Now())
 			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
 			f.trackState(c, http.StateNew)
 			return c
 		}
 		served, waits := conn(), conn()
-		served.client.heads = []head{{}}
+		served.client.addHead(httpframing.Head{})
 		served.client.takeHead()
 		done := make(chan struct{})
 		f.inFlight.Add(1)
@@ -181,11 +182,7 @@
 		go func() { f.drain(t.Context()); close(done) }()
 		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
-		ended := func(c *limitedConn) bool {
-			c.client.mu.Lock()
-			defer c.client.mu.Unlock()
-			return c.client.closed
-		}
+		ended := func(c *limitedConn) bool { return c.client.isClosed() }
 		if ended(served) || !ended(waits) {
 			t.Errorf("ended: the one being served %v, the other %v", ended(served), ended(waits))
 		}
@@ -198,7 +195,7 @@
 		f.trackState(served, http.StateActive)
 		f.trackState(served, http.StateIdle)
 		<-done
-		if waits.client.takeHead(); waits.client.serving {
+		if waits.client.takeHead(); waits.client.message == messageServing {
 			t.Error("what was read after the end is served")
 		}
 	})
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -32,7 +32,7 @@
 // reset followed: so the system held nothing unread at the close.
 func TestNothingIsReadOnceAConnectionCountsAsEnded(t *testing.T) {
 	client, server := tcpPair(t)
-	framed := &clientConn{Conn: server, openedAt: time.Now()}
+	framed := newClientConn(server, time.Now())
 	read := make(chan int, 1)
 	go func() {
 		n, _ := framed.Read(make([]byte, 1<<10))
--- a/internal/node/limit_listener.go
+++ b/internal/node/limit_listener.go
@@ -11,73 +11,75 @@
 	"hitchvale/internal/accept"
 )
 
-// limitListener bounds how many connections are open at once. Beyond that they wait in the backlog, where
-// accepting them would run the process out of descriptors.
-func newLimitListener(listener net.Listener, limit int) *limitListener {
-	limited := &limitListener{Listener: listener, limit: limit}
-	limited.cond = sync.NewCond(&limited.mu)
-	return limited
-}
-
-// boundedListener can also rest: it accepts nothing, and leaves what comes to the other process of the node.
+// limitListener is a connection limiter: it bounds how many accepted connections are open at once. Further ones wait
+// in the backlog, where accepting them would run the process out of descriptors.
+//
+// It can be paused during a hand-over, so that the node's other process accepts instead.
 type limitListener struct {
 	net.Listener
 
 	mu       sync.Mutex
-	cond     *sync.Cond // any of these has changed
-	limit    int
-	reserved int // accepted and not closed, with one place for Accept while it waits
-	open     int // accepted and not closed
+	changed  *sync.Cond // signals a change of any field below
+	limit    int        // most connections open at once
+	reserved int        // slots in use: open connections, and one for an Accept in progress
+	open     int        // accepted connections that are not closed
 	paused   bool
 	closed   bool
 
 	retry accept.Retry
 }
 
-// backlogged tells whether connections may have to wait in the backlog, for want of room or since accept fails.
-func (l *limitListener) backlogged() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.retry.Failing() || l.open >= l.limit
+// newLimitListener returns a listener that keeps at most limit connections of the given one open.
+func newLimitListener(listener net.Listener, limit int) *limitListener {
+	limited := &limitListener{Listener: listener, limit: limit}
+	limited.changed = sync.NewCond(&limited.mu)
+	return limited
 }
 
-// logFailures has the listener log, at a bounded rate, failed calls of accept. It is called before the first Accept.
+// logFailures logs failed calls of accept at a bounded rate. It must be called before the first Accept.
 func (l *limitListener) logFailures(log *slog.Logger) {
 	l.retry.OnRetry = accept.LogRetries(log, "clients")
 }
 
-// held is how many connections are open.
+// backlogged reports whether connections may be waiting in the backlog: the limit is reached, or accept fails.
+func (l *limitListener) backlogged() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.retry.Failing() || l.open >= l.limit
+}
+
+// openConns returns the number of open connections.
 func (l *limitListener) openConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// allow sets how many connections may be open from now on. Those that are open already stay.
+// setLimit changes how many connections may be open. Open ones beyond a lower limit stay open.
 func (l *limitListener) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = limit
-	l.cond.Broadcast()
+	l.changed.Broadcast()
 }
 
-// rest has the listener accept nothing, or accept again.
+// setPaused stops or resumes accepting. Pausing also interrupts an Accept in progress.
 func (l *limitListener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = paused
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		if paused {
-			d.SetDeadline(time.Now()) // wakes an Accept that waits
+			d.SetDeadline(time.Now()) // interrupts an Accept in progress
 		} else {
 			d.SetDeadline(time.Time{})
 		}
 	}
-	l.cond.Broadcast()
+	l.changed.Broadcast()
 }
 
-// Accept waits for room and a connection. It returns an error only when no later call could succeed: net/http would end the
-// server at most errors that pass.
+// Accept waits for a free slot and a connection. It retries errors that may pass, as net/http ends the server at most
+// of them, and returns an error only when no later call could succeed.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		if err := l.acquireSlot(); err != nil {
@@ -86,25 +88,25 @@
 		c, err := l.retry.Accept(l.Listener.Accept)
 		paused := l.recordAccept(err)
 		if err == nil {
-			now := time.Now()
-			client := &clientConn{Conn: c, openedAt: now, next: head{since: now}}
+			client := newClientConn(c, time.Now())
 			return &limitedConn{Conn: client, client: client, release: sync.OnceFunc(l.releaseSlot)}, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
 		if !paused {
-			l.setPaused(false) // it rested for a moment
+			l.setPaused(false) // paused and resumed meanwhile: clears the deadline of the pause
 		}
 	}
 }
 
-// awaitRoom waits until a connection may be accepted, and takes its place.
+// acquireSlot waits until a connection may be accepted, and reserves its slot. It returns net.ErrClosed once the
+// listener is closed.
 func (l *limitListener) acquireSlot() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for !l.closed && (l.reserved >= l.limit || l.paused) {
-		l.cond.Wait()
+		l.changed.Wait()
 	}
 	if l.closed {
 		return net.ErrClosed
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// accepted takes in how a call of accept ended, and tells whether the listener rests.
+// recordAccept records the result of a call of accept and reports whether the listener is paused.
 func (l *limitListener) recordAccept(err error) (paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,35 +127,39 @@
 	return l.paused
 }
 
+// releaseSlot frees the slot of a connection that has been closed.
 func (l *limitListener) releaseSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reserved--
 	l.open--
-	l.cond.Broadcast()
+	l.changed.Broadcast()
 }
 
+// Close closes the listener. Accepted connections stay open.
 func (l *limitListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
-	l.cond.Broadcast()
+	l.changed.Broadcast()
 	l.mu.Unlock()
 	return l.Listener.Close()
 }
 
+// limitedConn is an accepted connection that holds a slot of its limitListener until it is closed.
 type limitedConn struct {
 	net.Conn
 	client  *clientConn
-	release func()
+	release func() // frees the slot, once
 }
 
-// reset has closing the connection tell the other side that something went wrong.
+// resetOnClose makes Close reset the connection, so that the client can tell a failure from an orderly end.
 func (c *limitedConn) resetOnClose() {
 	if t, ok := c.client.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 }
 
+// Close marks the connection as closed before it closes it: a request read later is not served.
 func (c *limitedConn) Close() error {
 	c.client.markClosed()
 	err := c.Conn.Close()
