--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -167,7 +167,7 @@
 	c.Close()
 	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
-		return n.server.inFlight.Load() == 0 && n.server.connections() == 0
+		return n.server.inFlight.Load() == 0 && n.server.conns.open() == 0
 	})
 }
 
@@ -255,10 +255,10 @@
 		io.WriteString(c, "GET /api/x HTTP/1.1\r\n")
 	}
 	eventually(t, "all of the busy connections at once", func() bool {
-		n.server.mu.Lock()
-		defer n.server.mu.Unlock()
+		n.server.conns.mu.Lock()
+		defer n.server.conns.mu.Unlock()
 		at := 0
-		for _, since := range n.server.conns {
+		for _, since := range n.server.conns.idleSince {
 			if since.IsZero() {
 				at++
 			}
@@ -286,9 +286,3 @@
 		t.Errorf("the refusal was held back for %v", d)
 	}
 }
-
-func (f *clientServer) connections() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
-}
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -1,169 +1,206 @@
 package node
 
 import (
-	"context"
 	"net"
+	"net/http"
+	"sync"
 	"time"
 )
 
-// This file ends connections of clients: to make room, at a hand-over, in a drain and at the end.
+// slowHeadFactor is how many times as long a client that has sent some of a request may take as one that has sent
+// nothing, before it is evicted: a slow client is still one that wants an answer.
+const slowHeadFactor = 4
 
-// held is how many connections of clients there are.
-func (f *clientServer) openConns() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
-}
+// evictionThreshold returns above how many connections slow clients are evicted, for a limit of connections.
+func evictionThreshold(limit int) int { return limit * 3 / 4 }
 
-// giveWay ends the connection that has kept the node waiting longest. It tells whether there was one.
-func (f *clientServer) evictSlowest() bool {
-	for {
-		oldest := f.slowestConn()
-		if oldest == nil {
-			return false
-		}
-		f.conns[oldest] = time.Time{}
-		delete(f.awaitingHead, oldest)
-		if closeIfWaiting(oldest, true) {
-			f.closeCounts.add(closedEvicted)
-			return true
-		}
-	}
+// connTracker follows the connections of clients, closes those that wait for their clients, and evicts slow clients
+// when connections become many: else a crowd of idle ones would lock out the others. It is safe for concurrent use.
+type connTracker struct {
+	closeCounts *closeCounters
+	onClose     func(*clientConn) // called for each connection that has ended, under mu
+
+	mu           sync.Mutex
+	evictAbove   int                    // number of connections
+	idleSince    map[net.Conn]time.Time // all connections; zero while a connection is not idle
+	awaitingHead map[net.Conn]bool      // connections whose first head is not complete
 }
 
-// endBetween closes a connection that waits for its client, if it still does.
-func closeIfWaiting(c net.Conn, evenPartial bool) bool {
-	b, ok := c.(*limitedConn)
-	if !ok || !b.client.closeIfWaiting(evenPartial) {
-		return false
+// newConnTracker returns a tracker for at most limit connections.
+func newConnTracker(limit int, closeCounts *closeCounters, onClose func(*clientConn)) *connTracker {
+	return &connTracker{
+		closeCounts:  closeCounts,
+		onClose:      onClose,
+		evictAbove:   evictionThreshold(limit),
+		idleSince:    map[net.Conn]time.Time{},
+		awaitingHead: map[net.Conn]bool{},
 	}
-	b.Close()
-	return true
 }
 
-// allow sets how many connections there may be, of which those that are idle give way to new ones.
-func (f *clientServer) setConnLimit(limit int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.evictAbove = limit * 3 / 4
+// track is the ConnState hook of the HTTP server.
+func (t *connTracker) track(c net.Conn, state http.ConnState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	limited, ok := c.(*limitedConn)
+	delete(t.awaitingHead, c)
+	switch state {
+	case http.StateNew:
+		t.idleSince[c] = time.Time{}
+		t.awaitingHead[c] = true
+		if len(t.idleSince) > t.evictAbove {
+			t.evictSlowest()
+		}
+	case http.StateActive:
+		t.idleSince[c] = time.Time{}
+	case http.StateIdle:
+		t.idleSince[c] = time.Now()
+		if ok {
+			limited.client.markIdle()
+		}
+	case http.StateClosed, http.StateHijacked:
+		delete(t.idleSince, c)
+		if ok {
+			t.onClose(limited.client)
+		}
+	}
 }
 
-// shed ends connections that keep the node waiting until there are no more than so many, if it can.
-func (f *clientServer) evictDownTo(limit int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for n := len(f.conns); n > limit && f.evictSlowest(); n-- {
-	}
+// setLimit sets the limit of connections, above a part of which slow clients are evicted.
+func (t *connTracker) setLimit(limit int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.evictAbove = evictionThreshold(limit)
 }
 
-// endIdle ends connections that have brought their requests and have been idle for so long.
-func (f *clientServer) closeIdle(least time.Duration, reason closeReason) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c, at := range f.conns {
-		if !at.IsZero() && time.Since(at) >= least && closeIfWaiting(c, false) {
-			f.conns[c] = time.Time{}
-			f.closeCounts.add(reason)
-		}
-	}
+// open returns the number of connections.
+func (t *connTracker) open() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.idleSince)
 }
 
-// busy counts the connections on which a request is under way or has begun to come in.
-func (f *clientServer) busyConns() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if b, ok := c.(*limitedConn); ok && b.client.busy() {
+// busy returns the number of connections on which a request is being served or has begun to come in.
+func (t *connTracker) busy() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.idleSince {
+		if limited, ok := c.(*limitedConn); ok && limited.client.busy() {
 			n++
 		}
 	}
 	return n
 }
 
-// endSilent ends connections on which nothing of a request has come.
-func (f *clientServer) closeUnused() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if closeIfWaiting(c, false) {
-			f.closeCounts.add(closedShutdown)
-		}
+// aboveThreshold reports whether a new connection would evict a slow client.
+func (t *connTracker) aboveThreshold() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.idleSince) > t.evictAbove
+}
+
+// evictDownTo evicts slow clients until there are no more than limit connections, as far as it can.
+func (t *connTracker) evictDownTo(limit int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for n := len(t.idleSince); n > limit && t.evictSlowest(); n-- {
 	}
 }
 
-// refuseUnfinished answers requests that have not come whole.
-func (f *clientServer) rejectIncomplete() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		b, ok := c.(*limitedConn)
-		if !ok {
-			continue
+// evictSlowest closes the connection that has kept the node waiting longest, even within a head. It reports whether
+// there was one. The caller holds mu.
+func (t *connTracker) evictSlowest() bool {
+	for {
+		slowest := t.slowest()
+		if slowest == nil {
+			return false
 		}
-		if b.client.rejectIncomplete() {
-			f.closeCounts.add(closedIncomplete)
+		t.idleSince[slowest] = time.Time{}
+		delete(t.awaitingHead, slowest)
+		if closeIfWaiting(slowest, true) {
+			t.closeCounts.add(closedEvicted)
+			return true
 		}
-		b.client.interruptBody()
 	}
 }
 
-// drain ends connections as they come to rest, until none is left. Those on which nothing has ever come are ended when nothing
-// has happened for stillFor, or nothing more is taken; half a request is answered when the last answers are due. It
-// returns early when ctx ends, or when there are only clients left that do not close.
-func (f *clientServer) drain(ctx context.Context) {
-	for still := time.Duration(0); f.openConns() > 0 && ctx.Err() == nil; still += lookEvery {
-		f.closeIdle(0, closedDraining)
-		if f.handedOver.Load() || f.busyConns() > 0 {
-			still = 0 // where another process serves nobody new comes here, and who has connected may yet ask
+// slowest returns the connection that has kept the node waiting longest, with the wait within a head divided by
+// slowHeadFactor; nil if the node waits for none. The caller holds mu.
+func (t *connTracker) slowest() net.Conn {
+	var slowest net.Conn
+	var longest time.Duration
+	now := time.Now()
+	consider := func(c net.Conn, wait time.Duration) {
+		if slowest == nil || wait > longest {
+			slowest = c
+			longest = wait
 		}
-		if still >= stillFor || !f.shutdown.admits() {
-			if f.closeUnused(); f.busyConns() == 0 {
-				return
-			}
+	}
+	for c, since := range t.idleSince {
+		if !since.IsZero() {
+			consider(c, now.Sub(since))
 		}
-		if f.shutdown.answersDue() {
-			f.rejectIncomplete()
+	}
+	for c := range t.awaitingHead {
+		limited, ok := c.(*limitedConn)
+		if !ok {
+			continue
 		}
-		if f.shutdown.expired() && f.inFlight.Load() == 0 {
-			return
+		at, sent := limited.client.lastActivity()
+		wait := now.Sub(at)
+		if sent {
+			wait /= slowHeadFactor
 		}
-		pause(ctx, lookEvery)
+		consider(c, wait)
 	}
+	return slowest
 }
 
-// longestIdle returns the connection that has kept the node waiting longest, if any. One that has begun a request may
-// take headPatience times as long: a slow client is still one that asks.
-func (f *clientServer) slowestConn() net.Conn {
-	var oldest net.Conn
-	var longest time.Duration
-	now := time.Now()
-	wait := func(c net.Conn, d time.Duration) {
-		if oldest == nil || d > longest {
-			oldest, longest = c, d
+// closeIdle closes connections that have been idle after a request for at least a time.
+func (t *connTracker) closeIdle(least time.Duration, reason closeReason) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c, since := range t.idleSince {
+		if !since.IsZero() && time.Since(since) >= least && closeIfWaiting(c, false) {
+			t.idleSince[c] = time.Time{}
+			t.closeCounts.add(reason)
 		}
 	}
-	for c, at := range f.conns {
-		if !at.IsZero() {
-			wait(c, now.Sub(at))
+}
+
+// closeWaiting closes connections on which nothing of a request has come, also those that never had one.
+func (t *connTracker) closeWaiting() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.idleSince {
+		if closeIfWaiting(c, false) {
+			t.closeCounts.add(closedShutdown)
 		}
 	}
-	for c := range f.awaitingHead {
-		if b, ok := c.(*limitedConn); ok {
-			at, begun := b.client.lastActivity()
-			d := now.Sub(at)
-			if begun {
-				d /= slowHeadFactor
-			}
-			wait(c, d)
+}
+
+// rejectIncomplete answers requests whose heads are incomplete, and ends the wait for incomplete bodies.
+func (t *connTracker) rejectIncomplete() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.idleSince {
+		limited, ok := c.(*limitedConn)
+		if !ok {
+			continue
 		}
+		if limited.client.rejectIncomplete() {
+			t.closeCounts.add(closedIncomplete)
+		}
+		limited.client.interruptBody()
 	}
-	return oldest
 }
 
-// isCrowded tells whether there are so many connections that answers should close theirs. Where unfinished heads give
-// way too there is always room, and clients should keep the connections that they use.
-func (f *clientServer) nearConnLimit() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return !f.streaming && len(f.conns) > f.evictAbove
+// closeIfWaiting closes a connection on which the node waits for a request, if it still does: for nothing of one to
+// have come, or with evenPartial also for the rest of a head. It reports whether it has.
+func closeIfWaiting(c net.Conn, evenPartial bool) bool {
+	limited, ok := c.(*limitedConn)
+	if !ok || !limited.client.closeIfWaiting(evenPartial) {
+		return false
+	}
+	limited.Close()
+	return true
 }
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -59,13 +59,13 @@
 		conn := func() *limitedConn {
 			framed := newClientConn(nil, time.Now())
 			c := &limitedConn{Conn: framed, client: framed}
-			f.trackState(c, http.StateNew)
+			f.conns.track(c, http.StateNew)
 			return c
 		}
 		heard := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
 		expect := func(what string, want *limitedConn) {
 			t.Helper()
-			if got := f.slowestConn(); got != net.Conn(want) {
+			if got := f.conns.slowest(); got != net.Conn(want) {
 				t.Errorf("%s does not go first", what)
 			}
 		}
@@ -76,17 +76,17 @@
 		time.Sleep(time.Second)
 		expect("the silent one", silent)
 		time.Sleep(time.Second)
-		f.trackState(silent, http.StateActive)
+		f.conns.track(silent, http.StateActive)
 		expect("the one with half a head", begun)
 		idle := conn()
-		f.trackState(idle, http.StateActive)
-		f.trackState(idle, http.StateIdle)
+		f.conns.track(idle, http.StateActive)
+		f.conns.track(idle, http.StateIdle)
 		time.Sleep(2 * time.Second)
 		expect("the idle one", idle)
-		f.trackState(idle, http.StateClosed)
+		f.conns.track(idle, http.StateClosed)
 		heard(begun)
-		f.trackState(begun, http.StateActive)
-		if got := f.slowestConn(); got != nil {
+		f.conns.track(begun, http.StateActive)
+		if got := f.conns.slowest(); got != nil {
 			t.Error("one that waits for its answer gives way")
 		}
 	})
@@ -113,10 +113,10 @@
 func TestCrossingRequestIsServedOnceOrNotAtAll(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	enders := map[string]func(f *clientServer){
-		"ended as idle":     func(f *clientServer) { f.closeIdle(0, closedDraining) },
-		"gives way":         func(f *clientServer) { f.evictSlowest() },
+		"ended as idle":     func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
+		"gives way":         func(f *clientServer) { f.conns.evictSlowest() },
 		"the server's end":  nil,
-		"ended in the read": func(f *clientServer) { f.closeIdle(0, closedDraining) },
+		"ended in the read": func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
@@ -126,9 +126,9 @@
 			within := func() {}
 			framed := newClientConn(lateConn{server, &within}, time.Now())
 			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
-			f.trackState(c, http.StateNew)
-			f.trackState(c, http.StateActive)
-			f.trackState(c, http.StateIdle)
+			f.conns.track(c, http.StateNew)
+			f.conns.track(c, http.StateActive)
+			f.conns.track(c, http.StateIdle)
 			go io.WriteString(client, text)
 			if name == "ended in the read" {
 				within = func() { end(f) } // the bytes have left the system and are not seen yet
@@ -148,7 +148,7 @@
 			} else {
 				c.Close()
 			}
-			f.trackState(c, http.StateActive)
+			f.conns.track(c, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
 				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.isClosed()) {
@@ -170,7 +170,7 @@
 			t.Cleanup(func() { client.Close() })
 			framed := newClientConn(server, time.Now())
 			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
-			f.trackState(c, http.StateNew)
+			f.conns.track(c, http.StateNew)
 			return c
 		}
 		served, waits := conn(), conn()
@@ -192,8 +192,8 @@
 		default:
 		}
 		f.inFlight.Add(-1)
-		f.trackState(served, http.StateActive)
-		f.trackState(served, http.StateIdle)
+		f.conns.track(served, http.StateActive)
+		f.conns.track(served, http.StateIdle)
 		<-done
 		if waits.client.takeHead(); waits.client.message == messageServing {
 			t.Error("what was read after the end is served")
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -57,7 +57,7 @@
 // left it does before it serves the next one.
 func (s *started) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
-	eventually(t, "an end of all connections", func() bool { return s.server.openConns() == 0 })
+	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
 	if _, body := do(t, ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })); body != "last" {
 		t.Errorf("the last one got %q", body)
 	}
@@ -156,7 +156,7 @@
 	receive(t, "the attempt", held)
 	n.server.shutdown.start()
 	close(hold)
-	eventually(t, "the node's close", func() bool { return n.server.openConns() == 0 })
+	eventually(t, "the node's close", func() bool { return n.server.conns.open() == 0 })
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/node/drain.go
@@ -0,0 +1,32 @@
+package node
+
+import (
+	"context"
+	"time"
+)
+
+// drain closes connections as they become idle, until none is left. Those that never had a request are closed when
+// nothing has happened for stillFor, or when requests are not admitted any more; incomplete requests are rejected when
+// the last answers are due. It returns early when ctx ends, or when only clients are left that do not close.
+func (f *clientServer) drain(ctx context.Context) {
+	for still := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; still += lookEvery {
+		f.conns.closeIdle(0, closedDraining)
+		if f.handedOver.Load() || f.conns.busy() > 0 {
+			// After a hand-over nobody new connects here, and a client that has connected may still send a request.
+			still = 0
+		}
+		if still >= stillFor || !f.shutdown.admits() {
+			f.conns.closeWaiting()
+			if f.conns.busy() == 0 {
+				return
+			}
+		}
+		if f.shutdown.answersDue() {
+			f.conns.rejectIncomplete()
+		}
+		if f.shutdown.expired() && f.inFlight.Load() == 0 {
+			return
+		}
+		pause(ctx, lookEvery)
+	}
+}
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -71,7 +71,7 @@
 				}
 				n.dialed(t, text)
 			}
-			eventually(t, "a node full of idle clients", func() bool { return n.server.openConns() >= n.clients*3/4 })
+			eventually(t, "a node full of idle clients", func() bool { return n.server.conns.open() >= n.clients*3/4 })
 			close(back)
 			eventually(t, "the drain", func() (heard bool) {
 				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -97,7 +97,7 @@
 	}
 	r := fleet.Report{Draining: p.n.server.shutdown.started(), Endpoints: p.backends()}
 	r.Metrics = fleet.LoadMetrics{
-		Connections: float64(p.n.server.openConns()), DescriptorLimit: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
+		Connections: float64(p.n.server.conns.open()), DescriptorLimit: float64(cmp.Or(p.n.cfg.Limits.Sockets, usualSockets)),
 		CPUFraction:       (cpu - p.cpu).Seconds() / span / cmp.Or(p.n.cfg.Limits.Cores, 1),
 		InFlight:          float64(p.n.server.inFlight.Load()),
 		RejectedPerSecond: float64(refused-p.refused) / span, FailedPerSecond: float64(failed-p.failed) / span,
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -84,10 +84,10 @@
 		}
 	}()
 	receive(t, "the request at the backend", held)
-	n.server.mu.Lock()
-	for c := range n.server.conns {
+	n.server.conns.mu.Lock()
+	for c := range n.server.conns.idleSince {
 		c.Close() // the planted fault
 	}
-	n.server.mu.Unlock()
+	n.server.conns.mu.Unlock()
 	eventually(t, "the violation", func() bool { return n.loop.guard.violations[ruleAnswer].Load() == 1 })
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -162,6 +162,6 @@
 func (n *Node) allow(other holds) {
 	clients := max(n.clients-other.Clients, 1)
 	n.listener.setLimit(clients)
-	n.server.setConnLimit(clients)
+	n.server.conns.setLimit(clients)
 	n.pool.setMaxOpen(max(n.backends-other.Backends, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -108,13 +108,13 @@
 	told, open, busyAt := holds{Clients: -1}, n.backends, time.Now()
 	for {
 		// What begins here now may not end in time. Who asks on a kept connection as it is closed asks again.
-		n.server.closeIdle(idleLeast, closedForHandOver)
-		n.server.evictDownTo(n.clients / 4)
+		n.server.conns.closeIdle(idleLeast, closedForHandOver)
+		n.server.conns.evictDownTo(n.clients / 4)
 		inUse, idle := n.pool.size()
 		// Never more than before: the new process uses what this one has told that it left.
 		open = max(min(open, inUse), min(keepBackends, n.backends/4))
 		n.pool.setMaxOpen(open)
-		now := holds{Clients: n.listener.openConns(), Backends: open, Busy: n.server.busyConns()}
+		now := holds{Clients: n.listener.openConns(), Backends: open, Busy: n.server.conns.busy()}
 		if now != told {
 			text, _ := json.Marshal(now)
 			if _, err := c.Write(append(text, '\n')); err != nil {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -392,8 +392,8 @@
 		return old.server.handedOver.Load() && old.listener.openConns() <= old.clients/4
 	})
 	eventually(t, "the new process has room", func() bool {
-		next.server.mu.Lock()
-		defer next.server.mu.Unlock()
-		return next.server.evictAbove >= (next.clients-next.clients/4)*3/4
+		next.server.conns.mu.Lock()
+		defer next.server.conns.mu.Unlock()
+		return next.server.conns.evictAbove >= (next.clients-next.clients/4)*3/4
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -293,7 +293,7 @@
 			free = 0
 		}
 		if !n.server.shutdown.admits() {
-			n.server.closeUnused() // who waits is answered
+			n.server.conns.closeWaiting() // who waits is answered
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -392,7 +392,7 @@
 	cfg.Limits.Sockets = leastSockets
 	n := start(t, cfg)
 	clients, _ := cfg.Limits.share(false)
-	n.server.setConnLimit(2 * clients) // else the silent ones would give way
+	n.server.conns.setLimit(2 * clients) // else the silent ones would give way
 	slow := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -7,13 +7,18 @@
 	"time"
 )
 
-// This file words what a client is answered.
+// maxDiscardedBody bounds how much of a rejected request's body is read, in bytes: closing the connection over unread
+// bytes would reset it, which may overtake the answer.
+const maxDiscardedBody = 4 * maxBodyBytes
 
-// reject answers what can't be served, and ends the connection: the rest of the body is of no use. With its length the
-// answer is whole at once, and not only when the rest has come: http.Error leaves the length out.
+// closeAfterAnswer has the HTTP server close the connection after the current answer.
+func closeAfterAnswer(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+
+// rejectMalformed answers a request that can't be served with a line of text, and closes the connection. It gives the
+// answer's length, which http.Error leaves out: so the answer is complete before the rest of the body has come.
 func rejectMalformed(w http.ResponseWriter, hr *http.Request, status int, text string) {
+	closeAfterAnswer(w)
 	h := w.Header()
-	h.Set("Connection", "close")
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.WriteHeader(status)
@@ -22,7 +27,8 @@
 	io.CopyN(io.Discard, hr.Body, maxDiscardedBody)
 }
 
-func (f *clientServer) writeHealth(w http.ResponseWriter, ok bool) {
+// writeHealth answers a health check.
+func writeHealth(w http.ResponseWriter, ok bool) {
 	status, text := http.StatusOK, "ok\n"
 	if !ok {
 		status, text = http.StatusServiceUnavailable, "not ready\n"
@@ -32,29 +38,15 @@
 	io.WriteString(w, text)
 }
 
-// write words an answer, and calls whole before the last byte of it may go. Its error tells that a client was not given
-// all of one that was streamed.
-func writeAnswer(w http.ResponseWriter, a finalResponse, whole func()) error {
+// writeAnswer writes a final answer. It calls onLastByte before the last byte of it may go. It returns an error if the
+// client did not get all of an answer that was streamed.
+func writeAnswer(w http.ResponseWriter, a finalResponse, onLastByte func()) error {
 	if a.stream == nil {
-		whole()
+		onLastByte()
 	}
 	switch a.kind {
 	case responseServed:
-		if a.contentType != "" {
-			w.Header().Set("Content-Type", a.contentType)
-		} else {
-			w.Header()["Content-Type"] = nil // none was given: guess none
-		}
-		if a.stream != nil {
-			if a.stream.size >= 0 {
-				w.Header().Set("Content-Length", strconv.FormatInt(a.stream.size, 10))
-			}
-			w.WriteHeader(http.StatusOK)
-			return a.stream.copyTo(w, whole)
-		}
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-		w.WriteHeader(http.StatusOK)
-		w.Write(a.body)
+		return writeServed(w, a, onLastByte)
 	case responseRejected:
 		writeRejected(w, a.retryAfter)
 	case responseFailed:
@@ -69,14 +61,34 @@
 	return nil
 }
 
-// abort ends a client's connection within an answer, so that it can tell. An answer that ends with its connection looks
-// whole after an orderly end, so it is a reset; any other one is better ended in order, as a reset may overtake what has
-// come of it.
+// writeServed writes a backend's answer, buffered or streamed.
+func writeServed(w http.ResponseWriter, a finalResponse, onLastByte func()) error {
+	if a.contentType != "" {
+		w.Header().Set("Content-Type", a.contentType)
+	} else {
+		w.Header()["Content-Type"] = nil // keeps the library from guessing one
+	}
+	if a.stream != nil {
+		if a.stream.size >= 0 {
+			w.Header().Set("Content-Length", strconv.FormatInt(a.stream.size, 10))
+		}
+		w.WriteHeader(http.StatusOK)
+		return a.stream.copyTo(w, onLastByte)
+	}
+	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+	w.WriteHeader(http.StatusOK)
+	w.Write(a.body)
+	return nil
+}
+
+// abortResponse closes a client's connection within an answer, so that the client can tell. An answer that ends with
+// its connection (not framed) would look complete after an orderly end, so the connection is reset; any other is
+// closed in order, as a reset may overtake what the client has got of it.
 func abortResponse(w http.ResponseWriter, framed bool) {
 	if h, ok := w.(http.Hijacker); ok && !framed {
 		if c, _, err := h.Hijack(); err == nil {
-			if b, ok := c.(*limitedConn); ok {
-				b.resetOnClose()
+			if limited, ok := c.(*limitedConn); ok {
+				limited.resetOnClose()
 			}
 			c.Close()
 		}
@@ -84,7 +96,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuse tells the client that trying again is harmless, and when it may do so.
+// writeRejected answers 503: nothing was done for the request, and a retry is harmless, after retryIn where that is
+// positive.
 func writeRejected(w http.ResponseWriter, retryIn time.Duration) {
 	if retryIn > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
@@ -93,7 +106,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// fail promises nothing.
+// writeFailed answers 502 or 504: the request may have had its effect.
 func writeFailed(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
