--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -1,5 +1,8 @@
-// Command hitchvale-node is one load-balancing node: a request balancer on real sockets. It reads its configuration from the
-// file that BALANCER_CONFIG names.
+// Command hitchvale-node runs one load-balancing node. It reads its configuration from the file that BALANCER_CONFIG
+// names; BALANCER_ADMIN, where set, replaces the address of the admin server that the file gives.
+//
+// SIGHUP has it read the configuration again, SIGTERM shuts it down gracefully. It exits with status 1 and one line on
+// standard error where it can't start or its listener fails.
 package main
 
 import (
@@ -20,102 +23,123 @@
 	"hitchvale/internal/node"
 )
 
-// logFlush is how long the end of the process waits for whoever reads its log.
-const logFlush = 500 * time.Millisecond
+// logFlushTimeout is how long the exit waits for the log's reader.
+const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
-	// The log's reader may go, or read no further: neither may end the node or hold it up.
+	// The log's reader may exit or stall: neither may end the node or hold it up.
 	signal.Ignore(syscall.SIGPIPE)
-	out := asynclog.New(os.Stderr)
-	err := run(out)
+	logWriter := asynclog.New(os.Stderr)
+	err := run(logWriter)
 	if err != nil {
-		fmt.Fprintln(out, "hitchvale-node:", err)
+		fmt.Fprintln(logWriter, "hitchvale-node:", err)
 	}
-	out.Close(logFlush)
+	logWriter.Close(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
 }
 
-func run(out io.Writer) error {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first of all, and to the very end: unheeded, it ends the program
+// run runs the node until SIGTERM, and logs to logWriter.
+func run(logWriter io.Writer) error {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP) // before all else, and never stopped: unhandled, it ends the process
 	path := os.Getenv("BALANCER_CONFIG")
-	cfg, err := node.LoadConfig(path)
+	config, err := loadConfig(path)
 	if err != nil {
 		return err
 	}
-	if admin := os.Getenv("BALANCER_ADMIN"); admin != "" {
-		// Two processes of a node may share a configuration, but never this address.
-		if err := cfg.SetAdmin(admin); err != nil {
-			return err
-		}
-	}
-	limit(cfg)
+	setRuntimeLimits(config)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	log := slog.New(slog.NewTextHandler(out, nil))
-	n, err := node.New(cfg, log)
+	log := slog.New(slog.NewTextHandler(logWriter, nil))
+	n, err := node.New(config, log)
 	if err != nil {
 		return err
 	}
-	// A node that drains still sends what it has taken, so it goes on following where discovery moves until it has left.
+	// A draining node still forwards requests, so it follows a discovery that moves until it exits.
 	reloading, stopReloading := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stopReloading()
-	wg.Go(func() { reloadOn(reloading, hup, path, n, log) })
+	wg.Go(func() { reloadOn(reloading, hangups, path, n, log) })
 	return n.Run(ctx)
 }
 
-// Where a configuration cannot be read it is tried again for reloadFor, as it may be half written or the process short of
-// descriptors: nobody sends the signal twice. The wait doubles from reloadRetryLeast to reloadRetryMost.
+// loadConfig reads the configuration and the environment.
+func loadConfig(path string) (node.Config, error) {
+	config, err := node.LoadConfig(path)
+	if err != nil {
+		return config, err
+	}
+	if admin := os.Getenv("BALANCER_ADMIN"); admin != "" {
+		// Two processes of a node may share a configuration file, but not this address.
+		if err := config.SetAdmin(admin); err != nil {
+			return config, err
+		}
+	}
+	return config, nil
+}
+
 const (
-	reloadFor                         = time.Minute
-	reloadRetryLeast, reloadRetryMost = 50 * time.Millisecond, time.Second
+	// reloadRetryPeriod is how long a configuration that can't be read is tried again after SIGHUP: it may be half
+	// written, or the process short of descriptors, and nobody sends the signal twice.
+	reloadRetryPeriod = time.Minute
+	// The wait between the tries doubles from reloadMinBackoff to reloadMaxBackoff.
+	reloadMinBackoff = 50 * time.Millisecond
+	reloadMaxBackoff = time.Second
 )
 
 // reloadOn reads the configuration again at each signal, until ctx ends. One that can't be read changes nothing.
-func reloadOn(ctx context.Context, hup <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
-	var retry <-chan time.Time // nil: nothing is to be read again
-	var wait time.Duration
-	var until time.Time
+func reloadOn(ctx context.Context, hangups <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
+	var retry <-chan time.Time // nil: no retry is due
+	var backoff time.Duration
+	var retryUntil time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
-			wait, until = reloadRetryLeast, time.Now().Add(reloadFor)
+		case <-hangups:
+			backoff = reloadMinBackoff
+			retryUntil = time.Now().Add(reloadRetryPeriod)
 		case <-retry:
 		}
 		retry = nil
-		cfg, err := node.LoadConfig(path)
+		config, err := node.LoadConfig(path)
 		if err == nil {
-			n.Reload(cfg)
+			n.Reload(config)
 			continue
 		}
-		if time.Now().After(until) {
-			log.Error("configuration not replaced, given up: correct the file and send SIGHUP again", "error", err)
-			continue
+		retrying := !time.Now().After(retryUntil)
+		log.Error("configuration reload failed", "error", err, "retrying", retrying)
+		if retrying {
+			retry = time.After(backoff)
+			backoff = min(2*backoff, reloadMaxBackoff)
 		}
-		log.Error("configuration not replaced, reading it again soon", "error", err)
-		retry = time.After(wait)
-		wait = min(2*wait, reloadRetryMost)
 	}
 }
 
-// limit fits the runtime into the machine. The collector starts seldom, and works harder where memory is short.
-// Two processes of a node, one replacing the other, share it.
-func limit(cfg node.Config) {
-	l, part := cfg.Limits, int64(7)
-	if cfg.Admin != "" {
-		part = 4
+const (
+	// memoryShare is the tenth parts of the memory limit that the Go heap may take, and sharedMemoryShare those of a
+	// node whose successor may run at the same time.
+	memoryShare       = 7
+	sharedMemoryShare = 4
+	// gcPercent has the collector run seldom; near the memory limit it runs more often by itself.
+	gcPercent = 200
+)
+
+// setRuntimeLimits fits the Go runtime into the machine's share that the configuration gives.
+func setRuntimeLimits(config node.Config) {
+	limits := config.Limits
+	share := int64(memoryShare)
+	if config.Admin != "" {
+		share = sharedMemoryShare
 	}
-	if l.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Round(l.Cores))))
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Round(limits.Cores))))
 	}
-	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(l.MemoryMB << 20 / 10 * part)
-		debug.SetGCPercent(200)
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(limits.MemoryMB << 20 / 10 * share)
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -156,7 +156,7 @@
 	<-askedBefore
 	p.write("{")
 	p.Process.Signal(syscall.SIGHUP)
-	p.awaitLine("configuration not replaced")
+	p.awaitLine("configuration reload failed")
 	p.configure(after)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration replaced")
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	p.awaitLine("configuration not replaced")
+	p.awaitLine("configuration reload failed")
 	p.configure(after)
 	select {
 	case <-askedAfter:
