--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -21,7 +21,6 @@
 
 // unfinishedPackages are those whose code has not been brought to these rules yet (docs/ROADMAP.md).
 var unfinishedPackages = map[string]bool{
-	"cmd/hitchvale-node":   true,
 	"internal/admin":       true,
 	"internal/discovery":   true,
 	"internal/durable":     true,
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -147,7 +147,7 @@
 const incompleteResponseTimeout = 20 * time.Millisecond
 
 // rejectIncomplete answers a client that has sent an incomplete head, and serves nothing more of it. The connection
-// stays until the client closes it: a reset could overtake the answer. It reports whether there was such a head.
+// stays until the client closes it: a reset could overtake the response. It reports whether there was such a head.
 func (c *clientConn) rejectIncomplete() bool {
 	if !c.reject() {
 		return false
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -20,13 +20,14 @@
 	requestReadTimeout = 2800 * time.Millisecond
 	// keepAliveTimeout is how long a connection may be idle between requests.
 	keepAliveTimeout = 30 * time.Second
-	// responseWriteTimeout is how long a client may take to read its answer.
+	// responseWriteTimeout is how long a client may take to read its response.
 	responseWriteTimeout = 5 * time.Second
 	// overloadRetryAfter is the Retry-After of a request that was rejected since too many are in flight.
 	overloadRetryAfter = 250 * time.Millisecond
 )
 
-// clientServer is the HTTP handler for clients: it reads requests, has the loop decide on them and writes the answers.
+// clientServer is the HTTP handler for clients: it reads requests, has the loop decide on them and writes the
+// responses.
 type clientServer struct {
 	loop     *eventLoop
 	settings siteconfig.Settings
@@ -87,9 +88,9 @@
 	}
 }
 
-// closesConnections reports whether each answer closes its connection now. That crosses no request, as closing an idle
-// connection may. Where slow heads are evicted too (streaming) there is always room for a new connection, and clients
-// keep those that they use.
+// closesConnections reports whether each response closes its connection now. That crosses no request, as closing an
+// idle connection may. Where slow heads are evicted too (streaming) there is always room for a new connection, and
+// clients keep those that they use.
 func (f *clientServer) closesConnections() bool {
 	return f.shutdown.started() || f.handedOver.Load() || !f.streaming && f.conns.aboveThreshold()
 }
@@ -98,11 +99,11 @@
 func (f *clientServer) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	received := time.Now()
 	if f.closesConnections() {
-		closeAfterAnswer(w)
+		closeAfterResponse(w)
 	}
 	head, open := requestHead(hr, received)
 	if !open {
-		panic(http.ErrAbortHandler) // the connection is closed: no answer is possible
+		panic(http.ErrAbortHandler) // the connection is closed: no response is possible
 	}
 	// Set first of all: the library reads what is left of a body, and would wait for it without end.
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
@@ -112,7 +113,7 @@
 		return
 	}
 	if head.Final {
-		closeAfterAnswer(w)
+		closeAfterResponse(w)
 	}
 	switch hr.URL.Path {
 	case "/health/ready":
@@ -141,7 +142,7 @@
 
 // rejectOverload rejects a request, unread, since too many are in flight.
 func (f *clientServer) rejectOverload(w http.ResponseWriter, hr *http.Request) {
-	closeAfterAnswer(w)
+	closeAfterResponse(w)
 	writeRejected(w, overloadRetryAfter)
 	if class := slices.Index(f.settings.Classes, hr.Header.Get("X-Qos")); class >= 0 {
 		f.figures.count(class, responseRejected)
@@ -176,15 +177,15 @@
 		return
 	}
 	if r.forwarded.upload != nil {
-		// The answer may come before the body's end, and then no other request can follow.
-		closeAfterAnswer(w)
+		// The response may come before the body's end, and then no other request can follow.
+		closeAfterResponse(w)
 		http.NewResponseController(w).EnableFullDuplex()
 	}
 	f.injectDropInDrain()
 	f.dispatch(w, hr, r)
 }
 
-// dispatch has the loop decide on a request, and writes its final answer.
+// dispatch has the loop decide on a request, and writes its final response.
 func (f *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
 	count := newRequestCount(f.figures, r.class)
 	if body := r.forwarded.upload; body == nil {
@@ -197,9 +198,9 @@
 	defer func() { count.finish(end) }()
 	f.loop.post(requestArrived{r})
 	select {
-	case a := <-r.response:
-		f.writeFinalAnswer(w, hr, r, a, count)
-		end = a.kind
+	case response := <-r.response:
+		f.writeFinalResponse(w, hr, r, response, count)
+		end = response.kind
 	case <-hr.Context().Done():
 		if c, ok := clientConnOf(hr.Context()); ok && c.isClosed() {
 			f.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
@@ -212,25 +213,25 @@
 	}
 }
 
-// writeFinalAnswer writes an answer. It panics with http.ErrAbortHandler where a streamed one breaks off.
-func (f *clientServer) writeFinalAnswer(
-	w http.ResponseWriter, hr *http.Request, r *request, a finalResponse, count *requestCount,
+// writeFinalResponse writes a response. It panics with http.ErrAbortHandler where a streamed one breaks off.
+func (f *clientServer) writeFinalResponse(
+	w http.ResponseWriter, hr *http.Request, r *request, response finalResponse, count *requestCount,
 ) {
 	if f.shutdown.started() || f.handedOver.Load() {
-		closeAfterAnswer(w)
+		closeAfterResponse(w)
 	}
 	bodyOpen := r.forwarded.upload != nil
 	if bodyOpen {
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	}
-	// Counted before the last byte goes: a client that has the answer finds it in the figures.
-	err := writeAnswer(w, a, func() { count.finish(a.kind) })
+	// Counted before the last byte goes: a client that has the response finds it in the figures.
+	err := writeResponse(w, response, func() { count.finish(response.kind) })
 	if bodyOpen {
 		http.NewResponseController(w).Flush() // what is left of the request's body may take long to come
 	}
 	if err != nil {
-		f.warnings.Warn("answer aborted", "error", err)
-		abortResponse(w, hr.ProtoAtLeast(1, 1) || a.stream.size >= 0)
+		f.warnings.Warn("response aborted", "error", err)
+		abortResponse(w, hr.ProtoAtLeast(1, 1) || response.stream.size >= 0)
 	}
 }
 
--- a/internal/node/close_reasons.go
+++ b/internal/node/close_reasons.go
@@ -15,7 +15,7 @@
 	closedDraining
 	// closedShutdown: nothing had come on it when the node stopped admitting requests.
 	closedShutdown
-	// closedIncomplete: its request was incomplete when the last answers were due, and was rejected.
+	// closedIncomplete: its request was incomplete when the last responses were due, and was rejected.
 	closedIncomplete
 	// closedIdle: it was idle for too long.
 	closedIdle
@@ -23,7 +23,7 @@
 	closedStale
 	// closedUnlisted: its backend takes no new requests.
 	closedUnlisted
-	// closedNotReusable: its answer was incomplete, or was declared its last.
+	// closedNotReusable: its response was incomplete, or was declared its last.
 	closedNotReusable
 	closeReasonCount
 )
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -8,7 +8,7 @@
 )
 
 // slowHeadFactor is how many times as long a client that has sent some of a request may take as one that has sent
-// nothing, before it is evicted: a slow client is still one that wants an answer.
+// nothing, before it is evicted: a slow client is still one that wants a response.
 const slowHeadFactor = 4
 
 // evictionThreshold returns above how many connections slow clients are evicted, for a limit of connections.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,7 +7,7 @@
 
 // drain closes connections as they become idle, until none is left. Those that never had a request are closed when
 // nothing has happened for stillFor, or when requests are not admitted any more; incomplete requests are rejected when
-// the last answers are due. It returns early when ctx ends, or when only clients are left that do not close.
+// the last responses are due. It returns early when ctx ends, or when only clients are left that do not close.
 func (f *clientServer) drain(ctx context.Context) {
 	for still := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; still += lookEvery {
 		f.conns.closeIdle(0, closedDraining)
@@ -21,7 +21,7 @@
 				return
 			}
 		}
-		if f.shutdown.answersDue() {
+		if f.shutdown.responsesDue() {
 			f.conns.rejectIncomplete()
 		}
 		if f.shutdown.expired() && f.inFlight.Load() == 0 {
--- a/internal/node/fault_injection.go
+++ b/internal/node/fault_injection.go
@@ -10,7 +10,7 @@
 // empty in every other build.
 var (
 	// faultDropInDrain, where not empty, has a draining node close the connection of the first request that it admits,
-	// without an answer.
+	// without a response.
 	faultDropInDrain string
 	// faultShutdown names the part of the shutdown that is left out: one of the constants below.
 	faultShutdown string
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -138,12 +138,12 @@
 // finalResponsesDue says that, in a shutdown, every request has to have its final response now.
 type finalResponsesDue struct{}
 
-func (finalResponsesDue) handle(l *eventLoop) { l.answerAllOpen() }
+func (finalResponsesDue) handle(l *eventLoop) { l.failAllOpen() }
 
 // shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
 type shutdownCheckDue struct{}
 
-func (shutdownCheckDue) handle(l *eventLoop) { l.checkAllAnswered() }
+func (shutdownCheckDue) handle(l *eventLoop) { l.checkAllResponded() }
 
 // cordonState is what the event loop knows of cordons.
 type cordonState struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -287,7 +287,7 @@
 // emptyBacklog accepts what stands in the backlog, for want of room or since accept fails: that has been taken too, and closing
 // the listener would reset it.
 func (n *Node) emptyBacklog(ctx context.Context) {
-	for free := time.Duration(0); free < clearFor && ctx.Err() == nil && !n.server.shutdown.answersDue(); free += lookEvery {
+	for free := time.Duration(0); free < clearFor && ctx.Err() == nil && !n.server.shutdown.responsesDue(); free += lookEvery {
 		pause(ctx, lookEvery)
 		if n.listener.backlogged() {
 			free = 0
@@ -301,7 +301,7 @@
 // answerInTime has all that was taken answered when that is due, and counts what is not.
 func (n *Node) answerInTime(ctx context.Context) {
 	schedule := n.server.shutdown
-	pause(ctx, time.Until(schedule.answerDeadline().Time()))
+	pause(ctx, time.Until(schedule.responseDeadline().Time()))
 	for checked := false; ctx.Err() == nil; {
 		n.loop.post(finalResponsesDue{})
 		pause(ctx, lookEvery)
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// deadlineMargin is how much sooner than the client's deadline a request ends: its way here and the answer's way
+	// deadlineMargin is how much sooner than the client's deadline a request ends: its way here and the response's way
 	// back take part of the time, and the node sees neither.
 	deadlineMargin = 8 * time.Millisecond
 	// defaultDeadline is the deadline of a class that the settings give none.
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -8,16 +8,16 @@
 )
 
 // maxDiscardedBody bounds how much of a rejected request's body is read, in bytes: closing the connection over unread
-// bytes would reset it, which may overtake the answer.
+// bytes would reset it, which may overtake the response.
 const maxDiscardedBody = 4 * maxBodyBytes
 
-// closeAfterAnswer has the HTTP server close the connection after the current answer.
-func closeAfterAnswer(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+// closeAfterResponse has the HTTP server close the connection after the current response.
+func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
 // rejectMalformed answers a request that can't be served with a line of text, and closes the connection. It gives the
-// answer's length, which http.Error leaves out: so the answer is complete before the rest of the body has come.
+// response's length, which http.Error leaves out: so the response is complete before the rest of the body has come.
 func rejectMalformed(w http.ResponseWriter, hr *http.Request, status int, text string) {
-	closeAfterAnswer(w)
+	closeAfterResponse(w)
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
@@ -38,20 +38,20 @@
 	io.WriteString(w, text)
 }
 
-// writeAnswer writes a final answer. It calls onLastByte before the last byte of it may go. It returns an error if the
-// client did not get all of an answer that was streamed.
-func writeAnswer(w http.ResponseWriter, a finalResponse, onLastByte func()) error {
-	if a.stream == nil {
+// writeResponse writes a final response. It calls onLastByte before the last byte of it may go. It returns an error if
+// the client did not get all of a response that was streamed.
+func writeResponse(w http.ResponseWriter, response finalResponse, onLastByte func()) error {
+	if response.stream == nil {
 		onLastByte()
 	}
-	switch a.kind {
+	switch response.kind {
 	case responseServed:
-		return writeServed(w, a, onLastByte)
+		return writeServed(w, response, onLastByte)
 	case responseRejected:
-		writeRejected(w, a.retryAfter)
+		writeRejected(w, response.retryAfter)
 	case responseFailed:
 		status := http.StatusBadGateway
-		if a.deadlineExceeded {
+		if response.deadlineExceeded {
 			status = http.StatusGatewayTimeout
 		}
 		writeFailed(w, status)
@@ -61,27 +61,27 @@
 	return nil
 }
 
-// writeServed writes a backend's answer, buffered or streamed.
-func writeServed(w http.ResponseWriter, a finalResponse, onLastByte func()) error {
-	if a.contentType != "" {
-		w.Header().Set("Content-Type", a.contentType)
+// writeServed writes a backend's response, buffered or streamed.
+func writeServed(w http.ResponseWriter, response finalResponse, onLastByte func()) error {
+	if response.contentType != "" {
+		w.Header().Set("Content-Type", response.contentType)
 	} else {
 		w.Header()["Content-Type"] = nil // keeps the library from guessing one
 	}
-	if a.stream != nil {
-		if a.stream.size >= 0 {
-			w.Header().Set("Content-Length", strconv.FormatInt(a.stream.size, 10))
+	if response.stream != nil {
+		if response.stream.size >= 0 {
+			w.Header().Set("Content-Length", strconv.FormatInt(response.stream.size, 10))
 		}
 		w.WriteHeader(http.StatusOK)
-		return a.stream.copyTo(w, onLastByte)
+		return response.stream.copyTo(w, onLastByte)
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
 	w.WriteHeader(http.StatusOK)
-	w.Write(a.body)
+	w.Write(response.body)
 	return nil
 }
 
-// abortResponse closes a client's connection within an answer, so that the client can tell. An answer that ends with
+// abortResponse closes a client's connection within a response, so that the client can tell. A response that ends with
 // its connection (not framed) would look complete after an orderly end, so the connection is reset; any other is
 // closed in order, as a reset may overtake what the client has got of it.
 func abortResponse(w http.ResponseWriter, framed bool) {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,8 +15,8 @@
 	gracePeriodBase    = 700 * time.Millisecond
 )
 
-// answerMargin is how long before the earliest SIGKILL the last answer is written: a process may stall for 150 ms.
-const answerMargin = 200 * time.Millisecond
+// responseMargin is how long before the earliest SIGKILL the last response is written: a process may stall for 150 ms.
+const responseMargin = 200 * time.Millisecond
 
 // exitMargin is how long before the earliest SIGKILL a process exits that only waits for clients to close.
 const exitMargin = 50 * time.Millisecond
@@ -28,17 +28,17 @@
 // notice that the node is not ready any more.
 const acceptPeriod = 600 * time.Millisecond
 
-// shutdownSchedule says what a process does when, from SIGTERM to its exit:
+// shutdownSchedule is the schedule of a graceful shutdown, from SIGTERM to the exit. Its instants, in their order:
 //
-//	SIGTERM         start: not ready any more, each answer closes its connection
-//	acceptUntil     connections are accepted until now, and further while some wait in the backlog
-//	admitUntil      requests are admitted until now, later ones get 503
-//	answerDeadline  every admitted request has its answer, incomplete ones get 503
-//	expired         the process exits, but for answers that are still being streamed
-//	earliestKill    SIGKILL may come
+//	start             SIGTERM came: the readiness check fails, and each response closes its connection
+//	acceptUntil       connections are accepted at least until then, and further while some wait in the backlog
+//	admitUntil        requests are admitted until then; later ones are rejected with 503
+//	responseDeadline  every admitted request has its final response, every incomplete one is rejected
+//	expired           the process exits, unless responses are still being streamed
+//	earliestKill      SIGKILL may come
 //
-// It is the same whether or not another process of the node runs: the time of the kill does not depend on that. Before
-// start it admits everything. It is safe for concurrent use.
+// It is the same whether or not another process of the node runs, as the time of the kill does not depend on that.
+// Before its start everything is admitted. It is safe for concurrent use.
 type shutdownSchedule struct {
 	longestDeadline time.Duration   // of any class, capped at maxDeadlineInGrace
 	startedAt       monotime.Atomic // when the process got SIGTERM; zero: it has not
@@ -60,14 +60,14 @@
 	return s.startedAt.Load().Add(s.longestDeadline + gracePeriodBase)
 }
 
-// answerDeadline returns when the last answer has to be written.
-func (s *shutdownSchedule) answerDeadline() monotime.Instant {
-	return s.earliestKill().Add(-answerMargin)
+// responseDeadline returns when the last response has to be written.
+func (s *shutdownSchedule) responseDeadline() monotime.Instant {
+	return s.earliestKill().Add(-responseMargin)
 }
 
 // admitUntil returns until when requests are admitted.
 func (s *shutdownSchedule) admitUntil() monotime.Instant {
-	return s.answerDeadline().Add(-s.longestDeadline / lateRequestDivisor)
+	return s.responseDeadline().Add(-s.longestDeadline / lateRequestDivisor)
 }
 
 // acceptUntil returns until when connections are accepted even if none waits in the backlog.
@@ -78,27 +78,27 @@
 // admits reports whether a request that is complete now may be admitted.
 func (s *shutdownSchedule) admits() bool { return !s.started() || monotime.Now() < s.admitUntil() }
 
-// answersDue reports whether every admitted request has to be answered now.
-func (s *shutdownSchedule) answersDue() bool {
-	return s.started() && monotime.Now() >= s.answerDeadline()
+// responsesDue reports whether every admitted request has to be answered now.
+func (s *shutdownSchedule) responsesDue() bool {
+	return s.started() && monotime.Now() >= s.responseDeadline()
 }
 
-// expired reports whether it is time to exit, but for answers that are still being streamed.
+// expired reports whether it is time to exit, but for responses that are still being streamed.
 func (s *shutdownSchedule) expired() bool {
 	return s.started() && monotime.Now() >= s.earliestKill().Add(-exitMargin)
 }
 
-// capDeadline returns a request's deadline, brought forward to answerDeadline in a process that is shutting down.
+// capDeadline returns a request's deadline, brought forward to responseDeadline in a process that is shutting down.
 func (s *shutdownSchedule) capDeadline(deadline time.Time) time.Time {
-	if s.started() && monotime.At(deadline) > s.answerDeadline() {
-		return s.answerDeadline().Time()
+	if s.started() && monotime.At(deadline) > s.responseDeadline() {
+		return s.responseDeadline().Time()
 	}
 	return deadline
 }
 
-// answerAllOpen fails every request that has no final answer at answerDeadline, also those admitted before SIGTERM with
-// a later deadline of their own. Answers that are being streamed go on.
-func (l *eventLoop) answerAllOpen() {
+// failAllOpen fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
+// with a later deadline of their own. Responses that are being streamed go on.
+func (l *eventLoop) failAllOpen() {
 	var open []*request
 	for _, r := range l.requests {
 		if r.isOpen() {
@@ -111,8 +111,8 @@
 	}
 }
 
-// checkAllAnswered reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
-func (l *eventLoop) checkAllAnswered() {
+// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
+func (l *eventLoop) checkAllResponded() {
 	for id, r := range l.requests {
 		if r.isOpen() {
 			l.guard.reportViolation(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -83,7 +83,7 @@
 }
 
 // discard reads the rest of the body, within its rate and limit. Closing the connection over unread bytes would reset
-// it, which may overtake the answer; and a client may read the answer only after it has sent everything.
+// it, which may overtake the response; and a client may read the response only after it has sent everything.
 func (u *requestStream) discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,7 +131,7 @@
 
 func (nopCloser) Close() error { return nil }
 
-// responseStream is a backend's answer that is passed on while it comes in.
+// responseStream is a backend's response that is passed on while it comes in.
 type responseStream struct {
 	buffered []byte // what has been read of it so far
 	size     int64  // in bytes; -1: unknown
@@ -140,7 +140,7 @@
 	release  func(whole bool) // gives the backend's connection back
 }
 
-// copyTo passes the answer on, and releases the connection. It calls onLastByte before the last byte of an answer of
+// copyTo passes the response on, and releases the connection. It calls onLastByte before the last byte of a response of
 // known length; one of unknown length ends only after copyTo has returned.
 func (s *responseStream) copyTo(w http.ResponseWriter, onLastByte func()) (err error) {
 	complete := false
