--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -167,7 +167,7 @@
 
 // What discovery tells counts as told 4 s after SIGHUP, whether or not the file could be read just then: it is read again
 // until it can be.
-func TestHangupBeforeTheFileIsWhole(t *testing.T) {
+func TestHangupBeforeTheFileIsComplete(t *testing.T) {
 	before, askedBefore := discovery(t)
 	after, askedAfter := discovery(t)
 	p := startProcess(t, before)
@@ -221,7 +221,7 @@
 }
 
 // A log that nobody reads any more holds nothing up: the node answers, and ends when it is told to.
-func TestLogThatNobodyReadsHoldsNothingUp(t *testing.T) {
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	addr, asked := discovery(t)
 	p := startProcess(t, addr)
 	<-asked
@@ -247,7 +247,7 @@
 }
 
 // A log whose reader has gone ends no process.
-func TestLogWhoseReaderHasGoneEndsNothing(t *testing.T) {
+func TestClosedLogPipeEndsNothing(t *testing.T) {
 	addr, asked := discovery(t)
 	p := startProcess(t, addr)
 	<-asked
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -66,7 +66,7 @@
 
 // What waits in the backlog when a node is told to end, because accept fails just then, is served before the listener is
 // closed.
-func TestLeavingServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
+func TestShutdownServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
 	var failing atomic.Bool
 	s := startFlaky(t, echo(t).Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -55,7 +55,7 @@
 
 // A request over bodyMost that can be kept whole goes to another backend when the first one breaks off, in both forms and
 // without a second address, and long answers and such without a length come through.
-func TestLongRequestsAreSentAgain(t *testing.T) {
+func TestLongRequestsAreRetried(t *testing.T) {
 	text := noise(3 * maxBodyBytes)
 	for name, size := range map[string]int64{"sized": int64(len(text)), "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 }
 
 // The longest body that is kept is served in both forms; TestMalformedRequests has the ones a byte longer.
-func TestLongestBodyThatIsKept(t *testing.T) {
+func TestLongestBufferedBody(t *testing.T) {
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: newRawBackend(t, "127.0.0.1:0", hashing).Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
 	cfg.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept
@@ -137,7 +137,7 @@
 }
 
 // Answers of any length and form come through whole, and what ends soon is told with its length.
-func TestLargeAnswersAreStreamed(t *testing.T) {
+func TestLargeResponsesAreStreamed(t *testing.T) {
 	big := string(noise(5 << 20))
 	chunks := func(body string, size int) string {
 		var b strings.Builder
@@ -191,7 +191,7 @@
 
 // An answer that breaks when some of it has been passed on is one that the client can tell is not whole, and it is
 // counted as failed.
-func TestBrokenAnswerCanBeTold(t *testing.T) {
+func TestClientCanTellABrokenResponse(t *testing.T) {
 	part := strings.Repeat("x", 2*maxBodyBytes)
 	for name, answer := range map[string]string{
 		"sized":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + part,
@@ -225,7 +225,7 @@
 }
 
 // Where a large answer breaks before any of its body has come, its client is told so.
-func TestAnswerThatBreaksBeforeItBegins(t *testing.T) {
+func TestResponseThatBreaksBeforeItBegins(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
@@ -268,7 +268,7 @@
 }
 
 // A backend that says no before the body's end is heard at once, also by a client that goes on sending.
-func TestEarlyNoIsPassedOnAtOnce(t *testing.T) {
+func TestEarlyRejectionIsPassedOnAtOnce(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
@@ -317,7 +317,7 @@
 }
 
 // Slow readers of large answers hold back their backends, and the memory in use stays small.
-func TestSlowReadersHoldBack(t *testing.T) {
+func TestSlowReadersCauseBackpressure(t *testing.T) {
 	const size, readers = 32 << 20, 8
 	body := noise(size)
 	var sent atomic.Int64
@@ -369,7 +369,7 @@
 }
 
 // Only the time that the node waits for its client counts, against what it has sent.
-func TestPaceOfABody(t *testing.T) {
+func TestMinimumBodyRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, every time.Duration // for the head, and between two pieces
 		piece, size int
@@ -407,7 +407,7 @@
 }
 
 // A body longer than is served is an error, and a budget that is used up has bodies streamed.
-func TestBoundsOfBodies(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: func(time.Time) error { return nil }, limit: 4}
 	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
 		t.Errorf("%v", err)
@@ -432,7 +432,7 @@
 
 // A body that nobody wants is read to its end all the same, however slowly its client sends: closing on it would reset
 // the connection, and the answer with it.
-func TestUnwantedBodyIsReadToItsEnd(t *testing.T) {
+func TestDiscardReadsABodyToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &requestStream{source: &slowReader{left: 20}, size: -1}
 		u.discard()
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -137,7 +137,7 @@
 }
 
 // A client that goes away leaves nothing behind: no request, no attempt, no connection.
-func TestClientThatGoesAwayLeaksNothing(t *testing.T) {
+func TestDisconnectedClientLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -172,7 +172,7 @@
 }
 
 // Two open requests of one id could not be told apart at a backend.
-func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
+func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -197,7 +197,7 @@
 }
 
 // At its limit the node refuses in order, and says when to come back.
-func TestFullNodeRefuses(t *testing.T) {
+func TestFullNodeRejects(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -225,7 +225,7 @@
 }
 
 // A crowd of idle connections gives way to clients that have something to ask.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{"s", b.Addr().String(), "ready", 0})
 	cfg := testConfig(t, newRegistry(t, text).addr, text)
@@ -268,7 +268,7 @@
 }
 
 // What no server can take is refused at once, and the refusal says when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -16,7 +16,7 @@
 
 // However many connections stand idle or half written, requests on new ones are served, and so are those of clients
 // that keep using theirs.
-func TestCrowdsLockNobodyOut(t *testing.T) {
+func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
 	cfg.Admin, cfg.StateDir, cfg.Limits.Sockets = "127.0.0.1:0", t.TempDir(), 128
@@ -52,7 +52,7 @@
 
 // The connection that has kept the node waiting longest goes first, and one that has begun a request waits for a
 // quarter of its time.
-func TestWhoGivesWay(t *testing.T) {
+func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 		f.streaming = true
@@ -92,7 +92,7 @@
 	})
 }
 
-// A head may take two seconds to come; TestImproperPeersHearSoInTime has those that take longer.
+// A head may take two seconds to come; TestMalformedClientsGetAnErrorInTime has those that take longer.
 func TestSlowHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := inMemory(t).dial()
@@ -162,7 +162,7 @@
 }
 
 // Before the server's own end, which closes everything, who is being served has the answer, and who is not is ended for good.
-func TestDrainWaitsForWhoIsServed(t *testing.T) {
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 		conn := func() *limitedConn {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -30,7 +30,7 @@
 // goroutine that waited for bytes took them off the system after the connection counted as ended, and dropped them. What has been read has to
 // be answered; what is left unread is reset by the close, and its client sends it again. Proof: the connection ended in order, and no
 // reset followed: so the system held nothing unread at the close.
-func TestNothingIsReadOnceAConnectionCountsAsEnded(t *testing.T) {
+func TestNothingIsReadOfAClosedConnection(t *testing.T) {
 	client, server := tcpPair(t)
 	framed := newClientConn(server, time.Now())
 	read := make(chan int, 1)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -67,7 +67,7 @@
 }
 
 // A client that left before the node came to read its request is gone: nothing is sent on for it.
-func TestClientThatLeftInTheBacklog(t *testing.T) {
+func TestDisconnectInTheBacklog(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": reset} {
 		for _, more := range []int{0, 1, 3} {
 			t.Run(fmt.Sprintf("%s,more=%d", name, more), func(t *testing.T) {
@@ -95,7 +95,7 @@
 
 // A client that has sent more than one request, or much else, and leaves is gone like any other: what is under way for it
 // is given up, and what it sent behind is not begun.
-func TestClientThatSendsMoreAndLeaves(t *testing.T) {
+func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	for name, behind := range map[string]string{
 		"nothing": "", "a byte": "G", "a request": reading("behind"), "many": strings.Repeat(reading("behind"), 200), "noise": strings.Repeat("x", 4000),
 	} {
@@ -123,7 +123,7 @@
 }
 
 // A client that leaves while its request's connection is coming up has nothing written for it.
-func TestClientThatLeavesDuringADial(t *testing.T) {
+func TestDisconnectDuringADial(t *testing.T) {
 	addr, came, _ := hanging(t)
 	n := startOn(t, addr)
 	dialing, dial := make(chan struct{}, 8), make(chan struct{})
@@ -142,7 +142,7 @@
 
 // A client that sent more behind its request gets its answer whole from a node that is leaving: a close over unread bytes
 // would be a reset, and take the answer with it.
-func TestAnswerOutlivesTheCloseOverUnreadBytes(t *testing.T) {
+func TestResponseOutlivesTheCloseOverUnreadBytes(t *testing.T) {
 	const size = 60 << 10
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -168,7 +168,7 @@
 
 // What has begun to come in when a node leaves is served, on a new connection and on a kept one; what rests is ended, and
 // what never sent anything holds nothing up.
-func TestHalfSentHeadsAtTheEnd(t *testing.T) {
+func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
 		l, f := inMemoryFront(t)
@@ -216,7 +216,7 @@
 
 // A keyed request that may have run goes out again only within its window and its time, however long the connection takes
 // to come up.
-func TestRepeatsGoOutWithinTheWindow(t *testing.T) {
+func TestRetriesStayWithinTheKeyWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	for name, tc := range map[string]struct {
 		window  time.Duration
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -105,7 +105,7 @@
 
 // What a whole list does not name is gone, also where it still answers: nothing that still dials goes there, and the rest goes
 // to who is named.
-func TestWhatAWholeListLeavesOutIsGone(t *testing.T) {
+func TestCompleteListRemovesWhatItOmits(t *testing.T) {
 	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
 	reg := newRegistry(t, before)
 	n := start(t, testConfig(t, reg.addr, before))
@@ -155,7 +155,7 @@
 
 // An answer that breaks off, however it is worded and cut, may have run and is nobody's answer; one that stops within a line
 // holds its connection no longer than the attempt may take, and half a line on an idle connection is never read as an answer.
-func TestAnswersThatBreakOff(t *testing.T) {
+func TestResponsesThatBreakOff(t *testing.T) {
 	for name, text := range map[string]string{
 		"half a line": "HTTP/1.1 20", "half a head": "HTTP/1.1 200 OK\r\nContent-Le", "no length": "HTTP/1.1 200 OK\r\n\r\nabc",
 		"a length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", "chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
@@ -213,7 +213,7 @@
 
 // A reset is no end: an answer of untold length that is reset while the node waits to see whether it goes on is not whole, in
 // one exchange as well as for a client. The node is held just before it waits, until the backend has reset the connection.
-func TestResetAnswerOfUntoldLengthIsNotWhole(t *testing.T) {
+func TestResetResponseOfUnknownLengthIsIncomplete(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(net.Conn)
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -81,7 +81,7 @@
 
 // Who sends no proper request, or nothing, hears an error or a close within 3 s of connecting, and leaves nothing
 // behind.
-func TestImproperPeersHearSoInTime(t *testing.T) {
+func TestMalformedClientsGetAnErrorInTime(t *testing.T) {
 	proper := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
 	nameless := "POST /api/x HTTP/1.1\r\nHost: x\r\n"
 	all := func(text string) func(net.Conn) {
@@ -150,7 +150,7 @@
 }
 
 // "OPTIONS *" is a question to the server that the library would answer itself.
-func TestNoAnswerIsTheLibrarysOwn(t *testing.T) {
+func TestNoResponseIsTheLibrarysOwn(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	status, _ := exchange(t, startOn(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status < 400 {
@@ -159,7 +159,7 @@
 }
 
 // Who is turned away has the whole answer at once, also while the rest of its body is still to come: its time runs.
-func TestRejectionIsWholeAtOnce(t *testing.T) {
+func TestRejectionIsCompleteAtOnce(t *testing.T) {
 	for name, head := range map[string]string{
 		"too long": "X-Trace-Id: a\r\nX-Qos: order\r\nContent-Length: 64000000\r\n\r\n",
 		"nameless": "X-Qos: order\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
