--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// A node without a configuration ends with one line and a non-zero code.
+// A node without a valid configuration exits with status 1 and one line.
 func TestBadStartIsOneLine(t *testing.T) {
 	bad := t.TempDir() + "/config.json"
 	if err := os.WriteFile(bad, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// discovery is a discovery with these backends. The channel tells when it is asked.
+// discovery starts a discovery that lists these members. The channel receives when it is called.
 func discovery(t *testing.T, members ...string) (addr string, asked <-chan struct{}) {
 	t.Helper()
 	c := make(chan struct{}, 1)
@@ -65,9 +65,10 @@
 	return s.Listener.Addr().String(), c
 }
 
+// addresses numbers the results of address.
 var addresses atomic.Int64
 
-// address is one that no other socket of this machine is likely to have: each has a loopback host of its own.
+// address returns one that no other socket of this machine is likely to use: each has a loopback host of its own.
 func address() string {
 	const port, hosts = 8443, 250
 	n := addresses.Add(1)
@@ -87,8 +88,7 @@
 	logged  *bufio.Scanner
 }
 
-// startProcess starts a node that asks the discovery at an address, with more keys in its configuration, and waits until it
-// serves.
+// startProcess starts a node with a discovery and further keys in its configuration, and waits until it serves.
 func startProcess(t *testing.T, discovery string, keys ...string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0]), t: t, config: t.TempDir() + "/config.json", listen: address(), keys: keys}
@@ -112,6 +112,7 @@
 	return p
 }
 
+// write replaces the configuration file.
 func (p *process) write(text string) {
 	p.t.Helper()
 	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
@@ -119,13 +120,14 @@
 	}
 }
 
-// configure names another discovery in the file.
+// configure replaces the configuration file with one that names a discovery.
 func (p *process) configure(discovery string) {
 	p.t.Helper()
 	p.write(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,%s"settings":{"classes":[{"name":"a","deadline":%d},{"name":"read","effect":"pure","deadline":%d}]}}`,
 		p.listen, discovery, strings.Join(append(slices.Clone(p.keys), ""), ","), shutdownDeadline, shutdownDeadline))
 }
 
+// awaitLine reads the log until a line contains text.
 func (p *process) awaitLine(text string) {
 	p.t.Helper()
 	for p.logged.Scan() {
@@ -136,7 +138,7 @@
 	p.t.Fatalf("the node ended without logging %q: %v", text, p.Wait())
 }
 
-// leaves waits for the end of a node that has been told to end.
+// leaves waits for the exit of a node that has got SIGTERM.
 func (p *process) leaves() {
 	p.t.Helper()
 	p.awaitLine("left")
@@ -147,8 +149,8 @@
 	}
 }
 
-// SIGHUP has the configuration read again and discovery asked where it is now; a file that can't be read changes
-// nothing. The program goes on until SIGTERM.
+// SIGHUP has the configuration read again and the new discovery called; a file that can't be read changes nothing. The
+// node runs on until SIGTERM.
 func TestHangupReadsTheConfigurationAgain(t *testing.T) {
 	before, askedBefore := discovery(t)
 	after, askedAfter := discovery(t)
@@ -165,8 +167,8 @@
 	p.leaves()
 }
 
-// What discovery tells counts as told 4 s after SIGHUP, whether or not the file could be read just then: it is read again
-// until it can be.
+// A configuration that can't be read at SIGHUP is read again until it can be: 4 s after the signal the new discovery's
+// list has to be in use.
 func TestHangupBeforeTheFileIsComplete(t *testing.T) {
 	before, askedBefore := discovery(t)
 	after, askedAfter := discovery(t)
@@ -187,7 +189,7 @@
 	p.leaves()
 }
 
-// A node that has been told to end still sends what it has taken, so it still follows where discovery moves.
+// A draining node still forwards requests, so it follows a discovery that moves.
 func TestHangupDuringADrain(t *testing.T) {
 	before, askedBefore := discovery(t)
 	after, askedAfter := discovery(t)
@@ -202,7 +204,7 @@
 	p.leaves()
 }
 
-// answers tells whether the node answers a request within a while: it has no backend, so it refuses.
+// answers reports whether the node answers a request: it has no backend, so it rejects it.
 func (p *process) answers() bool {
 	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.listen+"/api", nil)
@@ -220,7 +222,7 @@
 	return resp.StatusCode == http.StatusServiceUnavailable
 }
 
-// A log that nobody reads any more holds nothing up: the node answers, and ends when it is told to.
+// A log that nobody reads blocks nothing: the node answers, and exits at SIGTERM.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	addr, asked := discovery(t)
 	p := startProcess(t, addr)
@@ -246,7 +248,7 @@
 	}
 }
 
-// A log whose reader has gone ends no process.
+// A log whose reader has exited ends no process.
 func TestClosedLogPipeEndsNothing(t *testing.T) {
 	addr, asked := discovery(t)
 	p := startProcess(t, addr)
--- a/cmd/hitchvale-node/shutdown_test.go
+++ b/cmd/hitchvale-node/shutdown_test.go
@@ -17,17 +17,13 @@
 	"time"
 )
 
-// Seen: a node was upgraded while its backends hung. Clients that had connected before the second process started sent their
-// first request 1.2 s after the old process was told to end. It forwarded them, and SIGKILL found them unanswered.
+// Regression: at an upgrade while backends hung, clients sent their first requests 1.2 s after the old process got
+// SIGTERM, on connections that they had opened before. The process forwarded them, and SIGKILL found them without a
+// response.
 //
-// How it came about: the old process kept connections that had never been used for as long as the longest deadline and 0.6 s
-// after SIGTERM, gave what came on them their whole time, and was killed 0.1 s later than that began.
-//
-// Cause: what a process takes was bounded by the time of its kill only where no other process served ("restart"), and
-// not where one did ("upgrade"): one condition stood for two questions.
-//
-// Proof: the same clients, backends and signals lose nothing at a restart. They lose at an upgrade what is sent from 0.7 s after
-// SIGTERM on, and nothing of what is sent earlier.
+// It kept unused connections for the longest deadline plus 0.6 s, and gave requests on them their whole deadline: the
+// limit by the time of the kill held only where no other process of the node ran (restart). The same clients and
+// signals lost nothing at a restart, and at an upgrade every request that was sent 0.7 s after SIGTERM or later.
 func TestEarliestKillFindsNothingUnanswered(t *testing.T) {
 	for way, end := range map[string]func(*shutdownPlay){
 		"restart":                         func(p *shutdownPlay) { p.tell(p.first) },
@@ -65,7 +61,7 @@
 	crossing = 50 * time.Millisecond
 )
 
-// hangingBackend takes requests and answers none. It notes those that it took.
+// hangingBackend reads requests and answers none. It records which it has read.
 type hangingBackend struct {
 	mu    sync.Mutex
 	taken map[string]bool
@@ -85,7 +81,7 @@
 	return b.taken[id]
 }
 
-// lateClient connects early, begins a request, and ends it at a time after SIGTERM.
+// lateClient connects early, starts a request, and completes it some time after SIGTERM.
 type lateClient struct {
 	net.Conn
 	id, begin string
@@ -95,6 +91,7 @@
 	err       error     // why there is no whole answer
 }
 
+// rest returns what completes the client's request.
 func (c *lateClient) rest() string {
 	switch {
 	case strings.HasPrefix(c.begin, "POST"):
@@ -105,7 +102,7 @@
 	return "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + c.id + "\r\nX-Qos: read\r\n\r\n"
 }
 
-// run sends the rest of the request when its time has come, and reads the answer.
+// run completes the request at its time, and reads the response.
 func (c *lateClient) run(told time.Time) {
 	time.Sleep(time.Until(told.Add(c.at)))
 	c.SetDeadline(told.Add(c.at + shutdownDeadline + patience))
@@ -119,8 +116,8 @@
 	c.ended, c.err = time.Now(), err
 }
 
-// shutdownPlay is one node whose processes are told to end while clients that connected early send late, and which are killed
-// at the earliest.
+// shutdownPlay is one node whose processes get SIGTERM while clients that connected early complete their requests, and
+// SIGKILL at the earliest time allowed.
 type shutdownPlay struct {
 	*testing.T
 	backend *hangingBackend
@@ -164,7 +161,7 @@
 	time.Sleep(100 * time.Millisecond) // for the process to accept them
 }
 
-// tell tells a process to end, and has it killed at the earliest. Its clients send what they have to.
+// tell sends SIGTERM to a process, and SIGKILL at the earliest time. Its clients complete their requests.
 func (p *shutdownPlay) tell(to *process) {
 	for _, c := range to.clients {
 		io.WriteString(c, c.begin)
@@ -182,7 +179,7 @@
 	})
 }
 
-// series replaces the successor too while the first process leaves.
+// series replaces the successor too while the first process shuts down.
 func (p *shutdownPlay) series() {
 	second := p.first.replace()
 	p.connect(second)
@@ -228,7 +225,7 @@
 	}
 }
 
-// heldUp is the most that a process may be held up for.
+// heldUp is the longest time that a process may stall.
 const heldUp = 150 * time.Millisecond
 
 func (p *shutdownPlay) heldUpAtFirst() {
@@ -254,7 +251,7 @@
 	p.first.start()
 }
 
-// judge looks at every client's end.
+// judge checks what became of every client's request.
 func (p *shutdownPlay) judge() {
 	p.waiting.Wait()
 	for _, c := range p.clients {
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// flakyListener fails a part of its calls of Accept with errors of the operating system.
+// flakyListener's Accept fails in some calls with errors of the operating system.
 type flakyListener struct {
 	net.Listener
 	errs  []error
@@ -26,12 +26,12 @@
 	return l.Listener.Accept()
 }
 
-// passingErrors are what accept(2) may fail with for a moment, or passes on from a connection that has broken.
+// passingErrors are errors of accept(2) that pass: of a shortage, or of a connection that has broken already.
 var passingErrors = []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR}
 
-// startFlaky starts a node whose calls of accept fail with these errors, in turn, where fails says so.
+// startFlaky starts a node whose calls of accept fail with the given errors, in turn, where fails says so.
 func startFlaky(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
 	t.Helper()
 	text := listText(1, true, listed{"s", backend, "ready", 0})
@@ -45,7 +45,7 @@
 	return s
 }
 
-// A node whose calls of accept fail for a moment, with whatever error, goes on serving all that comes.
+// A node whose calls of accept fail for a moment, with any error that passes, serves every request.
 func TestServesWhileAcceptFails(t *testing.T) {
 	s := startFlaky(t, echo(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
 	began := time.Now()
@@ -64,7 +64,7 @@
 	}
 }
 
-// What waits in the backlog when a node is told to end, because accept fails just then, is served before the listener is
+// Connections that wait in the backlog at SIGTERM, since accept fails just then, are served before the listener is
 // closed.
 func TestShutdownServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
 	var failing atomic.Bool
@@ -93,7 +93,7 @@
 	}
 }
 
-// A listener that can never accept again ends the node, but only after it has answered what it has taken.
+// A listener that can never accept again ends the node, after every admitted request has been answered.
 func TestLostListenerEndsTheNodeInOrder(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -121,8 +121,8 @@
 	}
 }
 
-// A request that waits at the node's machine while accept fails has less time left when the node reads it, and its backend is
-// told no more than that.
+// The time that a request waits in the backlog, while accept fails, counts against its deadline and against the time
+// that its backend is given.
 func TestDeadlineCountsTheWaitInTheBacklog(t *testing.T) {
 	told := make(chan string, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// noise is a body of some length that is costly to guess.
+// noise returns n bytes that don't compress.
 func noise(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -46,6 +46,7 @@
 	}
 }
 
+// startLarge starts a node that streams, with the least memory for buffered bodies.
 func startLarge(t *testing.T, b *rawBackend) *started {
 	t.Helper()
 	return startAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}), func(c *Config) {
@@ -53,8 +54,8 @@
 	})
 }
 
-// A request over bodyMost that can be kept whole goes to another backend when the first one breaks off, in both forms and
-// without a second address, and long answers and such without a length come through.
+// A request over maxBodyBytes that can be buffered is retried when its first backend breaks off, of known and unknown
+// length and without an admin address; long responses and those of unknown length come through.
 func TestLongRequestsAreRetried(t *testing.T) {
 	text := noise(3 * maxBodyBytes)
 	for name, size := range map[string]int64{"sized": int64(len(text)), "chunked": -1} {
@@ -92,7 +93,8 @@
 	}
 }
 
-// The longest body that is kept is served in both forms; TestMalformedRequests has the ones a byte longer.
+// The longest body that is buffered is served, of known and unknown length; TestMalformedRequests has those a byte
+// longer.
 func TestLongestBufferedBody(t *testing.T) {
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: newRawBackend(t, "127.0.0.1:0", hashing).Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
@@ -108,7 +110,7 @@
 	}
 }
 
-// Bodies of any length reach a backend unchanged, in every form, and a large one is never whole in memory.
+// Bodies of any length and form reach a backend unchanged, and a large one is never complete in memory.
 func TestLargeRequestsAreStreamed(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
 	for _, size := range []int{0, 1, maxBodyBytes, maxBodyBytes + 1, 200 << 10, 3 << 20, 20 << 20} {
@@ -136,7 +138,7 @@
 	}
 }
 
-// Answers of any length and form come through whole, and what ends soon is told with its length.
+// Responses of any length and form come through complete, and short ones with a Content-Length.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	big := string(noise(5 << 20))
 	chunks := func(body string, size int) string {
@@ -189,8 +191,8 @@
 	}
 }
 
-// An answer that breaks when some of it has been passed on is one that the client can tell is not whole, and it is
-// counted as failed.
+// A client can tell that a response which broke after some of it was passed on is incomplete, and it is counted as
+// failed.
 func TestClientCanTellABrokenResponse(t *testing.T) {
 	part := strings.Repeat("x", 2*maxBodyBytes)
 	for name, answer := range map[string]string{
@@ -224,7 +226,7 @@
 	}
 }
 
-// Where a large answer breaks before any of its body has come, its client is told so.
+// A large response that breaks before any of its body has come is answered with a failure.
 func TestResponseThatBreaksBeforeItBegins(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -239,7 +241,8 @@
 	}
 }
 
-// What has been streamed in part is not sent again, and a backend that breaks off before the last byte never ran it.
+// A body that has been streamed in part is not sent again; a backend that breaks off before the last byte never ran
+// the request.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
 	var heads atomic.Int64
 	breaking := func(c net.Conn, br *bufio.Reader) {
@@ -267,7 +270,7 @@
 	}
 }
 
-// A backend that says no before the body's end is heard at once, also by a client that goes on sending.
+// A backend's rejection before the body's end is passed on at once, also to a client that goes on sending.
 func TestEarlyRejectionIsPassedOnAtOnce(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -291,7 +294,7 @@
 	}
 }
 
-// A client that stops within its body ends its request, and leaves nothing behind.
+// A client that stops within its body ends its request, and leaks nothing.
 func TestClientThatStopsWithinABody(t *testing.T) {
 	seen := make(chan error, 1)
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -316,7 +319,7 @@
 	}
 }
 
-// Slow readers of large answers hold back their backends, and the memory in use stays small.
+// Slow readers of large responses slow their backends down, and the memory in use stays small.
 func TestSlowReadersCauseBackpressure(t *testing.T) {
 	const size, readers = 32 << 20, 8
 	body := noise(size)
@@ -368,7 +371,7 @@
 	}
 }
 
-// Only the time that the node waits for its client counts, against what it has sent.
+// A body's rate counts only the time that the node waits for its client.
 func TestMinimumBodyRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, every time.Duration // for the head, and between two pieces
@@ -406,7 +409,7 @@
 	}
 }
 
-// A body longer than is served is an error, and a budget that is used up has bodies streamed.
+// A body over its limit is an error, and a memory budget that is used up has bodies streamed.
 func TestBodyLimits(t *testing.T) {
 	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: func(time.Time) error { return nil }, limit: 4}
 	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
@@ -430,8 +433,8 @@
 	}
 }
 
-// A body that nobody wants is read to its end all the same, however slowly its client sends: closing on it would reset
-// the connection, and the answer with it.
+// discard reads a body to its end, however slowly its client sends: closing the connection over unread bytes would
+// reset it, and lose the response.
 func TestDiscardReadsABodyToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &requestStream{source: &slowReader{left: 20}, size: -1}
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// What stands inside the body of a request is no request of its own, however the head words the body's end.
+// What stands inside the body of a request is never taken for a request, however the head gives the body's end.
 func TestNothingInsideABodyReachesABackend(t *testing.T) {
 	ids := make(chan string, 64)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -53,8 +53,8 @@
 	}
 }
 
-// exchange writes text to a node on one connection, and returns the status of the first answer and what follows
-// it until the node closes the connection.
+// exchange writes text to a node on one connection, and returns the status of the first response and what follows it
+// until the node closes the connection.
 func exchange(t *testing.T, n *started, text string) (status int, rest string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
@@ -79,7 +79,7 @@
 	return resp.StatusCode, string(after)
 }
 
-// Well-formed bodies of either kind are served, and nothing follows a chunked one on its connection.
+// Well-formed bodies of either kind are served, and the connection is closed after a chunked one.
 func TestProperFramingIsServed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		text, _ := io.ReadAll(r.Body)
@@ -99,7 +99,7 @@
 	}
 }
 
-// Each read ends where a message ends, however its bytes come in.
+// Each read ends where a head or a body ends, however the bytes come in.
 func TestReadsEndWithAHead(t *testing.T) {
 	one := "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n"
 	two := "GET /b HTTP/1.1\n\n"
@@ -138,7 +138,7 @@
 	}
 }
 
-// fakeConn is a connection of which only the reading side is there.
+// fakeConn is a connection that can only be read.
 type fakeConn struct {
 	net.Conn
 	read io.Reader
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// A served response is the backend's own, and the request reaches the backend with its end-to-end headers.
 func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -42,7 +43,7 @@
 	}
 }
 
-// What can't be a request is answered with a 4xx at once and reaches no backend.
+// A malformed request is rejected with a 4xx at once and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
@@ -111,8 +112,8 @@
 	}
 }
 
-// A backend that says nothing costs the attempt and not the answer: that comes before the client's time is up,
-// and is a failure for what may have run.
+// A silent backend costs an attempt and not the response: that comes before the client's deadline, and is a failure
+// where the request may have run.
 func TestSilentBackendIsAnsweredInTime(t *testing.T) {
 	ended := make(chan error, 4)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -136,7 +137,7 @@
 	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
 }
 
-// A client that goes away leaves nothing behind: no request, no attempt, no connection.
+// A disconnected client leaves no request, attempt or connection behind.
 func TestDisconnectedClientLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -171,7 +172,7 @@
 	})
 }
 
-// Two open requests of one id could not be told apart at a backend.
+// A request is rejected whose id is that of an open one: a backend could not tell the two apart.
 func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -196,7 +197,7 @@
 	}
 }
 
-// At its limit the node refuses in order, and says when to come back.
+// A node at its limit of requests rejects further ones with 503 and a Retry-After.
 func TestFullNodeRejects(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -224,7 +225,7 @@
 	n.server.inFlight.Add(1 - n.server.maxInFlight)
 }
 
-// A crowd of idle connections gives way to clients that have something to ask.
+// Idle connections are evicted for clients that send requests.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{"s", b.Addr().String(), "ready", 0})
@@ -267,7 +268,7 @@
 	})
 }
 
-// What no server can take is refused at once, and the refusal says when to come back.
+// A request that no backend can take is rejected at once, with a Retry-After.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -14,8 +14,8 @@
 	"hitchvale/internal/monotime"
 )
 
-// However many connections stand idle or half written, requests on new ones are served, and so are those of clients
-// that keep using theirs.
+// However many connections are idle or within a head, requests on new ones are served, and so are those of clients
+// that use theirs.
 func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
@@ -50,8 +50,8 @@
 	}
 }
 
-// The connection that has kept the node waiting longest goes first, and one that has begun a request waits for a
-// quarter of its time.
+// The connection that has kept the node waiting longest is evicted first, and the wait of one within a head counts a
+// quarter.
 func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
@@ -109,7 +109,7 @@
 }
 
 // A request that crosses the close of its idle connection is not served, since its client sends it again; one that has
-// been read whole is served, and its connection not closed under it.
+// been read is served, and its connection is not closed under it.
 func TestCrossingRequestIsServedOnceOrNotAtAll(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	enders := map[string]func(f *clientServer){
@@ -161,7 +161,8 @@
 	}
 }
 
-// Before the server's own end, which closes everything, who is being served has the answer, and who is not is ended for good.
+// A drain ends only when the requests in flight have their responses; connections without a request are closed for
+// good.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
@@ -201,7 +202,7 @@
 	})
 }
 
-// lateConn does something between a read and its return.
+// lateConn calls a function between a read and its return.
 type lateConn struct {
 	net.Conn
 	within *func()
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -25,11 +25,9 @@
 	return client, server
 }
 
-// Seen: in a crowd of idle clients, two requests on kept connections got an orderly end 1 to 2 ms after they were sent, and no answer.
-// How it came about: the node ended the idle connection to make room, in the moment in which the request came. Cause: the
-// goroutine that waited for bytes took them off the system after the connection counted as ended, and dropped them. What has been read has to
-// be answered; what is left unread is reset by the close, and its client sends it again. Proof: the connection ended in order, and no
-// reset followed: so the system held nothing unread at the close.
+// Regression: two requests on idle connections that were being evicted got an orderly close and no response. The
+// reading goroutine took bytes from the kernel after the connection had been marked as closed, and dropped them. Bytes
+// that have been read have to be answered; bytes left unread are reset by the close, and the client sends them again.
 func TestNothingIsReadOfAClosedConnection(t *testing.T) {
 	client, server := tcpPair(t)
 	framed := newClientConn(server, time.Now())
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -15,12 +15,13 @@
 	"time"
 )
 
-// reading words a request of the class "read" as it stands on a connection.
+// reading returns a request of the class "read" as it is sent on a connection.
 func reading(id string) string {
 	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
 }
 
-// hanging is a backend that answers but what is named "hangs". It tells what comes, and what is given up.
+// hanging starts a backend that answers all requests but those with the id "hangs". It reports which requests arrive,
+// and which hanging ones are cancelled.
 func hanging(t *testing.T) (addr string, came, ended chan string) {
 	came, ended = make(chan string, 1<<10), make(chan string, 1<<10)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -42,6 +43,7 @@
 	return b.Addr().String(), came, ended
 }
 
+// dialed returns a connection to the node on which text has been sent.
 func (s *started) dialed(t *testing.T, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
@@ -53,8 +55,8 @@
 	return c
 }
 
-// nothingElse checks that all that ever comes to the backends is what is wanted: what a node does for a client that has
-// left it does before it serves the next one.
+// nothingElse checks that no request reaches the backends but those that are expected: what a node does for a client
+// that has disconnected it does before it serves the next one.
 func (s *started) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
 	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
@@ -66,7 +68,7 @@
 	}
 }
 
-// A client that left before the node came to read its request is gone: nothing is sent on for it.
+// Nothing is forwarded for a client that disconnected before the node read its request.
 func TestDisconnectInTheBacklog(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": reset} {
 		for _, more := range []int{0, 1, 3} {
@@ -93,8 +95,8 @@
 	}
 }
 
-// A client that has sent more than one request, or much else, and leaves is gone like any other: what is under way for it
-// is given up, and what it sent behind is not begun.
+// The disconnect of a client that has sent more behind its request is noticed: its request is cancelled, and what came
+// behind is not started.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	for name, behind := range map[string]string{
 		"nothing": "", "a byte": "G", "a request": reading("behind"), "many": strings.Repeat(reading("behind"), 200), "noise": strings.Repeat("x", 4000),
@@ -111,7 +113,7 @@
 	}
 }
 
-// Who sends on and on behind a request is no client: its connection is ended, and holds no more than so much memory.
+// The connection of a client that sends without end behind a request is closed, and takes a bounded amount of memory.
 func TestFloodBehindARequestIsEnded(t *testing.T) {
 	addr, came, ended := hanging(t)
 	n := startOn(t, addr)
@@ -122,7 +124,7 @@
 	n.nothingElse(t, came)
 }
 
-// A client that leaves while its request's connection is coming up has nothing written for it.
+// Nothing is written for a client that disconnects while the connection to the backend is being dialed.
 func TestDisconnectDuringADial(t *testing.T) {
 	addr, came, _ := hanging(t)
 	n := startOn(t, addr)
@@ -140,8 +142,8 @@
 	n.nothingElse(t, came)
 }
 
-// A client that sent more behind its request gets its answer whole from a node that is leaving: a close over unread bytes
-// would be a reset, and take the answer with it.
+// A client that sent more behind its request gets its complete response from a node that shuts down: a close over
+// unread bytes would reset the connection, and lose the response.
 func TestResponseOutlivesTheCloseOverUnreadBytes(t *testing.T) {
 	const size = 60 << 10
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
@@ -166,8 +168,8 @@
 	}
 }
 
-// What has begun to come in when a node leaves is served, on a new connection and on a kept one; what rests is ended, and
-// what never sent anything holds nothing up.
+// A request that has begun to come in at SIGTERM is served, on a new connection and on one in use; idle connections
+// are closed, and unused ones don't delay the exit.
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
@@ -214,8 +216,8 @@
 	})
 }
 
-// A keyed request that may have run goes out again only within its window and its time, however long the connection takes
-// to come up.
+// A request with an idempotency key that may have run is retried only within the key's window and the request's
+// deadline, however long the dial takes.
 func TestRetriesStayWithinTheKeyWindow(t *testing.T) {
 	const window = 200 * time.Millisecond
 	for name, tc := range map[string]struct {
--- a/internal/node/edges_test.go
+++ b/internal/node/edges_test.go
@@ -15,8 +15,8 @@
 	"hitchvale/balance"
 )
 
-// A list that comes when idle clients hold every place that there is for clients still works, after discovery was down and
-// whether it is pushed or asked for: a drain is heard of, and a new client is served by the new backend.
+// An endpoint list takes effect while idle clients hold every connection, after discovery was down, whether it is
+// pushed or polled: a draining backend gets nothing more, and a new client is served by the new backend.
 func TestIdleClientsFillANodeWhileDiscoveryIsDown(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// A process that starts beside a discovery that takes calls and answers none is ready on the list that it was given: at once
-// where lists are asked for, and long before 10 s where they are pushed (firstListWithin).
+// A process whose discovery takes calls and answers none is ready on the list in its configuration: at once where
+// lists are polled, and long before 10 s where they are pushed (firstListWithin).
 func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
 	if firstListWithin > 5*time.Second {
 		t.Errorf("a pushed list is waited for for %v", firstListWithin)
@@ -103,8 +103,8 @@
 	}
 }
 
-// What a whole list does not name is gone, also where it still answers: nothing that still dials goes there, and the rest goes
-// to who is named.
+// A complete list removes the endpoints that it omits, even if they still answer: connections in progress are not
+// used, and requests go to listed endpoints.
 func TestCompleteListRemovesWhatItOmits(t *testing.T) {
 	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
 	reg := newRegistry(t, before)
@@ -122,7 +122,8 @@
 	}
 }
 
-// What a draining backend has is finished there, and passed on whole; what comes after goes elsewhere.
+// A draining backend finishes the requests that it has, whose responses are passed on complete; later requests go
+// elsewhere.
 func TestDrainFinishesWhatHangs(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 8)
 	old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -153,8 +154,9 @@
 	}
 }
 
-// An answer that breaks off, however it is worded and cut, may have run and is nobody's answer; one that stops within a line
-// holds its connection no longer than the attempt may take, and half a line on an idle connection is never read as an answer.
+// A response that breaks off, wherever it is cut, may have run and is no response to anybody; one that stops within a
+// line holds its connection no longer than the attempt's timeout, and half a line on an idle connection is never read
+// as a response.
 func TestResponsesThatBreakOff(t *testing.T) {
 	for name, text := range map[string]string{
 		"half a line": "HTTP/1.1 20", "half a head": "HTTP/1.1 200 OK\r\nContent-Le", "no length": "HTTP/1.1 200 OK\r\n\r\nabc",
@@ -211,8 +213,8 @@
 	})
 }
 
-// A reset is no end: an answer of untold length that is reset while the node waits to see whether it goes on is not whole, in
-// one exchange as well as for a client. The node is held just before it waits, until the backend has reset the connection.
+// A reset is no orderly end: a response of unknown length whose connection is reset is incomplete, in one exchange as
+// well as for a client. The node is held up just before it reads on, until the backend has reset the connection.
 func TestResetResponseOfUnknownLengthIsIncomplete(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -252,7 +254,7 @@
 	}
 }
 
-// heldConn calls between after the read that brought the first of an answer, and before the next one.
+// heldConn calls between after the read that brought the first bytes of a response, and before the next read.
 type heldConn struct {
 	*net.TCPConn
 	between func()
@@ -266,7 +268,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// awaitEnd waits until the other side's end of a connection, or its reset, has come in, and takes neither.
+// awaitEnd waits until the other side's close or reset of a connection has arrived, and reads neither.
 func awaitEnd(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -8,8 +8,8 @@
 	"hitchvale/balance"
 )
 
-// The guard refuses what would break a rule, whatever has been decided, and counts it; what a decision could not know is
-// refused and counts for nothing.
+// The guard prevents an attempt that would violate an invariant and counts it; one that the Balancer could not know to
+// be impossible is prevented and not counted.
 func TestGuardRefusesWhatWouldBreakARule(t *testing.T) {
 	const unsafe, keyed, safe = 0, 1, 2
 	cfg := balance.Config{Limits: balance.Limits{MaxAttempts: 3}, Classes: []balance.Class{
@@ -52,7 +52,7 @@
 	}
 }
 
-// An attempt that began late, after its client had gone or its backend had stopped taking, is counted.
+// An attempt that started too long after its client's disconnect, or after its backend became unavailable, is counted.
 func TestGuardCountsWhatBeganTooLate(t *testing.T) {
 	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, quiet())
 	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
@@ -67,7 +67,7 @@
 	}
 }
 
-// A connection that this side ends under a request that it has read is counted.
+// A connection that this side closes under a request that it has read is counted.
 func TestGuardCountsAConnectionEndedUnderARequest(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -15,7 +15,7 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// pipeListener hands out connections that live in memory.
+// pipeListener accepts connections that live in memory.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -45,13 +45,13 @@
 	return c
 }
 
-// testNames are the settings of a node with one class.
+// testNames returns the settings of a node with one class.
 func testNames() siteconfig.Settings {
 	return siteconfig.Settings{Classes: []string{"order"}, Config: balance.Config{
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
-// inMemory runs the client side of a node on connections in memory; it serves no request.
+// inMemory runs the client side of a node on connections in memory; it forwards no request.
 func inMemory(t *testing.T) *pipeListener {
 	l, _ := inMemoryFront(t)
 	return l
@@ -69,7 +69,7 @@
 	return l, f
 }
 
-// drip writes a text slowly, a byte a while.
+// drip writes a text byte by byte, one at each interval.
 func drip(w io.Writer, text string, every time.Duration) {
 	for i := range len(text) {
 		if _, err := io.WriteString(w, text[i:i+1]); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Who sends no proper request, or nothing, hears an error or a close within 3 s of connecting, and leaves nothing
-// behind.
+// A client that sends no proper request, or nothing, gets an error or a close within 3 s of connecting, and leaks
+// nothing.
 func TestMalformedClientsGetAnErrorInTime(t *testing.T) {
 	proper := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
 	nameless := "POST /api/x HTTP/1.1\r\nHost: x\r\n"
@@ -131,7 +131,7 @@
 	}
 }
 
-// A peer may take its time between requests, and each request has its own time.
+// A client may take its time between requests, and each request has its own timeout.
 func TestLaterRequestsHaveTheirOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := inMemory(t)
@@ -149,7 +149,7 @@
 	})
 }
 
-// "OPTIONS *" is a question to the server that the library would answer itself.
+// "OPTIONS *" is rejected like any other malformed request; the library would answer it itself.
 func TestNoResponseIsTheLibrarysOwn(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	status, _ := exchange(t, startOn(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -158,7 +158,7 @@
 	}
 }
 
-// Who is turned away has the whole answer at once, also while the rest of its body is still to come: its time runs.
+// A rejected client has the complete response at once, also while the rest of its body has not come.
 func TestRejectionIsCompleteAtOnce(t *testing.T) {
 	for name, head := range map[string]string{
 		"too long": "X-Trace-Id: a\r\nX-Qos: order\r\nContent-Length: 64000000\r\n\r\n",
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -9,8 +9,8 @@
 	"hitchvale/balance"
 )
 
-// A node knows 1,024 backends and tells as many peers, and loses none of either; what that takes of memory is logged, for
-// a fleet of 350 and 500 too.
+// A node with 1,024 backends and as many peers loses none of either; the memory that this takes is logged, also for a
+// fleet of 350 nodes and 500 backends.
 func TestSizesOfALargeFleet(t *testing.T) {
 	for _, tc := range []struct{ nodes, backends int }{{350, 500}, {1024, 1024}} {
 		t.Run(fmt.Sprintf("%d nodes, %d backends", tc.nodes, tc.backends), func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// heapInUse is the memory in use.
+// heapInUse returns the bytes of heap in use.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A node whose address is still held for a moment, by a process that is being killed, waits for it and starts.
+// A node whose address is still in use for a moment, by a process that is being killed, waits for it and starts.
 func TestStartsOnceItsAddressIsFree(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
