--- a/internal/node/crowd_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -10,12 +10,13 @@
 	"testing/synctest"
 	"time"
 
+	"hitchvale/internal/httpframing"
 	"hitchvale/internal/monotime"
 )
 
-// However many connections stand idle or half written, requests on new ones are served, and so are those of clients
-// that keep using theirs.
-func TestCrowdsLockNobodyOut(t *testing.T) {
+// However many connections are idle or within a head, requests on new ones are served, and so are those of clients
+// that use theirs.
+func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
 	cfg.Admin, cfg.StateDir, cfg.Limits.Sockets = "127.0.0.1:0", t.TempDir(), 128
@@ -44,27 +45,27 @@
 			}
 		}
 	}
-	if got := n.listener.held(); got > n.clients {
+	if got := n.listener.openConns(); got > n.clients {
 		t.Errorf("%d connections, %d allowed", got, n.clients)
 	}
 }
 
-// The connection that has kept the node waiting longest goes first, and one that has begun a request waits for a
-// quarter of its time.
-func TestWhoGivesWay(t *testing.T) {
+// The connection that has kept the node waiting longest is evicted first, and the wait of one within a head counts a
+// quarter.
+func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
-		f.large = true
-		conn := func() *boundedConn {
-			framed := &framedConn{opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed}
-			f.track(c, http.StateNew)
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f.streaming = true
+		conn := func() *limitedConn {
+			framed := newClientConn(nil, time.Now())
+			c := &limitedConn{Conn: framed, client: framed}
+			f.conns.track(c, http.StateNew)
 			return c
 		}
-		heard := func(c *boundedConn) { c.framed.at.Store(monotime.Now()) }
-		expect := func(what string, want *boundedConn) {
+		heard := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
+		expect := func(what string, want *limitedConn) {
 			t.Helper()
-			if got := f.longestIdle(); got != net.Conn(want) {
+			if got := f.conns.slowest(); got != net.Conn(want) {
 				t.Errorf("%s does not go first", what)
 			}
 		}
@@ -75,23 +76,23 @@
 		time.Sleep(time.Second)
 		expect("the silent one", silent)
 		time.Sleep(time.Second)
-		f.track(silent, http.StateActive)
+		f.conns.track(silent, http.StateActive)
 		expect("the one with half a head", begun)
 		idle := conn()
-		f.track(idle, http.StateActive)
-		f.track(idle, http.StateIdle)
+		f.conns.track(idle, http.StateActive)
+		f.conns.track(idle, http.StateIdle)
 		time.Sleep(2 * time.Second)
 		expect("the idle one", idle)
-		f.track(idle, http.StateClosed)
+		f.conns.track(idle, http.StateClosed)
 		heard(begun)
-		f.track(begun, http.StateActive)
-		if got := f.longestIdle(); got != nil {
+		f.conns.track(begun, http.StateActive)
+		if got := f.conns.slowest(); got != nil {
 			t.Error("one that waits for its answer gives way")
 		}
 	})
 }
 
-// A head may take two seconds to come; TestImproperPeersHearSoInTime has those that take longer.
+// A head may take two seconds to come; TestMalformedClientsGetAnErrorInTime has those that take longer.
 func TestSlowHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := inMemory(t).dial()
@@ -108,26 +109,26 @@
 }
 
 // A request that crosses the close of its idle connection is not served, since its client sends it again; one that has
-// been read whole is served, and its connection not closed under it.
+// been read is served, and its connection is not closed under it.
 func TestCrossingRequestIsServedOnceOrNotAtAll(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-	enders := map[string]func(f *front){
-		"ended as idle":     func(f *front) { f.endIdle(0, closedInDrain) },
-		"gives way":         func(f *front) { f.giveWay() },
+	enders := map[string]func(f *clientServer){
+		"ended as idle":     func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
+		"gives way":         func(f *clientServer) { f.conns.evictSlowest() },
 		"the server's end":  nil,
-		"ended in the read": func(f *front) { f.endIdle(0, closedInDrain) },
+		"ended in the read": func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
 			within := func() {}
-			framed := &framedConn{Conn: lateConn{server, &within}, opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed, release: func() {}}
-			f.track(c, http.StateNew)
-			f.track(c, http.StateActive)
-			f.track(c, http.StateIdle)
+			framed := newClientConn(lateConn{server, &within}, time.Now())
+			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
+			f.conns.track(c, http.StateNew)
+			f.conns.track(c, http.StateActive)
+			f.conns.track(c, http.StateIdle)
 			go io.WriteString(client, text)
 			if name == "ended in the read" {
 				within = func() { end(f) } // the bytes have left the system and are not seen yet
@@ -147,45 +148,42 @@
 			} else {
 				c.Close()
 			}
-			f.track(c, http.StateActive)
+			f.conns.track(c, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
-				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.ended) {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.ended)
+				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.isClosed()) {
+					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.isClosed())
 				}
 			}()
 			f.loop.ready.Store(true)
-			f.ServeHTTP(w, hr.WithContext(withFramed(t.Context(), c)))
+			f.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), c)))
 		})
 	}
 }
 
-// Before the server's own end, which closes everything, who is being served has the answer, and who is not is ended for good.
-func TestDrainWaitsForWhoIsServed(t *testing.T) {
+// A drain ends only when the requests in flight have their responses; connections without a request are closed for
+// good.
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
-		conn := func() *boundedConn {
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
-			framed := &framedConn{Conn: server, opened: time.Now()}
-			c := &boundedConn{Conn: framed, framed: framed, release: func() {}}
-			f.track(c, http.StateNew)
+			framed := newClientConn(server, time.Now())
+			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
+			f.conns.track(c, http.StateNew)
 			return c
 		}
 		served, waits := conn(), conn()
-		served.framed.heads = []head{{}}
-		served.framed.take()
+		served.client.addHead(httpframing.Head{})
+		served.client.takeHead()
 		done := make(chan struct{})
 		f.inFlight.Add(1)
-		f.shutdown.begin()
+		f.shutdown.start()
 		go func() { f.drain(t.Context()); close(done) }()
-		time.Sleep(time.Until(f.shutdown.killAt().Add(time.Second).Time()))
+		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
-		ended := func(c *boundedConn) bool {
-			c.framed.mu.Lock()
-			defer c.framed.mu.Unlock()
-			return c.framed.ended
-		}
+		ended := func(c *limitedConn) bool { return c.client.isClosed() }
 		if ended(served) || !ended(waits) {
 			t.Errorf("ended: the one being served %v, the other %v", ended(served), ended(waits))
 		}
@@ -195,16 +193,16 @@
 		default:
 		}
 		f.inFlight.Add(-1)
-		f.track(served, http.StateActive)
-		f.track(served, http.StateIdle)
+		f.conns.track(served, http.StateActive)
+		f.conns.track(served, http.StateIdle)
 		<-done
-		if waits.framed.take(); waits.framed.serving {
+		if waits.client.takeHead(); waits.client.message == messageServing {
 			t.Error("what was read after the end is served")
 		}
 	})
 }
 
-// lateConn does something between a read and its return.
+// lateConn calls a function between a read and its return.
 type lateConn struct {
 	net.Conn
 	within *func()
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -8,8 +8,8 @@
 	"hitchvale/balance"
 )
 
-// The guard refuses what would break a rule, whatever has been decided, and counts it; what a decision could not know is
-// refused and counts for nothing.
+// The guard prevents an attempt that would violate an invariant and counts it; one that the Balancer could not know to
+// be impossible is prevented and not counted.
 func TestGuardRefusesWhatWouldBreakARule(t *testing.T) {
 	const unsafe, keyed, safe = 0, 1, 2
 	cfg := balance.Config{Limits: balance.Limits{MaxAttempts: 3}, Classes: []balance.Class{
@@ -44,7 +44,7 @@
 				t.Errorf("may be sent: %v", may)
 			}
 			for r := range ruleCount {
-				if n := g.broken[r].Load(); (n > 0) != (r == tc.broken) {
+				if n := g.violations[r].Load(); (n > 0) != (r == tc.broken) {
 					t.Errorf("%s: %d violations", ruleNames[r], n)
 				}
 			}
@@ -52,22 +52,22 @@
 	}
 }
 
-// An attempt that began late, after its client had gone or its backend had stopped taking, is counted.
+// An attempt that started too long after its client's disconnect, or after its backend became unavailable, is counted.
 func TestGuardCountsWhatBeganTooLate(t *testing.T) {
 	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, quiet())
 	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
-	g.began(&request{disconnectedAt: time.Second}, stopped, time.Second+goneGrace)
-	g.began(&request{}, stopped, 0)
-	if g.broken[ruleOwner].Load()+g.broken[ruleRecipient].Load() > 0 {
+	g.checkStart(&request{disconnectedAt: time.Second}, stopped, time.Second+disconnectGrace)
+	g.checkStart(&request{}, stopped, 0)
+	if g.violations[ruleOwner].Load()+g.violations[ruleRecipient].Load() > 0 {
 		t.Error("what began in time counts")
 	}
-	g.began(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
-	if g.broken[ruleOwner].Load() != 1 || g.broken[ruleRecipient].Load() != 1 {
+	g.checkStart(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
+	if g.violations[ruleOwner].Load() != 1 || g.violations[ruleRecipient].Load() != 1 {
 		t.Error("what began late does not count")
 	}
 }
 
-// A connection that this side ends under a request that it has read is counted.
+// A connection that this side closes under a request that it has read is counted.
 func TestGuardCountsAConnectionEndedUnderARequest(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -84,10 +84,10 @@
 		}
 	}()
 	receive(t, "the request at the backend", held)
-	n.front.mu.Lock()
-	for c := range n.front.conns {
+	n.server.conns.mu.Lock()
+	for c := range n.server.conns.idleSince {
 		c.Close() // the planted fault
 	}
-	n.front.mu.Unlock()
-	eventually(t, "the violation", func() bool { return n.loop.guard.broken[ruleAnswer].Load() == 1 })
+	n.server.conns.mu.Unlock()
+	eventually(t, "the violation", func() bool { return n.loop.guard.violations[ruleAnswer].Load() == 1 })
 }
