--- a/internal/node/connpool_test.go
+++ b/internal/node/connpool_test.go
@@ -15,7 +15,7 @@
 
 // Each attempt reaches one connection, once. http.Transport would send these again by itself when the reused
 // connection breaks: they are GETs and bear an Idempotency-Key.
-func TestBrokenReusedConnectionIsNotTriedAgain(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	seen := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
@@ -85,7 +85,7 @@
 }
 
 // What follows an answer unasked spoils the connection: it would be read as the answer to the next request.
-func TestSurplusAfterAnAnswerReachesNobody(t *testing.T) {
+func TestSurplusAfterResponseReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
@@ -99,7 +99,7 @@
 
 // A second answer that comes a moment late is nobody's either: once a backend has sent more than an answer, be it with one or
 // while a connection was idle, connections rest before they carry another request.
-func TestLateSecondAnswerReachesNobody(t *testing.T) {
+func TestLateSecondResponseReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		first, err := http.ReadRequest(br)
 		if err != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestSurplusMakesThePoolWary(t *testing.T) {
+func TestSurplusStartsQuarantine(t *testing.T) {
 	for name, late := range map[string]bool{"with the answer": false, "while idle": true} {
 		wrote := make(chan struct{}, 1)
 		b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
--- /dev/null
+++ b/internal/node/endpointlist_test.go
@@ -0,0 +1,135 @@
+package node
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"hitchvale/balance"
+)
+
+// A list that comes when idle clients hold every place that there is for clients still works, after discovery was down and
+// whether it is pushed or asked for: a drain is heard of, and a new client is served by the new backend.
+func TestIdleClientsFillANodeWhileDiscoveryIsDown(t *testing.T) {
+	for _, mode := range []string{"push", "ask"} {
+		t.Run(mode, func(t *testing.T) {
+			old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("old") }))
+			fresh := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("fresh") }))
+			before := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
+			after := listText(2, false, listed{"old", old.Addr().String(), "draining", 0}, listed{"fresh", fresh.Addr().String(), "ready", 0})
+			down, back := make(chan struct{}), make(chan struct{})
+			over := func(c chan struct{}) bool {
+				select {
+				case <-c:
+					return true
+				default:
+					return false
+				}
+			}
+			disco := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+				for {
+					r, err := http.ReadRequest(br)
+					if err != nil {
+						return
+					}
+					query := r.URL.RawQuery
+					waits := query != "" && !strings.HasSuffix(query, "wait_ms=0")
+					if !over(down) && waits {
+						<-down // a watch that is open when it goes down
+					}
+					switch {
+					case !over(down):
+						io.WriteString(c, ok200(before))
+					case !over(back):
+						reset(c)
+						return
+					case query == "":
+						io.WriteString(c, ok200(strings.Replace(after, `"complete":false`, `"complete":true`, 1)))
+					case strings.HasPrefix(query, "after=2") && waits:
+						br.ReadByte()
+					default:
+						io.WriteString(c, ok200(after))
+					}
+				}
+			})
+			cfg := testConfig(t, disco.Addr().String(), before, `"zones"`, `"membershipMode":"`+mode+`","zones"`)
+			cfg.Limits.Sockets = leastSockets
+			n := start(t, cfg)
+			eventually(t, "readiness", n.loop.ready.Load)
+			close(down)
+			for i := range 4 * n.clients {
+				text := ""
+				if i%2 == 0 {
+					text = "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Tr"
+				}
+				n.dialed(t, text)
+			}
+			eventually(t, "a node full of idle clients", func() bool { return n.front.held() >= n.clients*3/4 })
+			close(back)
+			eventually(t, "the drain", func() (heard bool) {
+				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
+				return heard
+			})
+			if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK || body != "fresh" {
+				t.Errorf("a new client: %d %q", resp.StatusCode, body)
+			}
+			open, _ := n.pool.size()
+			if held := n.listener.held(); held+open+otherSockets > cfg.Limits.Sockets {
+				t.Errorf("%d connections of clients and %d to backends, of %d descriptors", held, open, cfg.Limits.Sockets)
+			}
+		})
+	}
+}
+
+// What a whole list does not name is gone, also where it still answers: nothing that still dials goes there, and the rest goes
+// to who is named.
+func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
+	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
+	reg := newRegistry(t, before)
+	n := start(t, testConfig(t, reg.addr, before))
+	reg.next <- listText(2, true, listed{"new", echo(t).Addr().String(), "ready", 0})
+	eventually(t, "the end of what is left out", func() (gone bool) {
+		n.onLoop(t, func() {
+			old, fresh := n.loop.backendsByID["old"], n.loop.backendsByID["new"]
+			gone = fresh != nil && fresh.available() && !old.available() && old.phase == balance.Removed
+		})
+		return gone
+	})
+	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+		t.Errorf("answered %d", resp.StatusCode)
+	}
+}
+
+// What a draining backend has is finished there, and passed on whole; what comes after goes elsewhere.
+func TestDrainingBackendFinishesItsRequests(t *testing.T) {
+	hold, held := make(chan struct{}), make(chan struct{}, 8)
+	old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+		held <- struct{}{}
+		<-hold
+		return ok200("old")
+	}))
+	before := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
+	reg := newRegistry(t, before)
+	n := start(t, testConfig(t, reg.addr, before))
+	first := make(chan string, 1)
+	go func() {
+		_, body := do(t, ask(t, n.url+"/api/x", "order"))
+		first <- body
+	}()
+	receive(t, "the request at the backend", held)
+	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0}, listed{"new", echo(t).Addr().String(), "ready", 0})
+	eventually(t, "the drain", func() (heard bool) {
+		n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
+		return heard
+	})
+	if resp, body := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK || body == "old" {
+		t.Errorf("after the drain: %d %q", resp.StatusCode, body)
+	}
+	close(hold)
+	if body := receive(t, "the answer that hung", first); body != "old" {
+		t.Errorf("the one that hung got %q", body)
+	}
+}
--- a/internal/node/counted_test.go
+++ b/internal/node/responsecount_test.go
@@ -34,7 +34,7 @@
 }
 
 // Whoever has read the last byte of an answer finds it in the figures, and the request no more pending.
-func TestAnswersAreCountedBeforeTheirLastByte(t *testing.T) {
+func TestResponsesAreCountedBeforeTheirLastByte(t *testing.T) {
 	body := noise(40 << 10)
 	streamOf := func(t *testing.T, src io.Reader, size int64) *stream {
 		here, there := net.Pipe()
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"bufio"
+	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -44,3 +46,18 @@
 		})
 	}
 }
+
+// A process that starts beside a discovery that takes calls and answers none is ready on the list that it was given: at once
+// where lists are asked for, and long before 10 s where they are pushed (firstListWithin).
+func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
+	if firstListWithin > 5*time.Second {
+		t.Errorf("a pushed list is waited for for %v", firstListWithin)
+	}
+	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
+	known := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
+	n := start(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
+	eventually(t, "readiness", n.loop.ready.Load)
+	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
+		t.Errorf("answered %d", resp.StatusCode)
+	}
+}
--- /dev/null
+++ b/internal/node/testnode_test.go
@@ -0,0 +1,176 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// patience bounds every wait for something that must happen.
+const patience = 20 * time.Second
+
+const testSettings = `{"nInstances":1,"zones":["a","b"],"skus":["m"],
+ "classes":[
+  {"name":"read","aim":1000000000,"deadline":10000000000,"effect":"pure","points":1},
+  {"name":"order","aim":1000000000,"deadline":10000000000,"effect":"side_effect","points":1},
+  {"name":"token","aim":1000000000,"deadline":10000000000,"effect":"token","keyScope":"all","window":5000000000,"points":1}],
+ "tenants":[{"name":"acme","quotaPerS":1000,"share":1}],
+ "limits":{"cancelling":true,"maxAttempts":3,"connectTimeout":2000000000,"idleClose":5000000000,"maxRetryAfter":2000000000},
+ "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,"fallMultiple":3,"overloadFor":1500000000},
+ "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
+
+func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+// eventually waits until ok holds.
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("never came about: %s", what)
+		}
+	}
+}
+
+// receive takes what comes on a channel, with patience.
+func receive[T any](t *testing.T, what string, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(patience):
+		t.Fatalf("never came: %s", what)
+		panic("unreachable")
+	}
+}
+
+func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
+	t.Helper()
+	text := strings.NewReplacer(change...).Replace(testSettings)
+	raw, err := json.Marshal(map[string]any{
+		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, "known": json.RawMessage(known),
+		"settings": json.RawMessage(text),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg, err := ParseConfig(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// started is a node under test.
+type started struct {
+	*Node
+	url  string
+	stop context.CancelFunc
+	err  chan error
+}
+
+func start(t *testing.T, cfg Config) *started {
+	t.Helper()
+	n, err := New(cfg, quiet())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return running(t, n)
+}
+
+// running runs a node.
+func running(t *testing.T, n *Node) *started {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	s := &started{Node: n, url: "http://" + n.Addr().String(), stop: cancel, err: make(chan error, 1)}
+	ended := make(chan struct{})
+	go func() {
+		s.err <- n.Run(ctx)
+		close(ended)
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-ended
+	})
+	return s
+}
+
+// startOn starts a node that knows of these backends and has no discovery.
+func startOn(t *testing.T, addrs ...string) *started {
+	t.Helper()
+	var members []listed
+	for i, a := range addrs {
+		members = append(members, listed{id: fmt.Sprintf("s-%d", i), addr: a, phase: "ready"})
+	}
+	text := listText(1, true, members...)
+	return start(t, testConfig(t, newRegistry(t, text).addr, text))
+}
+
+// loopFunc is a message of the tests' own: a function that the event loop runs.
+type loopFunc func()
+
+func (f loopFunc) handle(*eventLoop) { f() }
+
+// onLoop runs f on the node's loop and waits for it.
+func (s *started) onLoop(t *testing.T, f func()) {
+	t.Helper()
+	done := make(chan struct{})
+	if !s.loop.post(loopFunc(func() { f(); close(done) })) {
+		t.Fatal("the loop has ended")
+	}
+	receive(t, "the loop", done)
+}
+
+// open counts the requests in the loop's table.
+func (s *started) open(t *testing.T) (n int) {
+	s.onLoop(t, func() { n = len(s.loop.requests) })
+	return n
+}
+
+var lastID atomic.Int64
+
+// ask makes a request as a client does.
+func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
+	t.Helper()
+	method, body := http.MethodPost, "payload"
+	if class == "read" {
+		method, body = http.MethodGet, ""
+	}
+	r, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Header.Set("X-Trace-Id", fmt.Sprintf("id-%d", lastID.Add(1)))
+	r.Header.Set("X-Qos", class)
+	r.Header.Set("X-Customer", "acme")
+	r.Header.Set("X-Expires-In", "9.5")
+	if class == "token" {
+		r.Header.Set("Idempotency-Key", "key-1")
+	}
+	for _, f := range change {
+		f(r)
+	}
+	return r
+}
+
+func do(t *testing.T, r *http.Request) (*http.Response, string) {
+	t.Helper()
+	tr := &http.Transport{DisableKeepAlives: true}
+	resp, err := tr.RoundTrip(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp, string(body)
+}
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -89,7 +89,7 @@
 }
 
 // A connection that nobody takes, or that breaks before the last byte is written, never ran.
-func TestNeverRan(t *testing.T) {
+func TestUnwrittenRequestNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 }
 
 // An attempt given up ends its connection, and its late answer is nobody's.
-func TestAttemptGivenUpEndsItsConnection(t *testing.T) {
+func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
--- /dev/null
+++ b/internal/node/upstreamresponse_test.go
@@ -0,0 +1,145 @@
+package node
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"hitchvale/balance"
+)
+
+// An answer that breaks off, however it is worded and cut, may have run and is nobody's answer; one that stops within a line
+// holds its connection no longer than the attempt may take, and half a line on an idle connection is never read as an answer.
+func TestTruncatedResponses(t *testing.T) {
+	for name, text := range map[string]string{
+		"half a line": "HTTP/1.1 20", "half a head": "HTTP/1.1 200 OK\r\nContent-Le", "no length": "HTTP/1.1 200 OK\r\n\r\nabc",
+		"a length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", "chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+	} {
+		for how, want := range map[string]balance.Status{"reset": balance.StatusConnectionLost, "silence": balance.StatusTimedOut} {
+			t.Run(name+","+how, func(t *testing.T) {
+				ended := make(chan struct{}, 1)
+				b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+					if _, err := http.ReadRequest(br); err != nil {
+						return
+					}
+					io.WriteString(c, text)
+					if how == "reset" {
+						reset(c)
+					}
+					br.ReadByte()
+					ended <- struct{}{}
+				})
+				x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+				done := make(chan attemptResult, 1)
+				x.start(new(upstreamCall), to, get("id"), time.Now().Add(300*time.Millisecond), func(r attemptResult) { done <- r })
+				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
+					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
+				}
+				receive(t, "the end of the connection", ended)
+				if open, _ := x.pool.size(); open != 0 {
+					t.Errorf("%d connections held", open)
+				}
+			})
+		}
+	}
+	t.Run("while idle", func(t *testing.T) {
+		wrote := make(chan struct{})
+		b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+			r, err := http.ReadRequest(br)
+			if err != nil {
+				return
+			}
+			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
+			if r.Header.Get("X-Trace-Id") == "one" {
+				io.WriteString(c, "HTTP/1.1 2")
+				close(wrote)
+			}
+			br.ReadByte()
+		})
+		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+		for _, id := range []string{"one", "two"} {
+			if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+				t.Errorf("%s: status %v, %q", id, r.status, r.body)
+			}
+			<-wrote
+		}
+	})
+}
+
+// A reset is no end: an answer of untold length that is reset while the node waits to see whether it goes on is not whole, in
+// one exchange as well as for a client. The node is held just before it waits, until the backend has reset the connection.
+func TestResetResponseWithoutLengthIsIncomplete(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		end  func(net.Conn)
+		want balance.Status
+	}{{"reset", reset, balance.StatusConnectionLost}, {"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded}} {
+		t.Run(tc.name, func(t *testing.T) {
+			over := make(chan struct{})
+			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+				if _, err := http.ReadRequest(br); err != nil {
+					return
+				}
+				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nabc")
+				<-over
+				tc.end(c)
+			})
+			x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+			nc, err := net.Dial("tcp", to.addr)
+			if err != nil {
+				t.Fatal(err)
+			}
+			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
+			cn := &backendConn{Conn: held, process: to}
+			cn.limit.R, cn.reader = held, bufio.NewReader(&cn.limit)
+			x.pool.reserveSlot()
+			x.pool.release(cn)
+			r := attemptOnce(t, x, to, get("id"))
+			if r.stream != nil { // held for longer than the node waits: what comes next is passed on
+				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
+					r.status = balance.StatusConnectionLost
+				}
+			}
+			if r.status != tc.want {
+				t.Errorf("status %v with %q, want %v", r.status, r.body, tc.want)
+			}
+		})
+	}
+}
+
+// heldConn calls between after the read that brought the first of an answer, and before the next one.
+type heldConn struct {
+	*net.TCPConn
+	between func()
+	reads   int
+}
+
+func (c *heldConn) Read(p []byte) (int, error) {
+	if c.reads++; c.reads == 2 {
+		c.between()
+	}
+	return c.TCPConn.Read(p)
+}
+
+// awaitEnd waits until the other side's end of a connection, or its reset, has come in, and takes neither.
+func awaitEnd(t *testing.T, c net.Conn) {
+	t.Helper()
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	eventually(t, "the end of the connection", func() (ended bool) {
+		raw.Control(func(fd uintptr) {
+			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+			ended = err == nil && info.State != 1 // TCP_ESTABLISHED
+		})
+		return ended
+	})
+}
