--- a/internal/node/connpool_test.go
+++ b/internal/node/connpool_test.go
@@ -13,8 +13,8 @@
 	"hitchvale/balance"
 )
 
-// Each attempt reaches one connection, once. http.Transport would send these again by itself when the reused
-// connection breaks: they are GETs and bear an Idempotency-Key.
+// Each attempt is written to one connection, once. http.Transport would send these again by itself when the reused
+// connection breaks, as they are GETs with an Idempotency-Key.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	seen := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// A backend restarted under its address leaves connections that look open here. None may swallow a request.
+// A backend restarted under its address leaves connections that look open here. No request is lost on one.
 func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
 	serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
@@ -61,7 +61,7 @@
 	}
 }
 
-// An idle connection is not used near the end of its life: a request that crosses its close may have run.
+// A connection that has been idle for maxIdle is not reused: a request that crosses its close may have run.
 func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
@@ -84,7 +84,7 @@
 	}
 }
 
-// What follows an answer unasked spoils the connection: it would be read as the answer to the next request.
+// A connection is not reused after surplus bytes: they would be read as the response to the next request.
 func TestSurplusAfterResponseReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
@@ -97,8 +97,8 @@
 	}
 }
 
-// A second answer that comes a moment late is nobody's either: once a backend has sent more than an answer, be it with one or
-// while a connection was idle, connections rest before they carry another request.
+// A second response that comes a moment late reaches nobody either: once a backend has sent more than a response,
+// with it or while the connection was idle, connections are quarantined before they carry another request.
 func TestLateSecondResponseReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		first, err := http.ReadRequest(br)
@@ -158,14 +158,15 @@
 	}
 }
 
-// The pool holds no more connections than it may, and what is idle makes room.
+// The pool has at most maxOpen connections, and closes an idle one for a new one.
 func TestPoolIsBounded(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
 	x := newTestTransport(t)
 	x.pool.maxOpen = 1
 	for _, l := range []*rawBackend{a, b} {
-		if r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, get("id")); r.status != balance.StatusSucceeded {
+		r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, get("id"))
+		if r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
 	}
--- a/internal/node/endpointlist_test.go
+++ b/internal/node/endpointlist_test.go
@@ -11,15 +11,17 @@
 	"hitchvale/balance"
 )
 
-// A list that comes when idle clients hold every place that there is for clients still works, after discovery was down and
-// whether it is pushed or asked for: a drain is heard of, and a new client is served by the new backend.
+// An endpoint list takes effect while idle clients occupy all connections for clients, after discovery was down, and
+// whether lists are pushed or polled: a drain is noticed, and the new backend serves a new client.
 func TestIdleClientsFillANodeWhileDiscoveryIsDown(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
 			old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("old") }))
 			fresh := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("fresh") }))
 			before := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
-			after := listText(2, false, listed{"old", old.Addr().String(), "draining", 0}, listed{"fresh", fresh.Addr().String(), "ready", 0})
+			after := listText(2, false,
+				listed{"old", old.Addr().String(), "draining", 0},
+				listed{"fresh", fresh.Addr().String(), "ready", 0})
 			down, back := make(chan struct{}), make(chan struct{})
 			over := func(c chan struct{}) bool {
 				select {
@@ -73,19 +75,20 @@
 				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 				return heard
 			})
-			if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK || body != "fresh" {
+			resp, body := do(t, ask(t, n.url+"/api/x", "read"))
+			if resp.StatusCode != http.StatusOK || body != "fresh" {
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
 			open, _ := n.pool.size()
 			if held := n.listener.held(); held+open+otherSockets > cfg.Limits.Sockets {
-				t.Errorf("%d connections of clients and %d to backends, of %d descriptors", held, open, cfg.Limits.Sockets)
+				t.Errorf("%d connections of clients and %d to backends, of %d descriptors",
+					held, open, cfg.Limits.Sockets)
 			}
 		})
 	}
 }
 
-// What a whole list does not name is gone, also where it still answers: nothing that still dials goes there, and the rest goes
-// to who is named.
+// A backend that a complete list does not name is removed, though it still answers: requests go to those named.
 func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
 	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
 	reg := newRegistry(t, before)
@@ -103,7 +106,7 @@
 	}
 }
 
-// What a draining backend has is finished there, and passed on whole; what comes after goes elsewhere.
+// A draining backend finishes its requests, and their responses are passed on; later requests go elsewhere.
 func TestDrainingBackendFinishesItsRequests(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 8)
 	old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -120,7 +123,9 @@
 		first <- body
 	}()
 	receive(t, "the request at the backend", held)
-	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0}, listed{"new", echo(t).Addr().String(), "ready", 0})
+	reg.next <- listText(2, false,
+		listed{"old", old.Addr().String(), "draining", 0},
+		listed{"new", echo(t).Addr().String(), "ready", 0})
 	eventually(t, "the drain", func() (heard bool) {
 		n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 		return heard
--- a/internal/node/healthcheck_test.go
+++ b/internal/node/healthcheck_test.go
@@ -8,7 +8,7 @@
 	"hitchvale/balance"
 )
 
-// A probe brings the backend's report, and one that can't be read is none.
+// A health check returns the backend's load report, and none if that is malformed.
 func TestHealthChecks(t *testing.T) {
 	var body atomic.Value // a probe of the module's own may come at any time
 	body.Store("TEXT inflight=7, util=0.5")
@@ -20,7 +20,8 @@
 	}))
 	x, done := newTestTransport(t), make(chan attemptResult, 1)
 	x.checkHealth(backendProcess{addr: b.Addr().String()}, func(r attemptResult) { done <- r })
-	if r := receive(t, "the probe", done); r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
+	r := receive(t, "the health check", done)
+	if r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
 		t.Errorf("%+v", r)
 	}
 	body.Store("\x00\x01")
--- a/internal/node/loadreport_test.go
+++ b/internal/node/loadreport_test.go
@@ -15,7 +15,9 @@
 	if l, err := parseLoadReport(" \n"); err != nil || l.Has != 0 {
 		t.Errorf("empty: %+v %v", l, err)
 	}
-	for _, text := range []string{"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff"} {
+	for _, text := range []string{
+		"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff",
+	} {
 		if l, err := parseLoadReport(text); err == nil || l.Has != 0 {
 			t.Errorf("%q: %+v %v", text, l, err)
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A node that is told to end serves what comes for a while yet, answers what it has taken, closes connections
-// with their answer, and ends by itself.
+// A node that shuts down accepts requests for a while yet, responds to all that it has accepted, closes connections
+// with their responses, and ends by itself.
 func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -40,8 +40,9 @@
 	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
 		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
 	}
-	if resp, body := do(t, ask(t, n.url+"/api/late", "order")); resp.StatusCode != 200 || body != "done" || !resp.Close {
-		t.Errorf("a new connection while leaving: %d %q, closed: %t", resp.StatusCode, body, resp.Close)
+	late, body := do(t, ask(t, n.url+"/api/late", "order"))
+	if late.StatusCode != 200 || body != "done" || !late.Close {
+		t.Errorf("a new connection while leaving: %d %q, closed: %t", late.StatusCode, body, late.Close)
 	}
 	eventually(t, "end of accepting", func() bool {
 		c, err := net.Dial("tcp", n.Addr().String())
@@ -62,7 +63,7 @@
 	}
 }
 
-// A request in the backlog of a node that is full counts as taken: one that is told to end serves it yet.
+// A request in the listener's backlog counts as accepted: a full node that shuts down still serves it.
 func TestLeavingServesTheBacklog(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 64)
 	serve := answering(func(r *http.Request) string {
@@ -118,7 +119,7 @@
 	}
 }
 
-// A node that knows of no backend is not ready, and becomes so when discovery names one.
+// A node without backends is not ready, and becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	reg := newRegistry(t, listText(1, true))
@@ -137,7 +138,7 @@
 	}
 }
 
-// Connections beyond the limit wait in the backlog: accepting them would run the process out of descriptors.
+// Connections beyond the limit wait in the backlog: accepting them would use up the process's descriptors.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/responsecount_test.go
+++ b/internal/node/responsecount_test.go
@@ -14,7 +14,7 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// lookingWriter is a client's side that looks at the node's figures as the last byte of an answer leaves.
+// lookingWriter is a client's response writer that reads the node's figures as the last byte is written.
 type lookingWriter struct {
 	header    http.Header
 	got, size int
@@ -33,7 +33,7 @@
 	return len(p), nil
 }
 
-// Whoever has read the last byte of an answer finds it in the figures, and the request no more pending.
+// A client that has read the last byte of a response finds it counted, and its request no longer pending.
 func TestResponsesAreCountedBeforeTheirLastByte(t *testing.T) {
 	body := noise(40 << 10)
 	streamOf := func(t *testing.T, src io.Reader, size int64) *stream {
@@ -41,14 +41,15 @@
 		t.Cleanup(func() { here.Close(); there.Close() })
 		return &stream{head: body[:1000], size: size, body: src, cn: &backendConn{Conn: here}, end: func(bool) {}}
 	}
+	complete := finalResponse{kind: responseServed, body: body}
 	rest := func() io.Reader { return bytes.NewReader(body[1000:]) }
 	for name, tc := range map[string]struct {
 		answer func(t *testing.T) finalResponse
 		upload bool
 		broken bool // what comes of it is not whole
 	}{
-		"kept whole":      {answer: func(*testing.T) finalResponse { return finalResponse{kind: responseServed, body: body} }},
-		"after an upload": {upload: true, answer: func(*testing.T) finalResponse { return finalResponse{kind: responseServed, body: body} }},
+		"in memory":       {answer: func(*testing.T) finalResponse { return complete }},
+		"after an upload": {upload: true, answer: func(*testing.T) finalResponse { return complete }},
 		"streamed": {answer: func(t *testing.T) finalResponse {
 			return finalResponse{kind: responseServed, stream: streamOf(t, rest(), int64(len(body)))}
 		}},
@@ -61,7 +62,8 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), siteconfig.Settings{}, 64, quiet())
+			loop := newEventLoop(nil, nil, newFigures([]string{"order"}), quiet())
+			f := newFront(loop, siteconfig.Settings{}, 64, quiet())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
 				r.forwarded.upload = &upload{src: bytes.NewReader(nil), err: io.EOF}
@@ -79,8 +81,9 @@
 				defer func() { _ = recover() }() // a broken answer aborts its handler
 				f.serve(w, httptest.NewRequest(http.MethodGet, "/x", nil), r)
 			}()
-			if looked == tc.broken || ends.completed.Load()+ends.failed.Load() != 1 || (ends.failed.Load() == 1) != tc.broken {
-				t.Errorf("last byte seen %v, completed %d, failed %d", looked, ends.completed.Load(), ends.failed.Load())
+			completed, failed := ends.completed.Load(), ends.failed.Load()
+			if looked == tc.broken || completed+failed != 1 || (failed == 1) != tc.broken {
+				t.Errorf("last byte seen %v, completed %d, failed %d", looked, completed, failed)
 			}
 		})
 	}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A node whose address is still held for a moment, by a process that is being killed, waits for it and starts.
+// A node whose address is still in use for a moment, by a process that is being killed, waits for it and starts.
 func TestStartsOnceItsAddressIsFree(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A process that starts beside a discovery that takes calls and answers none is ready on the list that it was given: at once
-// where lists are asked for, and long before 10 s where they are pushed (firstListWithin).
+// A process whose discovery accepts calls and answers none becomes ready on the list of its configuration: at once
+// where lists are polled, and long before 10 s where they are pushed (firstListWithin).
 func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
 	if firstListWithin > 5*time.Second {
 		t.Errorf("a pushed list is waited for for %v", firstListWithin)
--- a/internal/node/statistics_test.go
+++ b/internal/node/statistics_test.go
@@ -20,8 +20,8 @@
 	}
 	s.log(statisticsInterval, log, 7, balance.Stats{UsableEndpoints: 5})
 	for _, want := range []string{
-		" arrived=3 ", " open=7 ", " attempts=4 ", " health_checks=6 ", " dials=8 ", " discovery_calls=9 ", " rejected=2 ",
-		" attempts_timed_out=1 ", " usable_endpoints=5 ",
+		" arrived=3 ", " open=7 ", " attempts=4 ", " health_checks=6 ", " dials=8 ", " discovery_calls=9 ",
+		" rejected=2 ", " attempts_timed_out=1 ", " usable_endpoints=5 ",
 	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is missing: %s", want, text.String())
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -62,7 +62,7 @@
 	return b
 }
 
-// answering serves requests on a connection until it ends.
+// answering returns a function that serves the requests on a connection until that ends.
 func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// reset ends a connection with an RST.
+// reset closes a connection with an RST.
 func reset(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
@@ -101,14 +101,14 @@
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1.0,"up_since_ms":%d}`,
-			m.id, m.addr, m.phase, m.up)
+		const entry = `{"id":%q,"host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":%q,"size":1.0,"up_since_ms":%d}`
+		fmt.Fprintf(&b, entry, m.id, m.addr, m.phase, m.up)
 	}
 	b.WriteString("]}")
 	return b.String()
 }
 
-// registry is a discovery service that tells what it is given.
+// registry is a discovery service with a fixed list, and changes that the test sends on next.
 type registry struct {
 	*http.Server
 	addr string
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -20,10 +20,13 @@
  "classes":[
   {"name":"read","aim":1000000000,"deadline":10000000000,"effect":"pure","points":1},
   {"name":"order","aim":1000000000,"deadline":10000000000,"effect":"side_effect","points":1},
-  {"name":"token","aim":1000000000,"deadline":10000000000,"effect":"token","keyScope":"all","window":5000000000,"points":1}],
+  {"name":"token","aim":1000000000,"deadline":10000000000,"effect":"token",
+   "keyScope":"all","window":5000000000,"points":1}],
  "tenants":[{"name":"acme","quotaPerS":1000,"share":1}],
- "limits":{"cancelling":true,"maxAttempts":3,"connectTimeout":2000000000,"idleClose":5000000000,"maxRetryAfter":2000000000},
- "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,"fallMultiple":3,"overloadFor":1500000000},
+ "limits":{"cancelling":true,"maxAttempts":3,"connectTimeout":2000000000,
+  "idleClose":5000000000,"maxRetryAfter":2000000000},
+ "obligations":{"drainGrace":500000000,"coldShare":0.12,"warmWithin":22000000000,
+  "fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
@@ -38,7 +41,7 @@
 	}
 }
 
-// receive takes what comes on a channel, with patience.
+// receive receives from a channel, and fails the test after patience.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
@@ -85,7 +88,7 @@
 	return running(t, n)
 }
 
-// running runs a node.
+// running runs a node until the test ends.
 func running(t *testing.T, n *Node) *started {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +105,7 @@
 	return s
 }
 
-// startOn starts a node that knows of these backends and has no discovery.
+// startOn starts a node with these backends, which its discovery lists and never changes.
 func startOn(t *testing.T, addrs ...string) *started {
 	t.Helper()
 	var members []listed
@@ -136,7 +139,7 @@
 
 var lastID atomic.Int64
 
-// ask makes a request as a client does.
+// ask returns a client's request of a class, with all the headers that the protocol demands.
 func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -18,7 +18,7 @@
 	"hitchvale/balance"
 )
 
-// newTestTransport returns exchanges with a pool of their own.
+// newTestTransport returns a transport with a pool of its own.
 func newTestTransport(t *testing.T) *upstreamTransport {
 	p := newConnPool(16, 2*time.Second, 5*time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -32,7 +32,7 @@
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
 
-// attemptOnce makes one attempt and waits for how it ends.
+// attemptOnce makes one attempt and waits for its result.
 func attemptOnce(t *testing.T, x *upstreamTransport, to backendProcess, m *forwardedRequest) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 1)
@@ -40,34 +40,101 @@
 	return receive(t, "the outcome", done)
 }
 
-// Outcomes by what the backend does with the request once it has it.
-func TestOutcomes(t *testing.T) {
+// The status of an attempt by what the backend answers.
+func TestAttemptStatuses(t *testing.T) {
 	big := strings.Repeat("x", maxBodyBytes)
 	for name, tc := range map[string]struct {
 		answer string
 		want   balance.Status
 		body   string
 	}{
-		"served":             {ok200("abc"), balance.StatusSucceeded, "abc"},
-		"largest body":       {ok200(big), balance.StatusSucceeded, big},
-		"chunked":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", balance.StatusSucceeded, "ab"},
-		"1xx ahead":          {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200("abc"), balance.StatusSucceeded, "abc"},
-		"error":              {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balance.StatusApplicationError, ""},
-		"turned away":        {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.StatusRejected, ""},
-		"over already":       {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.StatusRejected, ""},
-		"503 that may run":   {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balance.StatusApplicationError, ""},
-		"504 that may run":   {"HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balance.StatusApplicationError, ""},
-		"500 with the mark":  {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.StatusApplicationError, ""},
-		"nothing":            {"", balance.StatusConnectionLost, ""},
-		"cut short":          {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", balance.StatusConnectionLost, ""},
-		"chunks cut short":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", balance.StatusConnectionLost, ""},
-		"to its end":         {"HTTP/1.1 200 OK\r\n\r\nabc", balance.StatusSucceeded, "abc"},
-		"no, to its end":     {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nabc", balance.StatusRejected, "abc"},
-		"not HTTP":           {"hello\r\n\r\n", balance.StatusConnectionLost, ""},
-		"too long":           {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big, balance.StatusConnectionLost, ""},
-		"head without end":   {"HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBodyBytes)), balance.StatusConnectionLost, ""},
-		"1xx without end":    {strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000), balance.StatusConnectionLost, ""},
-		"chunks without end": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40), balance.StatusConnectionLost, ""},
+		"served": {
+			answer: ok200("abc"),
+			want:   balance.StatusSucceeded,
+			body:   "abc",
+		},
+		"largest body": {
+			answer: ok200(big),
+			want:   balance.StatusSucceeded,
+			body:   big,
+		},
+		"chunked": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+			want:   balance.StatusSucceeded,
+			body:   "ab",
+		},
+		"1xx ahead": {
+			answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200("abc"),
+			want:   balance.StatusSucceeded,
+			body:   "abc",
+		},
+		"error": {
+			answer: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusApplicationError,
+		},
+		"rejected": {
+			answer: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusRejected,
+		},
+		"expired already": {
+			answer: "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusRejected,
+		},
+		"503 that may run": {
+			answer: "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusApplicationError,
+		},
+		"504 that may run": {
+			answer: "HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusApplicationError,
+		},
+		"500 with the mark": {
+			answer: "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:   balance.StatusApplicationError,
+		},
+		"nothing": {
+			answer: "",
+			want:   balance.StatusConnectionLost,
+		},
+		"truncated body": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+			want:   balance.StatusConnectionLost,
+		},
+		"truncated chunks": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+			want:   balance.StatusConnectionLost,
+		},
+		"ends with conn": {
+			answer: "HTTP/1.1 200 OK\r\n\r\nabc",
+			want:   balance.StatusSucceeded,
+			body:   "abc",
+		},
+		"rejected, ends": {
+			answer: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nabc",
+			want:   balance.StatusRejected,
+			body:   "abc",
+		},
+		"not HTTP": {
+			answer: "hello\r\n\r\n",
+			want:   balance.StatusConnectionLost,
+		},
+		"too long": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big,
+			want:   balance.StatusConnectionLost,
+		},
+		"head without end": {
+			answer: "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBodyBytes)),
+			want:   balance.StatusConnectionLost,
+		},
+		"1xx without end": {
+			answer: strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000),
+			want:   balance.StatusConnectionLost,
+		},
+		"chunks without end": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+				strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40),
+			want: balance.StatusConnectionLost,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -88,7 +155,7 @@
 	}
 }
 
-// A connection that nobody takes, or that breaks before the last byte is written, never ran.
+// A request whose connection is refused, or breaks before the last byte is written, has not been run.
 func TestUnwrittenRequestNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,7 +163,8 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	if r := attemptOnce(t, newTestTransport(t), backendProcess{addr: addr}, get("refused")); r.status != balance.StatusConnectFailed {
+	r := attemptOnce(t, newTestTransport(t), backendProcess{addr: addr}, get("refused"))
+	if r.status != balance.StatusConnectFailed {
 		t.Errorf("refused connection: %v", r.status)
 	}
 
@@ -130,7 +198,7 @@
 	}
 }
 
-// An attempt given up ends its connection, and its late answer is nobody's.
+// A cancelled attempt closes its connection, and a late response on it reaches nobody.
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -143,7 +211,8 @@
 	})
 	x, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
-	x.start(c, backendProcess{addr: b.Addr().String()}, get("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
+	to := backendProcess{addr: b.Addr().String()}
+	x.start(c, to, get("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -157,14 +226,22 @@
 	}
 }
 
-// What this machine is short of says nothing of the backend that an attempt was for; a network that can't be reached does.
+// An attempt that fails for want of this machine's resources says nothing of its backend; an unreachable network does.
 func TestShortageIsNoFailureOfABackend(t *testing.T) {
 	b := echo(t)
-	for errno, want := range map[syscall.Errno]balance.Status{syscall.EADDRNOTAVAIL: balance.StatusNotSent, syscall.ENFILE: balance.StatusNotSent,
-		syscall.EMFILE: balance.StatusNotSent, syscall.ENOBUFS: balance.StatusNotSent, syscall.ENETUNREACH: balance.StatusConnectFailed,
-		syscall.EHOSTUNREACH: balance.StatusConnectFailed, syscall.ETIMEDOUT: balance.StatusConnectFailed} {
+	for errno, want := range map[syscall.Errno]balance.Status{
+		syscall.EADDRNOTAVAIL: balance.StatusNotSent,
+		syscall.ENFILE:        balance.StatusNotSent,
+		syscall.EMFILE:        balance.StatusNotSent,
+		syscall.ENOBUFS:       balance.StatusNotSent,
+		syscall.ENETUNREACH:   balance.StatusConnectFailed,
+		syscall.EHOSTUNREACH:  balance.StatusConnectFailed,
+		syscall.ETIMEDOUT:     balance.StatusConnectFailed,
+	} {
 		x := newTestTransport(t)
-		x.pool.dialer.Control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", errno) }
+		x.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+			return os.NewSyscallError("connect", errno)
+		}
 		if r := attemptOnce(t, x, backendProcess{addr: b.Addr().String()}, get("id")); r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
--- a/internal/node/upstreamresponse_test.go
+++ b/internal/node/upstreamresponse_test.go
@@ -14,14 +14,20 @@
 	"hitchvale/balance"
 )
 
-// An answer that breaks off, however it is worded and cut, may have run and is nobody's answer; one that stops within a line
-// holds its connection no longer than the attempt may take, and half a line on an idle connection is never read as an answer.
+// A truncated response is not passed on, and its request may have run. One that stops within a line occupies its
+// connection no longer than the attempt's deadline, and half a line on an idle connection is never read as a response.
 func TestTruncatedResponses(t *testing.T) {
 	for name, text := range map[string]string{
-		"half a line": "HTTP/1.1 20", "half a head": "HTTP/1.1 200 OK\r\nContent-Le", "no length": "HTTP/1.1 200 OK\r\n\r\nabc",
-		"a length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", "chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"half a line": "HTTP/1.1 20",
+		"half a head": "HTTP/1.1 200 OK\r\nContent-Le",
+		"no length":   "HTTP/1.1 200 OK\r\n\r\nabc",
+		"a length":    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+		"chunks":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
 	} {
-		for how, want := range map[string]balance.Status{"reset": balance.StatusConnectionLost, "silence": balance.StatusTimedOut} {
+		for how, want := range map[string]balance.Status{
+			"reset":   balance.StatusConnectionLost,
+			"silence": balance.StatusTimedOut,
+		} {
 			t.Run(name+","+how, func(t *testing.T) {
 				ended := make(chan struct{}, 1)
 				b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -37,7 +43,8 @@
 				})
 				x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
-				x.start(new(upstreamCall), to, get("id"), time.Now().Add(300*time.Millisecond), func(r attemptResult) { done <- r })
+				deadline := time.Now().Add(300 * time.Millisecond)
+				x.start(new(upstreamCall), to, get("id"), deadline, func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
@@ -72,14 +79,18 @@
 	})
 }
 
-// A reset is no end: an answer of untold length that is reset while the node waits to see whether it goes on is not whole, in
-// one exchange as well as for a client. The node is held just before it waits, until the backend has reset the connection.
+// A response without a length ends with its connection, and only an orderly close completes it: after a reset it is
+// incomplete, for the attempt as well as for a client. The transport is stopped before its second read until the
+// backend has closed or reset the connection.
 func TestResetResponseWithoutLengthIsIncomplete(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(net.Conn)
 		want balance.Status
-	}{{"reset", reset, balance.StatusConnectionLost}, {"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded}} {
+	}{
+		{"reset", reset, balance.StatusConnectionLost},
+		{"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
+	} {
 		t.Run(tc.name, func(t *testing.T) {
 			over := make(chan struct{})
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -101,7 +112,7 @@
 			x.pool.reserveSlot()
 			x.pool.release(cn)
 			r := attemptOnce(t, x, to, get("id"))
-			if r.stream != nil { // held for longer than the node waits: what comes next is passed on
+			if r.stream != nil { // the rest is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
 				}
@@ -113,7 +124,7 @@
 	}
 }
 
-// heldConn calls between after the read that brought the first of an answer, and before the next one.
+// heldConn calls between before its second read.
 type heldConn struct {
 	*net.TCPConn
 	between func()
@@ -127,7 +138,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// awaitEnd waits until the other side's end of a connection, or its reset, has come in, and takes neither.
+// awaitEnd waits until the other side's close or reset of a connection has arrived, without reading it.
 func awaitEnd(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
