--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -20,17 +20,17 @@
 
 // startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard
 // forbids ends at once as not sent.
-func (l *eventLoop) startAttempt(a *balance.Action) {
-	r := l.requests[a.Request]
-	b := l.backendFor(a.Endpoint)
+func (l *eventLoop) startAttempt(action *balance.Action) {
+	r := l.requests[action.Request]
+	b := l.backendFor(action.Endpoint)
 	if r == nil || b == nil {
 		return
 	}
 	number := len(r.attempts)
 	allowed := l.guard.maySend(r, b, l.now())
 	l.statistics.attemptsStarted++
-	at := &attempt{backend: b, sentAt: l.now()}
-	r.attempts = append(r.attempts, at)
+	a := &attempt{backend: b, sentAt: l.now()}
+	r.attempts = append(r.attempts, a)
 	if !allowed {
 		l.finishAttempt(r, number, attemptResult{status: balance.StatusNotSent})
 		return
@@ -38,11 +38,11 @@
 	if number > 0 {
 		l.figures.retries.Add(1)
 	}
-	if a.StartWithin > 0 {
-		at.call.startBy = time.Now().Add(a.StartWithin)
+	if action.StartWithin > 0 {
+		a.call.startBy = time.Now().Add(action.StartWithin)
 	}
-	deadline := attemptDeadline(r.deadline, a.Timeout)
-	l.upstream.start(&at.call, b.process, &r.forwarded, deadline, func(res attemptResult) {
+	deadline := attemptDeadline(r.deadline, action.Timeout)
+	l.upstream.start(&a.call, b.process, &r.forwarded, deadline, func(res attemptResult) {
 		if !l.post(attemptFinished{request: r, attempt: number, result: res}) && res.stream != nil {
 			res.stream.end(false)
 		}
@@ -65,26 +65,26 @@
 // finishAttempt records the result of an attempt, once, and notifies the Balancer. The first success of an open
 // request is its final response. Results of attempts that have ended already, such as cancelled ones, are dropped.
 func (l *eventLoop) finishAttempt(r *request, number int, res attemptResult) {
-	at := r.attempts[number]
-	if res.stream != nil && (at.ended() || !r.isOpen()) {
+	a := r.attempts[number]
+	if res.stream != nil && (a.ended() || !r.isOpen()) {
 		res.stream.end(false)
 	}
-	if !at.call.lifecycle.apply(resultRecorded) {
+	if !a.call.lifecycle.apply(resultRecorded) {
 		return
 	}
-	at.status = res.status
-	l.guard.began(r, at, l.firstByteAt(at))
+	a.status = res.status
+	l.guard.began(r, a, l.firstByteAt(a))
 	l.statistics.attempts[res.status]++
 	l.figures.attempts[res.status].Add(1)
 	if res.status == balance.StatusSucceeded && r.isOpen() {
-		l.passOn(r, at, res)
+		l.passOn(r, a, res)
 	}
 	l.releaseRequest(r)
 	l.handle(balance.AttemptEnded{
 		Request:       r.id,
 		Attempt:       number,
-		Endpoint:      at.backend.endpointID,
-		Elapsed:       l.now() - at.sentAt,
+		Endpoint:      a.backend.endpointID,
+		Elapsed:       l.now() - a.sentAt,
 		Status:        res.status,
 		Final:         !r.isOpen(),
 		Load:          res.load,
@@ -93,14 +93,14 @@
 }
 
 // passOn makes a backend's response the final one of its request.
-func (l *eventLoop) passOn(r *request, at *attempt, res attemptResult) {
+func (l *eventLoop) passOn(r *request, a *attempt, res attemptResult) {
 	r.apply(finalResponseGiven)
 	l.statistics.responses[responseServed]++
 	if l.onServed != nil {
-		l.onServed(r, l.now()-at.sentAt)
+		l.onServed(r, l.now()-a.sentAt)
 	}
 	if res.stream != nil && l.openStreams != nil {
-		l.trackStream(at.backend.id, res.stream)
+		l.trackStream(a.backend.id, res.stream)
 	}
 	r.response <- finalResponse{
 		kind:        responseServed,
@@ -112,8 +112,8 @@
 
 // firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if it never
 // was.
-func (l *eventLoop) firstByteAt(at *attempt) time.Duration {
-	startedAt := at.call.startedAt.Load()
+func (l *eventLoop) firstByteAt(a *attempt) time.Duration {
+	startedAt := a.call.startedAt.Load()
 	if startedAt.IsZero() {
 		return 0
 	}
@@ -133,14 +133,14 @@
 // cancelAttempt ends an attempt, and closes its connection. It ends with the given status, or as not sent if nothing
 // of it had been written.
 func (l *eventLoop) cancelAttempt(r *request, number int, status balance.Status) {
-	at := r.attempts[number]
-	if at.ended() {
+	a := r.attempts[number]
+	if a.ended() {
 		return
 	}
-	if at.call.cancelUnsent() {
+	if a.call.cancelUnsent() {
 		status = balance.StatusNotSent
 	}
-	at.call.cancel()
+	a.call.cancel()
 	l.finishAttempt(r, number, attemptResult{status: status})
 }
 
@@ -161,8 +161,8 @@
 	}
 	var unsent []cancelled
 	for _, r := range l.requests {
-		for number, at := range r.attempts {
-			if !at.backend.available() && at.call.cancelUnsent() {
+		for number, a := range r.attempts {
+			if !a.backend.available() && a.call.cancelUnsent() {
 				unsent = append(unsent, cancelled{r, number})
 			}
 		}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -195,9 +195,9 @@
 func (m openWorkQuery) handle(l *eventLoop) {
 	inFlight := maps.Clone(l.openStreams)
 	for _, r := range l.requests {
-		for _, at := range r.attempts {
-			if !at.ended() {
-				inFlight[at.backend.id]++
+		for _, a := range r.attempts {
+			if !a.ended() {
+				inFlight[a.backend.id]++
 			}
 		}
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -38,8 +38,8 @@
 
 // inFlight says whether an attempt of the request has not ended.
 func (r *request) inFlight() bool {
-	for _, at := range r.attempts {
-		if !at.ended() {
+	for _, a := range r.attempts {
+		if !a.ended() {
 			return true
 		}
 	}
