--- a/internal/node/responsecount_test.go
+++ b/internal/node/responsecount_test.go
@@ -63,7 +63,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			loop := newEventLoop(nil, nil, newFigures([]string{"order"}), quiet())
-			f := newFront(loop, siteconfig.Settings{}, 64, quiet())
+			f := newClientServer(loop, siteconfig.Settings{}, 64, quiet())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
 				r.forwarded.upload = &requestStream{source: bytes.NewReader(nil), err: io.EOF}
