--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -21,16 +21,15 @@
 
 // unfinishedPackages are those whose code has not been brought to these rules yet (docs/ROADMAP.md).
 var unfinishedPackages = map[string]bool{
-	"cmd/hitchvale-node":   true,
-	"internal/admin":       true,
-	"internal/discovery":   true,
-	"internal/durable":     true,
-	"internal/fleet":       true,
-	"internal/lease":       true,
-	"internal/maintenance": true,
-	"internal/node":        true,
-	"internal/siteconfig":  true,
-	"internal/tomlfile":    true,
+	"cmd/hitchvale-node":  true,
+	"internal/admin":      true,
+	"internal/discovery":  true,
+	"internal/durable":    true,
+	"internal/fleet":      true,
+	"internal/lease":      true,
+	"internal/node":       true,
+	"internal/siteconfig": true,
+	"internal/tomlfile":   true,
 }
 
 func TestCodeStyle(t *testing.T) {
--- /dev/null
+++ b/internal/maintenance/command.go
@@ -0,0 +1,41 @@
+package maintenance
+
+import "hitchvale/internal/statemachine"
+
+// The operations on the plan, as stored in the log, with the fields of Command that each uses.
+const (
+	OpAddRequest      statemachine.Operation = "rota-request"  // Request
+	OpWithdrawRequest statemachine.Operation = "rota-withdraw" // Request.ID
+	OpSettleOrder     statemachine.Operation = "rota-settle"   // View, Costs
+	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
+	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
+	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
+	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; by an operator alone
+)
+
+// TurnActions are the operations on one turn by the name that they have in the path of a call.
+var TurnActions = map[string]statemachine.Operation{
+	"step":    OpAdvanceTurn,
+	"confirm": OpConfirmDrained,
+	"overdue": OpMarkOverdue,
+	"free":    OpFreeOverdue,
+}
+
+// Command is a write of the plan.
+type Command struct {
+	Op       statemachine.Operation `json:"op"`
+	Request  Request                `json:"request,omitzero"`
+	Machine  string                 `json:"machine,omitempty"`
+	Revision int64                  `json:"rev,omitempty"` // of the turn as the proposer read it
+	Target   TurnState              `json:"to,omitempty"`
+	View     ViewVersion            `json:"epoch,omitzero"`
+	// Costs are the costs of taking out the waiting machines, by ID, as the registry's leader derives them from View.
+	// They travel in the command so that every replica settles the same order.
+	Costs        map[string]float64 `json:"costs,omitempty"`
+	Node         string             `json:"node,omitempty"`
+	Incarnation  uint64             `json:"incarnation,omitempty"`
+	ListRevision int64              `json:"held,omitempty"` // of the list that the node has
+}
+
+// Operation returns the command's operation.
+func (c *Command) Operation() statemachine.Operation { return c.Op }
--- /dev/null
+++ b/internal/maintenance/confirmation.go
@@ -0,0 +1,47 @@
+package maintenance
+
+import (
+	"fmt"
+
+	"hitchvale/internal/statemachine"
+)
+
+// recordConfirmation records that a node has the list with the draining machine and nothing in flight there. It fails
+// with ErrSessionNotHeld for a process that is not its node's present one, and with ErrInvalidTransition if the machine
+// does not drain or the node's list is older than that. The turn's revision stays, so that confirmations of several
+// nodes don't conflict.
+func (p *Plan) recordConfirmation(t *Turn, c *Command) (statemachine.Outcome, error) {
+	if err := p.sessions.VerifyHolder(c.Node, c.Incarnation); err != nil {
+		return statemachine.Outcome{}, ErrSessionNotHeld.Of(c.Node, err)
+	}
+	if t.State != Draining || c.ListRevision < t.DrainingRevision {
+		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
+			fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.DrainingRevision, c.ListRevision))
+	}
+	if t.ConfirmedBy[c.Node] == c.Incarnation {
+		return statemachine.Outcome{Unchanged: true}, nil
+	}
+	t.ConfirmedBy[c.Node] = c.Incarnation
+	return statemachine.Outcome{}, nil
+}
+
+// checkConfirmed fails with ErrUnconfirmed unless the present process of every live node has confirmed.
+func (p *Plan) checkConfirmed(t *Turn) error {
+	missing := p.unconfirmedNodes(t)
+	if len(missing) > 0 && plantedFault != faultNoConfirmation {
+		return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("%v", missing))
+	}
+	return nil
+}
+
+// unconfirmedNodes returns the live nodes whose present process has not confirmed.
+func (p *Plan) unconfirmedNodes(t *Turn) []string {
+	var missing []string
+	for _, node := range p.sessions.LiveNodes() {
+		incarnation, ok := t.ConfirmedBy[node]
+		if !ok || p.sessions.VerifyHolder(node, incarnation) != nil {
+			missing = append(missing, node)
+		}
+	}
+	return missing
+}
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,11 +1,10 @@
-// Package maintenance takes machines out for work in turns whose order the nodes settle among themselves. All of its rules hold
-// in the record's Apply: a proposer that is stale or mad can be useless, not harmful. See docs/ROADMAP.md, "A fleet that
-// settles its own affairs".
+// Package maintenance takes machines out for work in turns, in an order that the nodes settle among themselves. The
+// plan of all turns is a state machine of the registry, and its Apply enforces every rule: a proposer that is stale or
+// faulty can be useless, but does no harm. docs/ROADMAP.md has the design, docs/registry.md the calls.
 package maintenance
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -13,327 +12,203 @@
 	"hitchvale/internal/statemachine"
 )
 
-// State is where a machine's turn stands.
-type TurnState string
-
-// The states, in their order.
-const (
-	Waiting   TurnState = "waiting"
-	Granted   TurnState = "granted"   // it may go: its slot is taken
-	Draining  TurnState = "draining"  // the list says so
-	Quiet     TurnState = "quiet"     // every live node has confirmed that nothing of it is open there
-	Out       TurnState = "out"       // it is being worked on
-	Returning TurnState = "returning" // listed again, cold
-	Done      TurnState = "done"
-)
-
-// holds tells whether a machine in this state takes up a slot, and its capacity is not there.
-func (s TurnState) occupiesSlot() bool {
-	return s == Granted || s == Draining || s == Quiet || s == Out || s == Returning
-}
-
-// Budget is the most machines that may be out at once; 0 is no bound.
+// DisruptionBudget bounds how many machines may be out at once; 0 is no bound.
 type DisruptionBudget struct {
 	Total   int `json:"all,omitempty"`
 	PerSite int `json:"site,omitempty"`
 	PerCell int `json:"cell,omitempty"`
 }
 
-// Request is an operator's: machines to be worked on, and what must not be broken meanwhile.
+// Request is an operator's request: machines to be worked on, and the limits that hold meanwhile.
 type Request struct {
-	ID            string             `json:"id"`
-	Machines      []string           `json:"machines"`
-	Reason        string             `json:"reason"`
-	ExpectedMs    int64              `json:"length_ms"` // how long the work on one is expected to take
-	Budget        DisruptionBudget   `json:"budget"`
-	CapacityFloor map[string]float64 `json:"floor,omitempty"` // ready capacity by site, in sizes of the list
+	ID         string           `json:"id"`
+	Machines   []string         `json:"machines"`
+	Reason     string           `json:"reason"`
+	ExpectedMs int64            `json:"length_ms"` // how long the work on one machine is expected to take
+	Budget     DisruptionBudget `json:"budget"`
+	// CapacityFloor is, by site, the ready capacity that has to remain, in the unit of Machine.Capacity.
+	CapacityFloor map[string]float64 `json:"floor,omitempty"`
 }
 
-// Unit is a machine as the list has it.
+// Machine is a machine as the member list has it.
 type Machine struct {
 	ID       string
 	Site     string
 	Cell     int
-	Capacity float64 // capacity
-	Ready    bool    // listed, and not draining
+	Capacity float64 // the member's size
+	Ready    bool    // listed and not draining
 }
 
-// List is the list of machines, in the same state as the record.
+// Inventory is the member list of the replicated state that the plan is part of.
 type Inventory interface {
-	// Units are the machines listed, by id.
+	// Machines returns the listed machines by ID.
 	Machines() []Machine
-	// SetDraining changes a machine's phase as of revision next.
-	SetDraining(id string, draining bool, next int64)
+	// SetDraining sets a listed machine to draining, or to ready, as of a revision.
+	SetDraining(id string, draining bool, nextRevision int64)
 }
 
-// Nodes are the sessions, in the same state as the record.
+// Sessions are the nodes' sessions in the replicated state that the plan is part of.
 type Sessions interface {
-	// Live are the names of the nodes that have an open session, in order.
+	// LiveNodes returns the names of the nodes with an open session, sorted.
 	LiveNodes() []string
-	// Holds tells whether a process has its node's session, and why not.
+	// VerifyHolder fails unless the node's open session has the given incarnation.
 	VerifyHolder(node string, incarnation uint64) error
 }
 
-// Turn is one machine's.
+// Turn is the turn of one machine.
 type Turn struct {
-	Machine          string    `json:"machine"`
-	Site             string    `json:"site"`
-	Cell             int       `json:"cell"`
-	Capacity         float64   `json:"size"`
-	Requests         []string  `json:"requests"` // that ask for it, by id
-	State            TurnState `json:"state"`
-	Revision         int64     `json:"rev"`               // of its last change
-	DrainingRevision int64     `json:"drained,omitempty"` // revision at which the list said draining
-	RoundsWaited     int       `json:"passed,omitempty"`  // settlements that it has waited through
-	Overdue          bool      `json:"overdue,omitempty"`
-	// Confirmed are the nodes that hold the draining and have nothing open there.
-	ConfirmedBy map[string]uint64 `json:"confirmed,omitempty"` // incarnation by node
-}
-
-// Rota is the machine of turns and requests.
-type Plan struct {
-	Turns       map[string]*Turn   `json:"turns"`
-	Requests    map[string]Request `json:"requests"`
-	Order       []string           `json:"order"` // as settled last: waiting machines, the next one first
-	SettledView ViewVersion        `json:"epoch"` // of the view that it was settled on
-	inventory   Inventory
-	sessions    Sessions
-}
-
-// clone is a copy that shares nothing with the record.
+	Machine  string    `json:"machine"`
+	Site     string    `json:"site"`
+	Cell     int       `json:"cell"`
+	Capacity float64   `json:"size"`
+	Requests []string  `json:"requests"` // IDs of those that name the machine, sorted
+	State    TurnState `json:"state"`
+	Revision int64     `json:"rev"` // of the last change that counts for compare-and-set
+	// DrainingRevision is the revision as of which the list has the machine as draining; 0 if it does not drain.
+	DrainingRevision int64 `json:"drained,omitempty"`
+	RoundsWaited     int   `json:"passed,omitempty"` // settlements of the order since the turn began to wait
+	Overdue          bool  `json:"overdue,omitempty"`
+	// ConfirmedBy has the nodes that hold the list with the draining machine and have nothing in flight there, with
+	// the incarnation that confirmed.
+	ConfirmedBy map[string]uint64 `json:"confirmed,omitempty"`
+}
+
+// clone returns a copy that shares nothing with the plan.
 func (t *Turn) clone() Turn {
 	c := *t
-	c.Requests, c.ConfirmedBy = slices.Clone(t.Requests), maps.Clone(t.ConfirmedBy)
+	c.Requests = slices.Clone(t.Requests)
+	c.ConfirmedBy = maps.Clone(t.ConfirmedBy)
 	return c
 }
 
-// Stamp names the view that an order was settled on.
+// ViewVersion is the version of the fleet's view that an order was settled on.
 type ViewVersion struct {
 	Term  uint64 `json:"term"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// New is a record without a turn, over the list and the sessions of the same state.
-func NewPlan(list Inventory, nodes Sessions) *Plan {
-	return &Plan{Turns: map[string]*Turn{}, Requests: map[string]Request{}, inventory: list, sessions: nodes}
-}
-
-// The operations on the plan, as stored in the log, with the fields of Command that each uses.
-const (
-	OpAddRequest      statemachine.Operation = "rota-request"  // Request
-	OpWithdrawRequest statemachine.Operation = "rota-withdraw" // Request.ID
-	OpSettleOrder     statemachine.Operation = "rota-settle"   // View, Costs
-	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
-	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
-	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
-	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; by an operator alone
-)
+// Plan is the state machine of requests and turns.
+type Plan struct {
+	Turns       map[string]*Turn   `json:"turns"` // by machine; there is at most one a machine
+	Requests    map[string]Request `json:"requests"`
+	Order       []string           `json:"order"` // of the waiting machines as last settled, the next one first
+	SettledView ViewVersion        `json:"epoch"` // that Order was settled on
 
-// TurnActions are the operations on one turn by the name that they have in the path of a call.
-var TurnActions = map[string]statemachine.Operation{
-	"step":    OpAdvanceTurn,
-	"confirm": OpConfirmDrained,
-	"overdue": OpMarkOverdue,
-	"free":    OpFreeOverdue,
+	inventory Inventory
+	sessions  Sessions
 }
 
-// Command is a write of the plan.
-type Command struct {
-	Op       statemachine.Operation `json:"op"`
-	Request  Request                `json:"request,omitzero"`
-	Machine  string                 `json:"machine,omitempty"`
-	Revision int64                  `json:"rev,omitempty"` // of the turn as the proposer read it
-	Target   TurnState              `json:"to,omitempty"`
-	View     ViewVersion            `json:"epoch,omitzero"`
-	// Costs are those of the waiting machines by id: the median of what the live nodes said in the view of Epoch, as
-	// the leader compiled it.
-	Costs        map[string]float64 `json:"costs,omitempty"`
-	Node         string             `json:"node,omitempty"`
-	Incarnation  uint64             `json:"incarnation,omitempty"`
-	ListRevision int64              `json:"held,omitempty"` // revision of the list that the node holds
+// NewPlan returns a plan without turns over the list and the sessions of the same state.
+func NewPlan(inventory Inventory, sessions Sessions) *Plan {
+	return &Plan{
+		Turns:     map[string]*Turn{},
+		Requests:  map[string]Request{},
+		inventory: inventory,
+		sessions:  sessions,
+	}
 }
 
-// Operation is the command's operation.
-func (c *Command) Operation() statemachine.Operation { return c.Op }
+// The faults that plantedFault may name; each leaves out one check.
+const (
+	faultNoBudget       = "budget"
+	faultNoConfirmation = "confirm"
+	faultNoCompare      = "cas"
+)
+
+// plantedFault is set by tests alone, at build time by -ldflags -X for the lab's.
+var plantedFault string
 
-// Kind names the machine.
-func (r *Plan) Kind() string { return "rota" }
+// Kind is part of statemachine.Machine.
+func (p *Plan) Kind() string { return "rota" }
 
-// Commands are the operations of the machine.
-func (r *Plan) Commands() map[statemachine.Operation]func() statemachine.Command {
+// Commands is part of statemachine.Machine.
+func (p *Plan) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &Command{} }
-	return statemachine.CommandsOf(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn, OpConfirmDrained,
-		OpMarkOverdue, OpFreeOverdue)
+	return statemachine.CommandsOf(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn,
+		OpConfirmDrained, OpMarkOverdue, OpFreeOverdue)
 }
 
-// Apply carries out a command.
-func (r *Plan) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
+// Apply executes a Command. It fails with the errors of this package.
+func (p *Plan) Apply(cmd statemachine.Command, nextRevision int64) (statemachine.Outcome, error) {
 	c := cmd.(*Command)
 	switch c.Op {
 	case OpAddRequest:
-		return r.addRequest(c.Request, next)
+		return p.addRequest(c.Request, nextRevision)
 	case OpWithdrawRequest:
-		return r.withdrawRequest(c.Request.ID, next)
+		return p.withdrawRequest(c.Request.ID, nextRevision)
 	case OpSettleOrder:
-		return r.settleOrder(c)
+		return p.settleOrder(c)
 	}
-	t := r.Turns[c.Machine]
-	if t == nil {
+	turn := p.Turns[c.Machine]
+	if turn == nil {
 		return statemachine.Outcome{}, ErrNotFound.Of(c.Machine, nil)
 	}
 	if c.Op == OpConfirmDrained {
-		return r.recordConfirmation(t, c, next)
+		return p.recordConfirmation(turn, c)
 	}
+	return p.applyToTurn(turn, c, nextRevision)
+}
+
+// applyToTurn executes a command that is a compare-and-set on the revision of a turn. Only the repetition of a step
+// that has been taken succeeds at another revision; it changes nothing.
+func (p *Plan) applyToTurn(t *Turn, c *Command, nextRevision int64) (statemachine.Outcome, error) {
 	if c.Op == OpAdvanceTurn && t.State == c.Target {
-		return statemachine.Outcome{Unchanged: true, Value: t.clone()}, nil // the same step twice is no step
+		return statemachine.Outcome{Unchanged: true, Value: t.clone()}, nil
 	}
-	if c.Revision != t.Revision && plantedFault != "cas" {
+	if c.Revision != t.Revision && plantedFault != faultNoCompare {
 		return statemachine.Outcome{}, ErrTurnChanged.Of(c.Machine, nil)
 	}
 	switch c.Op {
 	case OpMarkOverdue:
-		if !t.State.occupiesSlot() || t.Overdue {
-			return statemachine.Outcome{}, ErrInvalidTransition.Of(c.Machine, fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
-		}
-		t.Overdue, t.Revision = true, next
-		return statemachine.Outcome{Value: t.clone()}, nil
+		return p.markOverdue(t, nextRevision)
 	case OpFreeOverdue:
-		if !t.Overdue {
-			return statemachine.Outcome{}, ErrInvalidTransition.Of(c.Machine, errors.New("it is not overdue"))
-		}
-		r.finishTurn(t)
-		return statemachine.Outcome{}, nil
+		return p.freeOverdue(t)
 	}
-	if err := r.transition(t, c.Target, next); err != nil {
+	if err := p.advance(t, c.Target, nextRevision); err != nil {
 		return statemachine.Outcome{}, err
 	}
 	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
-// plant names a planted bug for tests: "budget", "confirm" or "cas" leaves out that check.
-var plantedFault string
-
-// step moves a turn on, or calls a machine back that has not gone yet.
-func (r *Plan) transition(t *Turn, to TurnState, next int64) error {
-	switch [2]TurnState{t.State, to} {
-	case [2]TurnState{Waiting, Granted}:
-		if err := r.checkGrant(t); err != nil {
-			return err
-		}
-		r.Order = slices.DeleteFunc(r.Order, func(id string) bool { return id == t.Machine })
-	case [2]TurnState{Granted, Draining}:
-		r.inventory.SetDraining(t.Machine, true, next)
-		t.DrainingRevision, t.ConfirmedBy = next, map[string]uint64{}
-	case [2]TurnState{Draining, Quiet}:
-		if missing := r.unconfirmedNodes(t); len(missing) > 0 && plantedFault != "confirm" {
-			return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("%v", missing))
-		}
-	case [2]TurnState{Quiet, Out}:
-	case [2]TurnState{Granted, Waiting}, [2]TurnState{Draining, Waiting}: // called back: it waits again
-		r.inventory.SetDraining(t.Machine, false, next)
-		t.ConfirmedBy, t.DrainingRevision = nil, 0
-	case [2]TurnState{Out, Returning}, [2]TurnState{Draining, Returning}, [2]TurnState{Quiet, Returning}, [2]TurnState{Granted, Returning}:
-		r.inventory.SetDraining(t.Machine, false, next)
-		t.ConfirmedBy = nil
-	case [2]TurnState{Returning, Done}:
-		r.finishTurn(t)
-		return nil
-	default:
-		return ErrInvalidTransition.Of(t.Machine, fmt.Errorf("from %s to %s", t.State, to))
-	}
-	t.State, t.Revision = to, next
-	return nil
-}
-
-// finish ends a turn, and the requests that have no other machine left.
-func (r *Plan) finishTurn(t *Turn) {
-	t.State = Done
-	delete(r.Turns, t.Machine)
-	r.Order = slices.DeleteFunc(r.Order, func(id string) bool { return id == t.Machine })
-	for _, id := range t.Requests {
-		if !r.hasTurns(id) {
-			delete(r.Requests, id)
-		}
-	}
-}
-
-// asked tells whether a request still has a machine.
-func (r *Plan) hasTurns(id string) bool {
-	for _, t := range r.Turns {
-		if slices.Contains(t.Requests, id) {
-			return true
-		}
+// markOverdue marks a turn whose work takes longer than expected. It keeps its slot.
+func (p *Plan) markOverdue(t *Turn, nextRevision int64) (statemachine.Outcome, error) {
+	if !t.State.occupiesSlot() || t.Overdue {
+		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
+			fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
 	}
-	return false
-}
-
-// Short are the machines that should be called back: they have been granted or drain, and a floor that binds them does not
-// hold any more, since something else has gone. What is out already cannot be.
-func (r *Plan) TurnsToRecall() []string {
-	var out []string
-	for _, id := range slices.Sorted(maps.Keys(r.Turns)) {
-		t := r.Turns[id]
-		if (t.State == Granted || t.State == Draining) && errors.Is(r.checkDisruption(t), ErrUnderFloor) {
-			out = append(out, id)
-		}
-	}
-	return out
+	t.Overdue = true
+	t.Revision = nextRevision
+	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
-// Length is how long the work on a machine is expected to take: the longest that any request for it says, in
-// milliseconds.
-func (r *Plan) ExpectedMs(t *Turn) int64 {
+// ExpectedMs returns how long the work on a machine is expected to take, in milliseconds: the longest time of the
+// requests that name it.
+func (p *Plan) ExpectedMs(t *Turn) int64 {
 	var longest int64
 	for _, id := range t.Requests {
-		longest = max(longest, r.Requests[id].ExpectedMs)
+		longest = max(longest, p.Requests[id].ExpectedMs)
 	}
 	return longest
 }
 
-// unconfirmed are the live nodes whose present process has not confirmed a draining machine.
-func (r *Plan) unconfirmedNodes(t *Turn) []string {
-	var missing []string
-	for _, node := range r.sessions.LiveNodes() {
-		if inc, ok := t.ConfirmedBy[node]; !ok || r.sessions.VerifyHolder(node, inc) != nil {
-			missing = append(missing, node)
-		}
+// ListTurns returns copies of the turns, by machine.
+func (p *Plan) ListTurns() []Turn {
+	var turns []Turn
+	for _, id := range slices.Sorted(maps.Keys(p.Turns)) {
+		turns = append(turns, p.Turns[id].clone())
 	}
-	return missing
+	return turns
 }
 
-// confirm takes in that a node holds the draining and has nothing open there.
-func (r *Plan) recordConfirmation(t *Turn, c *Command, next int64) (statemachine.Outcome, error) {
-	if err := r.sessions.VerifyHolder(c.Node, c.Incarnation); err != nil {
-		return statemachine.Outcome{}, ErrSessionNotHeld.Of(c.Node, err)
-	}
-	if t.State != Draining || c.ListRevision < t.DrainingRevision {
-		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine, fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.DrainingRevision, c.ListRevision))
-	}
-	if t.ConfirmedBy[c.Node] == c.Incarnation {
-		return statemachine.Outcome{Unchanged: true}, nil
-	}
-	t.ConfirmedBy[c.Node] = c.Incarnation // not a step: Rev stays, so that confirmations do not race with one another
-	return statemachine.Outcome{}, nil
-}
-
-// Encode writes the record.
-func (r *Plan) Encode() ([]byte, error) { return json.Marshal(r) }
+// Encode is part of statemachine.Machine.
+func (p *Plan) Encode() ([]byte, error) { return json.Marshal(p) }
 
-// Decode takes the record of a snapshot.
-func (r *Plan) Decode(text []byte, _ int64) error {
-	n := NewPlan(r.inventory, r.sessions)
-	if err := json.Unmarshal(text, n); err != nil {
+// Decode is part of statemachine.Machine.
+func (p *Plan) Decode(section []byte, _ int64) error {
+	decoded := NewPlan(p.inventory, p.sessions)
+	if err := json.Unmarshal(section, decoded); err != nil {
 		return err
 	}
-	*r = *n
+	*p = *decoded
 	return nil
 }
-
-// All are copies of the turns, by machine.
-func (r *Plan) ListTurns() []Turn {
-	var out []Turn
-	for _, id := range slices.Sorted(maps.Keys(r.Turns)) {
-		out = append(out, r.Turns[id].clone())
-	}
-	return out
-}
--- a/internal/maintenance/propose.go
+++ b/internal/maintenance/propose.go
@@ -7,85 +7,159 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Board is the record as a node reads it.
+// PlanView is the plan as a node reads it.
 type PlanView struct {
 	SettledView ViewVersion `json:"epoch"`
 	Order       []string    `json:"order"`
 	Turns       []Turn      `json:"turns"` // by machine
-	ToRecall    []string    `json:"short"` // to be called back, as a floor does not hold any more
+	ToRecall    []string    `json:"short"` // machines that have to wait again
 }
 
-// Local is what a node knows beside the board.
+// NodeState is what a node knows beside the plan.
 type NodeState struct {
 	Node         string
 	Incarnation  uint64
-	View         ViewVersion    // the view that it holds
-	FreshNodes   []string       // those fresh in it, in order
-	ListRevision int64          // revision of the list that it holds
-	InFlight     map[string]int // what it has open by machine
-	// Seen counts, by machine, the views for which the turn has stood at its revision: a node waits for its rank.
+	View         ViewVersion    // of the fleet's view that the node has
+	FreshNodes   []string       // those that are fresh in the view, sorted
+	ListRevision int64          // of the member list that the node has
+	InFlight     map[string]int // the node's attempts and streams, by machine
+	// ViewsUnchanged counts, by machine, the views for which its turn has had its present revision.
 	ViewsUnchanged map[string]int
 }
 
-// settleEvery is how many epochs an order stands while machines wait and none is granted: their age counts anew then.
+// resettleEpochs is how many epochs an order stands while machines wait and none is granted; a new one counts their
+// age.
 const resettleEpochs = 10
 
-// Next gives what a node proposes on a board: its own confirmations at once; a step of a turn once the turn has stood for
-// as many views as the node's rank for it, so that one node proposes and the next one does where that one is gone. It is
-// pure: the same board and Local give the same commands.
-func Propose(b PlanView, l NodeState) []Command {
-	var out []Command
-	step := func(t Turn, to TurnState) {
-		if proposalRank(l.FreshNodes, l.Node, t.Machine) <= l.ViewsUnchanged[t.Machine] {
-			out = append(out, Command{Op: OpAdvanceTurn, Machine: t.Machine, Revision: t.Revision, Target: to})
+// orderKey ranks the nodes for settling the order, as a machine's ID does for the steps of its turn.
+const orderKey = "order"
+
+// Propose returns the commands that a node proposes on a plan. It proposes its own confirmations at once, and a step of
+// a turn once the turn has been unchanged for as many views as the node's rank for it, so that one node proposes and
+// the next one does if that one has failed. The result depends on the arguments alone.
+func Propose(plan PlanView, node NodeState) []Command {
+	p := proposer{plan: plan, node: node}
+	for _, t := range plan.Turns {
+		p.proposeForTurn(t)
+	}
+	if p.orderIsOutdated() {
+		p.settleOrder()
+	} else {
+		p.grantInOrder()
+	}
+	return p.commands
+}
+
+// proposer collects what one node proposes on one plan.
+type proposer struct {
+	plan     PlanView
+	node     NodeState
+	commands []Command
+}
+
+func (p *proposer) proposeForTurn(t Turn) {
+	if slices.Contains(p.plan.ToRecall, t.Machine) {
+		p.advance(t, Waiting)
+		return
+	}
+	switch t.State {
+	case Granted:
+		p.advance(t, Draining)
+	case Draining:
+		if p.canConfirm(t) {
+			p.confirm(t)
+		}
+		if p.confirmedByAll(t) {
+			p.advance(t, Quiet)
 		}
 	}
-	waiting, ordered := 0, 0
-	turns := map[string]Turn{}
-	for _, t := range b.Turns {
-		turns[t.Machine] = t
-		if slices.Contains(b.ToRecall, t.Machine) {
-			step(t, Waiting)
+}
+
+// advance proposes a step if the turn has been unchanged for the node's rank.
+func (p *proposer) advance(t Turn, target TurnState) {
+	if proposalRank(p.node.FreshNodes, p.node.Node, t.Machine) > p.node.ViewsUnchanged[t.Machine] {
+		return
+	}
+	p.commands = append(p.commands, Command{
+		Op:       OpAdvanceTurn,
+		Machine:  t.Machine,
+		Revision: t.Revision,
+		Target:   target,
+	})
+}
+
+// canConfirm reports whether the node has the draining and nothing in flight there, and has not confirmed it yet.
+func (p *proposer) canConfirm(t Turn) bool {
+	return t.ConfirmedBy[p.node.Node] != p.node.Incarnation &&
+		p.node.ListRevision >= t.DrainingRevision &&
+		p.node.InFlight[t.Machine] == 0
+}
+
+func (p *proposer) confirm(t Turn) {
+	p.commands = append(p.commands, Command{
+		Op:           OpConfirmDrained,
+		Machine:      t.Machine,
+		Node:         p.node.Node,
+		Incarnation:  p.node.Incarnation,
+		ListRevision: p.node.ListRevision,
+	})
+}
+
+func (p *proposer) confirmedByAll(t Turn) bool {
+	return !slices.ContainsFunc(p.node.FreshNodes, func(node string) bool { return t.ConfirmedBy[node] == 0 })
+}
+
+// orderIsOutdated reports whether a waiting machine is not in the order, or the order is of another term or has stood
+// for resettleEpochs.
+func (p *proposer) orderIsOutdated() bool {
+	waiting := 0
+	ordered := 0
+	for _, t := range p.plan.Turns {
+		if t.State != Waiting || slices.Contains(p.plan.ToRecall, t.Machine) {
 			continue
 		}
-		switch t.State {
-		case Waiting:
-			if waiting++; slices.Contains(b.Order, t.Machine) {
-				ordered++
-			}
-		case Granted:
-			step(t, Draining)
-		case Draining:
-			if t.ConfirmedBy[l.Node] != l.Incarnation && l.ListRevision >= t.DrainingRevision && l.InFlight[t.Machine] == 0 {
-				out = append(out, Command{Op: OpConfirmDrained, Machine: t.Machine, Node: l.Node, Incarnation: l.Incarnation, ListRevision: l.ListRevision})
-			}
-			if !slices.ContainsFunc(l.FreshNodes, func(n string) bool { return t.ConfirmedBy[n] == 0 }) {
-				step(t, Quiet)
-			}
+		waiting++
+		if slices.Contains(p.plan.Order, t.Machine) {
+			ordered++
 		}
 	}
-	if ordered < waiting || waiting > 0 && (b.SettledView.Term != l.View.Term || l.View.Epoch >= b.SettledView.Epoch+resettleEpochs) {
-		if proposalRank(l.FreshNodes, l.Node, "order") <= int(l.View.Epoch%uint64(max(len(l.FreshNodes), 1))) {
-			out = append(out, Command{Op: OpSettleOrder, View: l.View})
-		}
-		return out
+	settled := p.plan.SettledView
+	outlived := settled.Term != p.node.View.Term || p.node.View.Epoch >= settled.Epoch+resettleEpochs
+	return ordered < waiting || waiting > 0 && outlived
+}
+
+// settleOrder proposes a new order if it is the node's turn: with each epoch one more node in rank proposes.
+func (p *proposer) settleOrder() {
+	nodes := max(len(p.node.FreshNodes), 1)
+	if proposalRank(p.node.FreshNodes, p.node.Node, orderKey) <= int(p.node.View.Epoch%uint64(nodes)) {
+		p.commands = append(p.commands, Command{Op: OpSettleOrder, View: p.node.View})
+	}
+}
+
+// grantInOrder proposes to grant every waiting machine in the settled order. The plan grants the first that fits and
+// refuses those behind it.
+func (p *proposer) grantInOrder() {
+	turns := map[string]Turn{}
+	for _, t := range p.plan.Turns {
+		turns[t.Machine] = t
 	}
-	for _, id := range b.Order { // the record takes the first that fits and refuses those behind it
+	for _, id := range p.plan.Order {
 		if t, ok := turns[id]; ok && t.State == Waiting {
-			step(t, Granted)
+			p.advance(t, Granted)
 		}
 	}
-	return out
 }
 
-// rank is a node's place among the live ones for a thing, by rendezvous hash: each thing has another first.
-func proposalRank(nodes []string, node, thing string) int {
-	weight := func(n string) uint64 { return xxhash.Sum64String(thing + "\x00" + n) }
-	mine, place := weight(node), 0
-	for _, n := range nodes {
-		if n != node && cmp.Or(cmp.Compare(weight(n), mine), cmp.Compare(n, node)) > 0 {
-			place++
+// proposalRank returns a node's rank among the nodes for a key by rendezvous hashing, 0 for the first: each key has
+// another order of nodes.
+func proposalRank(nodes []string, node, key string) int {
+	weight := func(n string) uint64 { return xxhash.Sum64String(key + "\x00" + n) }
+	own := weight(node)
+	rank := 0
+	for _, other := range nodes {
+		if other != node && cmp.Or(cmp.Compare(weight(other), own), cmp.Compare(other, node)) > 0 {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
--- /dev/null
+++ b/internal/maintenance/request.go
@@ -0,0 +1,125 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+
+	"hitchvale/internal/statemachine"
+)
+
+// maxRequestIDBytes bounds the length of a request's ID.
+const maxRequestIDBytes = 128
+
+// validate reports with ErrMalformed what keeps a request from being stored.
+func (q Request) validate() error {
+	budget := q.Budget
+	switch {
+	case q.ID == "" || len(q.ID) > maxRequestIDBytes:
+		return ErrMalformed.Of("id", fmt.Errorf("1 to %d bytes are wanted", maxRequestIDBytes))
+	case len(q.Machines) == 0:
+		return ErrMalformed.Of(q.ID, errors.New("no machine named"))
+	case budget.Total < 0 || budget.PerSite < 0 || budget.PerCell < 0:
+		return ErrMalformed.Of(q.ID, errors.New("budget: negative"))
+	case q.ExpectedMs <= 0:
+		return ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
+	}
+	return nil
+}
+
+// validateFloors reports with ErrMalformed a floor that is not a capacity.
+func (q Request) validateFloors() error {
+	for site, floor := range q.CapacityFloor {
+		if math.IsNaN(floor) || floor < 0 {
+			return ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s: %g", site, floor))
+		}
+	}
+	return nil
+}
+
+// addRequest adds or replaces an operator's request. Its machines must be listed, and each floor must hold with one of
+// them out and all others ready, else the request could never complete (ErrNotFound, ErrUnderFloor).
+func (p *Plan) addRequest(q Request, nextRevision int64) (statemachine.Outcome, error) {
+	if err := q.validate(); err != nil {
+		return statemachine.Outcome{}, err
+	}
+	machines := map[string]Machine{}
+	siteCapacity := map[string]float64{}
+	for _, m := range p.inventory.Machines() {
+		machines[m.ID] = m
+		siteCapacity[m.Site] += m.Capacity
+	}
+	for _, id := range q.Machines {
+		m, ok := machines[id]
+		if !ok {
+			return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
+		}
+		remaining := siteCapacity[m.Site] - m.Capacity
+		if floor := q.CapacityFloor[m.Site]; remaining < floor {
+			return statemachine.Outcome{}, ErrUnderFloor.Of(m.Site,
+				fmt.Errorf("%g with %s out and all else ready, and %g is the floor", remaining, id, floor))
+		}
+	}
+	if err := q.validateFloors(); err != nil {
+		return statemachine.Outcome{}, err
+	}
+	if _, ok := p.Requests[q.ID]; ok {
+		p.detachWaiting(q.ID, nextRevision) // the new request may name other machines
+	}
+	p.Requests[q.ID] = q
+	for _, id := range q.Machines {
+		p.attach(machines[id], q.ID, nextRevision)
+	}
+	return statemachine.Outcome{Value: q}, nil
+}
+
+// attach adds a request to the turn of a machine, and begins the turn if there is none.
+func (p *Plan) attach(m Machine, requestID string, nextRevision int64) {
+	t := p.Turns[m.ID]
+	if t == nil {
+		t = &Turn{
+			Machine:  m.ID,
+			Site:     m.Site,
+			Cell:     m.Cell,
+			Capacity: m.Capacity,
+			State:    Waiting,
+			Revision: nextRevision,
+		}
+		p.Turns[m.ID] = t
+	}
+	if !slices.Contains(t.Requests, requestID) {
+		t.Requests = append(t.Requests, requestID)
+		slices.Sort(t.Requests)
+	}
+}
+
+// withdrawRequest ends a request: machines that wait for it alone wait no more, others finish their turns.
+func (p *Plan) withdrawRequest(id string, nextRevision int64) (statemachine.Outcome, error) {
+	if _, ok := p.Requests[id]; !ok {
+		return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
+	}
+	p.detachWaiting(id, nextRevision)
+	if !p.hasTurns(id) {
+		delete(p.Requests, id)
+	}
+	return statemachine.Outcome{}, nil
+}
+
+// detachWaiting removes a request from the machines that wait. A machine that occupies a slot retains the request, so
+// that its budget and floors bind until the machine is back.
+func (p *Plan) detachWaiting(requestID string, nextRevision int64) {
+	for _, machine := range slices.Sorted(maps.Keys(p.Turns)) {
+		t := p.Turns[machine]
+		if t.State != Waiting || !slices.Contains(t.Requests, requestID) {
+			continue
+		}
+		t.Requests = slices.DeleteFunc(t.Requests, func(id string) bool { return id == requestID })
+		t.Revision = nextRevision
+		if len(t.Requests) == 0 {
+			delete(p.Turns, machine)
+			p.removeFromOrder(machine)
+		}
+	}
+}
