--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -85,7 +85,7 @@
 	if a.incarnation != 0 {
 		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.cfg.Interval)
 		defer cancel()
-		a.registry.Close(end, a.cfg.Node, a.incarnation) // else it expires
+		a.registry.CloseSession(end, a.cfg.Node, a.incarnation) // else it expires
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	v, came, err := a.registry.Report(ctx, ReportRequest{Report: r, LastView: echo}, 2*a.cfg.Interval)
+	v, came, err := a.registry.SendReport(ctx, ReportRequest{Report: r, LastView: echo}, 2*a.cfg.Interval)
 	if err != nil || !came {
 		return err
 	}
@@ -128,7 +128,7 @@
 
 // open opens a session one incarnation above the last, unless a newer process has been there since this one's.
 func (a *Agent) openSession(ctx context.Context) error {
-	h, err := a.registry.Session(ctx, a.cfg.Node)
+	h, err := a.registry.SessionStatus(ctx, a.cfg.Node)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	if a.lastIncarnation != 0 && h.LastIncarnation > a.lastIncarnation && h.LastProcess != a.process {
 		return ErrSuperseded.Of(a.cfg.Node, nil)
 	}
-	s, err := a.registry.Open(ctx, Session{Node: a.cfg.Node, Site: a.cfg.Site, Process: a.process, Incarnation: h.LastIncarnation + 1,
+	s, err := a.registry.OpenSession(ctx, Session{Node: a.cfg.Node, Site: a.cfg.Site, Process: a.process, Incarnation: h.LastIncarnation + 1,
 		Address: a.cfg.Address, TTLms: a.cfg.TTL.Milliseconds()})
 	if err != nil {
 		if errors.Is(err, ErrSuperseded) && a.lastIncarnation == 0 {
@@ -162,7 +162,7 @@
 }
 
 // Status is what an operator can ask of a node's agent.
-type Status struct {
+type AgentStatus struct {
 	Node       string      `json:"node"`
 	Version    ViewVersion `json:"view"`
 	AgeMs      int64       `json:"age_ms"` // of the view, by the node's clock; -1: none
@@ -173,11 +173,11 @@
 }
 
 // Status tells how the agent stands.
-func (a *Agent) Status() Status {
+func (a *Agent) Status() AgentStatus {
 	v, age, ok := a.View()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := Status{Node: a.cfg.Node, Version: v.ViewVersion, AgeMs: -1, Nodes: len(v.Nodes), Superseded: a.superseded, Error: a.lastError}
+	s := AgentStatus{Node: a.cfg.Node, Version: v.ViewVersion, AgeMs: -1, Nodes: len(v.Nodes), Superseded: a.superseded, Error: a.lastError}
 	if ok {
 		s.AgeMs = age.Milliseconds()
 	}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -29,14 +29,14 @@
 // Registry is what an agent asks of the registry; Client is the one over HTTP, tests have others.
 type Registry interface {
 	// Session tells of a name.
-	Session(ctx context.Context, node string) (SessionStatus, error)
+	SessionStatus(ctx context.Context, node string) (SessionStatus, error)
 	// Open opens a session by compare-and-set and gives it as it is kept.
-	Open(ctx context.Context, s Session) (Session, error)
+	OpenSession(ctx context.Context, s Session) (Session, error)
 	// Close ends the session of a process.
-	Close(ctx context.Context, node string, incarnation uint64) error
+	CloseSession(ctx context.Context, node string, incarnation uint64) error
 	// Report hands in a report and waits for the first view after the one that it echoes; false where none came in
 	// the time.
-	Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
+	SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
 }
 
 // Client speaks to the registry's replicas, one at a time: after a call that got no answer, or a 503, it goes on to the
@@ -53,14 +53,14 @@
 const callTimeout = 2 * time.Second
 
 // Session tells of a name.
-func (c *Client) Session(ctx context.Context, node string) (SessionStatus, error) {
+func (c *Client) SessionStatus(ctx context.Context, node string) (SessionStatus, error) {
 	var h SessionStatus
 	_, err := c.call(ctx, http.MethodGet, "/registry/fleet/sessions/"+url.PathEscape(node), nil, &h, 0)
 	return h, err
 }
 
 // Open opens a session.
-func (c *Client) Open(ctx context.Context, s Session) (Session, error) {
+func (c *Client) OpenSession(ctx context.Context, s Session) (Session, error) {
 	var out struct {
 		Session Session `json:"session"`
 	}
@@ -69,14 +69,14 @@
 }
 
 // Close ends a session.
-func (c *Client) Close(ctx context.Context, node string, incarnation uint64) error {
+func (c *Client) CloseSession(ctx context.Context, node string, incarnation uint64) error {
 	_, err := c.call(ctx, http.MethodDelete, "/registry/fleet/sessions/"+url.PathEscape(node)+"?incarnation="+
 		strconv.FormatUint(incarnation, 10), nil, nil, 0)
 	return err
 }
 
 // Report hands in a report.
-func (c *Client) Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
+func (c *Client) SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
 	var v View
 	status, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/registry/fleet/reports?wait_ms=%d", wait.Milliseconds()), r, &v, wait)
 	return v, err == nil && status == http.StatusOK, err
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-func (l *link) Session(ctx context.Context, node string) (SessionStatus, error) {
+func (l *link) SessionStatus(ctx context.Context, node string) (SessionStatus, error) {
 	return over(l, ctx, 0, func() (h SessionStatus, err error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -195,7 +195,7 @@
 	})
 }
 
-func (l *link) Open(ctx context.Context, s Session) (Session, error) {
+func (l *link) OpenSession(ctx context.Context, s Session) (Session, error) {
 	return over(l, ctx, 0, func() (Session, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -209,7 +209,7 @@
 	})
 }
 
-func (l *link) Close(ctx context.Context, node string, incarnation uint64) error {
+func (l *link) CloseSession(ctx context.Context, node string, incarnation uint64) error {
 	_, err := over(l, ctx, 0, func() (Session, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -218,7 +218,7 @@
 	return err
 }
 
-func (l *link) Report(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
+func (l *link) SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
 	type answer struct {
 		v    View
 		came bool
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (l *fleetRun) status(ctx context.Context, i int) (s fleet.Status, err error) {
+func (l *fleetRun) status(ctx context.Context, i int) (s fleet.AgentStatus, err error) {
 	return s, l.registryCall(ctx, http.MethodGet, l.adminAddr[i], "/admin/fleet", nil, &s)
 }
 
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -117,22 +117,22 @@
 	ctx, client := t.Context(), fleetClient(c.http...)
 	defer client.HTTP.CloseIdleConnections()
 	s := fleet.Session{Node: "n1", Site: "a", Process: "p", Incarnation: 1, Address: "127.0.0.1:1", TTLms: 300}
-	if _, err := client.Open(ctx, s); err != nil {
+	if _, err := client.OpenSession(ctx, s); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := client.Session(ctx, "n1"); err != nil || h.LastIncarnation != 1 || h.Session == nil {
+	if h, err := client.SessionStatus(ctx, "n1"); err != nil || h.LastIncarnation != 1 || h.Session == nil {
 		t.Fatalf("%+v %v", h, err)
 	}
 	late := s
 	late.Process = "older"
-	if _, err := client.Open(ctx, late); !errors.Is(err, fleet.ErrSuperseded) {
+	if _, err := client.OpenSession(ctx, late); !errors.Is(err, fleet.ErrSuperseded) {
 		t.Errorf("an older process: %v", err)
 	}
 	await(t, "expiry", func() bool {
-		h, err := client.Session(ctx, "n1")
+		h, err := client.SessionStatus(ctx, "n1")
 		return err == nil && h.Session == nil && h.LastIncarnation == 1
 	})
-	_, _, err := client.Report(ctx, fleet.ReportRequest{Report: fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}}, 0)
+	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}}, 0)
 	if !errors.Is(err, fleet.ErrSessionNotFound) {
 		t.Errorf("a report without a session: %v", err)
 	}
@@ -210,8 +210,8 @@
 	took     func(time.Duration)
 }
 
-func (t *timedRegistry) Report(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (fleet.View, bool, error) {
-	v, came, err := t.Client.Report(ctx, r, wait)
+func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (fleet.View, bool, error) {
+	v, came, err := t.Client.SendReport(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
 		r.views.mu.Lock()
