--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -25,7 +25,6 @@
 	"internal/admin":      true,
 	"internal/discovery":  true,
 	"internal/durable":    true,
-	"internal/fleet":      true,
 	"internal/lease":      true,
 	"internal/node":       true,
 	"internal/siteconfig": true,
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -12,24 +12,36 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Source gives a node's report, without Node, Incarnation and Seq, which the agent knows. It must not block for long.
+const (
+	// defaultTTLIntervals is the TTL of a session, in intervals, unless the configuration has one.
+	defaultTTLIntervals = 5
+
+	// The bounds of the backoff after a failed call: a fraction of the interval, and a number of intervals.
+	minRetryDivisor   = 8
+	maxRetryIntervals = 2
+
+	// viewWaitIntervals is for how many intervals a report's call waits for the next view.
+	viewWaitIntervals = 2
+)
+
+// ReportSource returns a node's report without Node, Incarnation and Sequence, which the agent fills in. It must not
+// block for long.
 type ReportSource func() Report
 
-// AgentConfig is what an agent is told.
+// AgentConfig configures an Agent.
 type AgentConfig struct {
-	Node, Site, Address string
-	Interval            time.Duration // between two reports, the registry's own interval
-	TTL                 time.Duration // of the session; 0: five intervals
-	// OnView, where set, is called with each new view and the incarnation of the session, between two reports; it must
-	// return within an interval or so.
+	Node     string
+	Site     string
+	Address  string        // host:port that clients connect to
+	Interval time.Duration // between two reports; the registry's own interval
+	TTL      time.Duration // of the session; 0: defaultTTLIntervals
+	// OnView, if set, is called with each new view and the session's incarnation, between two reports. It must return
+	// within about an interval.
 	OnView func(ctx context.Context, v View, incarnation uint64)
 }
 
-// retryMost bounds the wait after a failed call, in intervals.
-const maxRetryIntervals = 2
-
-// Agent keeps a node's session, reports once an interval, and follows the view. Run owns it; View and Status may be
-// called from anywhere.
+// Agent keeps a node's session open, sends a report once an interval, and follows the view. Run is to be called once;
+// View and Status may be called from anywhere.
 type Agent struct {
 	cfg      AgentConfig
 	registry Registry
@@ -38,162 +50,204 @@
 	process  string
 	retry    *backoff.ExponentialBackOff
 
-	// For Run alone: the session's incarnation, 0 while there is none; the highest that this process had; its reports.
-	incarnation, lastIncarnation, sequence uint64
+	// For Run alone.
+	incarnation     uint64 // of the open session; 0 if there is none
+	lastIncarnation uint64 // the highest that this process had
+	sequence        uint64 // of the last report
 
 	mu         sync.Mutex
 	view       View
-	receivedAt time.Time
+	receivedAt time.Time // when view was received
 	superseded bool
-	lastError  string // the last error; "" since a call succeeded
+	lastError  string // of the last call; "" if it succeeded
 }
 
-// NewAgent is an agent that does nothing until Run. process is drawn anew by each process.
-func NewAgent(cfg AgentConfig, process string, reg Registry, source ReportSource, log *slog.Logger) *Agent {
-	cfg.TTL = cmp.Or(cfg.TTL, 5*cfg.Interval)
+// NewAgent returns an agent that does nothing until Run. process identifies the process; each draws its own.
+func NewAgent(cfg AgentConfig, process string, registry Registry, source ReportSource, log *slog.Logger) *Agent {
+	cfg.TTL = cmp.Or(cfg.TTL, defaultTTLIntervals*cfg.Interval)
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval, retry.MaxInterval = cfg.Interval/8, maxRetryIntervals*cfg.Interval
-	return &Agent{cfg: cfg, registry: reg, source: source, log: log, process: process, retry: retry}
+	retry.InitialInterval = cfg.Interval / minRetryDivisor
+	retry.MaxInterval = maxRetryIntervals * cfg.Interval
+	return &Agent{cfg: cfg, registry: registry, source: source, log: log, process: process, retry: retry}
 }
 
-// Run keeps the node's part until ctx ends, when it closes the session, or until a newer process has the name: then it
-// returns ErrSuperseded, and must not be run again.
+// Run takes part in the fleet until ctx ends, when it closes the session, or until a newer process has the node's name:
+// then it returns ErrSuperseded, and must not be run again.
 func (a *Agent) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := a.runOnce(ctx)
-		a.mu.Lock()
-		if a.lastError = ""; err != nil {
-			a.lastError = err.Error()
-		}
-		a.superseded = errors.Is(err, ErrSuperseded)
-		a.mu.Unlock()
-		wait := rand.N(a.cfg.Interval/2 + 1) // reports of a fleet that had its view at once must not come at once
+		err := a.callOnce(ctx)
+		a.recordResult(err)
+		// Random, as the nodes of a fleet got the last view at the same time and must not report at the same time.
+		wait := rand.N(a.cfg.Interval/2 + 1)
 		switch {
 		case err == nil:
 			a.retry.Reset()
 		case errors.Is(err, ErrSuperseded):
-			a.log.Error("a newer process has this node's name", "node", a.cfg.Node, "incarnation", a.incarnation, "error", err)
+			a.log.Error("session superseded", "node", a.cfg.Node, "incarnation", a.incarnation, "error", err)
 			return err
 		case errors.Is(err, ErrSessionNotFound):
-			a.incarnation = 0 // expired, as after a pause: the next step opens another
+			a.incarnation = 0 // expired, as after a pause of the process: the next call opens another
 		default:
 			wait = a.retry.NextBackOff()
-			a.log.Warn("fleet", "node", a.cfg.Node, "error", err)
+			a.log.Warn("fleet call failed", "node", a.cfg.Node, "error", err)
 		}
 		sleep(ctx, wait)
 	}
-	if a.incarnation != 0 {
-		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.cfg.Interval)
-		defer cancel()
-		a.registry.CloseSession(end, a.cfg.Node, a.incarnation) // else it expires
-	}
+	a.closeSession(ctx)
 	return nil
 }
 
-// step makes one call: it opens the session where there is none, else it reports.
-func (a *Agent) runOnce(ctx context.Context) error {
+// recordResult keeps the result of a call for Status.
+func (a *Agent) recordResult(err error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastError = ""
+	if err != nil {
+		a.lastError = err.Error()
+	}
+	a.superseded = errors.Is(err, ErrSuperseded)
+}
+
+// callOnce makes one call: it opens a session if there is none, else it sends a report.
+func (a *Agent) callOnce(ctx context.Context) error {
 	if a.incarnation == 0 {
 		return a.openSession(ctx)
 	}
+	return a.sendReport(ctx)
+}
+
+// sendReport sends a report and passes on the view that comes back.
+func (a *Agent) sendReport(ctx context.Context) error {
 	a.mu.Lock()
-	echo := a.view.ViewVersion
+	lastView := a.view.ViewVersion
 	a.mu.Unlock()
-	r := a.source()
+	report := a.source()
 	a.sequence++
-	r.Node, r.Incarnation, r.Sequence = a.cfg.Node, a.incarnation, a.sequence
-	r, err := r.Trimmed()
+	report.Node = a.cfg.Node
+	report.Incarnation = a.incarnation
+	report.Sequence = a.sequence
+	report, err := report.Trimmed()
 	if err != nil {
 		return err
 	}
-	v, came, err := a.registry.SendReport(ctx, ReportRequest{Report: r, LastView: echo}, 2*a.cfg.Interval)
-	if err != nil || !came {
+	request := ReportRequest{Report: report, LastView: lastView}
+	view, ok, err := a.registry.SendReport(ctx, request, viewWaitIntervals*a.cfg.Interval)
+	if err != nil || !ok {
 		return err
 	}
-	if a.acceptView(v) && a.cfg.OnView != nil {
-		a.cfg.OnView(ctx, v, a.incarnation)
+	if a.acceptView(view) && a.cfg.OnView != nil {
+		a.cfg.OnView(ctx, view, a.incarnation)
 	}
 	return nil
 }
 
-// take keeps a view unless it is no newer than the one held: an answer of a leader that no longer is one may come late.
+// acceptView stores a view if it is newer than the present one: an answer of a former leader may come late.
 func (a *Agent) acceptView(v View) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.view.ViewVersion.Before(v.ViewVersion) {
+	if !a.view.Before(v.ViewVersion) {
 		return false
 	}
-	a.view, a.receivedAt = v, time.Now()
+	a.view = v
+	a.receivedAt = time.Now()
 	return true
 }
 
-// open opens a session one incarnation above the last, unless a newer process has been there since this one's.
+// openSession opens a session one incarnation above the last. It fails with ErrSuperseded if a newer process has had
+// the name since this one's last session.
 func (a *Agent) openSession(ctx context.Context) error {
-	h, err := a.registry.SessionStatus(ctx, a.cfg.Node)
+	status, err := a.registry.SessionStatus(ctx, a.cfg.Node)
 	if err != nil {
 		return err
 	}
-	if h.Session != nil && h.Session.Process == a.process { // its answer was lost
-		a.incarnation, a.lastIncarnation = h.Session.Incarnation, h.Session.Incarnation
+	if status.Session != nil && status.Session.Process == a.process { // the answer to its opening was lost
+		a.incarnation = status.Session.Incarnation
+		a.lastIncarnation = status.Session.Incarnation
 		return nil
 	}
-	if a.lastIncarnation != 0 && h.LastIncarnation > a.lastIncarnation && h.LastProcess != a.process {
+	if a.lastIncarnation != 0 && status.LastIncarnation > a.lastIncarnation && status.LastProcess != a.process {
 		return ErrSuperseded.Of(a.cfg.Node, nil)
 	}
-	s, err := a.registry.OpenSession(ctx, Session{Node: a.cfg.Node, Site: a.cfg.Site, Process: a.process, Incarnation: h.LastIncarnation + 1,
-		Address: a.cfg.Address, TTLms: a.cfg.TTL.Milliseconds()})
+	session, err := a.registry.OpenSession(ctx, Session{
+		Node:        a.cfg.Node,
+		Site:        a.cfg.Site,
+		Process:     a.process,
+		Incarnation: status.LastIncarnation + 1,
+		Address:     a.cfg.Address,
+		TTLms:       a.cfg.TTL.Milliseconds(),
+	})
+	if errors.Is(err, ErrSuperseded) && a.lastIncarnation == 0 {
+		// Another process opened a session between the two calls, or the late call of a former one did: try again. The
+		// cause is left out, since by it this process would count as superseded.
+		return ErrSessionNotFound.Of(a.cfg.Node, nil)
+	}
 	if err != nil {
-		if errors.Is(err, ErrSuperseded) && a.lastIncarnation == 0 {
-			// Another process opened between the two calls, or a call of one that is gone came late: ask again. The
-			// cause is left out, as it would say that this process is superseded.
-			return ErrSessionNotFound.Of(a.cfg.Node, nil)
-		}
 		return err
 	}
-	a.incarnation, a.lastIncarnation = s.Incarnation, s.Incarnation
-	a.log.Info("session open", "node", s.Node, "incarnation", s.Incarnation)
+	a.incarnation = session.Incarnation
+	a.lastIncarnation = session.Incarnation
+	a.log.Info("session opened", "node", session.Node, "incarnation", session.Incarnation)
 	return nil
 }
 
-// View is the last view, and how long ago it came; false where there is none.
+// closeSession closes the session of an agent whose ctx has ended. If the call fails, the session expires.
+func (a *Agent) closeSession(ctx context.Context) {
+	if a.incarnation == 0 {
+		return
+	}
+	closeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), a.cfg.Interval)
+	defer cancel()
+	a.registry.CloseSession(closeCtx, a.cfg.Node, a.incarnation)
+}
+
+// View returns the last view and how long ago it was received; false if there is none.
 func (a *Agent) View() (v View, age time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view, time.Since(a.receivedAt), a.view.Epoch != 0
 }
 
-// Status is what an operator can ask of a node's agent.
+// AgentStatus is the state of an agent, for operators.
 type AgentStatus struct {
 	Node       string      `json:"node"`
 	Version    ViewVersion `json:"view"`
-	AgeMs      int64       `json:"age_ms"` // of the view, by the node's clock; -1: none
-	Nodes      int         `json:"nodes"`
-	Fresh      int         `json:"fresh"`
+	AgeMs      int64       `json:"age_ms"` // since the view was received; -1 if there is none
+	Nodes      int         `json:"nodes"`  // in the view
+	Fresh      int         `json:"fresh"`  // of them
 	Superseded bool        `json:"superseded"`
-	Error      string      `json:"error,omitempty"`
+	Error      string      `json:"error,omitempty"` // of the last call
 }
 
-// Status tells how the agent stands.
+// Status returns the agent's state.
 func (a *Agent) Status() AgentStatus {
-	v, age, ok := a.View()
+	view, age, ok := a.View()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := AgentStatus{Node: a.cfg.Node, Version: v.ViewVersion, AgeMs: -1, Nodes: len(v.Nodes), Superseded: a.superseded, Error: a.lastError}
+	status := AgentStatus{
+		Node:       a.cfg.Node,
+		Version:    view.ViewVersion,
+		AgeMs:      -1,
+		Nodes:      len(view.Nodes),
+		Superseded: a.superseded,
+		Error:      a.lastError,
+	}
 	if ok {
-		s.AgeMs = age.Milliseconds()
+		status.AgeMs = age.Milliseconds()
 	}
-	for _, n := range v.Nodes {
-		if n.Fresh {
-			s.Fresh++
+	for _, node := range view.Nodes {
+		if node.Fresh {
+			status.Fresh++
 		}
 	}
-	return s
+	return status
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A process whose session was opened again while the answer was lost, and expired before it heard of it, goes on under its
-// name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
+// A process whose session was opened again while the answer was lost, and expired before it heard of it, goes on under
+// its name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
 func TestOwnSessionUnheardOfIsNoSuccessor(t *testing.T) {
 	for _, by := range []string{"p", "q"} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -16,73 +16,77 @@
 	"hitchvale/internal/operror"
 )
 
-// viewMost bounds the bytes of a view that a node reads.
-const maxViewBytes = 8 << 20
-
-// Held is what the registry says of a name: the highest incarnation there was, and its open session, if any.
-type SessionStatus struct {
-	LastIncarnation uint64   `json:"last"`
-	LastProcess     string   `json:"process"` // that had it
-	Session         *Session `json:"session"`
-}
+const (
+	// maxViewBytes bounds the body of an answer.
+	maxViewBytes = 8 << 20
+
+	// callTimeout bounds a call beyond the time that the registry may hold it.
+	callTimeout = 2 * time.Second
+)
 
-// Registry is what an agent asks of the registry; Client is the one over HTTP, tests have others.
+// Registry is what an Agent needs of the registry. Client implements it over HTTP.
 type Registry interface {
-	// Session tells of a name.
+	// SessionStatus returns what the registry knows of a node's name.
 	SessionStatus(ctx context.Context, node string) (SessionStatus, error)
-	// Open opens a session by compare-and-set and gives it as it is kept.
+	// OpenSession opens a session by compare-and-set and returns it as stored.
 	OpenSession(ctx context.Context, s Session) (Session, error)
-	// Close ends the session of a process.
+	// CloseSession ends the session of a process.
 	CloseSession(ctx context.Context, node string, incarnation uint64) error
-	// Report hands in a report and waits for the first view after the one that it echoes; false where none came in
-	// the time.
+	// SendReport sends a report and waits for the first view after the one that it echoes; it returns false if there is
+	// none within the given time.
 	SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
 }
 
-// Client speaks to the registry's replicas, one at a time: after a call that got no answer, or a 503, it goes on to the
-// next. Safe for concurrent use.
+// Client calls the registry's replicas over HTTP, one at a time: after a call without an answer, or with a 503, it uses
+// the next one. Its errors are those of this package. Safe for concurrent use.
 type Client struct {
 	Replicas []string // HTTP addresses, at least one
 	HTTP     *http.Client
 
 	mu      sync.Mutex
-	current int
+	current int // counts on without bound; its remainder is the index of the replica in use
 }
 
-// callWithin bounds a call beyond the time that it may wait.
-const callTimeout = 2 * time.Second
-
-// Session tells of a name.
+// SessionStatus implements Registry.
 func (c *Client) SessionStatus(ctx context.Context, node string) (SessionStatus, error) {
-	var h SessionStatus
-	_, err := c.call(ctx, http.MethodGet, "/registry/fleet/sessions/"+url.PathEscape(node), nil, &h, 0)
-	return h, err
+	var status SessionStatus
+	_, err := c.call(ctx, http.MethodGet, sessionPath(node), nil, &status, 0)
+	return status, err
 }
 
-// Open opens a session.
+// OpenSession implements Registry.
 func (c *Client) OpenSession(ctx context.Context, s Session) (Session, error) {
-	var out struct {
+	var response struct {
 		Session Session `json:"session"`
 	}
-	_, err := c.call(ctx, http.MethodPost, "/registry/fleet/sessions", s, &out, 0)
-	return out.Session, err
+	_, err := c.call(ctx, http.MethodPost, "/registry/fleet/sessions", s, &response, 0)
+	return response.Session, err
 }
 
-// Close ends a session.
+// CloseSession implements Registry.
 func (c *Client) CloseSession(ctx context.Context, node string, incarnation uint64) error {
-	_, err := c.call(ctx, http.MethodDelete, "/registry/fleet/sessions/"+url.PathEscape(node)+"?incarnation="+
-		strconv.FormatUint(incarnation, 10), nil, nil, 0)
+	path := sessionPath(node) + "?incarnation=" + strconv.FormatUint(incarnation, 10)
+	_, err := c.call(ctx, http.MethodDelete, path, nil, nil, 0)
 	return err
 }
 
-// Report hands in a report.
+func sessionPath(node string) string { return "/registry/fleet/sessions/" + url.PathEscape(node) }
+
+// SendReport implements Registry.
 func (c *Client) SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
-	var v View
-	status, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/registry/fleet/reports?wait_ms=%d", wait.Milliseconds()), r, &v, wait)
-	return v, err == nil && status == http.StatusOK, err
+	var view View
+	path := fmt.Sprintf("/registry/fleet/reports?wait_ms=%d", wait.Milliseconds())
+	status, err := c.call(ctx, http.MethodPost, path, r, &view, wait)
+	return view, err == nil && status == http.StatusOK, err
 }
 
-// replica is the one that is asked now, next the one after it.
+// Call makes a call of another part of the registry, with body as JSON (nil: none), and decodes a 2xx answer into out.
+func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
+	_, err := c.call(ctx, method, path, body, out, 0)
+	return err
+}
+
+// currentReplica returns the address of the replica in use.
 func (c *Client) currentReplica() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,63 +99,75 @@
 	c.mu.Unlock()
 }
 
-// Call makes one call of another part of the registry, with body as JSON (nil: none), and decodes a 2xx answer into out.
-func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
-	_, err := c.call(ctx, method, path, body, out, 0)
-	return err
-}
-
+// call makes one call, which the registry may hold for wait, and returns the answer's status.
 func (c *Client) call(ctx context.Context, method, path string, body, out any, wait time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	var rd io.Reader
-	if body != nil {
-		text, err := json.Marshal(body)
-		if err != nil {
-			return 0, ErrMalformed.Of(path, err)
-		}
-		rd = bytes.NewReader(text)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.currentReplica()+path, rd)
+	req, err := newRequest(ctx, method, c.currentReplica(), path, body)
 	if err != nil {
 		return 0, ErrMalformed.Of(path, err)
 	}
-	resp, err := c.HTTP.Do(req)
+	status, text, err := c.exchange(req)
 	if err != nil {
 		c.useNextReplica()
 		return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxViewBytes))
-	if err != nil {
+	if status/100 != 2 {
+		if status == http.StatusServiceUnavailable {
+			c.useNextReplica()
+		}
+		return status, decodeError(req.URL.Host, status, text)
+	}
+	if out == nil || len(text) == 0 {
+		return status, nil
+	}
+	if err := json.Unmarshal(text, out); err != nil {
 		c.useNextReplica()
 		return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
 	}
-	if resp.StatusCode/100 != 2 {
-		if resp.StatusCode == http.StatusServiceUnavailable {
-			c.useNextReplica()
+	return status, nil
+}
+
+// newRequest returns a request with a JSON body, or without one if body is nil.
+func newRequest(ctx context.Context, method, host, path string, body any) (*http.Request, error) {
+	var reader io.Reader
+	if body != nil {
+		text, err := json.Marshal(body)
+		if err != nil {
+			return nil, err
 		}
-		return resp.StatusCode, decodeError(req.URL.Host, resp.StatusCode, text)
+		reader = bytes.NewReader(text)
 	}
-	if out != nil && len(text) > 0 {
-		if err := json.Unmarshal(text, out); err != nil {
-			c.useNextReplica()
-			return 0, ErrRegistryUnreachable.Of(req.URL.Host, err)
-		}
+	return http.NewRequestWithContext(ctx, method, "http://"+host+path, reader)
+}
+
+// exchange sends a request and reads the answer.
+func (c *Client) exchange(req *http.Request) (status int, body []byte, err error) {
+	resp, err := c.HTTP.Do(req)
+	if err != nil {
+		return 0, nil, err
 	}
-	return resp.StatusCode, nil
+	defer resp.Body.Close()
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxViewBytes))
+	return resp.StatusCode, body, err
 }
 
-// refusal is the error that an answer tells of: this package's own by its code, else ErrUnreachable.
+// decodeError returns the error of an answer that is not a 2xx: by its code one of this package, else
+// ErrRegistryUnreachable.
 func decodeError(host string, status int, text []byte) error {
-	var a struct{ Code, Error string }
-	if json.Unmarshal(text, &a) != nil || a.Code == "" {
+	var answer struct {
+		Code  string `json:"code"`
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(text, &answer) != nil || answer.Code == "" {
 		return ErrRegistryUnreachable.Of(host, fmt.Errorf("status %d", status))
 	}
-	for _, e := range []*operror.Error{ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady} {
-		if e.Code == a.Code {
-			return e.Of(host, errors.New(a.Error))
+	for _, e := range []*operror.Error{
+		ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady,
+	} {
+		if e.Code == answer.Code {
+			return e.Of(host, errors.New(answer.Error))
 		}
 	}
-	return ErrRegistryUnreachable.Of(host, fmt.Errorf("%s: %s", a.Code, a.Error))
+	return ErrRegistryUnreachable.Of(host, fmt.Errorf("%s: %s", answer.Code, answer.Error))
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -392,7 +392,8 @@
 	}
 }
 
-// modelSchedules is how many schedules a test plays; FLEET_SCHEDULES sets another number, and changes no verdict of a seed.
+// modelSchedules is how many schedules a test plays; FLEET_SCHEDULES sets another number, and changes no verdict of a
+// seed.
 func modelSchedules() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_SCHEDULES")); err == nil {
 		return n
@@ -400,9 +401,9 @@
 	return 10000
 }
 
-// Over drawn schedules of lost and late calls, stalls, crashes, second processes and leader changes: no report counts as
-// younger than it is, views never go back and are the same for all readers, incarnations rise, and once faults are over
-// each name has one process and a fresh report.
+// Over drawn schedules of lost and late calls, stalls, crashes, second processes and leader changes: no report counts
+// as younger than it is, views never go back and are the same for all readers, incarnations rise, and once faults are
+// over each name has one process and a fresh report.
 func TestViewHoldsUnderDrawnFaults(t *testing.T) {
 	const parts = 8
 	for part := range uint64(parts) {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -9,47 +9,59 @@
 	"slices"
 )
 
-// ReportMost bounds a report's JSON. A backend takes up to 200 bytes of it, with the longest id, so that 1,024 of them and
-// the tenants fit.
+// MaxReportBytes bounds a report's JSON. An endpoint takes up to 200 bytes of it, with the longest ID, so that 1,024 of
+// them and the tenants fit.
 const MaxReportBytes = 256 << 10
 
-// BackendLoad is what a node knows of one backend from its own decisions.
+// trimDivisor is the fraction of a list, one in trimDivisor, that one step of trimming removes.
+const trimDivisor = 8
+
+// EndpointLoad is what a node knows of an endpoint's load from its own decisions.
 type EndpointLoad struct {
 	ID            string  `json:"id"`
-	QueueEstimate float64 `json:"estimate"`    // of its queue (LSQ), requests of all nodes
-	Outstanding   float64 `json:"outstanding"` // this node's attempts there
-	FailureRate   float64 `json:"failures"`    // rate of failures, 0 to 1
+	QueueEstimate float64 `json:"estimate"`    // requests of all nodes
+	Outstanding   float64 `json:"outstanding"` // this node's attempts
+	FailureRate   float64 `json:"failures"`    // fraction of attempts, 0 to 1
 }
 
-// Figures are a node's load. Rates are a second; Core is the part of its share of a core that it used.
+// LoadMetrics are the metrics of a node's load.
 type LoadMetrics struct {
 	Connections       float64 `json:"connections"` // of clients
-	Descriptors       float64 `json:"descriptors"` // held
-	DescriptorLimit   float64 `json:"allowed"`     // descriptors that it may hold
-	CPUFraction       float64 `json:"core"`
+	Descriptors       float64 `json:"descriptors"` // open
+	DescriptorLimit   float64 `json:"allowed"`
+	CPUFraction       float64 `json:"core"` // used of the part of a core that the node may use
 	InFlight          float64 `json:"in_flight"`
 	RejectedPerSecond float64 `json:"refused"`
 	FailedPerSecond   float64 `json:"failed"`
 }
 
-// Report is what one process of a node tells of itself, once an interval. Seq rises with each report of a process.
+// Report is a process's report of its node's load.
 type Report struct {
-	Node                 string         `json:"node"`
-	Incarnation          uint64         `json:"incarnation"`
-	Sequence             uint64         `json:"seq"`
-	Metrics              LoadMetrics    `json:"figures"`
-	TenantsByConnections []WeightedKey  `json:"by_conns,omitempty"` // the heaviest tenants by connections
-	TenantsByWork        []WeightedKey  `json:"by_work,omitempty"`  // and by work, in seconds of backends
-	Endpoints            []EndpointLoad `json:"backends,omitempty"` // by id
-	Omitted              int            `json:"cut,omitempty"`      // entries left out above
-	Draining             bool           `json:"draining,omitempty"` // the process is about to end
+	Node        string      `json:"node"`
+	Incarnation uint64      `json:"incarnation"`
+	Sequence    uint64      `json:"seq"` // rises with every report of a process
+	Metrics     LoadMetrics `json:"figures"`
+	// The tenants of the greatest weight, by connections, and by work in seconds of endpoints.
+	TenantsByConnections []WeightedKey  `json:"by_conns,omitempty"`
+	TenantsByWork        []WeightedKey  `json:"by_work,omitempty"`
+	Endpoints            []EndpointLoad `json:"backends,omitempty"` // by ID
+	Omitted              int            `json:"cut,omitempty"`      // entries of the lists above that were trimmed
+	Draining             bool           `json:"draining,omitempty"` // the process shuts down
+}
+
+// ReportRequest is the body of a report's call: the report, and the last view that its sender had. The report was made
+// after that view was published, which bounds its age on the leader's clock; no other clock counts.
+type ReportRequest struct {
+	Report
+	LastView ViewVersion `json:"echo"`
 }
 
-// Check refuses what no node of ours sends.
+// Validate fails with ErrMalformed for what no node sends.
 func (r Report) Validate() error {
-	f := r.Metrics
-	for _, v := range []float64{f.Connections, f.Descriptors, f.DescriptorLimit, f.CPUFraction, f.InFlight, f.RejectedPerSecond, f.FailedPerSecond} {
-		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+	m := r.Metrics
+	for _, value := range []float64{m.Connections, m.Descriptors, m.DescriptorLimit, m.CPUFraction, m.InFlight,
+		m.RejectedPerSecond, m.FailedPerSecond} {
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return ErrMalformed.Of(r.Node, errors.New("a figure is negative or no number"))
 		}
 	}
@@ -64,10 +76,12 @@
 	return nil
 }
 
-// Bounded is the report in at most ReportMost bytes of JSON: backends with the least at stake are left out first, then
-// the lightest tenants, and Cut says how many entries are missing. Backends come by id.
+// Trimmed returns the report in at most MaxReportBytes of JSON, with its endpoints by ID. Of the longest list it omits
+// the least loaded endpoints or the lightest tenants, and counts them in Omitted.
 func (r Report) Trimmed() (Report, error) {
-	r.Endpoints, r.TenantsByConnections, r.TenantsByWork = slices.Clone(r.Endpoints), slices.Clone(r.TenantsByConnections), slices.Clone(r.TenantsByWork)
+	r.Endpoints = slices.Clone(r.Endpoints)
+	r.TenantsByConnections = slices.Clone(r.TenantsByConnections)
+	r.TenantsByWork = slices.Clone(r.TenantsByWork)
 	for {
 		slices.SortFunc(r.Endpoints, func(a, b EndpointLoad) int { return cmp.Compare(a.ID, b.ID) })
 		text, err := json.Marshal(r)
@@ -82,26 +96,36 @@
 	}
 }
 
-// cut leaves out a part of the longest of the report's lists; false where all are empty.
+// trimLongestList removes a part of the longest of the report's lists; it returns false if all are empty.
 func (r *Report) trimLongestList() bool {
-	part := func(n int) int { return n - (n+7)/8 }
-	switch n := len(r.Endpoints); {
-	case n > 0 && n >= max(len(r.TenantsByConnections), len(r.TenantsByWork)):
-		slices.SortFunc(r.Endpoints, func(a, b EndpointLoad) int {
-			return cmp.Or(cmp.Compare(b.Outstanding, a.Outstanding), cmp.Compare(b.QueueEstimate, a.QueueEstimate), cmp.Compare(a.ID, b.ID))
-		})
-		r.Endpoints = r.Endpoints[:part(n)]
-		r.Omitted += n - len(r.Endpoints)
-	case len(r.TenantsByConnections) > 0 && len(r.TenantsByConnections) >= len(r.TenantsByWork):
-		n = len(r.TenantsByConnections)
-		r.TenantsByConnections = r.TenantsByConnections[:part(n)]
-		r.Omitted += n - len(r.TenantsByConnections)
-	case len(r.TenantsByWork) > 0:
-		n = len(r.TenantsByWork)
-		r.TenantsByWork = r.TenantsByWork[:part(n)]
-		r.Omitted += n - len(r.TenantsByWork)
+	endpoints := len(r.Endpoints)
+	byConnections := len(r.TenantsByConnections)
+	byWork := len(r.TenantsByWork)
+	switch {
+	case endpoints > 0 && endpoints >= max(byConnections, byWork):
+		slices.SortFunc(r.Endpoints, compareLoad)
+		r.Endpoints = trimTail(r.Endpoints, &r.Omitted)
+	case byConnections > 0 && byConnections >= byWork:
+		r.TenantsByConnections = trimTail(r.TenantsByConnections, &r.Omitted)
+	case byWork > 0:
+		r.TenantsByWork = trimTail(r.TenantsByWork, &r.Omitted)
 	default:
 		return false
 	}
 	return true
 }
+
+// compareLoad orders endpoints by their load, the greatest first.
+func compareLoad(a, b EndpointLoad) int {
+	return cmp.Or(
+		cmp.Compare(b.Outstanding, a.Outstanding),
+		cmp.Compare(b.QueueEstimate, a.QueueEstimate),
+		cmp.Compare(a.ID, b.ID))
+}
+
+// trimTail removes one in trimDivisor entries, rounded up, from the end of a list and adds their number to omitted.
+func trimTail[T any](list []T, omitted *int) []T {
+	removed := (len(list) + trimDivisor - 1) / trimDivisor
+	*omitted += removed
+	return list[:len(list)-removed]
+}
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -1,32 +1,29 @@
-// Package fleet is what all nodes know of all nodes: sessions, kept in the registry's replicated state, and a view of
-// their load, compiled by the registry's leader once an epoch from the nodes' reports. See docs/ROADMAP.md, "A fleet
-// that settles its own affairs".
+// Package fleet is what the nodes know of each other: their sessions, which are replicated in the registry's state, and
+// a view of their load, which the registry's leader compiles from their reports once an epoch. A node takes part
+// through an Agent. docs/ROADMAP.md has the design, docs/registry.md the calls.
 package fleet
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"net/netip"
-	"slices"
 
 	"hitchvale/internal/statemachine"
 )
 
-// Session is a process of a node, in the registry's state. Of two processes under one name the one with the higher
-// incarnation is the node.
+// Session is the session of a node's process. Of two processes under one name, the one of the higher incarnation is the
+// node.
 type Session struct {
 	Node           string `json:"node"`
 	Site           string `json:"site"`
-	Process        string `json:"process"`     // drawn by the process at its start, so that it knows a session as its own
-	Incarnation    uint64 `json:"incarnation"` // one above the last under the name; clocks have no part in it
-	Address        string `json:"address"`     // where clients connect
+	Process        string `json:"process"`     // drawn by the process at its start, so that it knows its own session
+	Incarnation    uint64 `json:"incarnation"` // one above the last one under the name
+	Address        string `json:"address"`     // host:port that clients connect to
 	TTLms          int64  `json:"ttl_ms"`
-	OpenedRevision int64  `json:"since"` // revision at which it was opened
+	OpenedRevision int64  `json:"since"` // of the registry's state
 }
 
-// Check refuses a session that cannot be one.
+// Validate reports with ErrMalformed what keeps a session from being opened.
 func (s Session) Validate() error {
 	_, err := netip.ParseAddrPort(s.Address)
 	switch {
@@ -46,6 +43,13 @@
 	return nil
 }
 
+// SessionStatus is what the registry knows of a node's name.
+type SessionStatus struct {
+	LastIncarnation uint64   `json:"last"`    // the highest that there was; 0: none
+	LastProcess     string   `json:"process"` // that had it
+	Session         *Session `json:"session"` // nil if none is open
+}
+
 // The operations on sessions, as stored in the log.
 const (
 	OpOpenSession   statemachine.Operation = "session-open"
@@ -60,105 +64,5 @@
 	Session Session                `json:"session"`
 }
 
-// Operation is the command's operation.
+// Operation returns the command's operation.
 func (c *SessionCommand) Operation() statemachine.Operation { return c.Op }
-
-// Sessions is the machine of the nodes' sessions.
-type SessionStore struct {
-	Open map[string]Session `json:"open"` // by node
-	// Last is the highest incarnation that each name ever had: an older process stays superseded after the newer
-	// one's session has ended.
-	LastIncarnation map[string]uint64 `json:"last"`
-	// By is the process that had it: one whose session ended before it heard of it must know it as its own.
-	LastProcess map[string]string `json:"by"`
-}
-
-// NewSessions is a machine without a session.
-func NewSessionStore() *SessionStore {
-	return &SessionStore{Open: map[string]Session{}, LastIncarnation: map[string]uint64{}, LastProcess: map[string]string{}}
-}
-
-// Kind names the machine.
-func (s *SessionStore) Kind() string { return "sessions" }
-
-// Commands are the operations of the machine.
-func (s *SessionStore) Commands() map[statemachine.Operation]func() statemachine.Command {
-	empty := func() statemachine.Command { return &SessionCommand{} }
-	return statemachine.CommandsOf(empty, OpOpenSession, OpCloseSession, OpExpireSession)
-}
-
-// Apply carries out a command. A session is opened by compare-and-set: its incarnation has to be one above the last
-// under the name, so a call that comes late, from a process that is gone, cannot supersede a newer one. To open the
-// session that is open is no change.
-func (s *SessionStore) Apply(cmd statemachine.Command, next int64) (statemachine.Outcome, error) {
-	c := cmd.(*SessionCommand)
-	n := c.Session
-	if c.Op != OpOpenSession {
-		if err := s.VerifyHolder(n.Node, n.Incarnation); err != nil {
-			return statemachine.Outcome{}, err
-		}
-		delete(s.Open, n.Node)
-		return statemachine.Outcome{Value: n}, nil
-	}
-	if err := n.Validate(); err != nil {
-		return statemachine.Outcome{}, err
-	}
-	old, open := s.Open[n.Node]
-	if open && n.Process == old.Process {
-		if n.Incarnation != old.Incarnation {
-			return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("the process has incarnation %d", old.Incarnation))
-		}
-		return statemachine.Outcome{Unchanged: true, Value: old}, nil
-	}
-	switch last := s.LastIncarnation[n.Node]; {
-	case n.Incarnation <= last:
-		return statemachine.Outcome{}, ErrSuperseded.Of(n.Node, fmt.Errorf("incarnation %d, and %d has been here", n.Incarnation, last))
-	case n.Incarnation > last+1:
-		return statemachine.Outcome{}, ErrMalformed.Of(n.Node, fmt.Errorf("incarnation %d after %d", n.Incarnation, last))
-	}
-	n.OpenedRevision = next
-	s.Open[n.Node], s.LastIncarnation[n.Node], s.LastProcess[n.Node] = n, n.Incarnation, n.Process
-	return statemachine.Outcome{Value: n}, nil
-}
-
-// Holds tells whether a process has its node's session, and why not.
-func (s *SessionStore) VerifyHolder(node string, incarnation uint64) error {
-	if last := s.LastIncarnation[node]; incarnation < last {
-		return ErrSuperseded.Of(node, fmt.Errorf("incarnation %d, and %d has been here", incarnation, last))
-	}
-	if o, ok := s.Open[node]; !ok || o.Incarnation != incarnation {
-		return ErrSessionNotFound.Of(node, nil)
-	}
-	return nil
-}
-
-// Told is what the registry says of a name.
-func (s *SessionStore) Status(node string) SessionStatus {
-	h := SessionStatus{LastIncarnation: s.LastIncarnation[node], LastProcess: s.LastProcess[node]}
-	if o, ok := s.Open[node]; ok {
-		h.Session = &o
-	}
-	return h
-}
-
-// All are the open sessions by name.
-func (s *SessionStore) List() []Session {
-	out := make([]Session, 0, len(s.Open))
-	for _, n := range slices.Sorted(maps.Keys(s.Open)) {
-		out = append(out, s.Open[n])
-	}
-	return out
-}
-
-// Encode writes the sessions.
-func (s *SessionStore) Encode() ([]byte, error) { return json.Marshal(s) }
-
-// Decode takes the sessions of a snapshot.
-func (s *SessionStore) Decode(text []byte, _ int64) error {
-	n := NewSessionStore()
-	if err := json.Unmarshal(text, n); err != nil {
-		return err
-	}
-	*s = *n
-	return nil
-}
--- a/internal/fleet/sketch.go
+++ b/internal/fleet/sketch.go
@@ -5,34 +5,38 @@
 	"slices"
 )
 
-// keyMost bounds the bytes of a key that a sketch keeps; what is longer is cut there.
+// maxKeyBytes bounds the length of a key; a sketch cuts longer ones there.
 const maxKeyBytes = 64
 
-// Heavy is one key of a sketch. Its true weight is at most Weight and at least Weight less Over.
+// WeightedKey is a key of a sketch. Its true weight is at most Weight and at least Weight less MaxError.
 type WeightedKey struct {
 	Key      string  `json:"key"`
 	Weight   float64 `json:"weight"`
 	MaxError float64 `json:"over,omitempty"`
 }
 
-// Sketch finds the keys of the greatest weight in a stream, in the memory of size counters whatever keys come
-// (Space-Saving: Metwally, Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data
-// streams", 2005). It is exact while there are no more keys than counters; beyond, a key whose weight is above
-// Total/size is always in it. Not safe for concurrent use.
+// Sketch finds the keys of the greatest weight in a stream, in the memory of a fixed number of counters (Space-Saving:
+// Metwally, Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005). It is
+// exact as long as there are no more keys than counters; beyond, it has every key whose weight is above Total divided
+// by the number of counters. Not safe for concurrent use.
 type Sketch struct {
-	capacity int
-	heap     []WeightedKey // a heap by weight, the least first; equal weights by key, so that the same stream gives the same sketch
-	position map[string]int
+	capacity int            // counters
+	heap     []WeightedKey  // by compareWeights, the least first
+	position map[string]int // in heap, by key
 	total    float64
 }
 
-// NewSketch is an empty sketch of size counters (at least one).
-func NewSketch(size int) *Sketch {
-	size = max(size, 1)
-	return &Sketch{capacity: size, heap: make([]WeightedKey, 0, size), position: make(map[string]int, size)}
+// NewSketch returns an empty sketch of the given number of counters, at least one.
+func NewSketch(counters int) *Sketch {
+	counters = max(counters, 1)
+	return &Sketch{
+		capacity: counters,
+		heap:     make([]WeightedKey, 0, counters),
+		position: make(map[string]int, counters),
+	}
 }
 
-// Add adds a weight above 0 to a key; others change nothing.
+// Add adds a weight to a key. A weight that is not above 0 changes nothing.
 func (s *Sketch) Add(key string, weight float64) {
 	if !(weight > 0) {
 		return
@@ -41,62 +45,81 @@
 		key = key[:maxKeyBytes]
 	}
 	s.total += weight
-	i, ok := s.position[key]
-	switch {
-	case ok:
+	if i, ok := s.position[key]; ok {
 		s.heap[i].Weight += weight
-	case len(s.heap) < s.capacity:
-		i = len(s.heap)
-		s.heap = append(s.heap, WeightedKey{Key: key, Weight: weight})
-		s.position[key] = i
-		s.siftUp(i)
+		s.siftDown(i)
+		return
+	}
+	if len(s.heap) < s.capacity {
+		s.append(WeightedKey{Key: key, Weight: weight})
 		return
-	default: // the least gives its counter, and its weight is the most that the new key can have had
-		least := s.heap[0]
-		delete(s.position, least.Key)
-		s.heap[0] = WeightedKey{Key: key, Weight: least.Weight + weight, MaxError: least.Weight}
-		s.position[key], i = 0, 0
 	}
-	s.siftDown(i)
+	s.replaceLeast(key, weight)
+}
+
+// append adds a counter for a new key.
+func (s *Sketch) append(key WeightedKey) {
+	i := len(s.heap)
+	s.heap = append(s.heap, key)
+	s.position[key.Key] = i
+	s.siftUp(i)
 }
 
-// Total is the weight of all that was added.
+// replaceLeast gives the counter of the least key to a new one. The weight of the old key is the most that the new one
+// can have had.
+func (s *Sketch) replaceLeast(key string, weight float64) {
+	least := s.heap[0]
+	delete(s.position, least.Key)
+	s.heap[0] = WeightedKey{Key: key, Weight: least.Weight + weight, MaxError: least.Weight}
+	s.position[key] = 0
+	s.siftDown(0)
+}
+
+// Total returns the sum of the weights added.
 func (s *Sketch) Total() float64 { return s.total }
 
-// Top gives the n heaviest keys, the heaviest first.
+// Top returns the n heaviest keys, the heaviest first.
 func (s *Sketch) Top(n int) []WeightedKey {
-	out := slices.Clone(s.heap)
-	slices.SortFunc(out, func(a, b WeightedKey) int { return -compareWeights(a, b) })
-	return out[:min(n, len(out))]
+	keys := slices.Clone(s.heap)
+	slices.SortFunc(keys, func(a, b WeightedKey) int { return -compareWeights(a, b) })
+	return keys[:min(n, len(keys))]
 }
 
-// Clear empties the sketch and keeps its memory.
+// Clear empties the sketch and retains its memory.
 func (s *Sketch) Clear() {
-	s.heap, s.total = s.heap[:0], 0
+	s.heap = s.heap[:0]
+	s.total = 0
 	clear(s.position)
 }
 
+// compareWeights orders by weight, and by key if weights are equal, so that the same stream gives the same sketch.
 func compareWeights(a, b WeightedKey) int {
 	return cmp.Or(cmp.Compare(a.Weight, b.Weight), cmp.Compare(b.Key, a.Key))
 }
 
 func (s *Sketch) swap(i, j int) {
 	s.heap[i], s.heap[j] = s.heap[j], s.heap[i]
-	s.position[s.heap[i].Key], s.position[s.heap[j].Key] = i, j
+	s.position[s.heap[i].Key] = i
+	s.position[s.heap[j].Key] = j
 }
 
 func (s *Sketch) siftUp(i int) {
-	for p := (i - 1) / 2; i > 0 && compareWeights(s.heap[i], s.heap[p]) < 0; i, p = p, (p-1)/2 {
-		s.swap(i, p)
+	for i > 0 {
+		parent := (i - 1) / 2
+		if compareWeights(s.heap[i], s.heap[parent]) >= 0 {
+			return
+		}
+		s.swap(i, parent)
+		i = parent
 	}
 }
 
 func (s *Sketch) siftDown(i int) {
 	for {
 		least := i
-		for _, c := range []int{2*i + 1, 2*i + 2} {
-			if c < len(s.heap) && compareWeights(s.heap[c], s.heap[least]) < 0 {
-				least = c
+		for _, child := range []int{2*i + 1, 2*i + 2} {
+			if child < len(s.heap) && compareWeights(s.heap[child], s.heap[least]) < 0 {
+				least = child
 			}
 		}
 		if least == i {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -21,7 +21,8 @@
 }
 
 // A report is as old as the view that it echoes, whenever it comes: one that was held up is not fresh, nor is one that
-// echoes nothing of this term. The same report twice, an older one, and one of a process that has no session are refused.
+// echoes nothing of this term. The same report twice, an older one, and one of a process that has no session are
+// refused.
 func TestAgesComeFromEchoes(t *testing.T) {
 	const interval = time.Second
 	s := openSessions(t, 2)
