--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,15 +1,10 @@
-// Package lease is the client of the registry's leases (docs/registry.md): a duty that one process holds at a time,
-// with a fencing token that every write on the duty's behalf carries (after Chubby's sequencers, and the lease
-// section of docs/ROADMAP.md).
+// Package lease is the client of the registry's leases (docs/registry.md). A lease is a duty that one process holds at
+// a time; its fencing token goes with every write on the duty's behalf, as a sequencer does in Chubby.
 package lease
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
@@ -17,87 +12,50 @@
 	"time"
 )
 
-// Client speaks to the registry's replicas, trying each in turn.
-type Client struct {
-	Replicas []string // HTTP addresses
-	HTTP     *http.Client
-}
+const (
+	// clockMarginFraction is the fraction of the TTL by which a holder takes its lease for lost before the TTL ends:
+	// the clocks of the leader and of this process may drift apart by that much. Writes are fenced in any case.
+	clockMarginFraction = 0.2
 
-// Held is a lease that this process holds. Lost is closed the moment the holder can no longer prove it holds it:
-// renewals have failed for longer than the TTL less Margin, on this process's monotonic clock.
-type Lease struct {
-	Name, Holder string
-	Token        uint64
-	TTL          time.Duration
-	Lost         <-chan struct{}
+	// renewalsPerTTL is how often a lease is renewed within its TTL.
+	renewalsPerTTL = 3
 
-	c      *Client
-	cancel context.CancelFunc
-	done   chan struct{}
-	once   sync.Once
-}
-
-// Margin is how much before the TTL's end a holder takes its lease as lost: the leader's clock and this one may
-// run apart by that much over a TTL before harm can come (a holder's writes are fenced in any case).
-const clockMargin = 0.2
+	// A candidate polls for a lease that is held at least every maxPollInterval, or pollsPerTTL times within its TTL,
+	// plus a random time of up to pollJitter, so that candidates don't poll in step.
+	maxPollInterval = 25 * time.Millisecond
+	pollsPerTTL     = 4
+	pollJitter      = 25 * time.Millisecond
+)
 
-// pollLeast is the least wait between two asks of a candidate.
-const minPollInterval = 25 * time.Millisecond
+// Lease is a lease that this process holds.
+type Lease struct {
+	Name   string
+	Holder string
+	Token  uint64 // the fencing token of the grant
+	TTL    time.Duration
+	// Lost is closed once the holder can't be sure to hold the lease: the registry has said that it doesn't, or the
+	// last renewal that succeeded was sent a TTL less the clock margin ago. Release closes it too.
+	Lost <-chan struct{}
 
-type response struct {
-	Lease struct {
-		Token uint64 `json:"token"`
-	} `json:"lease"`
-	Error string `json:"error"`
+	client       *Client
+	stopRenewing context.CancelFunc
+	stopped      chan struct{} // closed when renewing has stopped
+	releaseOnce  sync.Once
 }
 
-// call posts body to path at each replica in turn until one answers other than 503 or fails to connect.
-func (c *Client) post(ctx context.Context, path string, body any) (int, response, error) {
-	text, err := json.Marshal(body)
-	if err != nil {
-		return 0, response{}, err
-	}
-	hc := c.HTTP
-	if hc == nil {
-		hc = &http.Client{Timeout: 2 * time.Second}
-	}
-	last := errors.New("no replica named")
-	for _, addr := range c.Replicas {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(text))
-		if err != nil {
-			return 0, response{}, err
-		}
-		resp, err := hc.Do(req)
-		if err != nil {
-			last = err
-			continue
-		}
-		var a response
-		raw, _ := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
-		resp.Body.Close()
-		json.Unmarshal(raw, &a)
-		if resp.StatusCode == http.StatusServiceUnavailable {
-			last = fmt.Errorf("%s: %s", addr, a.Error)
-			continue
-		}
-		return resp.StatusCode, a, nil
-	}
-	return 0, response{}, last
-}
-
-// Acquire asks for the lease until it is granted or ctx ends; a held lease is waited out, asking every 25 to 50 ms
-// (at most a quarter of the TTL) with jitter so that candidates do not ask in step, and a released one is taken
-// within that.
+// Acquire polls for the lease until it is granted, the registry refuses the call for another reason than that the lease
+// is held, or ctx ends. It then renews the lease until Release.
 func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lease, error) {
+	request := acquireRequest{Holder: holder, TTLms: ttl.Milliseconds()}
 	for {
-		code, a, err := c.post(ctx, "/registry/leases/"+name+"/acquire", map[string]any{"holder": holder, "ttl_ms": ttl.Milliseconds()})
+		status, answer, err := c.post(ctx, leasePath(name, "acquire"), request)
 		switch {
-		case err == nil && code == http.StatusOK:
-			return c.startRenewal(name, holder, a.Lease.Token, ttl), nil
-		case err == nil && code != http.StatusConflict:
-			return nil, fmt.Errorf("acquire %s: %d %s", name, code, a.Error)
+		case err == nil && status == http.StatusOK:
+			return c.startRenewal(name, holder, answer.Lease.Token, ttl), nil
+		case err == nil && status != http.StatusConflict:
+			return nil, fmt.Errorf("acquire %s: %d %s", name, status, answer.Error)
 		}
-		wait := min(ttl/4, minPollInterval) + rand.N(minPollInterval)
+		wait := min(ttl/pollsPerTTL, maxPollInterval) + rand.N(pollJitter)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -106,69 +64,101 @@
 	}
 }
 
-// keep renews at a third of the TTL until released, and closes Lost when the lease can no longer be proven.
+// startRenewal returns a lease that has just been granted and starts to renew it.
 func (c *Client) startRenewal(name, holder string, token uint64, ttl time.Duration) *Lease {
 	ctx, cancel := context.WithCancel(context.Background())
 	lost := make(chan struct{})
-	h := &Lease{Name: name, Holder: holder, Token: token, TTL: ttl, Lost: lost, c: c, cancel: cancel, done: make(chan struct{})}
+	l := &Lease{
+		Name:         name,
+		Holder:       holder,
+		Token:        token,
+		TTL:          ttl,
+		Lost:         lost,
+		client:       c,
+		stopRenewing: cancel,
+		stopped:      make(chan struct{}),
+	}
 	go func() {
-		defer close(h.done)
+		defer close(l.stopped)
 		defer close(lost)
-		// The lease is proven until limit after the last ask that the registry answered yes (the grant first).
-		limit := time.Duration(float64(ttl) * (1 - clockMargin))
-		until := time.Now().Add(limit)
-		deadline := time.NewTimer(limit)
-		defer deadline.Stop()
-		tick := time.NewTicker(ttl / 3)
-		defer tick.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-deadline.C:
-				return // renewals failed for the TTL less the margin
-			case <-tick.C:
-			}
-			asked := time.Now()
-			// A renewal that hangs (a registry cut off) must not hold the loss back past the deadline.
-			callCtx, stop := context.WithDeadline(ctx, until)
-			code, _, err := c.post(callCtx, "/registry/leases/"+name+"/renew", map[string]any{"holder": holder, "token": token})
-			stop()
-			switch {
-			case err == nil && code == http.StatusNoContent:
-				until = asked.Add(limit)
-				deadline.Reset(time.Until(until))
-			case err == nil && code == http.StatusConflict:
-				return // the registry says it is gone
-			}
-		}
+		l.renewUntilLost(ctx)
 	}()
-	return h
+	return l
 }
 
-// Fence is the value of X-Fencing-Token for writes on the duty's behalf.
-func (h *Lease) FencingToken() string { return h.Name + ":" + strconv.FormatUint(h.Token, 10) }
+// renewUntilLost renews the lease until ctx ends or the lease is lost. The holder is sure to hold it until validFor has
+// passed since the last renewal that succeeded was sent.
+func (l *Lease) renewUntilLost(ctx context.Context) {
+	validFor := time.Duration(float64(l.TTL) * (1 - clockMarginFraction))
+	validUntil := time.Now().Add(validFor)
+	expiry := time.NewTimer(validFor)
+	defer expiry.Stop()
+	ticker := time.NewTicker(l.TTL / renewalsPerTTL)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-expiry.C:
+			return
+		case <-ticker.C:
+		}
+		sent := time.Now()
+		status, err := l.renew(ctx, validUntil)
+		switch {
+		case err == nil && status == http.StatusNoContent:
+			validUntil = sent.Add(validFor)
+			expiry.Reset(time.Until(validUntil))
+		case err == nil && status == http.StatusConflict:
+			return
+		}
+	}
+}
+
+// renew sends one renewal. A call that hangs ends at the deadline, so that it does not delay the loss of the lease.
+func (l *Lease) renew(ctx context.Context, deadline time.Time) (int, error) {
+	callCtx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
+	request := holderRequest{Holder: l.Holder, Token: l.Token}
+	status, _, err := l.client.post(callCtx, leasePath(l.Name, "renew"), request)
+	return status, err
+}
+
+// FencingToken returns the value of X-Fencing-Token for writes on the duty's behalf.
+func (l *Lease) FencingToken() string { return l.Name + ":" + strconv.FormatUint(l.Token, 10) }
 
-// Release gives the lease up at once, so that a successor needs no TTL wait (a step-down on SIGTERM), and stops
-// renewing. It is safe to call more than once.
-func (h *Lease) Release(ctx context.Context) error {
+// Release stops renewing and releases the lease, so that a successor need not wait for the TTL. Only the first call
+// does anything. A lease that is no longer held is no error.
+func (l *Lease) Release(ctx context.Context) error {
 	var err error
-	h.once.Do(func() {
-		h.cancel()
-		<-h.done
-		var code int
-		var a response
-		code, a, err = h.c.post(ctx, "/registry/leases/"+h.Name+"/release", map[string]any{"holder": h.Holder, "token": h.Token})
-		if err == nil && code != http.StatusOK && code != http.StatusConflict {
-			err = fmt.Errorf("release %s: %d %s", h.Name, code, a.Error)
-		}
+	l.releaseOnce.Do(func() {
+		l.stopRenewing()
+		<-l.stopped
+		err = l.release(ctx)
 	})
 	return err
 }
 
-// Adopt stands for a lease held elsewhere, for Release alone (an operator's step-down); it renews nothing.
+func (l *Lease) release(ctx context.Context) error {
+	request := holderRequest{Holder: l.Holder, Token: l.Token}
+	status, answer, err := l.client.post(ctx, leasePath(l.Name, "release"), request)
+	if err == nil && status != http.StatusOK && status != http.StatusConflict {
+		return fmt.Errorf("release %s: %d %s", l.Name, status, answer.Error)
+	}
+	return err
+}
+
+// Adopt returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down. It is
+// not renewed, and its Lost is nil.
 func (c *Client) Adopt(name, holder string, token uint64) *Lease {
-	done := make(chan struct{})
-	close(done)
-	return &Lease{Name: name, Holder: holder, Token: token, c: c, cancel: func() {}, done: done}
+	stopped := make(chan struct{})
+	close(stopped)
+	return &Lease{
+		Name:         name,
+		Holder:       holder,
+		Token:        token,
+		client:       c,
+		stopRenewing: func() {},
+		stopped:      stopped,
+	}
 }
