--- a/internal/registry/snapshotstore.go
+++ b/internal/registry/snapshotstore.go
@@ -55,7 +55,7 @@
 	configurationIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	meta := raft.SnapshotMeta{
 		Version:            version,
-		ID:                 snapshotFileName(index),
+		ID:                 durable.SnapshotName(int64(index)),
 		Index:              index,
 		Term:               term,
 		Configuration:      configuration,
@@ -145,8 +145,6 @@
 	return &meta, state, nil
 }
 
-func snapshotFileName(index uint64) string { return fmt.Sprintf("snap-%020d.bin", index) }
-
 // snapshotSink collects a snapshot in memory and stores it on Close. It implements raft.SnapshotSink.
 type snapshotSink struct {
 	store *snapshotStore
