--- a/internal/durable/snapshotstore_test.go
+++ b/internal/durable/snapshotstore_test.go
@@ -14,7 +14,7 @@
 // A power cut at every operation of five snapshot writes in turn, with and without a torn unsynced write: after the
 // restart the newest snapshot that verifies is the last acknowledged one or the one being written, whole, and
 // never an older one; no damage is reported, since no synced byte was harmed.
-func TestPowerCutAtEveryStepKeepsTheAcknowledgedSnapshot(t *testing.T) {
+func TestPowerCutAtEveryStepRetainsAcknowledgedSnapshot(t *testing.T) {
 	for _, tornBytes := range []int{0, 5, 40} {
 		for point := 0; ; point++ {
 			f := NewFaultyFS()
@@ -47,7 +47,7 @@
 
 // Each kind of damage is detected, named with its file and offset, and the next snapshot serves; a full disk
 // fails the write and leaves the old snapshots serving.
-func TestDamageIsReportedAndTheOlderSnapshotServes(t *testing.T) {
+func TestDamageIsReportedAndOlderSnapshotIsUsed(t *testing.T) {
 	newest := "/data/snap-00000000000000000002.bin"
 	for _, c := range []struct {
 		name, file string
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -10,12 +10,12 @@
 
 // A process whose session was opened again while the answer was lost, and expired before it heard of it, goes on under
 // its name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
-func TestOwnSessionUnheardOfIsNoSuccessor(t *testing.T) {
+func TestOwnSessionWithLostAnswerDoesNotSupersede(t *testing.T) {
 	for _, by := range []string{"p", "q"} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(1)
-			w.calm = true
-			l := &link{world: w, node: "n", gone: t.Context(), calls: &w.calls}
+			w := newRegistryModel(1)
+			w.noFaults = true
+			l := &link{registryModel: w, node: "n", processEnded: t.Context(), calls: &w.calls}
 			a := NewAgent(AgentConfig{Node: "n", Address: "127.0.0.1:1", Interval: time.Second}, "p", l,
 				func() Report { return Report{} }, slog.New(slog.DiscardHandler))
 			if err := a.openSession(t.Context()); err != nil || a.incarnation != 1 {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -24,32 +24,32 @@
 const modelInterval = time.Second
 
 // world is the registry of the model, and what is known of it from outside.
-type world struct {
-	mu        sync.Mutex
-	rng       *rand.Rand
-	start     time.Time
-	calls     sync.WaitGroup // under way
-	sessions  *SessionStore
-	revision  int64
-	term      uint64
-	collector *Collector // nil: no leader
-	view      View
-	next      chan struct{}
-	beats     map[string]time.Time
-	calm      bool // no more faults
+type registryModel struct {
+	mu            sync.Mutex
+	rng           *rand.Rand
+	start         time.Time
+	calls         sync.WaitGroup // under way
+	sessions      *SessionStore
+	revision      int64
+	term          uint64
+	collector     *Collector // nil: no leader
+	view          View
+	changed       chan struct{}
+	lastHeartbeat map[string]time.Time
+	noFaults      bool // no more faults
 
-	made   map[string]time.Time // when a report was made, by node, incarnation and number
-	views  map[ViewVersion]string
-	faults []string
+	sentAt   map[string]time.Time // when a report was made, by node, incarnation and number
+	views    map[ViewVersion]string
+	timeline []string
 	// trustArrival is a planted bug: a report counts as made when it arrives.
 	trustArrival bool
-	broken       []string
+	violations   []string
 }
 
-func newWorld(seed uint64) *world {
-	return &world{rng: rand.New(rand.NewPCG(seed, 21)), start: time.Now(), sessions: NewSessionStore(), term: 1,
-		collector: NewCollector(1, modelInterval), next: make(chan struct{}), beats: map[string]time.Time{},
-		made: map[string]time.Time{}, views: map[ViewVersion]string{}}
+func newRegistryModel(seed uint64) *registryModel {
+	return &registryModel{rng: rand.New(rand.NewPCG(seed, 21)), start: time.Now(), sessions: NewSessionStore(), term: 1,
+		collector: NewCollector(1, modelInterval), changed: make(chan struct{}), lastHeartbeat: map[string]time.Time{},
+		sentAt: map[string]time.Time{}, views: map[ViewVersion]string{}}
 }
 
 func reportKey(node string, incarnation, seq uint64) string {
@@ -57,16 +57,16 @@
 }
 
 // row adds a line of the timeline.
-func (w *world) row(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%7.3f %s", time.Since(w.start).Seconds(), fmt.Sprintf(format, args...)))
+func (w *registryModel) logEvent(format string, args ...any) {
+	w.timeline = append(w.timeline, fmt.Sprintf("%7.3f %s", time.Since(w.start).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (w *registryModel) violate(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // tick is a leader's round: expiry, and a view.
-func (w *world) tick() {
+func (w *registryModel) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.collector == nil {
@@ -74,9 +74,9 @@
 	}
 	now := time.Now()
 	for node, s := range w.sessions.Open {
-		last, ok := w.beats[node]
+		last, ok := w.lastHeartbeat[node]
 		if !ok {
-			w.beats[node] = now
+			w.lastHeartbeat[node] = now
 		} else if now.Sub(last) > time.Duration(s.TTLms)*time.Millisecond {
 			w.apply("session-expire", s)
 		}
@@ -87,59 +87,59 @@
 		if !ok || n.AgeMs < 0 {
 			continue
 		}
-		if age := now.Sub(w.made[reportKey(n.Node, h.Incarnation, h.Sequence)]); n.Fresh && age > maxFreshAgeIntervals*modelInterval ||
+		if age := now.Sub(w.sentAt[reportKey(n.Node, h.Incarnation, h.Sequence)]); n.Fresh && age > maxFreshAgeIntervals*modelInterval ||
 			age.Milliseconds() > n.AgeMs {
-			w.fail("a report of %s, %v old, is told as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
+			w.violate("a report of %s, %v old, is told as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
 		}
 	}
 	w.view = v
 	w.views[v.ViewVersion] = fmt.Sprint(v)
-	close(w.next)
-	w.next = make(chan struct{})
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
-func (w *world) apply(op statemachine.Operation, s Session) (Session, error) {
+func (w *registryModel) apply(op statemachine.Operation, s Session) (Session, error) {
 	before := w.sessions.LastIncarnation[s.Node]
 	out, err := w.sessions.Apply(&SessionCommand{op, s}, w.revision+1)
 	if err == nil && !out.Unchanged {
 		w.revision++
 	}
 	if w.sessions.LastIncarnation[s.Node] < before {
-		w.fail("the incarnation of %s went back", s.Node)
+		w.violate("the incarnation of %s went back", s.Node)
 	}
 	kept, _ := out.Value.(Session)
 	return kept, err
 }
 
 // elect changes the leader: a while without one, then a term whose collector knows no report.
-func (w *world) elect(gap time.Duration) {
+func (w *registryModel) elect(gap time.Duration) {
 	w.mu.Lock()
-	w.row("leader lost for %v", gap)
+	w.logEvent("leader lost for %v", gap)
 	w.collector = nil
 	w.mu.Unlock()
 	time.Sleep(gap)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.term++
-	w.collector, w.beats = NewCollector(w.term, modelInterval), map[string]time.Time{}
-	w.row("term %d", w.term)
+	w.collector, w.lastHeartbeat = NewCollector(w.term, modelInterval), map[string]time.Time{}
+	w.logEvent("term %d", w.term)
 }
 
 // link is one process's way to the registry.
 type link struct {
-	*world
-	node  string
-	stall time.Time // the process stands still until then
-	gone  context.Context
-	calls *sync.WaitGroup
+	*registryModel
+	node         string
+	stalledUntil time.Time // the process stands still until then
+	processEnded context.Context
+	calls        *sync.WaitGroup
 }
 
 // way draws what becomes of a call: how long it takes there and back, and whether either is lost.
-func (w *world) way() (there, back time.Duration, lostThere, lostBack bool) {
+func (w *registryModel) drawLink() (there, back time.Duration, lostThere, lostBack bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	there, back = time.Duration(1+w.rng.IntN(20))*time.Millisecond, time.Duration(1+w.rng.IntN(20))*time.Millisecond
-	if w.calm {
+	if w.noFaults {
 		return there, back, false, false
 	}
 	if w.rng.IntN(8) == 0 {
@@ -149,17 +149,17 @@
 }
 
 // over makes a call over the link. What has been sent arrives even if nobody waits for the answer any more.
-func over[T any](l *link, ctx context.Context, limit time.Duration, f func() (T, error)) (T, error) {
+func callOverLink[T any](l *link, ctx context.Context, limit time.Duration, f func() (T, error)) (T, error) {
 	type result struct {
 		v   T
 		err error
 	}
 	var zero T
 	l.mu.Lock()
-	stall := time.Until(l.stall)
+	stall := time.Until(l.stalledUntil)
 	l.mu.Unlock()
-	sleep(l.gone, stall)
-	there, back, lostThere, lostBack := l.way()
+	sleep(l.processEnded, stall)
+	there, back, lostThere, lostBack := l.drawLink()
 	got := make(chan result, 1)
 	l.calls.Go(func() {
 		if time.Sleep(there); lostThere {
@@ -179,13 +179,13 @@
 		return zero, ErrRegistryUnreachable.Of("model", context.DeadlineExceeded)
 	case <-ctx.Done():
 		return zero, ErrRegistryUnreachable.Of("model", ctx.Err())
-	case <-l.gone.Done():
-		return zero, ErrRegistryUnreachable.Of("model", l.gone.Err())
+	case <-l.processEnded.Done():
+		return zero, ErrRegistryUnreachable.Of("model", l.processEnded.Err())
 	}
 }
 
 func (l *link) SessionStatus(ctx context.Context, node string) (SessionStatus, error) {
-	return over(l, ctx, 0, func() (h SessionStatus, err error) {
+	return callOverLink(l, ctx, 0, func() (h SessionStatus, err error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.collector == nil {
@@ -196,21 +196,21 @@
 }
 
 func (l *link) OpenSession(ctx context.Context, s Session) (Session, error) {
-	return over(l, ctx, 0, func() (Session, error) {
+	return callOverLink(l, ctx, 0, func() (Session, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.collector == nil {
 			return Session{}, ErrViewNotReady.Of("model", nil)
 		}
-		l.beats[s.Node] = time.Now()
+		l.lastHeartbeat[s.Node] = time.Now()
 		kept, err := l.apply("session-open", s)
-		l.row("%s open %d by %s: %v", s.Node, s.Incarnation, s.Process, err)
+		l.logEvent("%s open %d by %s: %v", s.Node, s.Incarnation, s.Process, err)
 		return kept, err
 	})
 }
 
 func (l *link) CloseSession(ctx context.Context, node string, incarnation uint64) error {
-	_, err := over(l, ctx, 0, func() (Session, error) {
+	_, err := callOverLink(l, ctx, 0, func() (Session, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.apply("session-close", Session{Node: node, Incarnation: incarnation})
@@ -224,9 +224,9 @@
 		came bool
 	}
 	l.mu.Lock()
-	l.made[reportKey(r.Node, r.Incarnation, r.Sequence)] = time.Now()
+	l.sentAt[reportKey(r.Node, r.Incarnation, r.Sequence)] = time.Now()
 	l.mu.Unlock()
-	a, err := over(l, ctx, wait, func() (answer, error) {
+	a, err := callOverLink(l, ctx, wait, func() (answer, error) {
 		l.mu.Lock()
 		if l.collector == nil {
 			l.mu.Unlock()
@@ -237,7 +237,7 @@
 		}
 		err := l.collector.Add(l.sessions, r)
 		if err == nil {
-			l.beats[r.Node] = time.Now()
+			l.lastHeartbeat[r.Node] = time.Now()
 		}
 		l.mu.Unlock()
 		if err != nil {
@@ -247,7 +247,7 @@
 		defer t.Stop()
 		for {
 			l.mu.Lock()
-			v, next := l.view, l.next
+			v, next := l.view, l.changed
 			l.mu.Unlock()
 			if v.Epoch != 0 && v.ViewVersion != r.LastView {
 				return answer{v, true}, nil
@@ -273,7 +273,7 @@
 // fleetModel plays one schedule over nodes and gives what was broken.
 func playModel(t *testing.T, seed uint64, nodes int, planted bool) (broken, timeline []string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(seed)
+		w := newRegistryModel(seed)
 		w.trustArrival = planted
 		ctx, stop := context.WithCancel(context.Background())
 		var all sync.WaitGroup
@@ -281,7 +281,7 @@
 		start := func(node string) {
 			gone, kill := context.WithCancel(ctx)
 			name := fmt.Sprintf("%s.%d", node, len(processes[node])+1)
-			p := &process{link: &link{world: w, node: node, gone: gone, calls: &w.calls}, kill: kill, ended: make(chan error, 1)}
+			p := &process{link: &link{registryModel: w, node: node, processEnded: gone, calls: &w.calls}, kill: kill, ended: make(chan error, 1)}
 			p.agent = NewAgent(AgentConfig{Node: node, Site: "a", Address: "127.0.0.1:1", Interval: modelInterval}, name, p.link,
 				func() Report { return Report{Metrics: LoadMetrics{Connections: 1}} }, slog.New(slog.DiscardHandler))
 			processes[node] = append(processes[node], p)
@@ -310,10 +310,10 @@
 						continue
 					}
 					if v.ViewVersion.Before(seen[p]) {
-						w.fail("%s went back from %v to %v", p.link.node, seen[p], v.ViewVersion)
+						w.violate("%s went back from %v to %v", p.link.node, seen[p], v.ViewVersion)
 					}
 					if seen[p] = v.ViewVersion; fmt.Sprint(v) != w.views[v.ViewVersion] {
-						w.fail("%s reads another view under %v", p.link.node, v.ViewVersion)
+						w.violate("%s reads another view under %v", p.link.node, v.ViewVersion)
 					}
 				}
 			}
@@ -325,13 +325,13 @@
 			last := processes[node][len(processes[node])-1]
 			switch kind {
 			case 0:
-				w.row("%s stalls for %v", node, long)
-				last.link.stall = time.Now().Add(long)
+				w.logEvent("%s stalls for %v", node, long)
+				last.link.stalledUntil = time.Now().Add(long)
 			case 1:
-				w.row("%s killed and started", node)
+				w.logEvent("%s killed and started", node)
 				last.kill()
 			case 2:
-				w.row("%s: a second process beside the first", node)
+				w.logEvent("%s: a second process beside the first", node)
 			}
 			w.mu.Unlock()
 			switch kind {
@@ -345,14 +345,14 @@
 			w.mu.Unlock()
 		}
 		w.mu.Lock()
-		w.calm = true
-		w.row("calm")
+		w.noFaults = true
+		w.logEvent("calm")
 		w.mu.Unlock()
 		time.Sleep(40 * modelInterval) // past every stall, call and TTL
 		w.mu.Lock()
 		look()
-		w.settled(processes)
-		broken, timeline = w.broken, w.faults
+		w.checkConverged(processes)
+		broken, timeline = w.violations, w.timeline
 		w.mu.Unlock()
 		stop()
 		all.Wait()
@@ -363,31 +363,31 @@
 
 // settled checks what must hold once faults have been over for long: each name is held by one live process, the others
 // of it were told so and have ended, and its report is fresh.
-func (w *world) settled(processes map[string][]*process) {
+func (w *registryModel) checkConverged(processes map[string][]*process) {
 	fresh := map[string]bool{}
 	for _, n := range w.view.Nodes {
 		fresh[n.Node] = n.Fresh
 	}
 	for node, ps := range processes {
 		if !fresh[node] {
-			w.fail("%s is not fresh long after the last fault", node)
+			w.violate("%s is not fresh long after the last fault", node)
 		}
 		live := 0
 		for _, p := range ps {
-			if p.link.gone.Err() != nil {
+			if p.link.processEnded.Err() != nil {
 				continue
 			}
 			select {
 			case err := <-p.ended:
 				if !errors.Is(err, ErrSuperseded) {
-					w.fail("a process of %s ended with %v", node, err)
+					w.violate("a process of %s ended with %v", node, err)
 				}
 			default:
 				live++
 			}
 		}
 		if live != 1 {
-			w.fail("%d live processes have the name %s", live, node)
+			w.violate("%d live processes have the name %s", live, node)
 		}
 	}
 }
@@ -404,7 +404,7 @@
 // Over drawn schedules of lost and late calls, stalls, crashes, second processes and leader changes: no report counts
 // as younger than it is, views never go back and are the same for all readers, incarnations rise, and once faults are
 // over each name has one process and a fresh report.
-func TestViewHoldsUnderDrawnFaults(t *testing.T) {
+func TestViewInvariantsUnderRandomFaults(t *testing.T) {
 	const parts = 8
 	for part := range uint64(parts) {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
@@ -419,7 +419,7 @@
 }
 
 // A fleet of the full size keeps the same rules.
-func TestViewHoldsAtFullSize(t *testing.T) {
+func TestViewInvariantsAtFullSize(t *testing.T) {
 	for seed := range uint64(1) {
 		if broken, timeline := playModel(t, seed, 300, false); len(broken) > 0 {
 			t.Fatalf("seed %d: %s\n%s", seed, broken[0], strings.Join(timeline[max(0, len(timeline)-40):], "\n"))
@@ -428,7 +428,7 @@
 }
 
 // A collector that takes a report for as young as its arrival is caught.
-func TestPlantedTrustInArrivalIsCaught(t *testing.T) {
+func TestPlantedArrivalAgeIsDetected(t *testing.T) {
 	for seed := range uint64(50) {
 		if broken, _ := playModel(t, seed, 3, true); len(broken) > 0 {
 			return
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -14,7 +14,7 @@
 }
 
 // Sessions are opened by compare-and-set: one above the last, whoever it was.
-func TestSessionsAreOpenedInOrder(t *testing.T) {
+func TestSessionsOpenInOrderOfIncarnation(t *testing.T) {
 	for name, tc := range map[string]struct {
 		cmd  SessionCommand
 		want error
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -68,7 +68,7 @@
 }
 
 // A report stays within its bound, says how much is left out, and leaves out what has least at stake.
-func TestReportsAreBounded(t *testing.T) {
+func TestReportsAreTrimmed(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
 		r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprintf("s-%08d", i), QueueEstimate: 0.123, Outstanding: float64(i % 5)})
@@ -94,7 +94,7 @@
 }
 
 // Nothing is left out for 1,024 backends with the longest ids and figures.
-func TestReportsHold1024Backends(t *testing.T) {
+func TestReportsHold1024Endpoints(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 1024 {
 		r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprintf("%0*d", maxKeyBytes, i),
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -23,7 +23,7 @@
 // A report is as old as the view that it echoes, whenever it comes: one that was held up is not fresh, nor is one that
 // echoes nothing of this term. The same report twice, an older one, and one of a process that has no session are
 // refused.
-func TestAgesComeFromEchoes(t *testing.T) {
+func TestReportAgeComesFromEcho(t *testing.T) {
 	const interval = time.Second
 	s := openSessions(t, 2)
 	c := NewCollector(7, interval)
@@ -68,7 +68,7 @@
 
 // The view depends on what was reported and not on the order in which it came, bit for bit; backends are seen by the
 // fresh reports alone, and one sick node's word does not move them.
-func TestViewIsTheSameInAnyOrder(t *testing.T) {
+func TestViewIsIndependentOfReportOrder(t *testing.T) {
 	s := openSessions(t, 9)
 	compile := func(seed uint64) []byte {
 		c := NewCollector(1, time.Second)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,7 +12,7 @@
 )
 
 // oneReplica starts a registry of one replica in this process and gives its HTTP address and its stop.
-func oneReplica(t *testing.T) (string, func()) {
+func startReplica(t *testing.T) (string, func()) {
 	t.Helper()
 	rl, _ := net.Listen("tcp", "127.0.0.1:0")
 	hl, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +51,8 @@
 
 // A released lease passes to the waiting candidate at once, with a higher token; a holder that can no longer
 // renew is told it lost the lease within its TTL.
-func TestReleaseHandsOverAndLossIsTold(t *testing.T) {
-	addr, stop := oneReplica(t)
+func TestReleaseHandsOverAndLossIsNotified(t *testing.T) {
+	addr, stop := startReplica(t)
 	c := &Client{Replicas: []string{addr}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -53,7 +53,7 @@
 	inventory *fakeInventory
 	sessions  fakeSessions
 	plan      *Plan
-	rev       int64
+	revision  int64
 	epoch     uint64
 }
 
@@ -66,17 +66,17 @@
 	return r
 }
 
-func (r *planFixture) do(c Command) error {
-	out, err := r.plan.Apply(&c, r.rev+1)
+func (r *planFixture) apply(c Command) error {
+	out, err := r.plan.Apply(&c, r.revision+1)
 	if err == nil && !out.Unchanged {
-		r.rev++
+		r.revision++
 	}
 	return err
 }
 
-func (r *planFixture) must(c Command) {
+func (r *planFixture) mustApply(c Command) {
 	r.t.Helper()
-	if err := r.do(c); err != nil {
+	if err := r.apply(c); err != nil {
 		r.t.Fatalf("%s %s: %v", c.Op, c.Machine, err)
 	}
 }
@@ -86,25 +86,25 @@
 	if t := r.plan.Turns[id]; t != nil {
 		rev = t.Revision
 	}
-	return r.do(Command{Op: "rota-step", Machine: id, Revision: rev, Target: to})
+	return r.apply(Command{Op: "rota-step", Machine: id, Revision: rev, Target: to})
 }
 
 // settle settles an order by the machines' costs.
 func (r *planFixture) settle(costs map[string]float64) {
 	r.t.Helper()
 	r.epoch++
-	r.must(Command{Op: "rota-settle", View: ViewVersion{1, r.epoch}, Costs: costs})
+	r.mustApply(Command{Op: "rota-settle", View: ViewVersion{1, r.epoch}, Costs: costs})
 }
 
 func (r *planFixture) confirmAll(id string) {
 	r.t.Helper()
 	for _, n := range r.sessions.LiveNodes() {
-		r.must(Command{Op: "rota-confirm", Machine: id, Node: n, Incarnation: r.sessions[n], ListRevision: r.rev})
+		r.mustApply(Command{Op: "rota-confirm", Machine: id, Node: n, Incarnation: r.sessions[n], ListRevision: r.revision})
 	}
 }
 
 // bring takes a machine that waits to a state.
-func (r *planFixture) bring(id string, to TurnState) {
+func (r *planFixture) advanceTo(id string, to TurnState) {
 	r.t.Helper()
 	r.settle(map[string]float64{id: 0})
 	for _, s := range []TurnState{Granted, Draining, Quiet, Out, Returning, Done} {
@@ -125,63 +125,63 @@
 }
 
 // want fails the test unless err is of a kind.
-func want(t *testing.T, what string, err, kind error) {
+func wantError(t *testing.T, what string, err, kind error) {
 	t.Helper()
 	if !errors.Is(err, kind) || (kind == nil) != (err == nil) {
 		t.Errorf("%s: %v, want %v", what, err, kind)
 	}
 }
 
-func TestTwoNodesProposeDifferentTurnsAtOnce(t *testing.T) {
+func TestConcurrentProposalsOfDifferentTurns(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
+	r.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
 	r.settle(map[string]float64{"s0": 2, "s1": 1})
-	want(t, "the one that is out of order", r.step("s0", Granted), ErrOutOfOrder)
+	wantError(t, "the one that is out of order", r.step("s0", Granted), ErrOutOfOrder)
 	read := r.plan.Turns["s1"].Revision
-	r.must(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Granted})
-	want(t, "the same step twice", r.do(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Granted}), nil)
-	want(t, "the other, now next", r.step("s0", Granted), ErrOverBudget)
-	want(t, "a step from what was read before", r.do(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Draining}), ErrTurnChanged)
-	want(t, "a step left out", r.step("s1", Out), ErrInvalidTransition)
+	r.mustApply(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Granted})
+	wantError(t, "the same step twice", r.apply(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Granted}), nil)
+	wantError(t, "the other, now next", r.step("s0", Granted), ErrOverBudget)
+	wantError(t, "a step from what was read before", r.apply(Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Draining}), ErrTurnChanged)
+	wantError(t, "a step left out", r.step("s1", Out), ErrInvalidTransition)
 }
 
-func TestNodeThatNeverConfirms(t *testing.T) {
+func TestQuietNeedsEveryLiveNode(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{}, nil, "s0"))
-	r.bring("s0", Draining)
+	r.mustApply(request("q", DisruptionBudget{}, nil, "s0"))
+	r.advanceTo("s0", Draining)
 	if r.inventory.machine("s0").Ready {
 		t.Error("the list does not say draining")
 	}
 	drained := r.plan.Turns["s0"].DrainingRevision
 	confirm := func(n string, inc uint64, held int64) error {
-		return r.do(Command{Op: "rota-confirm", Machine: "s0", Node: n, Incarnation: inc, ListRevision: held})
+		return r.apply(Command{Op: "rota-confirm", Machine: "s0", Node: n, Incarnation: inc, ListRevision: held})
 	}
-	want(t, "n0", confirm("n0", 1, drained), nil)
-	want(t, "n1", confirm("n1", 1, drained), nil)
-	want(t, "one that does not hold the draining yet", confirm("n2", 1, drained-1), ErrInvalidTransition)
-	want(t, "quiet without n2", r.step("s0", Quiet), ErrUnconfirmed)
+	wantError(t, "n0", confirm("n0", 1, drained), nil)
+	wantError(t, "n1", confirm("n1", 1, drained), nil)
+	wantError(t, "one that does not hold the draining yet", confirm("n2", 1, drained-1), ErrInvalidTransition)
+	wantError(t, "quiet without n2", r.step("s0", Quiet), ErrUnconfirmed)
 	r.sessions["n2"] = 2 // it started again: a process that has confirmed nothing
-	want(t, "its older process", confirm("n2", 1, drained), ErrSessionNotHeld)
-	want(t, "quiet without its newer one", r.step("s0", Quiet), ErrUnconfirmed)
+	wantError(t, "its older process", confirm("n2", 1, drained), ErrSessionNotHeld)
+	wantError(t, "quiet without its newer one", r.step("s0", Quiet), ErrUnconfirmed)
 	delete(r.sessions, "n2") // its session ended
-	want(t, "quiet once it is excused", r.step("s0", Quiet), nil)
+	wantError(t, "quiet once it is excused", r.step("s0", Quiet), nil)
 }
 
-func TestMachineDiesWhileAnotherIsOut(t *testing.T) {
+func TestMachineFailsWhileAnotherIsOut(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{Total: 3}, map[string]float64{"a": 2}, "s0", "s1", "s2"))
-	r.bring("s0", Out)
-	r.bring("s1", Draining)
+	r.mustApply(request("q", DisruptionBudget{Total: 3}, map[string]float64{"a": 2}, "s0", "s1", "s2"))
+	r.advanceTo("s0", Out)
+	r.advanceTo("s1", Draining)
 	r.inventory.SetDraining("s3", true, 0) // dead: a has s2 alone
 	r.settle(map[string]float64{"s2": 1})
-	want(t, "no new grant", r.step("s2", Granted), ErrUnderFloor)
+	wantError(t, "no new grant", r.step("s2", Granted), ErrUnderFloor)
 	if got := r.plan.TurnsToRecall(); !slices.Equal(got, []string{"s1"}) {
 		t.Errorf("to be called back: %v", got)
 	}
 	board := PlanView{Order: r.plan.Order, Turns: r.plan.ListTurns(), ToRecall: r.plan.TurnsToRecall()}
 	for _, c := range Propose(board, NodeState{Node: "n0", Incarnation: 1, FreshNodes: []string{"n0"}, View: ViewVersion{1, 9}}) {
 		if c.Machine == "s1" {
-			want(t, "the one that drains is called back", r.do(c), nil)
+			wantError(t, "the one that drains is called back", r.apply(c), nil)
 		}
 	}
 	if x := r.plan.Turns["s1"]; !r.inventory.machine("s1").Ready || x.State != Waiting {
@@ -190,35 +190,35 @@
 	if len(r.plan.TurnsToRecall()) != 0 {
 		t.Error("called back, and to be called back again")
 	}
-	want(t, "the one that is out cannot be", r.step("s0", Waiting), ErrInvalidTransition)
+	wantError(t, "the one that is out cannot be", r.step("s0", Waiting), ErrInvalidTransition)
 	r.inventory.SetDraining("s3", false, 0)
-	want(t, "it comes back", errors.Join(r.step("s0", Returning), r.step("s0", Done)), nil)
+	wantError(t, "it comes back", errors.Join(r.step("s0", Returning), r.step("s0", Done)), nil)
 	r.settle(map[string]float64{"s1": 1, "s2": 2})
-	want(t, "then the one called back goes again", r.step("s1", Granted), nil)
+	wantError(t, "then the one called back goes again", r.step("s1", Granted), nil)
 }
 
-func TestMachineThatNeverComesBackKeepsItsSlot(t *testing.T) {
+func TestOverdueMachineOccupiesItsSlot(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
-	r.bring("s0", Out)
+	r.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
+	r.advanceTo("s0", Out)
 	turn := r.plan.Turns["s0"]
-	want(t, "freed before it is overdue", r.do(Command{Op: "rota-free", Machine: "s0", Revision: turn.Revision}), ErrInvalidTransition)
-	r.must(Command{Op: "rota-overdue", Machine: "s0", Revision: turn.Revision})
+	wantError(t, "freed before it is overdue", r.apply(Command{Op: "rota-free", Machine: "s0", Revision: turn.Revision}), ErrInvalidTransition)
+	r.mustApply(Command{Op: "rota-overdue", Machine: "s0", Revision: turn.Revision})
 	r.settle(map[string]float64{"s1": 1})
-	want(t, "its slot is taken", r.step("s1", Granted), ErrOverBudget)
-	r.must(Command{Op: "rota-free", Machine: "s0", Revision: r.plan.Turns["s0"].Revision})
-	want(t, "freed by an operator's word", r.step("s1", Granted), nil)
+	wantError(t, "its slot is taken", r.step("s1", Granted), ErrOverBudget)
+	r.mustApply(Command{Op: "rota-free", Machine: "s0", Revision: r.plan.Turns["s0"].Revision})
+	wantError(t, "freed by an operator's word", r.step("s1", Granted), nil)
 }
 
 func TestRequestIsWithdrawnInEachState(t *testing.T) {
 	for _, s := range []TurnState{Waiting, Granted, Draining, Quiet, Out, Returning} {
 		t.Run(string(s), func(t *testing.T) {
 			r := newPlanFixture(t)
-			r.must(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
+			r.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
 			if s != Waiting {
-				r.bring("s0", s)
+				r.advanceTo("s0", s)
 			}
-			r.must(Command{Op: "rota-withdraw", Request: Request{ID: "q"}})
+			r.mustApply(Command{Op: "rota-withdraw", Request: Request{ID: "q"}})
 			if r.plan.Turns["s1"] != nil || len(r.plan.Order) != 0 {
 				t.Error("a machine waits for a request that is withdrawn")
 			}
@@ -228,14 +228,14 @@
 				}
 				return
 			}
-			r.must(request("other", DisruptionBudget{}, nil, "s2"))
+			r.mustApply(request("other", DisruptionBudget{}, nil, "s2"))
 			r.settle(map[string]float64{"s2": 1})
-			want(t, "the budget binds until the machine is back", r.step("s2", Granted), ErrOverBudget)
+			wantError(t, "the budget binds until the machine is back", r.step("s2", Granted), ErrOverBudget)
 			if s != Returning {
-				want(t, "its way back", r.step("s0", Returning), nil)
+				wantError(t, "its way back", r.step("s0", Returning), nil)
 			}
-			want(t, "its end", r.step("s0", Done), nil)
-			want(t, "then the other", r.step("s2", Granted), nil)
+			wantError(t, "its end", r.step("s0", Done), nil)
+			wantError(t, "then the other", r.step("s2", Granted), nil)
 			if _, ok := r.plan.Requests["q"]; ok {
 				t.Error("a request without a machine is kept")
 			}
@@ -243,64 +243,64 @@
 	}
 }
 
-func TestFloorThatCanNeverBeMet(t *testing.T) {
+func TestUnsatisfiableFloorIsRefused(t *testing.T) {
 	r := newPlanFixture(t)
-	want(t, "four machines of a site and a floor of four", r.do(request("q", DisruptionBudget{}, map[string]float64{"a": 4}, "s0")), ErrUnderFloor)
-	want(t, "a machine that is not listed", r.do(request("q", DisruptionBudget{}, nil, "s99")), ErrNotFound)
-	if len(r.plan.Requests)+len(r.plan.Turns) != 0 || r.rev != 0 {
+	wantError(t, "four machines of a site and a floor of four", r.apply(request("q", DisruptionBudget{}, map[string]float64{"a": 4}, "s0")), ErrUnderFloor)
+	wantError(t, "a machine that is not listed", r.apply(request("q", DisruptionBudget{}, nil, "s99")), ErrNotFound)
+	if len(r.plan.Requests)+len(r.plan.Turns) != 0 || r.revision != 0 {
 		t.Error("refused and kept")
 	}
-	want(t, "three", r.do(request("q", DisruptionBudget{}, map[string]float64{"a": 3}, "s0", "s1")), nil)
+	wantError(t, "three", r.apply(request("q", DisruptionBudget{}, map[string]float64{"a": 3}, "s0", "s1")), nil)
 	r.settle(map[string]float64{"s0": 1, "s1": 2})
-	want(t, "the first", r.step("s0", Granted), nil)
-	want(t, "the second", r.step("s1", Granted), ErrUnderFloor)
+	wantError(t, "the first", r.step("s0", Granted), nil)
+	wantError(t, "the second", r.step("s1", Granted), ErrUnderFloor)
 }
 
-func TestBudgetLoweredBelowWhatIsOut(t *testing.T) {
+func TestBudgetLoweredBelowPresentDisruption(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{Total: 3}, nil, "s0", "s1", "s4"))
-	r.bring("s0", Out)
-	r.bring("s1", Out)
-	r.must(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1", "s4"))
+	r.mustApply(request("q", DisruptionBudget{Total: 3}, nil, "s0", "s1", "s4"))
+	r.advanceTo("s0", Out)
+	r.advanceTo("s1", Out)
+	r.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1", "s4"))
 	r.settle(map[string]float64{"s4": 1})
-	want(t, "nothing new", r.step("s4", Granted), ErrOverBudget)
+	wantError(t, "nothing new", r.step("s4", Granted), ErrOverBudget)
 	for _, id := range []string{"s0", "s1"} {
 		if r.plan.Turns[id].State != Out {
 			t.Errorf("%s is %s: what is out stays out", id, r.plan.Turns[id].State)
 		}
-		want(t, "back", errors.Join(r.step(id, Returning), r.step(id, Done)), nil)
+		wantError(t, "back", errors.Join(r.step(id, Returning), r.step(id, Done)), nil)
 	}
-	want(t, "with both back", r.step("s4", Granted), nil)
+	wantError(t, "with both back", r.step("s4", Granted), nil)
 }
 
 // Requests that overlap are merged: a machine has one turn, and the tightest budget of any that ask for it binds.
 func TestOverlappingRequestsAreMerged(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("wide", DisruptionBudget{PerSite: 2}, nil, "s0", "s1", "s2"))
-	r.must(request("tight", DisruptionBudget{PerCell: 1}, nil, "s0", "s1"))
+	r.mustApply(request("wide", DisruptionBudget{PerSite: 2}, nil, "s0", "s1", "s2"))
+	r.mustApply(request("tight", DisruptionBudget{PerCell: 1}, nil, "s0", "s1"))
 	if n := len(r.plan.Turns); n != 3 || len(r.plan.Turns["s0"].Requests) != 2 {
 		t.Fatalf("%d turns, %+v", n, r.plan.Turns["s0"])
 	}
 	r.settle(map[string]float64{"s0": 1, "s1": 2, "s2": 3})
-	want(t, "s0", r.step("s0", Granted), nil)
-	want(t, "s1 of the same cell", r.step("s1", Granted), ErrOverBudget)
-	want(t, "s2 of another, as the first that fits", r.step("s2", Granted), nil)
+	wantError(t, "s0", r.step("s0", Granted), nil)
+	wantError(t, "s1 of the same cell", r.step("s1", Granted), ErrOverBudget)
+	wantError(t, "s2 of another, as the first that fits", r.step("s2", Granted), nil)
 }
 
 // The cheapest goes first and one whose cost nobody knows last; a machine that is dear goes in the end, however many
 // cheap ones come after it.
-func TestOrderOfCostAndAge(t *testing.T) {
+func TestOrderByCostAndAge(t *testing.T) {
 	r := newPlanFixture(t)
-	r.must(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1", "s2"))
+	r.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1", "s2"))
 	c := Command{Op: "rota-settle", View: ViewVersion{1, 1}, Costs: map[string]float64{"s1": 2, "s2": 1}}
-	r.must(c)
+	r.mustApply(c)
 	if want := []string{"s2", "s1", "s0"}; !slices.Equal(r.plan.Order, want) {
 		t.Errorf("order %v, want %v", r.plan.Order, want)
 	}
-	want(t, "an older epoch", r.do(c), ErrTurnChanged)
+	wantError(t, "an older epoch", r.apply(c), ErrTurnChanged)
 	r.epoch = 1
 	for n := 1; ; n++ {
-		r.must(request(fmt.Sprint("new", n), DisruptionBudget{Total: 1}, nil, []string{"s4", "s5"}[n%2])) // cheap ones keep coming
+		r.mustApply(request(fmt.Sprint("new", n), DisruptionBudget{Total: 1}, nil, []string{"s4", "s5"}[n%2])) // cheap ones keep coming
 		r.settle(map[string]float64{"s0": 5, "s1": 5, "s2": 10, "s4": 1, "s5": 1})
 		if r.plan.Order[0] == "s2" || r.plan.Order[0] == "s0" || r.plan.Order[0] == "s1" {
 			break
@@ -309,12 +309,12 @@
 			t.Fatalf("after %d settlements %v", n, r.plan.Order)
 		}
 		id := r.plan.Order[0]
-		r.bringOrdered(id)
+		r.grantAndReturn(id)
 	}
 }
 
 // bringOrdered grants the first in order and brings it back, so that the next one may come.
-func (r *planFixture) bringOrdered(id string) {
+func (r *planFixture) grantAndReturn(id string) {
 	r.t.Helper()
 	for _, s := range []TurnState{Granted, Returning, Done} {
 		if err := r.step(id, s); err != nil {
@@ -324,7 +324,7 @@
 }
 
 // playRota applies drawn commands, sane and mad, and gives the first broken invariant.
-func playRota(t *testing.T, seed uint64) string {
+func playRandomCommands(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	r := newPlanFixture(t)
 	r.t = t
@@ -349,7 +349,7 @@
 			}
 		case 5, 6:
 			n := fmt.Sprint("n", rng.IntN(4))
-			c.Op, c.Node, c.Incarnation, c.ListRevision = "rota-confirm", n, r.sessions[n]-uint64(rng.IntN(2))*min(1, r.sessions[n]), r.rev-int64(rng.IntN(3))
+			c.Op, c.Node, c.Incarnation, c.ListRevision = "rota-confirm", n, r.sessions[n]-uint64(rng.IntN(2))*min(1, r.sessions[n]), r.revision-int64(rng.IntN(3))
 		case 7:
 			c.Op = []statemachine.Operation{"rota-overdue", "rota-free"}[rng.IntN(2)]
 		default:
@@ -373,21 +373,21 @@
 				delete(r.sessions, n)
 			}
 		}
-		if bad := r.check(c); bad != "" {
+		if bad := r.applyAndCheck(c); bad != "" {
 			return bad
 		}
 	}
-	return r.replayed()
+	return r.checkSnapshot()
 }
 
 // check applies a command and holds what came of it against the rules, worked out anew.
-func (r *planFixture) check(c Command) string {
+func (r *planFixture) applyAndCheck(c Command) string {
 	before := map[string]Turn{}
 	for id, t := range r.plan.Turns {
 		before[id] = *t
 	}
 	was, ok := before[c.Machine]
-	err := r.do(c)
+	err := r.apply(c)
 	if err != nil {
 		return ""
 	}
@@ -400,7 +400,7 @@
 	}
 	switch now.State {
 	case Granted:
-		return r.overdrawn()
+		return r.checkLimits()
 	case Quiet:
 		for _, n := range r.sessions.LiveNodes() {
 			if was.ConfirmedBy[n] != r.sessions[n] {
@@ -412,7 +412,7 @@
 }
 
 // overdrawn names a scope with more out than a binding budget, or a site under a binding floor.
-func (r *planFixture) overdrawn() string {
+func (r *planFixture) checkLimits() string {
 	count, ready := map[string]int{}, map[string]float64{}
 	for _, u := range r.inventory.machines {
 		t := r.plan.Turns[u.ID]
@@ -447,13 +447,13 @@
 }
 
 // replayed tells whether a snapshot restores the record.
-func (r *planFixture) replayed() string {
+func (r *planFixture) checkSnapshot() string {
 	text, err := r.plan.Encode()
 	if err != nil {
 		return err.Error()
 	}
 	n := NewPlan(r.inventory, r.sessions)
-	if err := n.Decode(text, r.rev); err != nil {
+	if err := n.Decode(text, r.revision); err != nil {
 		return err.Error()
 	}
 	if again, _ := json.Marshal(n); !bytes.Equal(text, again) {
@@ -464,22 +464,22 @@
 
 // Whatever commands come, no grant overdraws a budget or a floor, nothing is quiet without every live node, and no step
 // is taken from what is no longer so.
-func TestRulesHoldWhoeverProposes(t *testing.T) {
+func TestInvariantsUnderRandomCommands(t *testing.T) {
 	for seed := range uint64(10000) {
-		if bad := playRota(t, seed); bad != "" {
+		if bad := playRandomCommands(t, seed); bad != "" {
 			t.Fatalf("seed %d: %s", seed, bad)
 		}
 	}
 }
 
 // Each check that is left out is caught.
-func TestPlantedBugsAreCaught(t *testing.T) {
+func TestPlantedFaultsAreDetected(t *testing.T) {
 	defer func() { plantedFault = "" }()
 	for _, bug := range []string{"budget", "confirm", "cas"} {
 		plantedFault = bug
 		caught := ""
 		for seed := range uint64(2000) {
-			if caught = playRota(t, seed); caught != "" {
+			if caught = playRandomCommands(t, seed); caught != "" {
 				break
 			}
 		}
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -8,11 +8,11 @@
 
 // The whole fleet in one process: nodes that read the same board propose by turns what Next says, some of them gone or
 // hearing nothing, and every machine asked for goes out and comes back, with never more out than the budget.
-func TestFleetBringsEveryMachineThroughItsTurn(t *testing.T) {
+func TestFleetTakesEveryMachineThroughItsTurn(t *testing.T) {
 	for _, gone := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
 		t.Run(fmt.Sprint(gone), func(t *testing.T) {
 			r := newPlanFixture(t)
-			r.must(request("q", DisruptionBudget{Total: 2, PerSite: 1}, map[string]float64{"a": 3, "b": 3}, "s0", "s1", "s5", "s7"))
+			r.mustApply(request("q", DisruptionBudget{Total: 2, PerSite: 1}, map[string]float64{"a": 3, "b": 3}, "s0", "s1", "s5", "s7"))
 			seen, at := map[string]int{}, map[string]int64{}
 			done, worked := map[string]bool{}, map[string]int{}
 			for epoch := uint64(1); epoch < 400 && len(done) < 4; epoch++ {
@@ -29,14 +29,14 @@
 						continue
 					}
 					for _, c := range Propose(board, NodeState{Node: node, Incarnation: r.sessions[node], View: ViewVersion{1, epoch}, FreshNodes: r.sessions.LiveNodes(),
-						ListRevision: r.rev, InFlight: map[string]int{}, ViewsUnchanged: seen}) {
+						ListRevision: r.revision, InFlight: map[string]int{}, ViewsUnchanged: seen}) {
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
-						r.do(c) // the record decides
+						r.apply(c) // the record decides
 					}
 				}
-				if bad := r.overdrawn(); bad != "" {
+				if bad := r.checkLimits(); bad != "" {
 					t.Fatalf("epoch %d: %s", epoch, bad)
 				}
 				for _, x := range r.plan.ListTurns() { // the operators' part
@@ -60,7 +60,7 @@
 }
 
 // A node confirms only what it holds and has nothing open at, once for each of its processes.
-func TestNextConfirmsOnlyWhatIsQuietHere(t *testing.T) {
+func TestProposeConfirmsOnlyWithNothingInFlight(t *testing.T) {
 	turn := Turn{Machine: "s0", State: Draining, DrainingRevision: 9, Revision: 9}
 	for name, tc := range map[string]struct {
 		l    NodeState
@@ -83,7 +83,7 @@
 }
 
 // Every node has a rank of its own for a thing, and different things have different firsts.
-func TestRanksAreAnOrder(t *testing.T) {
+func TestProposalRanksAreDistinct(t *testing.T) {
 	nodes := []string{"n0", "n1", "n2", "n3", "n4"}
 	firsts := map[string]bool{}
 	for i := range 40 {
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -60,7 +60,7 @@
 
 // Nodes that ask different replicas read one view, the same bytes under one stamp; a second process under a name ends
 // the first; and when the leader goes the next one's view takes over, in a higher term, with every session in it.
-func TestNodesShareOneView(t *testing.T) {
+func TestNodesGetTheSameView(t *testing.T) {
 	c := newClusterWith(t, 3, false)
 	var agents []*fleet.Agent
 	for i := range 3 {
@@ -111,7 +111,7 @@
 
 // A process that stops reporting loses its session with its TTL, and the calls tell what is wrong with a code and a
 // remedy.
-func TestSessionsExpireAndErrorsTellTheRemedy(t *testing.T) {
+func TestSessionsExpireAndErrorsCarryRemedies(t *testing.T) {
 	c := newClusterWith(t, 1, false)
 	await(t, "a leader", func() bool { return c.replicas[0].Leader() && c.replicas[0].canServeReads() })
 	ctx, client := t.Context(), fleetClient(c.http...)
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -15,7 +15,7 @@
 )
 
 // regInput is one operation on one member's phase: a write, or a read at a replica that led when it answered.
-type regInput struct {
+type registerInput struct {
 	key   string
 	write bool
 	phase string
@@ -27,7 +27,7 @@
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, op := range h {
-			k := op.Input.(regInput).key
+			k := op.Input.(registerInput).key
 			by[k] = append(by[k], op)
 		}
 		var out [][]porcupine.Operation
@@ -38,7 +38,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		in := input.(regInput)
+		in := input.(registerInput)
 		if in.write {
 			return true, in.phase
 		}
@@ -74,9 +74,9 @@
 		crng := rand.New(rand.NewPCG(seed, uint64(client)))
 		wg.Go(func() {
 			for range 8 {
-				in := regInput{key: keys[crng.IntN(len(keys))], write: crng.IntN(2) == 0,
+				in := registerInput{key: keys[crng.IntN(len(keys))], write: crng.IntN(2) == 0,
 					phase: []string{PhaseReady, PhaseDraining}[crng.IntN(2)]}
-				if op, ok := do(c.http[crng.IntN(len(c.http))], in); ok {
+				if op, ok := callRegister(c.http[crng.IntN(len(c.http))], in); ok {
 					op.ClientId = client
 					h.add(op)
 				}
@@ -91,7 +91,7 @@
 }
 
 // do makes one call; ok false for a read that no leader served (it tells nothing of order).
-func do(addr string, in regInput) (porcupine.Operation, bool) {
+func callRegister(addr string, in registerInput) (porcupine.Operation, bool) {
 	client := &http.Client{Timeout: time.Second}
 	op := porcupine.Operation{Input: in, Call: time.Now().UnixNano()}
 	if in.write {
@@ -146,7 +146,7 @@
 }
 
 // The same check must catch writes acknowledged before raft commits them.
-func TestLinearizabilityCatchesAckBeforeCommit(t *testing.T) {
+func TestLinearizabilityDetectsAckBeforeCommit(t *testing.T) {
 	// How many schedules it takes depends on how quick the machine is: it has to show in some of many.
 	total := 0
 	for range 8 {
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -11,13 +11,13 @@
 )
 
 // rotaState is what GET /registry/rota answers.
-type rotaState struct {
+type planAnswer struct {
 	Revision int64
 	Order    []string
 	Turns    []maintenance.Turn
 }
 
-func rotaCall(t *testing.T, method, url string, body any, out any) (status int, code string) {
+func callJSON(t *testing.T, method, url string, body any, out any) (status int, code string) {
 	t.Helper()
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -44,7 +44,7 @@
 // A machine's whole turn over HTTP on three replicas, each call to another one: asked for by selector, its order
 // settled on the view alone, granted, draining in the list, quiet once both nodes have confirmed, out, listed again,
 // done; and what the rules forbid on the way is refused with its code.
-func TestTurnOverHTTP(t *testing.T) {
+func TestMaintenanceTurnOverHTTP(t *testing.T) {
 	c := newClusterWith(t, 3, false)
 	asked := 0
 	url := func(path string) string {
@@ -62,23 +62,23 @@
 	await(t, "two fresh nodes", allFresh(a, 2))
 	for i := range 3 {
 		m := Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Locality: "a", Cell: i, Size: 1, UpSince: 1}
-		status, code := rotaCall(t, "POST", url("/registry/members"), map[string]any{"member": m}, nil)
+		status, code := callJSON(t, "POST", url("/registry/members"), map[string]any{"member": m}, nil)
 		expect("register", status, code, 200, "")
 	}
 	ask := map[string]any{"id": "q", "select": map[string]any{"site": "a"}, "reason": "kernel", "length_ms": 1000,
 		"budget": map[string]int{"all": 1}, "floor": map[string]float64{"a": 3}}
-	status, code := rotaCall(t, "POST", url("/registry/rota/requests"), ask, nil)
+	status, code := callJSON(t, "POST", url("/registry/rota/requests"), ask, nil)
 	expect("a floor that can never be met", status, code, 409, "rota.under-floor")
 	ask["floor"] = map[string]float64{"a": 2}
-	status, code = rotaCall(t, "POST", url("/registry/rota/requests"), ask, nil)
+	status, code = callJSON(t, "POST", url("/registry/rota/requests"), ask, nil)
 	expect("the request", status, code, 200, "")
 	step := func(id string, to maintenance.TurnState, rev int64) (int, string) {
-		return rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{Target: to, Revision: rev}, nil)
+		return callJSON(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{Target: to, Revision: rev}, nil)
 	}
-	var s rotaState
+	var s planAnswer
 	read := func() map[string]maintenance.Turn {
 		t.Helper()
-		status, code := rotaCall(t, "GET", url("/registry/rota"), nil, &s)
+		status, code := callJSON(t, "GET", url("/registry/rota"), nil, &s)
 		expect("read", status, code, 200, "")
 		out := map[string]maintenance.Turn{}
 		for _, x := range s.Turns {
@@ -89,7 +89,7 @@
 	status, code = step("s-0", maintenance.Granted, read()["s-0"].Revision)
 	expect("a grant before an order is settled", status, code, 409, "rota.out-of-order")
 	await(t, "a settled order", func() bool {
-		status, _ := rotaCall(t, "POST", url("/registry/rota/settle"), a.Status().Version, nil)
+		status, _ := callJSON(t, "POST", url("/registry/rota/settle"), a.Status().Version, nil)
 		return status == 200
 	})
 	// The nodes tell of s-1 alone (testAgent): what nobody tells of goes behind it.
@@ -107,7 +107,7 @@
 	expect("over the budget", status, code, 409, "rota.over-budget")
 	phase := func() string {
 		var l MemberList
-		rotaCall(t, "GET", url("/registry/instances"), nil, &l)
+		callJSON(t, "GET", url("/registry/instances"), nil, &l)
 		for _, m := range l.Members {
 			if m.ID == id {
 				return m.Phase
@@ -119,10 +119,10 @@
 	for i, n := range []string{"n0", "n1"} {
 		status, code = step(id, maintenance.Quiet, read()[id].Revision)
 		expect("quiet without "+n, status, code, 409, "rota.unconfirmed")
-		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
+		status, code = callJSON(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
 			maintenance.Command{Node: n, Incarnation: 1, ListRevision: read()[id].DrainingRevision - 1}, nil)
 		expect("a confirmation of an older list", status, code, 409, "rota.no-such-step")
-		status, code = rotaCall(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
+		status, code = callJSON(t, "POST", url("/registry/rota/machines/"+id+"/confirm"),
 			maintenance.Command{Node: n, Incarnation: 1, ListRevision: read()[id].DrainingRevision}, nil)
 		expect(fmt.Sprint("confirmation ", i), status, code, 200, "")
 	}
@@ -139,7 +139,7 @@
 	if _, ok := read()[id]; ok {
 		t.Error("a turn that is done is kept")
 	}
-	status, code = rotaCall(t, "DELETE", url("/registry/rota/requests/q"), nil, nil)
+	status, code = callJSON(t, "DELETE", url("/registry/rota/requests/q"), nil, nil)
 	expect("withdraw", status, code, 200, "")
 	if read(); len(s.Turns) != 0 {
 		t.Errorf("left: %+v", s.Turns)
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -18,7 +18,7 @@
 
 // A watch from a revision that the ring still holds gets each changed member once, as it is now, removals as
 // gone; from one older than the ring, the whole list.
-func TestSinceGivesChangesOrTheWholeList(t *testing.T) {
+func TestChangesSinceReturnsChangesOrCompleteList(t *testing.T) {
 	s := NewState(16)
 	m := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: PhaseReady, Size: 1} }
 	for _, c := range []statemachine.Command{
@@ -47,13 +47,13 @@
 }
 
 type cluster struct {
-	t        testing.TB
-	cfgs     []Config
-	replicas []*Replica
-	http     []string
-	stops    []func() // ends replica i's HTTP side and waits for it
-	ackEarly bool     // the planted bug, for every replica opened
-	disks    []*flakyDisk
+	t                testing.TB
+	configs          []Config
+	replicas         []*Replica
+	http             []string
+	stops            []func() // ends replica i's HTTP side and waits for it
+	acknowledgeEarly bool     // the planted bug, for every replica opened
+	disks            []*faultyDisk
 }
 
 func testConfig(id, dir string) Config {
@@ -72,7 +72,7 @@
 
 func newClusterFor(t testing.TB, n int, ackEarly bool, interval time.Duration) *cluster {
 	t.Helper()
-	c := &cluster{t: t, ackEarly: ackEarly, replicas: make([]*Replica, n), stops: make([]func(), n)}
+	c := &cluster{t: t, acknowledgeEarly: ackEarly, replicas: make([]*Replica, n), stops: make([]func(), n)}
 	var peers []Peer
 	var raftLn, httpLn []net.Listener
 	for i := range n {
@@ -84,7 +84,7 @@
 		cfg := testConfig(peers[i].ID, t.TempDir())
 		cfg.RaftAddr, cfg.HTTPAddr, cfg.Peers = peers[i].RaftAddr, peers[i].HTTPAddr, peers
 		cfg.FleetInterval.Duration = interval
-		c.cfgs, c.http = append(c.cfgs, cfg), append(c.http, cfg.HTTPAddr)
+		c.configs, c.http = append(c.configs, cfg), append(c.http, cfg.HTTPAddr)
 		c.open(i, raftLn[i], httpLn[i])
 	}
 	t.Cleanup(func() {
@@ -106,13 +106,13 @@
 
 func (c *cluster) open(i int, raftLn, httpLn net.Listener) {
 	if len(c.disks) <= i {
-		c.disks = append(c.disks, &flakyDisk{})
+		c.disks = append(c.disks, &faultyDisk{})
 	}
-	r, err := openWithStore(c.cfgs[i], raftLn, slog.New(slog.DiscardHandler), c.disks[i].wrap)
+	r, err := openWithStore(c.configs[i], raftLn, slog.New(slog.DiscardHandler), c.disks[i].wrap)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	r.acknowledgeEarly = c.ackEarly
+	r.acknowledgeEarly = c.acknowledgeEarly
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan struct{})
 	go func() { r.Serve(ctx, httpLn); close(served) }()
@@ -122,7 +122,7 @@
 // Calls that a replica has taken when it is told to end get their answers: closing the server cut them off, as the end
 // of a node did with requests (docs/incidents/2026-12-03-upgrade.md). Whoever wrote would not know whether that was
 // done.
-func TestReplicaToldToEndAnswersWhatItHas(t *testing.T) {
+func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
 	await(t, "a leader", func() bool { return r.Leader() && r.canServeReads() })
@@ -156,7 +156,7 @@
 
 // restart opens replica i again from its folder, on its addresses.
 func (c *cluster) restart(i int) {
-	c.open(i, listen(c.t, c.cfgs[i].RaftAddr), listen(c.t, c.cfgs[i].HTTPAddr))
+	c.open(i, listen(c.t, c.configs[i].RaftAddr), listen(c.t, c.configs[i].HTTPAddr))
 }
 
 // leader waits for a leader among the replicas still open.
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -14,14 +14,14 @@
 )
 
 // flakyDisk fails a part of the writes of a replica's store, as a disk that is full or broken for a while.
-type flakyDisk struct {
+type faultyDisk struct {
 	oneIn  atomic.Int64 // 0: none fail
 	writes atomic.Int64
 }
 
-func (d *flakyDisk) wrap(s raftStore) raftStore { return &flakyStore{raftStore: s, disk: d} }
+func (d *faultyDisk) wrap(s raftStore) raftStore { return &faultyStore{raftStore: s, disk: d} }
 
-func (d *flakyDisk) write(f func() error) error {
+func (d *faultyDisk) write(f func() error) error {
 	n := d.writes.Add(1)
 	if every := d.oneIn.Load(); every > 0 && n%every == 0 {
 		if n%2 == 0 {
@@ -32,22 +32,22 @@
 	return f()
 }
 
-type flakyStore struct {
+type faultyStore struct {
 	raftStore
-	disk *flakyDisk
+	disk *faultyDisk
 }
 
-func (s *flakyStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
-func (s *flakyStore) StoreLogs(l []*raft.Log) error {
+func (s *faultyStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *faultyStore) StoreLogs(l []*raft.Log) error {
 	return s.disk.write(func() error { return s.raftStore.StoreLogs(l) })
 }
-func (s *flakyStore) DeleteRange(from, to uint64) error {
+func (s *faultyStore) DeleteRange(from, to uint64) error {
 	return s.disk.write(func() error { return s.raftStore.DeleteRange(from, to) })
 }
-func (s *flakyStore) Set(k, v []byte) error {
+func (s *faultyStore) Set(k, v []byte) error {
 	return s.disk.write(func() error { return s.raftStore.Set(k, v) })
 }
-func (s *flakyStore) SetUint64(k []byte, v uint64) error {
+func (s *faultyStore) SetUint64(k []byte, v uint64) error {
 	return s.disk.write(func() error { return s.raftStore.SetUint64(k, v) })
 }
 
@@ -89,7 +89,7 @@
 
 // Replicas whose disks fail one write in a few stay up; what they acknowledge is there afterwards, on every one of
 // them.
-func TestReplicasOutliveFailingDisks(t *testing.T) {
+func TestReplicasSurviveFailingDisks(t *testing.T) {
 	c := newCluster(t, 3)
 	c.leader(t)
 	for i := range 2 {
@@ -110,7 +110,7 @@
 
 // A replica that can't write keeps out of the way: it never serves a list that it can't keep up to date, and says why;
 // the others go on, and it comes back by itself.
-func TestReplicaWithoutADiskServesNoStaleList(t *testing.T) {
+func TestReplicaWithFailedDiskServesNoStaleList(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	await(t, "the first write", func() bool { return len(c.writeMembers(t, "before", 1, time.Second)) == 1 })
@@ -138,7 +138,7 @@
 }
 
 // A replica whose disk fails can be stopped all the same.
-func TestReplicaWithoutADiskStops(t *testing.T) {
+func TestReplicaWithFailedDiskStops(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	i := (lead + 1) % 3
--- a/internal/registry/snapshotstore_test.go
+++ b/internal/registry/snapshotstore_test.go
@@ -11,7 +11,7 @@
 // after it, at the revision it had; the snapshot folder holds the two records and the manifest.
 func TestReplicaRestartsFromItsSnapshot(t *testing.T) {
 	c := newCluster(t, 1)
-	c.cfgs[0].Timing.TrailingLogs = 1
+	c.configs[0].Timing.TrailingLogs = 1
 	c.stop(0)
 	c.restart(0)
 	c.leader(t)
@@ -33,7 +33,7 @@
 	}
 	want := c.replicas[0].Status().Revision
 	c.stop(0)
-	names, _ := os.ReadDir(filepath.Join(c.cfgs[0].DataDir, SnapshotDir))
+	names, _ := os.ReadDir(filepath.Join(c.configs[0].DataDir, SnapshotDir))
 	if len(names) != 3 {
 		t.Fatalf("snapshot folder: %v", names)
 	}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -123,7 +123,7 @@
 
 // A further kind of records is a machine beside the others: its commands reach it alone, what it refuses or has done
 // already leaves the revision, and a snapshot from before it has it begin empty.
-func TestFurtherMachines(t *testing.T) {
+func TestAdditionalMachines(t *testing.T) {
 	c := &counter{}
 	s := NewState(16, c)
 	for _, step := range []struct {
