--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,9 +1,6 @@
 package balance
 
-import (
-	"cmp"
-	"time"
-)
+import "time"
 
 // This file bounds the queue that a request may join. Beyond the bound it is rejected: longer queues serve no one in
 // time and clear only by rejecting.
@@ -34,7 +31,7 @@
 	exhausted        bool // as logged
 }
 
-// adjust takes in an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
+// adjust follows an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
 // accounts for: a heavy request is late in any queue, and only what the queue made late counts.
 func (q *queueBudget) adjust(now time.Duration, status Status, late time.Duration, queuedSeconds float64) {
 	if q.lastAnswerAt > 0 { // the clock may start anywhere: there is no gap before the first answer
@@ -51,17 +48,23 @@
 	q.fraction = min(max(q.fraction, minQueueBudget), maxQueueBudget)
 }
 
-// adjustQueueBudget takes in an answer, and logs when the node begins to reject early and when it ends.
+// adjustQueueBudget follows an answer, and logs when the node begins to reject early and when it ends.
 func (b *Balancer) adjustQueueBudget(status Status, late time.Duration, queuedSeconds float64) {
 	q := &b.queueBudget
 	q.adjust(b.now, status, late, queuedSeconds)
-	b.logTransition(&q.exhausted, q.fraction == minQueueBudget, q.fraction >= initialQueueBudget,
-		"answers come late: refusing early", "answers in time again")
+	switch {
+	case !q.exhausted && q.fraction == minQueueBudget:
+		q.exhausted = true
+		b.log("answers come late: rejecting early")
+	case q.exhausted && q.fraction >= initialQueueBudget:
+		q.exhausted = false
+		b.log("answers in time again")
+	}
 }
 
-// tellsOfQueue tells whether how an attempt ended may adjust the queue budget. A time-out at an endpoint that
-// gave no sign in the meantime tells of that endpoint and not of overload, and so does one that no queue explains.
-func (b *Balancer) tellsOfQueue(a *attempt, ev *AttemptEnded) bool {
+// showsQueueing reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint that
+// gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue explains.
+func (b *Balancer) showsQueueing(a *attempt, ev *AttemptEnded) bool {
 	return ev.Status != StatusTimedOut || a.endpoint.silentSince > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
 }
 
@@ -82,38 +85,3 @@
 	factor := min(max(b.priorityFactor(r), 1/maxPriorityFactor), maxPriorityFactor)
 	return b.meanMaxWaitSeconds() * factor
 }
-
-const (
-	// maxPriorityFactor bounds the effect of priority: what is worth next to nothing is still served in a calm.
-	maxPriorityFactor = 2.0
-	// prioritySampleWeight is the weight of a request in the mean priority.
-	prioritySampleWeight = 0.01
-)
-
-// priorityFactor is how the bound for a request compares with that for an average one: a request of higher priority
-// may join a longer queue, so that it is served where not all can be. A request beyond its tenant's quota earns
-// little, and is among the first to be rejected.
-func (b *Balancer) priorityFactor(r *request) float64 {
-	factor := 1.0
-	if b.meanPriority > 0 {
-		factor = b.priority(r) / b.meanPriority
-		if q := b.quota(r); q != nil && q.exhausted() {
-			factor *= b.cfg.OverQuotaValue
-		}
-	}
-	return factor
-}
-
-// priority is the priority weight of a request for each unit of work, which is that of a mean class.
-func (b *Balancer) priority(r *request) float64 {
-	work := b.workSeconds(r)
-	if b.cfg.PriorityPerWork || work == 0 {
-		return r.class.PriorityWeight
-	}
-	return r.class.PriorityWeight * b.latency.meanUnloadedSeconds() / work
-}
-
-func (b *Balancer) learnPriority(r *request) {
-	b.meanPriority = cmp.Or(b.meanPriority, b.priority(r))
-	b.meanPriority += prioritySampleWeight * (b.priority(r) - b.meanPriority)
-}
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -3,7 +3,8 @@
 import "time"
 
 // HandoverState is what a process has learned, for the one that takes its place. The tags are the form in which
-// processes of different versions pass it on; they never change. Times are on the Balancers' common clock.
+// processes of different versions pass it on; they never change: a value under another name would be 0 in the other
+// version, without an error. Times are on the Balancers' common clock.
 type HandoverState struct {
 	QueueBudget        float64                 `json:"Part"`
 	WarmThroughput     float64                 `json:"WarmRate"` // seconds of work a second
@@ -93,7 +94,7 @@
 	}
 }
 
-// onHandoverChanged takes in that another process of this node takes new requests from now on, or no longer does.
+// onHandoverChanged handles that another process of this node takes new requests from now on, or no longer does.
 func (b *Balancer) onHandoverChanged(ev *HandoverChanged) {
 	b.slowStart.handedOver = ev.HandedOver
 	b.restartSlowStartWindow()
@@ -102,7 +103,7 @@
 	}
 }
 
-// onTookOver takes in that this process takes the requests that came to another one of this node until now.
+// onTookOver handles that this process takes the requests that came to another one of this node until now.
 func (b *Balancer) onTookOver(ev *TookOver) {
 	b.slowStart.handedOver = false
 	b.restartSlowStartWindow()
@@ -119,8 +120,8 @@
 	}
 }
 
-// restore takes in what another process of this node has learned. A state without an answer, or of other classes, is
-// not used.
+// restore applies what another process of this node has learned. A state without an answer, or of other classes, is not
+// used.
 func (b *Balancer) restore(state *HandoverState) {
 	if state == nil || state.Answers == 0 || len(state.Classes) != len(b.latency.classes) {
 		return
--- a/balance/request.go
+++ b/balance/request.go
@@ -21,7 +21,7 @@
 	probeBoundSeconds float64 // the bound on its wait when it was a probe admission; 0 for others
 	incomplete        bool    // its body is still coming in
 	notReplayable     bool    // what came of its body is used up
-	finished          bool    // the final answer is out, or the client has gone
+	finished          bool    // the final answer is out, or the client has disconnected
 	streamStarted     bool    // the answer has begun to reach the client
 }
 
@@ -39,7 +39,7 @@
 
 func (r *request) lastAttempt() *attempt { return &r.attempts[len(r.attempts)-1] }
 
-// pendingAttempt returns an attempt without an outcome, or nil.
+// pendingAttempt returns attempt n, or nil where there is none or it has ended.
 func (r *request) pendingAttempt(n int) *attempt {
 	if n < 0 || n >= len(r.attempts) || !r.attempts[n].pending {
 		return nil
@@ -77,7 +77,7 @@
 
 // place forwards a request, or gives its final answer where no attempt is possible.
 func (b *Balancer) place(r *request) {
-	e := b.choose(r)
+	e := b.nextEndpoint(r)
 	if e == nil {
 		b.endRequest(r)
 		return
@@ -92,9 +92,9 @@
 	b.forward(r, e)
 }
 
-// choose returns the endpoint for the next attempt of a request, or nil. A first attempt that no endpoint is good
+// nextEndpoint returns the endpoint for the next attempt of a request, or nil. A first attempt that no endpoint is good
 // enough for may be a probe admission, with no bound on its wait.
-func (b *Balancer) choose(r *request) *endpointState {
+func (b *Balancer) nextEndpoint(r *request) *endpointState {
 	if !b.attemptAllowed(r) {
 		return nil
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// onRequestWritten takes in that the last byte of an incomplete request has gone: its time begins. Endpoints start a
-// request when its last byte has come. Before that it takes no place in the queue, and how long its client takes tells
-// nothing of the endpoint.
+// onRequestWritten starts the time of an incomplete request: its last byte has gone. Endpoints start a request when its
+// last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing about the
+// endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// onAttemptEnded takes in how an attempt ended, and places its request again where the client still waits.
+// onAttemptEnded handles the end of an attempt, and places its request again where the client still waits.
 func (b *Balancer) onAttemptEnded(ev *AttemptEnded) {
 	r := b.requests[ev.Request]
 	if r == nil {
@@ -193,11 +193,11 @@
 	}
 }
 
-// learnFrom takes in what an attempt's end tells of its endpoint and of queues.
+// learnFrom updates the state of the attempt's endpoint, and the estimates, by how the attempt ended.
 func (b *Balancer) learnFrom(r *request, a *attempt, ev *AttemptEnded) {
 	e := a.endpoint
 	b.keepQueuePlace(a, ev)
-	if !a.incomplete && b.tellsOfQueue(a, ev) {
+	if !a.incomplete && b.showsQueueing(a, ev) {
 		b.adjustQueueBudget(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.waitAtSendSeconds)
 	}
 	b.recordProbeAdmission(r, ev)
--- a/internal/node/adminview.go
+++ b/internal/node/adminview.go
@@ -15,7 +15,7 @@
 // from a predecessor.
 func (v adminView) Ready() bool {
 	n := v.node
-	return n.loop.ready.Load() && !n.front.shutdown.begun() && (n.handover == nil || n.handover.serving.Load())
+	return n.loop.ready.Load() && !n.server.shutdown.started() && (n.handover == nil || n.handover.serving.Load())
 }
 
 // WriteStatistics writes the counters as lines of text.
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// noise is a body of some length that is costly to guess.
+// noise returns n bytes that don't compress.
 func noise(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -46,6 +46,7 @@
 	}
 }
 
+// startLarge starts a node that streams, with the least memory for buffered bodies.
 func startLarge(t *testing.T, b *rawBackend) *started {
 	t.Helper()
 	return startAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}), func(c *Config) {
@@ -53,9 +54,9 @@
 	})
 }
 
-// A request over bodyMost that can be kept whole goes to another backend when the first one breaks off, in both forms and
-// without a second address, and long answers and such without a length come through.
-func TestLongRequestsAreSentAgain(t *testing.T) {
+// A request over maxBodyBytes that can be buffered is retried when its first backend breaks off, of known and unknown
+// length and without an admin address; long responses and those of unknown length come through.
+func TestLongRequestsAreRetried(t *testing.T) {
 	text := noise(3 * maxBodyBytes)
 	for name, size := range map[string]int64{"sized": int64(len(text)), "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
@@ -86,14 +87,15 @@
 				t.Errorf("%d with %d bytes, %d attempts", resp.StatusCode, len(body), heads.Load())
 			}
 			eventually(t, "what it took of the budget is given back", func() bool {
-				return n.front.kept.left.Load() == newBudget(0).left.Load()
+				return n.server.bodyMemory.available.Load() == newMemoryBudget(0).available.Load()
 			})
 		})
 	}
 }
 
-// The longest body that is kept is served in both forms; TestMalformedRequests has the ones a byte longer.
-func TestLongestBodyThatIsKept(t *testing.T) {
+// The longest body that is buffered is served, of known and unknown length; TestMalformedRequests has those a byte
+// longer.
+func TestLongestBufferedBody(t *testing.T) {
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: newRawBackend(t, "127.0.0.1:0", hashing).Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
 	cfg.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept
@@ -108,7 +110,7 @@
 	}
 }
 
-// Bodies of any length reach a backend unchanged, in every form, and a large one is never whole in memory.
+// Bodies of any length and form reach a backend unchanged, and a large one is never complete in memory.
 func TestLargeRequestsAreStreamed(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
 	for _, size := range []int{0, 1, maxBodyBytes, maxBodyBytes + 1, 200 << 10, 3 << 20, 20 << 20} {
@@ -136,8 +138,8 @@
 	}
 }
 
-// Answers of any length and form come through whole, and what ends soon is told with its length.
-func TestLargeAnswersAreStreamed(t *testing.T) {
+// Responses of any length and form come through complete, and short ones with a Content-Length.
+func TestLargeResponsesAreStreamed(t *testing.T) {
 	big := string(noise(5 << 20))
 	chunks := func(body string, size int) string {
 		var b strings.Builder
@@ -189,9 +191,9 @@
 	}
 }
 
-// An answer that breaks when some of it has been passed on is one that the client can tell is not whole, and it is
-// counted as failed.
-func TestBrokenAnswerCanBeTold(t *testing.T) {
+// A client can tell that a response which broke after some of it was passed on is incomplete, and it is counted as
+// failed.
+func TestClientCanTellABrokenResponse(t *testing.T) {
 	part := strings.Repeat("x", 2*maxBodyBytes)
 	for name, answer := range map[string]string{
 		"sized":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + part,
@@ -224,8 +226,8 @@
 	}
 }
 
-// Where a large answer breaks before any of its body has come, its client is told so.
-func TestAnswerThatBreaksBeforeItBegins(t *testing.T) {
+// A large response that breaks before any of its body has come is answered with a failure.
+func TestResponseThatBreaksBeforeItBegins(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
@@ -239,7 +241,8 @@
 	}
 }
 
-// What has been streamed in part is not sent again, and a backend that breaks off before the last byte never ran it.
+// A body that has been streamed in part is not sent again; a backend that breaks off before the last byte never ran
+// the request.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
 	var heads atomic.Int64
 	breaking := func(c net.Conn, br *bufio.Reader) {
@@ -267,8 +270,8 @@
 	}
 }
 
-// A backend that says no before the body's end is heard at once, also by a client that goes on sending.
-func TestEarlyNoIsPassedOnAtOnce(t *testing.T) {
+// A backend's rejection before the body's end is passed on at once, also to a client that goes on sending.
+func TestEarlyRejectionIsPassedOnAtOnce(t *testing.T) {
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
@@ -291,7 +294,7 @@
 	}
 }
 
-// A client that stops within its body ends its request, and leaves nothing behind.
+// A client that stops within its body ends its request, and leaks nothing.
 func TestClientThatStopsWithinABody(t *testing.T) {
 	seen := make(chan error, 1)
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -310,14 +313,14 @@
 	if err := receive(t, "the end at the backend", seen); err == nil {
 		t.Error("the backend took the request for whole")
 	}
-	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.front.inFlight.Load() == 0 })
+	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.server.inFlight.Load() == 0 })
 	if got := stats(t, n); got["upstream_requests"] != 0 || got["pending"] != 0 {
 		t.Errorf("figures %v", got)
 	}
 }
 
-// Slow readers of large answers hold back their backends, and the memory in use stays small.
-func TestSlowReadersHoldBack(t *testing.T) {
+// Slow readers of large responses slow their backends down, and the memory in use stays small.
+func TestSlowReadersCauseBackpressure(t *testing.T) {
 	const size, readers = 32 << 20, 8
 	body := noise(size)
 	var sent atomic.Int64
@@ -368,8 +371,8 @@
 	}
 }
 
-// Only the time that the node waits for its client counts, against what it has sent.
-func TestPaceOfABody(t *testing.T) {
+// A body's rate counts only the time that the node waits for its client.
+func TestMinimumBodyRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, every time.Duration // for the head, and between two pieces
 		piece, size int
@@ -396,7 +399,7 @@
 						}
 					}
 				}()
-				p := &pacedBody{src: io.LimitReader(out, int64(c.size)), until: out.SetReadDeadline, waited: c.head, most: requestMost}
+				p := &minRateBody{source: io.LimitReader(out, int64(c.size)), setReadDeadline: out.SetReadDeadline, waited: c.head, limit: maxStreamedBody}
 				n, err := io.Copy(io.Discard, p)
 				if ok := err == nil && n == int64(c.size); ok != c.ok {
 					t.Errorf("%d bytes, %v", n, err)
@@ -406,35 +409,35 @@
 	}
 }
 
-// A body longer than is served is an error, and a budget that is used up has bodies streamed.
-func TestBoundsOfBodies(t *testing.T) {
-	p := &pacedBody{src: strings.NewReader("hello"), until: func(time.Time) error { return nil }, most: 4}
-	if _, err := io.ReadAll(p); !errors.Is(err, errTooLong) {
+// A body over its limit is an error, and a memory budget that is used up has bodies streamed.
+func TestBodyLimits(t *testing.T) {
+	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: func(time.Time) error { return nil }, limit: 4}
+	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
 		t.Errorf("%v", err)
 	}
-	b := newBudget(1)
-	if !b.take(1<<20/bodyParts) || b.take(1) {
+	b := newMemoryBudget(1)
+	if !b.tryAcquire(1<<20/bodyMemoryDivisor) || b.tryAcquire(1) {
 		t.Error("the budget is not kept")
 	}
-	if b.room(0, 1, false) || !b.room(0, maxBodyBytes, true) || b.room(maxBodyBytes, 1, true) {
+	if b.reserve(0, 1, false) || !b.reserve(0, maxBodyBytes, true) || b.reserve(maxBodyBytes, 1, true) {
 		t.Error("short bodies are kept, and others only where there is room")
 	}
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
-	n.front.kept.force(n.front.kept.left.Load())
+	n.server.bodyMemory.acquire(n.server.bodyMemory.available.Load())
 	resp, body := do(t, ask(t, n.url+"/x", "order")) // "payload"
 	if sum := sha256.Sum256([]byte("payload")); resp.StatusCode != 200 || body != fmt.Sprintf("7 %x", sum) {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
-	if n.front.kept.left.Load() != 0 {
-		t.Errorf("%d left of nothing", n.front.kept.left.Load())
+	if n.server.bodyMemory.available.Load() != 0 {
+		t.Errorf("%d left of nothing", n.server.bodyMemory.available.Load())
 	}
 }
 
-// A body that nobody wants is read to its end all the same, however slowly its client sends: closing on it would reset
-// the connection, and the answer with it.
-func TestUnwantedBodyIsReadToItsEnd(t *testing.T) {
+// discard reads a body to its end, however slowly its client sends: closing the connection over unread bytes would
+// reset it, and lose the response.
+func TestDiscardReadsABodyToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upload{src: &slowReader{left: 20}, size: -1}
+		u := &requestStream{source: &slowReader{left: 20}, size: -1}
 		u.discard()
 		if u.err != io.EOF {
 			t.Errorf("stopped early: %v", u.err)
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// A served response is the backend's own, and the request reaches the backend with its end-to-end headers.
 func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
@@ -42,7 +43,7 @@
 	}
 }
 
-// What can't be a request is answered with a 4xx at once and reaches no backend.
+// A malformed request is rejected with a 4xx at once and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
@@ -111,8 +112,8 @@
 	}
 }
 
-// A backend that says nothing costs the attempt and not the answer: that comes before the client's time is up,
-// and is a failure for what may have run.
+// A silent backend costs an attempt and not the response: that comes before the client's deadline, and is a failure
+// where the request may have run.
 func TestSilentBackendIsAnsweredInTime(t *testing.T) {
 	ended := make(chan error, 4)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -136,8 +137,8 @@
 	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
 }
 
-// A client that goes away leaves nothing behind: no request, no attempt, no connection.
-func TestClientThatGoesAwayLeaksNothing(t *testing.T) {
+// A disconnected client leaves no request, attempt or connection behind.
+func TestDisconnectedClientLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -167,12 +168,12 @@
 	c.Close()
 	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
-		return n.front.inFlight.Load() == 0 && n.front.connections() == 0
+		return n.server.inFlight.Load() == 0 && n.server.conns.open() == 0
 	})
 }
 
-// Two open requests of one id could not be told apart at a backend.
-func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
+// A request is rejected whose id is that of an open one: a backend could not tell the two apart.
+func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -196,8 +197,8 @@
 	}
 }
 
-// At its limit the node refuses in order, and says when to come back.
-func TestFullNodeRefuses(t *testing.T) {
+// A node at its limit of requests rejects further ones with 503 and a Retry-After.
+func TestFullNodeRejects(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -206,7 +207,7 @@
 	}))
 	n := startOn(t, b.Addr().String())
 	n.onLoop(t, func() {})
-	n.front.inFlight.Store(n.front.most - 1) // all places but one are taken
+	n.server.inFlight.Store(n.server.maxInFlight - 1) // all places but one are taken
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
@@ -221,11 +222,11 @@
 	if status := receive(t, "the answer of the one taken", first); status != 200 {
 		t.Errorf("the one taken: %d", status)
 	}
-	n.front.inFlight.Add(1 - n.front.most)
+	n.server.inFlight.Add(1 - n.server.maxInFlight)
 }
 
-// A crowd of idle connections gives way to clients that have something to ask.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+// Idle connections are evicted for clients that send requests.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	text := listText(1, true, listed{"s", b.Addr().String(), "ready", 0})
 	cfg := testConfig(t, newRegistry(t, text).addr, text)
@@ -255,10 +256,10 @@
 		io.WriteString(c, "GET /api/x HTTP/1.1\r\n")
 	}
 	eventually(t, "all of the busy connections at once", func() bool {
-		n.front.mu.Lock()
-		defer n.front.mu.Unlock()
+		n.server.conns.mu.Lock()
+		defer n.server.conns.mu.Unlock()
 		at := 0
-		for _, since := range n.front.conns {
+		for _, since := range n.server.conns.idleSince {
 			if since.IsZero() {
 				at++
 			}
@@ -267,8 +268,8 @@
 	})
 }
 
-// What no server can take is refused at once, and the refusal says when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// A request that no backend can take is rejected at once, with a Retry-After.
+func TestRejectionHasRetryAfter(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -286,9 +287,3 @@
 		t.Errorf("the refusal was held back for %v", d)
 	}
 }
-
-func (f *front) connections() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
-}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -20,7 +20,7 @@
 	unavailableEndpoints atomic.Int64    // those of them that get nothing now
 	attempts             [balance.StatusNotSent + 1]atomic.Int64
 	retries              atomic.Int64
-	closes               closeCounts
+	closes               closeCounters
 }
 
 // classOutcomes counts the requests of a class by how they ended. Each request is in one of them.
--- a/internal/node/eventloop.go
+++ b/internal/node/eventloop.go
@@ -22,7 +22,7 @@
 	balancer  *balance.Balancer
 	upstream  *upstreamTransport
 	guard     *guard
-	shutdown  *shutdown
+	shutdown  *shutdownSchedule
 	log       *slog.Logger
 	startedAt time.Time
 	origin    time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
@@ -60,7 +60,7 @@
 
 // newEventLoop returns an event loop that has no guard rules, no discovery and no peers yet.
 func newEventLoop(
-	balancer *balance.Balancer, upstream *upstreamTransport, figures *counters, log *slog.Logger,
+	balancer *balance.Balancer, upstream *upstreamTransport, counters *counters, log *slog.Logger,
 ) *eventLoop {
 	startedAt := time.Now()
 	return &eventLoop{
@@ -78,7 +78,7 @@
 		requests:           map[string]*request{},
 		backendsByID:       map[string]*backend{},
 		cordonTimes:        map[string]cordonTimes{},
-		counters:           figures,
+		counters:           counters,
 		unservedLog:        &lograte.Limited{Log: log},
 	}
 }
--- a/internal/node/fleetmember.go
+++ b/internal/node/fleetmember.go
@@ -74,7 +74,7 @@
 		OnView:   newMaintenanceDriver(n, client).onView,
 	}
 	m.agent = fleet.NewAgent(agentConfig, rand.Text(), client, m.report, n.log)
-	n.front.fleet = m
+	n.server.fleet = m
 	n.loop.onServed = m.requestServed
 	n.loop.openStreams = map[string]int{}
 	return m
@@ -120,7 +120,7 @@
 func (m *fleetMember) report() fleet.Report {
 	metrics := m.loadMetrics()
 	report := fleet.Report{
-		Draining:  m.node.front.shutdown.begun(),
+		Draining:  m.node.server.shutdown.started(),
 		Endpoints: m.endpointLoads(),
 		Metrics:   metrics,
 	}
@@ -145,14 +145,14 @@
 	}
 	span := max(now.at.Sub(m.last.at).Seconds(), minReportSpanSeconds)
 	limits := m.node.cfg.Limits
-	connections := float64(m.node.front.held())
+	connections := float64(m.node.server.conns.open())
 	backendConns, _ := m.node.pool.size()
 	metrics := fleet.LoadMetrics{
 		Connections:       connections,
 		Descriptors:       connections + float64(backendConns),
 		DescriptorLimit:   float64(cmp.Or(limits.Sockets, defaultDescriptors)),
 		CPUFraction:       (now.cpuTime - m.last.cpuTime).Seconds() / span / cmp.Or(limits.Cores, 1),
-		InFlight:          float64(m.node.front.inFlight.Load()),
+		InFlight:          float64(m.node.server.inFlight.Load()),
 		RejectedPerSecond: float64(now.rejected-m.last.rejected) / span,
 		FailedPerSecond:   float64(now.failed-m.last.failed) / span,
 	}
--- a/internal/node/gracefulshutdown.go
+++ b/internal/node/gracefulshutdown.go
@@ -27,9 +27,9 @@
 // done before the earliest time at which the process may be killed.
 func (n *Node) shutDown(server *http.Server) error {
 	n.log.Info("shutting down")
-	schedule := n.front.shutdown
-	n.front.plantSchedule()
-	schedule.begin()
+	schedule := n.server.shutdown
+	n.server.injectShutdownFault()
+	schedule.start()
 	if n.handover != nil {
 		n.handover.returnToPredecessor()
 	}
@@ -56,14 +56,14 @@
 // successor accepts, the listener stays open: if the successor ends, the backlog is this process's again.
 func (n *Node) drainClients(ctx context.Context) error {
 	for {
-		closed := !n.front.handed.Load()
+		closed := !n.server.handedOver.Load()
 		var err error
 		if closed {
 			n.acceptBacklog(ctx)
 			err = n.listener.Close()
 		}
-		n.front.drain(ctx)
-		if closed || n.front.handed.Load() {
+		n.server.drain(ctx)
+		if closed || n.server.handedOver.Load() {
 			return err
 		}
 	}
@@ -72,23 +72,23 @@
 // shutdownContext bounds how long a shutdown waits for what it can't end itself: bodies that are being passed on. Where
 // they may have any length they take their time, and whoever can't wait kills the process.
 func (n *Node) shutdownContext() (context.Context, context.CancelFunc) {
-	if n.front.large {
+	if n.server.streaming {
 		return context.WithCancel(context.Background())
 	}
-	return context.WithTimeout(context.Background(), killGrace+2*longestDeadline(n.cfg.Settings))
+	return context.WithTimeout(context.Background(), gracePeriodBase+2*longestDeadline(n.cfg.Settings))
 }
 
 // acceptBacklog waits until the backlog of the listener is empty. Connections wait there when the node has no
 // descriptor for them or accept fails; closing the listener would reset them.
 func (n *Node) acceptBacklog(ctx context.Context) {
 	emptyFor := time.Duration(0)
-	for emptyFor < backlogEmptyFor && ctx.Err() == nil && !n.front.shutdown.due() {
+	for emptyFor < backlogEmptyFor && ctx.Err() == nil && !n.server.shutdown.responsesDue() {
 		pause(ctx, shutdownPollInterval)
 		if n.listener.backlogged() {
 			emptyFor = 0
 		}
-		if !n.front.shutdown.takes() {
-			n.front.endSilent()
+		if !n.server.shutdown.admits() {
+			n.server.conns.closeWaiting()
 		}
 		emptyFor += shutdownPollInterval
 	}
@@ -97,13 +97,13 @@
 // sendFinalResponses has each request that is still open answered from the time at which that is due, and has the event
 // loop check once, just before the earliest kill, that none is left.
 func (n *Node) sendFinalResponses(ctx context.Context) {
-	schedule := n.front.shutdown
-	pause(ctx, time.Until(schedule.answerBy().Time()))
+	schedule := n.server.shutdown
+	pause(ctx, time.Until(schedule.responseDeadline().Time()))
 	checked := false
 	for ctx.Err() == nil {
 		n.loop.post(finalResponsesDue{})
 		pause(ctx, shutdownPollInterval)
-		if !checked && schedule.over() {
+		if !checked && schedule.expired() {
 			checked = true
 			n.loop.post(shutdownCheckDue{})
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -83,7 +83,7 @@
 		stop := closeWithContext(ctx, h.predecessor)
 		n.succeedPredecessor(ctx)
 		stop()
-		if n.front.shutdown.begun() {
+		if n.server.shutdown.started() {
 			return // the next successor takes over from the predecessor, if that still runs
 		}
 	}
@@ -127,7 +127,7 @@
 // shareDescriptors limits this process to what the other process of the node leaves of the descriptor budget.
 func (n *Node) shareDescriptors(other descriptorUsage) {
 	clients := max(n.maxClientConns-other.ClientConns, 1)
-	n.listener.allow(clients)
-	n.front.allow(clients)
+	n.listener.setLimit(clients)
+	n.server.conns.setLimit(clients)
 	n.pool.setMaxOpen(max(n.maxBackendConns-other.BackendConns, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -34,7 +34,7 @@
 	n.setHandedOver(true)
 	n.log.Info("handed over to successor")
 	done, err = n.assistSuccessor(ctx, successor, state)
-	if !done && ctx.Err() == nil && plantShutdown != plantSuccessor {
+	if !done && ctx.Err() == nil && faultShutdown != faultSuccessor {
 		// Also during a shutdown: the backlog of the listener, which both processes have, is nobody else's.
 		n.setHandedOver(false)
 		n.shareDescriptors(descriptorUsage{})
@@ -59,8 +59,8 @@
 
 // setHandedOver has this process stop accepting, or accept again.
 func (n *Node) setHandedOver(handedOver bool) {
-	n.front.handed.Store(handedOver)
-	n.listener.rest(handedOver)
+	n.server.handedOver.Store(handedOver)
+	n.listener.setPaused(handedOver)
 	n.loop.post(handoverChanged{handedOver: handedOver})
 }
 
@@ -155,12 +155,12 @@
 func (n *Node) releaseDescriptors(reserved int) (usage descriptorUsage, active bool) {
 	// A request that began here now might not end in time. A client whose connection closes sends it again on a new
 	// one.
-	n.front.endIdle(minIdleBeforeClose, closedForHandOver)
-	n.front.shed(n.maxClientConns / 4)
+	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
+	n.server.conns.evictDownTo(n.maxClientConns / 4)
 	inUse, idle := n.pool.size()
 	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/4))
 	n.pool.setMaxOpen(usage.BackendConns)
-	usage.ClientConns = n.listener.held()
-	usage.InFlight = n.front.busy()
+	usage.ClientConns = n.listener.openConns()
+	usage.InFlight = n.server.conns.busy()
 	return usage, usage.ClientConns > 0 || inUse > idle
 }
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -115,7 +115,7 @@
 	h := n.handover
 	defer h.predecessor.Close()
 	for !n.loop.ready.Load() && ctx.Err() == nil {
-		if n.front.shutdown.begun() {
+		if n.server.shutdown.started() {
 			return // the predecessor keeps the node: this process could not serve it for long
 		}
 		pause(ctx, shutdownPollInterval)
@@ -123,7 +123,7 @@
 	state, usage, err := h.takeOver()
 	n.loop.post(nodeTakenOver{state})
 	n.shareDescriptors(usage)
-	n.listener.rest(false)
+	n.listener.setPaused(false)
 	n.log.Info("took over from predecessor", "clients", usage.ClientConns, "backends", usage.BackendConns,
 		"in_flight", usage.InFlight, "error", err)
 	settled := time.AfterFunc(time.Until(h.startedAt.Add(predecessorSettleTimeout)), func() { h.serving.Store(true) })
@@ -137,7 +137,7 @@
 		}
 	}
 	h.serving.Store(true)
-	if ctx.Err() == nil && !n.front.shutdown.begun() {
+	if ctx.Err() == nil && !n.server.shutdown.started() {
 		n.log.Info("predecessor ended")
 		n.shareDescriptors(descriptorUsage{})
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -114,7 +114,7 @@
 		defer successor.listener.mu.Unlock()
 		successor.pool.mu.Lock()
 		defer successor.pool.mu.Unlock()
-		return successor.listener.most == successor.maxClientConns && successor.pool.maxOpen == successor.maxBackendConns
+		return successor.listener.limit == successor.maxClientConns && successor.pool.maxOpen == successor.maxBackendConns
 	})
 }
 
@@ -172,14 +172,14 @@
 		t.Fatalf("%+v, %+v, %v", state, usage, err)
 	}
 	var handed bool
-	predecessor.onLoop(t, func() { handed = predecessor.front.handed.Load() })
+	predecessor.onLoop(t, func() { handed = predecessor.server.handedOver.Load() })
 	if !handed {
 		t.Error("the predecessor goes on accepting")
 	}
 	h.discard()
 	eventually(t, "the predecessor serves again", func() bool {
 		resp, _ := do(t, ask(t, predecessor.url+"/x", "read"))
-		return resp.StatusCode == http.StatusOK && !predecessor.front.handed.Load()
+		return resp.StatusCode == http.StatusOK && !predecessor.server.handedOver.Load()
 	})
 }
 
@@ -191,7 +191,7 @@
 		t.Fatal(err)
 	}
 	predecessor.stop()
-	eventually(t, "the predecessor leaves", predecessor.front.shutdown.begun)
+	eventually(t, "the predecessor leaves", predecessor.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, predecessor.url+"/x", "read"))
@@ -236,8 +236,8 @@
 	}()
 	receive(t, "the slow request", held)
 	successor.stop()
-	time.Sleep(acceptFor + 4*backlogEmptyFor)
-	if predecessor.front.handed.Load() {
+	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
+	if predecessor.server.handedOver.Load() {
 		t.Error("the predecessor does not serve, though the new one leaves")
 	} else if resp, _ := do(t, ask(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
@@ -295,7 +295,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limitListener(raw, 4)
+	l := newLimitListener(raw, 4)
 	defer l.Close()
 	accepted := make(chan net.Conn, 4)
 	go func() {
@@ -308,7 +308,7 @@
 			accepted <- c
 		}
 	}()
-	l.rest(true)
+	l.setPaused(true)
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -319,9 +319,9 @@
 		t.Error("accepted while it rests")
 	case <-time.After(20 * time.Millisecond):
 	}
-	l.rest(false)
+	l.setPaused(false)
 	receive(t, "the connection", accepted).Close()
-	eventually(t, "it is released", func() bool { return l.held() == 0 })
+	eventually(t, "it is released", func() bool { return l.openConns() == 0 })
 }
 
 // While another process takes what comes, cold servers get nothing from this one.
@@ -359,7 +359,7 @@
 	}
 	defer resp.Body.Close()
 	successor := process(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "it is handed over", func() bool { return predecessor.front.handed.Load() })
+	eventually(t, "it is handed over", func() bool { return predecessor.server.handedOver.Load() })
 	if successor.handover.serving.Load() && time.Since(successor.handover.startedAt) < predecessorSettleTimeout {
 		t.Error("the successor says yes while the old one is at work")
 	}
@@ -367,7 +367,7 @@
 	select {
 	case <-predecessor.err:
 		t.Fatal("the predecessor ended within an answer")
-	case <-time.After(acceptFor + 2*deadline):
+	case <-time.After(acceptPeriod + 2*deadline):
 	}
 	close(more)
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != 100000 {
@@ -390,14 +390,14 @@
 		}
 		defer c.Close()
 	}
-	eventually(t, "the crowd is in", func() bool { return predecessor.listener.held() >= predecessor.maxClientConns/2 })
+	eventually(t, "the crowd is in", func() bool { return predecessor.listener.openConns() >= predecessor.maxClientConns/2 })
 	successor := process(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the crowd is shed", func() bool {
-		return predecessor.front.handed.Load() && predecessor.listener.held() <= predecessor.maxClientConns/4
+		return predecessor.server.handedOver.Load() && predecessor.listener.openConns() <= predecessor.maxClientConns/4
 	})
 	eventually(t, "the successor has room", func() bool {
-		successor.front.mu.Lock()
-		defer successor.front.mu.Unlock()
-		return successor.front.crowded >= (successor.maxClientConns-successor.maxClientConns/4)*3/4
+		successor.server.conns.mu.Lock()
+		defer successor.server.conns.mu.Unlock()
+		return successor.server.conns.evictAbove >= (successor.maxClientConns-successor.maxClientConns/4)*3/4
 	})
 }
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -141,12 +141,12 @@
 // finalResponsesDue says that, in a shutdown, every request has to have its final response now.
 type finalResponsesDue struct{}
 
-func (finalResponsesDue) handle(l *eventLoop) { l.answerOpen() }
+func (finalResponsesDue) handle(l *eventLoop) { l.failAllOpen() }
 
 // shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
 type shutdownCheckDue struct{}
 
-func (shutdownCheckDue) handle(l *eventLoop) { l.checkShutdown() }
+func (shutdownCheckDue) handle(l *eventLoop) { l.checkAllResponded() }
 
 // cordonState is what the event loop knows of cordons.
 type cordonState struct {
@@ -198,9 +198,9 @@
 func (m openWorkQuery) handle(l *eventLoop) {
 	inFlight := maps.Clone(l.openStreams)
 	for _, r := range l.requests {
-		for _, at := range r.attempts {
-			if !at.ended() {
-				inFlight[at.backend.id]++
+		for _, a := range r.attempts {
+			if !a.ended() {
+				inFlight[a.backend.id]++
 			}
 		}
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -93,11 +93,11 @@
 		ch <- counterMetric(attemptsDesc, c.attempts[status].Load(), name)
 	}
 	ch <- counterMetric(retriesDesc, c.retries.Load())
-	for reason, name := range closeNames {
+	for reason, name := range closeReasonNames {
 		ch <- counterMetric(closesDesc, c.closes[reason].Load(), name)
 	}
 	for rule, name := range ruleNames {
-		ch <- counterMetric(violationsDesc, m.guard.broken[rule].Load(), name)
+		ch <- counterMetric(violationsDesc, m.guard.violations[rule].Load(), name)
 	}
 	listed := c.listedEndpoints.Load()
 	ch <- counterMetric(upstreamDesc, c.attemptsWritten.Load())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,8 +17,8 @@
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
-	listener  *boundedListener
-	front     *front
+	listener  *limitListener
+	server    *clientServer
 	loop      *eventLoop
 	pool      *connPool
 	discovery *discovery.Client
@@ -59,7 +59,7 @@
 		}
 	}
 	n.buildUpstream(balancer)
-	n.buildFront()
+	n.buildServer()
 	n.buildDiscovery()
 	if err := n.openPeers(); err != nil {
 		return nil, err
@@ -88,13 +88,13 @@
 	n.metrics.guard = n.loop.guard
 }
 
-// buildFront makes the side of the clients.
-func (n *Node) buildFront() {
-	n.front = newFront(n.loop, n.cfg.Settings, n.maxClientConns, n.log)
-	n.front.kept = newBudget(n.cfg.Limits.MemoryMB)
-	n.loop.upstream.bodyMemory = n.front.kept
-	n.front.most = min(n.front.most, int64(n.maxBackendConns))
-	n.front.large = n.cfg.Admin != ""
+// buildServer makes the side of the clients.
+func (n *Node) buildServer() {
+	n.server = newClientServer(n.loop, n.cfg.Settings, n.maxClientConns, n.log)
+	n.server.bodyMemory = newMemoryBudget(n.cfg.Limits.MemoryMB)
+	n.loop.upstream.bodyMemory = n.server.bodyMemory
+	n.server.maxInFlight = min(n.server.maxInFlight, int64(n.maxBackendConns))
+	n.server.streaming = n.cfg.Admin != ""
 }
 
 // buildDiscovery makes the client of discovery, and connects it with the event loop.
@@ -152,8 +152,8 @@
 		n.admin = server
 	}
 	if n.handover != nil && n.handover.inheritedListener != nil {
-		n.listener = limitListener(n.handover.inheritedListener, 0)
-		n.listener.rest(true) // until the predecessor has stopped accepting
+		n.listener = newLimitListener(n.handover.inheritedListener, 0)
+		n.listener.setPaused(true) // until the predecessor has stopped accepting
 		return nil
 	}
 	listenConfig := net.ListenConfig{}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	n.listener = limitListener(listener, n.maxClientConns)
+	n.listener = newLimitListener(listener, n.maxClientConns)
 	return nil
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -30,7 +30,7 @@
 	if n.fleet != nil {
 		running.Go(func() { n.fleet.run(background) })
 	}
-	server := n.front.server()
+	server := n.server.httpServer()
 	listenerLost := make(chan error, 1)
 	n.listener.logFailures(n.log)
 	go func() { listenerLost <- server.Serve(n.listener) }()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,71 +8,97 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// The spans of a shutdown, from SIGTERM on (PROTOCOL).
+// The termination grace period: after SIGTERM, SIGKILL follows no earlier than the longest deadline of any class,
+// capped at maxDeadlineInGrace, plus gracePeriodBase.
 const (
-	// killDeadlineMost is the most that the longest deadline puts off SIGKILL, and killGrace comes on top.
-	killDeadlineMost, killGrace = 3 * time.Second, 700 * time.Millisecond
-	// killMargin is how long before the earliest kill the last answer is written: a process may be held up for 0.15 s.
-	killMargin = 200 * time.Millisecond
-	// lastPart is the part of the longest deadline that is left to a request which is taken at the last moment.
-	lastPart = 4
-	// exitMargin is how long before the earliest kill a process ends itself that only waits for clients to close.
-	exitMargin = 50 * time.Millisecond
-	// acceptFor is how long connections are accepted: the front needs up to 0.4 s to see that the process leaves.
-	acceptFor = 600 * time.Millisecond
+	maxDeadlineInGrace = 3 * time.Second
+	gracePeriodBase    = 700 * time.Millisecond
 )
 
-// shutdown is the schedule of a process that was told to end. It has one form whatever else runs under the node's name, as the
-// kill does not ask: what is taken until takeUntil is answered by answerBy, and what comes later is refused.
-type shutdown struct {
-	deadline time.Duration   // the longest of the settings, as far as it puts off the kill
-	told     monotime.Atomic // when the process was told to end; zero: it was not
+// responseMargin is how long before the earliest SIGKILL the last response is written: a process may stall for 150 ms.
+const responseMargin = 200 * time.Millisecond
+
+// exitMargin is how long before the earliest SIGKILL a process exits that only waits for clients to close.
+const exitMargin = 50 * time.Millisecond
+
+// lateRequestDivisor: a request admitted at the last moment has this fraction of the longest deadline left.
+const lateRequestDivisor = 4
+
+// acceptPeriod is how long connections are accepted after SIGTERM: the load balancer in front needs up to 0.4 s to
+// notice that the node is not ready any more.
+const acceptPeriod = 600 * time.Millisecond
+
+// shutdownSchedule is the schedule of a graceful shutdown, from SIGTERM to the exit. Its instants, in their order:
+//
+//	start             SIGTERM came: the readiness check fails, and each response closes its connection
+//	acceptUntil       connections are accepted at least until then, and further while some wait in the backlog
+//	admitUntil        requests are admitted until then; later ones are rejected with 503
+//	responseDeadline  every admitted request has its final response, every incomplete one is rejected
+//	expired           the process exits, unless responses are still being streamed
+//	earliestKill      SIGKILL may come
+//
+// It is the same whether or not another process of the node runs, as the time of the kill does not depend on that.
+// Before its start everything is admitted. It is safe for concurrent use.
+type shutdownSchedule struct {
+	longestDeadline time.Duration   // of any class, capped at maxDeadlineInGrace
+	startedAt       monotime.Atomic // when the process got SIGTERM; zero: it has not
 }
 
-func newShutdown(s siteconfig.Settings) *shutdown {
-	return &shutdown{deadline: min(longestDeadline(s), killDeadlineMost)}
+// newShutdownSchedule returns the schedule for a site's settings, not started.
+func newShutdownSchedule(settings siteconfig.Settings) *shutdownSchedule {
+	return &shutdownSchedule{longestDeadline: min(longestDeadline(settings), maxDeadlineInGrace)}
 }
 
-// begin starts the schedule now.
-func (s *shutdown) begin() { s.told.Store(monotime.Now()) }
+// start starts the schedule now.
+func (s *shutdownSchedule) start() { s.startedAt.Store(monotime.Now()) }
 
-// begun tells whether the process was told to end.
-func (s *shutdown) begun() bool { return !s.told.Load().IsZero() }
+// started reports whether the process is shutting down.
+func (s *shutdownSchedule) started() bool { return !s.startedAt.Load().IsZero() }
 
-// killAt is the earliest at which the process may be killed.
-func (s *shutdown) killAt() monotime.Instant { return s.told.Load().Add(s.deadline + killGrace) }
+// earliestKill returns when SIGKILL may come at the earliest.
+func (s *shutdownSchedule) earliestKill() monotime.Instant {
+	return s.startedAt.Load().Add(s.longestDeadline + gracePeriodBase)
+}
 
-// answerBy is when the last answer has to be written.
-func (s *shutdown) answerBy() monotime.Instant { return s.killAt().Add(-killMargin) }
+// responseDeadline returns when the last response has to be written.
+func (s *shutdownSchedule) responseDeadline() monotime.Instant {
+	return s.earliestKill().Add(-responseMargin)
+}
 
-// takeUntil is until when requests are taken.
-func (s *shutdown) takeUntil() monotime.Instant { return s.answerBy().Add(-s.deadline / lastPart) }
+// admitUntil returns until when requests are admitted.
+func (s *shutdownSchedule) admitUntil() monotime.Instant {
+	return s.responseDeadline().Add(-s.longestDeadline / lateRequestDivisor)
+}
 
-// acceptUntil is until when connections are accepted, whether or not any wait.
-func (s *shutdown) acceptUntil() monotime.Instant {
-	return min(s.told.Load().Add(acceptFor), s.takeUntil())
+// acceptUntil returns until when connections are accepted even if none waits in the backlog.
+func (s *shutdownSchedule) acceptUntil() monotime.Instant {
+	return min(s.startedAt.Load().Add(acceptPeriod), s.admitUntil())
 }
 
-// takes tells whether a request that has come whole may be taken.
-func (s *shutdown) takes() bool { return !s.begun() || monotime.Now() < s.takeUntil() }
+// admits reports whether a request that is complete now may be admitted.
+func (s *shutdownSchedule) admits() bool { return !s.started() || monotime.Now() < s.admitUntil() }
 
-// due tells whether all that was taken has to be answered now.
-func (s *shutdown) due() bool { return s.begun() && monotime.Now() >= s.answerBy() }
+// responsesDue reports whether every admitted request has to be answered now.
+func (s *shutdownSchedule) responsesDue() bool {
+	return s.started() && monotime.Now() >= s.responseDeadline()
+}
 
-// over tells whether it is time to end, but for answers that are still being passed on.
-func (s *shutdown) over() bool { return s.begun() && monotime.Now() >= s.killAt().Add(-exitMargin) }
+// expired reports whether it is time to exit, but for responses that are still being streamed.
+func (s *shutdownSchedule) expired() bool {
+	return s.started() && monotime.Now() >= s.earliestKill().Add(-exitMargin)
+}
 
-// bound returns the deadline of a request in a process that may have been told to end.
-func (s *shutdown) bound(deadline time.Time) time.Time {
-	if s.begun() && monotime.At(deadline) > s.answerBy() {
-		return s.answerBy().Time()
+// capDeadline returns a request's deadline, brought forward to responseDeadline in a process that is shutting down.
+func (s *shutdownSchedule) capDeadline(deadline time.Time) time.Time {
+	if s.started() && monotime.At(deadline) > s.responseDeadline() {
+		return s.responseDeadline().Time()
 	}
 	return deadline
 }
 
-// answerOpen gives every request that has no answer yet its final one, at the time by which that has to be written: also those
-// that were taken before the process was told to end and have more time than that. Answers that are being passed on go on.
-func (l *eventLoop) answerOpen() {
+// failAllOpen fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
+// with a later deadline of their own. Responses that are being streamed go on.
+func (l *eventLoop) failAllOpen() {
 	var open []*request
 	for _, r := range l.requests {
 		if r.isOpen() {
@@ -85,11 +111,11 @@
 	}
 }
 
-// checkShutdown counts the requests that the earliest kill would find unanswered.
-func (l *eventLoop) checkShutdown() {
+// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
+func (l *eventLoop) checkAllResponded() {
 	for id, r := range l.requests {
 		if r.isOpen() {
-			l.guard.violated(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
+			l.guard.reportViolation(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
 		}
 	}
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -1,13 +1,15 @@
 package node
 
 import (
+	"bufio"
+	"io"
 	"net"
 	"net/http"
 	"testing"
 	"time"
 )
 
-// A node whose address is still held for a moment, by a process that is being killed, waits for it and starts.
+// A node whose address is still in use for a moment, by a process that is being killed, waits for it and starts.
 func TestStartsOnceItsAddressIsFree(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
@@ -44,3 +46,18 @@
 		})
 	}
 }
+
+// A process whose discovery accepts calls and answers none becomes ready on the list of its configuration: at once
+// where lists are polled, and long before 10 s where they are pushed (firstListTimeout).
+func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
+	if firstListTimeout > 5*time.Second {
+		t.Errorf("a pushed list is waited for for %v", firstListTimeout)
+	}
+	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
+	known := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
+	n := start(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
+	eventually(t, "readiness", n.loop.ready.Load)
+	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
+		t.Errorf("answered %d", resp.StatusCode)
+	}
+}
