--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -18,8 +18,8 @@
 	return o.String(), n.String(), err
 }
 
-// spawned starts the nodes on a list of one server each, by way of the same list number.
-func spawned(nodes ...int) string {
+// startNodes starts nodes on a list of one endpoint each, by the same list number.
+func startNodes(nodes ...int) string {
 	var b strings.Builder
 	b.WriteString("clock atTime=1000000000\n")
 	for _, n := range nodes {
@@ -44,7 +44,7 @@
 
 // A list number used twice in one batch means another list for each node.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
-	out, _, err := runInput(t, spawned(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
+	out, _, err := runInput(t, startNodes(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
 	if err != nil || !strings.Contains(out, "call_out node=node_1 requestId=a backend=101") ||
 		!strings.Contains(out, "call_out node=node_2 requestId=b backend=102") {
 		t.Fatalf("%s %v", out, err)
@@ -62,8 +62,8 @@
 
 func TestNodesActAsTheyWouldAlone(t *testing.T) {
 	var both, alone strings.Builder
-	both.WriteString(spawned(1, 2))
-	alone.WriteString(spawned(2))
+	both.WriteString(startNodes(1, 2))
+	alone.WriteString(startNodes(2))
 	for i := range 50 {
 		clock := fmt.Sprintf("clock atTime=%d\n", 2000000000+i*3000000)
 		mine := arrival(2, fmt.Sprint("b", i))
@@ -80,24 +80,24 @@
 	}
 }
 
-func TestRestartForgets(t *testing.T) {
-	out, _, err := runInput(t, spawned(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
-		strings.TrimPrefix(spawned(1), "clock atTime=1000000000\n")+
+func TestRestartedNodeHasNoOldTimers(t *testing.T) {
+	out, _, err := runInput(t, startNodes(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
+		strings.TrimPrefix(startNodes(1), "clock atTime=1000000000\n")+
 		"clock atTime=4000000000\nbell node=node_1 mark=1\nyour_turn\n")
 	if err != nil || !strings.HasSuffix(out, "ack\nack\n") {
-		t.Fatalf("a timer of the earlier life was answered: %s %v", out, err)
+		t.Fatalf("a timer of the earlier incarnation was answered: %s %v", out, err)
 	}
 }
 
-func TestEventsForTheDeadAreNoted(t *testing.T) {
+func TestEventsForStoppedNodesAreNoted(t *testing.T) {
 	out, notes, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
 	if err != nil || out != "ack\n" || !strings.Contains(notes, "node_9") || !strings.Contains(notes, "weather") {
 		t.Fatalf("%q %q %v", out, notes, err)
 	}
 }
 
-// Only whole replies go out: a batch that breaks off leaves nothing of itself.
-func TestBadInputEndsWithoutAPartOfAReply(t *testing.T) {
+// Only complete replies are written: of a batch that breaks off there is nothing.
+func TestBadInputWritesOnlyCompleteReplies(t *testing.T) {
 	for _, bad := range []string{
 		"clock atTime=2000000000\n" + arrival(1, "a") + "bell node=node_1\nyour_turn\n",
 		"clock atTime=2000000000\n" + arrival(1, "a"),
@@ -105,8 +105,8 @@
 		arrival(1, "a"),
 		"clock atTime=2000000000\nspawn node=node_1 salt=1 conf={\"nInstances\":-1}\nyour_turn\n",
 	} {
-		want, _, _ := runInput(t, spawned(1))
-		out, _, err := runInput(t, spawned(1)+bad)
+		want, _, _ := runInput(t, startNodes(1))
+		out, _, err := runInput(t, startNodes(1)+bad)
 		if err == nil || out != want {
 			t.Errorf("%q: %v, output %q", bad, err, strings.TrimPrefix(out, want))
 		}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/reader_test.go
@@ -12,7 +12,8 @@
 	"hitchvale/balance"
 )
 
-func read(t testing.TB, text string) ([]Message, error) {
+// readAll reads a text to its end or its first error.
+func readAll(t testing.TB, text string) ([]Message, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
 	var out []Message
@@ -28,58 +29,18 @@
 	}
 }
 
-func one(t testing.TB, line string) Message {
+// readOne reads a text of one line.
+func readOne(t testing.TB, line string) Message {
 	t.Helper()
-	ms, err := read(t, line+"\n")
+	ms, err := readAll(t, line+"\n")
 	if err != nil || len(ms) != 1 {
 		t.Fatalf("%s: %d messages, %v", line, len(ms), err)
 	}
 	return ms[0]
 }
 
-func TestEvents(t *testing.T) {
-	const id = "5d3a91c4-a8f6-4e6c-a7c4-4415b8b3b467"
-	for line, want := range map[string]balance.Event{
-		"work_item node=node_3 requestId=" + id + " band=2 userGroup=1 routeKey=9007199254740991 timeBudget=240000000 " +
-			"predicted=12000000 againByClient=1 mutates=0 shade=blue": balance.RequestArrived{Request: id, Class: 2,
-			Tenant: 1, RoutingKey: 1<<53 - 1, HasRoutingKey: true, TimeLeft: 240 * time.Millisecond, ExpectedWork: 12 * time.Millisecond, ClientRetry: true},
-		"work_item timeBudget=5 band=0 requestId=" + id + " node=node_3": balance.RequestArrived{Request: id, TimeLeft: 5},
-		"bell node=node_3 mark=77":                                       balance.TimerFired{ID: 77},
-		"client_gone node=node_3 requestId=" + id:                        balance.ClientDisconnected{Request: id},
-		"first node=node_3 requestId=" + id + " backend=4294967295 attempt=1 spent=7": balance.StreamStarted{
-			Request: id, Endpoint: 4294967295, Attempt: 1, Elapsed: 7},
-		"from_peer node=node_3 by=1 raw=aGkgNw==": balance.PeerMessage{Peer: 1, Payload: []byte("hi 7")},
-		"from_peer node=node_3 by=1 raw=-":        balance.PeerMessage{Peer: 1},
-		"probe_result node=node_3 backend=7 spent=9 status=delivered load=active:3.5,avg_ms:12,x9:1": balance.HealthChecked{
-			Endpoint: 7, Elapsed: 9, Load: balance.Load{Has: balance.HasActive | balance.HasAvgMs, Active: 3.5, AvgMs: 12}},
-		"probe_result node=node_3 backend=7 spent=9 status=expired": balance.HealthChecked{Endpoint: 7, Elapsed: 9,
-			Status: balance.StatusTimedOut},
-		"answer node=node_3 requestId=" + id + " spent=18500000 backend=51530247 attempt=0 noMore=1 status=dropped": balance.AttemptEnded{Request: id, Elapsed: 18500 * time.Microsecond, Endpoint: 51530247, Final: true,
-			Status: balance.StatusConnectionLost},
-	} {
-		m := one(t, line)
-		if m.Kind != NodeEvent || m.Node != "node_3" || !reflect.DeepEqual(m.Event, want) {
-			t.Errorf("%s\n got %+v\nwant %+v", line, m.Event, want)
-		}
-	}
-}
-
-func TestEveryStatusHasItsName(t *testing.T) {
-	for i, name := range []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"} {
-		m := one(t, "probe_result node=n backend=1 spent=1 status="+name)
-		status := m.Event.(balance.HealthChecked).Status
-		if status != balance.Status(i) {
-			t.Errorf("%s reads as %d", name, status)
-		}
-		proves := name == "shed" || name == "dial_failed" || name == "unused"
-		if status.NeverRan() != proves {
-			t.Errorf("%s: NeverRan is %v", name, !proves)
-		}
-	}
-}
-
-func TestListAndMembers(t *testing.T) {
-	ms, err := read(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
+func TestListsOfEndpoints(t *testing.T) {
+	ms, err := readAll(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
 		"entry launched=6100000000 backend=7 nominal=1.5 phase=ready\n"+
 		"backends_changed node=node_3 kind=remembered stamp=41 sheet=15\n"+
@@ -94,7 +55,8 @@
 	if ms[1].ListNumber != 15 || !reflect.DeepEqual(ms[1].Endpoints, want) {
 		t.Errorf("got %+v", ms[1].Endpoints)
 	}
-	if !reflect.DeepEqual(ms[2].Event, balance.EndpointsListed{Kind: balance.CachedList}) || !ms[2].UsesList || ms[2].ListNumber != 15 {
+	if !reflect.DeepEqual(ms[2].Event, balance.EndpointsListed{Kind: balance.CachedList}) ||
+		!ms[2].UsesList || ms[2].ListNumber != 15 {
 		t.Errorf("got %+v", ms[2])
 	}
 	if ms[3].Event != (balance.DiscoveryFailed{}) || ms[3].UsesList {
@@ -103,13 +65,14 @@
 }
 
 func TestSettings(t *testing.T) {
-	m := one(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1, "new": [1],`+
-		` "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
+	m := readOne(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1,`+
+		` "new": [1], "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
 		` "membershipMode": "ask", "loadReport": {"source": "inline"}, "limits": {"maxAttempts": 4, "peers": true},`+
 		` "obligations": {"coldShare": 0.25}, "weightKind": "rough", "worthBy": "work", "tick": 2000000}`)
 	want := balance.Config{Instances: 3, Index: 2, Zone: 1, PollDiscovery: true, LoadReports: balance.InlineLoadReports,
-		Classes: []balance.Class{{LatencyObjective: 5, Deadline: 6, Repeatability: balance.IdempotencyKey, KeyScope: balance.KeyScopeZone, KeyWindow: 7, PriorityWeight: 2.5}},
-		Limits:  balance.Limits{MaxAttempts: 4, Gossip: true}, Rules: balance.Rules{SlowStartFraction: 0.25},
+		Classes: []balance.Class{{LatencyObjective: 5, Deadline: 6, Repeatability: balance.IdempotencyKey,
+			KeyScope: balance.KeyScopeZone, KeyWindow: 7, PriorityWeight: 2.5}},
+		Limits: balance.Limits{MaxAttempts: 4, Gossip: true}, Rules: balance.Rules{SlowStartFraction: 0.25},
 		Weights: balance.RoughWeights, PriorityPerWork: true, Tick: 2 * time.Millisecond}
 	if m.Seed != 1<<64-1 || !reflect.DeepEqual(m.Config, want) {
 		t.Errorf("got %+v", m.Config)
@@ -118,12 +81,13 @@
 
 // Every setting that the module can use reaches it, and those it cannot are still checked.
 func TestEverySettingIsRead(t *testing.T) {
-	m := one(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
+	m := readOne(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
 		` "maxOpen": 910922}, "loadReport": {"source": "on_probe", "columns": ["active", "err_rps", "novel"]},`+
 		` "prices": {"connection": 0.5, "membershipMode": 0.25, "moves": 1, "origin": 1, "fleet": 1},`+
 		` "domain": {"warmKeys": true, "passesDeadline": true}, "stage": 1, "tiers": ["a", "b"]}`)
-	want := balance.Config{Instances: 2, LoadReports: balance.HealthCheckLoadReports, LoadFields: balance.HasActive | balance.HasErrRPS,
-		WarmKeys: true, PassesDeadline: true, Stage: 1,
+	want := balance.Config{Instances: 2, LoadReports: balance.HealthCheckLoadReports,
+		LoadFields: balance.HasActive | balance.HasErrRPS,
+		WarmKeys:   true, PassesDeadline: true, Stage: 1,
 		Limits: balance.Limits{MaxOpen: 910922, CPUPerSecond: 364369 * time.Microsecond,
 			CPUPerRequest: 10500 * time.Nanosecond},
 		Prices: balance.Prices{Connection: 0.5, Discovery: 0.25}}
@@ -144,7 +108,7 @@
 		`{"domain": {"passesDeadline": 1}}`:                              "passesDeadline",
 		`{"classes": [{"aim": 5, "deadline": 6, "effect": "harmless"}]}`: "effect",
 	} {
-		_, err := read(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
+		_, err := readAll(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
 		if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "conf") ||
 			!strings.Contains(err.Error(), names) {
 			t.Errorf("%s: %v", conf, err)
@@ -152,21 +116,13 @@
 	}
 }
 
-func TestSubscribingAndUnsubscribing(t *testing.T) {
-	for kind, want := range map[balance.ActionKind]string{balance.WatchEndpoints: "active=1", balance.UnwatchEndpoints: "active=0"} {
-		if got := string(AppendAction(nil, "n", &balance.Action{Kind: kind})); got != "subscribe node=n "+want+"\n" {
-			t.Errorf("got %q", got)
-		}
-	}
-}
-
 // No name reaches the decisions: renaming everything leaves the same Config, and so the same actions.
 func TestNamesDoNotReachTheConfig(t *testing.T) {
 	conf := func(n string) string {
 		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + n + `1"}], "skus": ["` + n + `2"],` +
 			` "tenants": [{"name": "` + n + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + n + `4"], "tiers": ["` + n + `5"]}`
 	}
-	if a, b := one(t, conf("old")), one(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
+	if a, b := readOne(t, conf("old")), readOne(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
 		t.Errorf("%+v\n%+v", a.Config, b.Config)
 	}
 }
@@ -204,46 +160,22 @@
 		"":                                                                           "line 1",
 		"node=n":                                                                     "line 1",
 	} {
-		_, err := read(t, line+"\n")
+		_, err := readAll(t, line+"\n")
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "line ") {
 			t.Errorf("%q: %v, want %q", line, err, want)
 		}
 	}
-	if _, err := read(t, "clock atTime=1"); err == nil {
+	if _, err := readAll(t, "clock atTime=1"); err == nil {
 		t.Error("a line cut short was taken")
 	}
 }
 
 func TestUnknownMessagesAreSkipped(t *testing.T) {
-	if m := one(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
+	if m := readOne(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
 		t.Errorf("got %+v", m)
 	}
 }
 
-func TestActions(t *testing.T) {
-	for want, a := range map[string]balance.Action{
-		"call_out node=node_3 requestId=r backend=51530247 limit=80000000": {Kind: balance.Forward, Request: "r",
-			Endpoint: 51530247, Timeout: 80 * time.Millisecond},
-		"call_out node=node_3 requestId=r backend=1":    {Kind: balance.Forward, Request: "r", Endpoint: 1},
-		"abandon node=node_3 requestId=r attempt=2":     {Kind: balance.CancelAttempt, Request: "r", Attempt: 2},
-		"decline node=node_3 requestId=r":               {Kind: balance.Reject, Request: "r"},
-		"decline node=node_3 requestId=r retryIn=5":     {Kind: balance.Reject, Request: "r", RetryAfter: 5},
-		"give_up node=node_3 requestId=r":               {Kind: balance.Fail, Request: "r"},
-		"test node=node_3 backend=7":                    {Kind: balance.HealthCheck, Endpoint: 7},
-		"schedule node=node_3 in=500000000 mark=77":     {Kind: balance.SetTimer, Delay: 500 * time.Millisecond, TimerID: 77},
-		"subscribe node=node_3 active=1":                {Kind: balance.WatchEndpoints},
-		"query_all node=node_3":                         {Kind: balance.FetchEndpoints},
-		"say node=node_3 target=all raw=aGkgNw==":       {Kind: balance.SendToPeer, Peer: balance.AllPeers, Payload: []byte("hi 7")},
-		"say node=node_3 target=2 raw=-":                {Kind: balance.SendToPeer, Peer: 2},
-		"disconnect node=node_3 backend=7":              {Kind: balance.CloseIdle, Endpoint: 7},
-		"say_log node=node_3 bodyText=two servers gone": {Kind: balance.Log, Text: "two servers\ngone"},
-	} {
-		if got := string(AppendAction(nil, "node_3", &a)); got != want+"\n" {
-			t.Errorf("got %q, want %q", got, want)
-		}
-	}
-}
-
 // What is written as an action reads back as a line of the same shape, whatever the text holds.
 func FuzzReader(f *testing.F) {
 	f.Add("clock atTime=8412250000\nyour_turn\n")
@@ -251,7 +183,7 @@
 	f.Add("answer node=n requestId=r spent=1 backend=1 attempt=0 status=shed load=active:1\n")
 	f.Add("spawn node=n salt=1 conf={\"classes\": []}\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		ms, err := read(t, text)
+		ms, err := readAll(t, text)
 		if err != nil && !strings.Contains(err.Error(), "line ") {
 			t.Fatalf("an error without a line: %v", err)
 		}
