--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -27,7 +27,7 @@
 	return last
 }
 
-// A small node: one class of requests, two backends of which the second has an error for everything.
+// A small node: one class of requests, two endpoints of which the second has an error for everything.
 func Example() {
 	cfg := balance.Config{
 		Classes: []balance.Class{{
@@ -56,8 +56,8 @@
 		heap.Push(&todo, due{time.Duration(i+1) * 10 * time.Millisecond, balance.RequestArrived{
 			Request: fmt.Sprint("request ", i), TimeLeft: time.Second}})
 	}
-	answered, tries := 0, map[balance.EndpointID]int{}
-	over := map[string]bool{}
+	answered, attempts := 0, map[balance.EndpointID]int{}
+	finished := map[string]bool{}
 	var actions []balance.Action
 	for todo.Len() > 0 {
 		next := heap.Pop(&todo).(due)
@@ -65,16 +65,16 @@
 		if ended, ok := next.ev.(balance.AttemptEnded); ok {
 			if ended.Status == balance.StatusSucceeded {
 				answered++ // the node forwards the answer to its client
-				over[ended.Request] = true
+				finished[ended.Request] = true
 			}
-			ended.Final = over[ended.Request]
+			ended.Final = finished[ended.Request]
 			next.ev = ended
 		}
 		actions = b.Handle(now, next.ev, actions[:0])
 		for _, a := range actions {
 			switch a.Kind {
 			case balance.Forward:
-				tries[a.Endpoint]++
+				attempts[a.Endpoint]++
 				out := balance.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Endpoint: a.Endpoint,
 					Elapsed: 20 * time.Millisecond}
 				if a.Endpoint == 2 {
@@ -84,12 +84,12 @@
 			case balance.SetTimer:
 				heap.Push(&todo, due{now + a.Delay, balance.TimerFired{ID: a.TimerID}})
 			case balance.Reject, balance.Fail:
-				over[a.Request] = true // the node tells its client
+				finished[a.Request] = true // the node answers its client
 			}
 		}
 	}
 	fmt.Println("more than 190 of 200 answered:", answered > 190)
-	fmt.Println("the failing endpoint got little:", tries[2] < 20)
+	fmt.Println("the failing endpoint got little:", attempts[2] < 20)
 	// Output:
 	// more than 190 of 200 answered: true
 	// the failing endpoint got little: true
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -29,12 +29,12 @@
 }
 
 type trackedAttempt struct {
-	id      string
-	attempt int
-	to      Endpoint
-	at      time.Duration
-	mayRun  bool
-	pending bool
+	request    string
+	attempt    int
+	endpoint   Endpoint
+	sentAt     time.Duration
+	mayHaveRun bool
+	pending    bool
 }
 
 func (w *world) step(ev Event) {
@@ -67,14 +67,14 @@
 			if s.pending && !w.cfg.Limits.HedgedRequests {
 				t.Fatal("two attempts at once")
 			}
-			if !s.mayRun || r.class.Repeatability == Idempotent {
+			if !s.mayHaveRun || r.class.Repeatability == Idempotent {
 				continue
 			}
 			if r.class.Repeatability == NonIdempotent {
 				t.Fatal("an unsafe request that may have run was sent again")
 			}
-			if w.now-s.at >= r.class.KeyWindow || r.class.KeyScope == KeyScopeZone && m.Zone != s.to.Zone ||
-				r.class.KeyScope == KeyScopeCell && m.Cell != s.to.Cell {
+			if w.now-s.sentAt >= r.class.KeyWindow || r.class.KeyScope == KeyScopeZone && m.Zone != s.endpoint.Zone ||
+				r.class.KeyScope == KeyScopeCell && m.Cell != s.endpoint.Cell {
 				t.Fatal("a keyed request was sent outside its window or group")
 			}
 		}
@@ -86,7 +86,7 @@
 		}
 		r.finished = true
 		for _, s := range r.attempts {
-			if a.Kind == Reject && s.mayRun && r.class.Repeatability != Idempotent &&
+			if a.Kind == Reject && s.mayHaveRun && r.class.Repeatability != Idempotent &&
 				(r.class.Repeatability == NonIdempotent || r.class.KeyScope != KeyScopeAll) {
 				t.Fatal("rejected though it may have run")
 			}
@@ -118,13 +118,13 @@
 	if w.rng.IntN(4) > 0 {
 		st = StatusSucceeded
 	}
-	r := w.requests[s.id]
-	r.attempts[s.attempt].pending, r.attempts[s.attempt].mayRun = false, !st.NeverRan()
+	r := w.requests[s.request]
+	r.attempts[s.attempt].pending, r.attempts[s.attempt].mayHaveRun = false, !st.NeverRan()
 	if st == StatusSucceeded {
 		r.finished = true
 	}
-	w.step(AttemptEnded{Request: s.id, Attempt: s.attempt, Endpoint: s.to.ID, Status: st,
-		Elapsed: w.now - s.at, Final: r.finished, Load: w.load()})
+	w.step(AttemptEnded{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint.ID, Status: st,
+		Elapsed: w.now - s.sentAt, Final: r.finished, Load: w.load()})
 }
 
 func (w *world) load() Load {
@@ -192,7 +192,7 @@
 			if len(w.pending) == 0 {
 				continue
 			}
-			id := w.pending[rng.IntN(len(w.pending))].id
+			id := w.pending[rng.IntN(len(w.pending))].request
 			w.requests[id].finished = true
 			w.step(ClientDisconnected{Request: id})
 		}
--- a/balance/request.go
+++ b/balance/request.go
@@ -216,11 +216,11 @@
 	if r.finished {
 		return
 	}
-	kind := Fail
 	if b.rejectAllowed(r) {
-		kind = Reject
+		b.emit(Action{Kind: Reject, Request: r.id, RetryAfter: b.retryAfter()})
+	} else {
+		b.emit(Action{Kind: Fail, Request: r.id})
 	}
-	b.emit(Action{Kind: kind, Request: r.id, RetryAfter: b.retryAfter()})
 	b.finish(r)
 }
 
