--- a/balance/action.go
+++ b/balance/action.go
@@ -15,7 +15,7 @@
 	SetTimer                           // Delay, TimerID
 	WatchEndpoints                     // subscribe to changes of the endpoint list
 	UnwatchEndpoints                   // end the subscription
-	FetchEndpoints                     // ask for the complete list once
+	FetchEndpoints                     // read the complete list once
 	SendToPeer                         // Peer, Payload
 	CloseIdle                          // Endpoint: close idle connections to it
 	Log                                // Text
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -4,8 +4,8 @@
 
 // endpointState is what a node knows of one listed endpoint.
 //
-// Invariants: inFlight counts the attempts at the endpoint that are pending, whose last byte has gone and that are not
-// taken for lost; unaccepted and abandoned are never below zero; 0 <= failureRate <= 1.
+// Invariants: inFlight counts the attempts at the endpoint that are pending, whose last byte has been sent and that are
+// not taken for lost; unaccepted and abandoned are never below zero; 0 <= failureRate <= 1.
 type endpointState struct {
 	Endpoint
 	subsetRank uint64 // place in this node's own order of the endpoints
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -15,12 +15,12 @@
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
 		r.b.learnServiceTime(e, r.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
 	}
-	if cold, peer := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); cold < 2*peer {
-		t.Errorf("service time %v in slow start, %v at a warm endpoint", cold, peer)
+	if starting, peer := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); starting < 2*peer {
+		t.Errorf("service time %v in slow start, %v at a warm endpoint", starting, peer)
 	}
 	e.StartedAt = 1
-	if cold, warm := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); cold > 1.5*warm {
-		t.Errorf("service time %v once warm, %v at an endpoint that was always warm", cold, warm)
+	if starting, warm := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); starting > 1.5*warm {
+		t.Errorf("service time %v once warm, %v at an endpoint that was always warm", starting, warm)
 	}
 }
 
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -56,17 +56,17 @@
 func TestSilentEndpointsGetNothing(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	kept := ""
+	answered := ""
 	for _, id := range []string{"one", "two"} { // one at each endpoint; only endpoint 1 answers
 		r.arrive(id, nonIdempotent)
 		if to := r.forwardedTo(); to == 1 {
-			kept = id
+			answered = id
 		}
 	}
 	if r.b.endpoints[1].inFlight != 1 || r.b.endpoints[2].inFlight != 1 {
 		t.Fatal("both attempts went to one endpoint")
 	}
-	r.endAttempt(kept, 0, 1, StatusSucceeded)
+	r.endAttempt(answered, 0, 1, StatusSucceeded)
 	r.advance(300 * ms)
 	if n := r.serve(30, idempotent, in20ms); n[2] != 0 {
 		t.Errorf("%d of 30 went to the silent endpoint", n[2])
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -35,7 +35,7 @@
 	return math.Pow(turnover/(turnover+(b.now-e.reportedAt).Seconds()), 2)
 }
 
-// countInFlight counts the last attempt of a request as in flight: its last byte has gone to the endpoint.
+// countInFlight counts the last attempt of a request as in flight: its last byte has been sent to the endpoint.
 func (b *Balancer) countInFlight(r *request) {
 	a := r.lastAttempt()
 	if a.endpoint.inFlight == 0 {
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -36,7 +36,7 @@
 func TestOldReportsCountPartly(t *testing.T) {
 	for _, c := range []struct {
 		gap, serviceTime time.Duration
-		kept             bool
+		staysHigh        bool
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, idempotent, in20ms)
@@ -51,8 +51,9 @@
 		r.advance(c.gap)
 		r.handle(loadReported(2, 10))
 		r.handle(loadReported(1, 0))
-		if kept := r.b.queueEstimate(e) > 5; kept != c.kept {
-			t.Errorf("reports %v apart, %v a request: queue estimate 10 became %v", c.gap, c.serviceTime, r.b.queueEstimate(e))
+		if staysHigh := r.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
+			t.Errorf("reports %v apart, %v a request: queue estimate 10 became %v",
+				c.gap, c.serviceTime, r.b.queueEstimate(e))
 		}
 	}
 }
@@ -140,16 +141,17 @@
 		before := r.b.queueEstimate(e)
 		r.arrive("x", nonIdempotent)
 		r.endAttempt("x", 0, 1, status)
-		if left := r.b.queueEstimate(e) - before; left < 0.9 {
-			t.Errorf("status %d counts %v attempts, want one", status, left)
+		if counted := r.b.queueEstimate(e) - before; counted < 0.9 {
+			t.Errorf("status %d counts %v attempts, want one", status, counted)
 		}
 		for _, want := range []struct{ least, most float64 }{{0.25, 0.45}, {0, 0.15}} {
 			for range 2 {
 				r.advance(max(cfg.Rules.OverloadWindow, time.Second))
 				r.handle(EndpointsListed{Kind: ListChanges})
 			}
-			if left := r.b.queueEstimate(e) - r.b.otherNodesLoad(e) - e.inFlight; left < want.least || left > want.most {
-				t.Errorf("status %d: %v attempts are counted, want %v to %v", status, left, want.least, want.most)
+			counted := r.b.queueEstimate(e) - r.b.otherNodesLoad(e) - e.inFlight
+			if counted < want.least || counted > want.most {
+				t.Errorf("status %d: %v attempts are counted, want %v to %v", status, counted, want.least, want.most)
 			}
 		}
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -28,13 +28,13 @@
 // attempt is one forwarding of a request to an endpoint.
 type attempt struct {
 	endpoint          *endpointState
-	sentAt            time.Duration // for an incomplete request: when its last byte had gone
+	sentAt            time.Duration // for an incomplete request: when its last byte had been sent
 	queueAtSend       float64       // the endpoint's queue estimate then
 	waitAtSendSeconds float64       // and the time that it took to clear
 	pending           bool
 	mayHaveRun        bool // it may have run, or may still run
 	lost              bool // it must be lost, and does not count as in flight
-	incomplete        bool // its last byte has not gone, and it does not count as in flight yet
+	incomplete        bool // its last byte has not been sent, and it does not count as in flight yet
 }
 
 func (r *request) lastAttempt() *attempt { return &r.attempts[len(r.attempts)-1] }
@@ -132,9 +132,9 @@
 	}
 }
 
-// onRequestWritten starts the time of an incomplete request: its last byte has gone. Endpoints start a request when its
-// last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing about the
-// endpoint.
+// onRequestWritten starts the time of an incomplete request: its last byte has been sent. Endpoints start a request
+// when its last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing
+// about the endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -55,11 +55,11 @@
 			r := newRig(t, cfg, listedEndpoint(1, 0, 0))
 			r.advance(time.Hour)
 			r.handle(TimerFired{})
-			left := &r.b.quota(&request{}).requests
-			if got := *left; got != float64(c.burst) {
+			available := &r.b.quota(&request{}).requests
+			if got := *available; got != float64(c.burst) {
 				t.Errorf("%v requests may come at once, want %d", got, c.burst)
 			}
-			*left = 0
+			*available = 0
 			r.advance(500 * ms)
 			r.handle(TimerFired{})
 			want := min(float64(c.burst), 0.5*c.quotaPerSecond/float64(c.instances))
