--- a/balance/config.go
+++ b/balance/config.go
@@ -104,7 +104,7 @@
 
 // Goal holds the weights of the parts of the site's result.
 type Goal struct {
-	Whole       float64 // the entire day
+	EntireDay   float64 // the entire day
 	WorstClass  float64 // the class served least
 	WorstTenant float64 // the tenant served least
 	WorstWindow float64 // the worst stretch of time
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -271,7 +271,7 @@
 		PollInterval: time.Duration(o.AskEvery), SlowStartFraction: o.ColdShare, SlowStartDuration: time.Duration(o.WarmWithin),
 		OverloadMultiple: o.FallMultiple, OverloadWindow: time.Duration(o.OverloadFor),
 	}
-	cfg.Goal = balance.Goal{Whole: c.Goal.Whole, WorstClass: c.Goal.WorstClass,
+	cfg.Goal = balance.Goal{EntireDay: c.Goal.Whole, WorstClass: c.Goal.WorstClass,
 		WorstTenant: c.Goal.WorstTenant, WorstWindow: c.Goal.WorstWindow}
 	return cfg, errors.Join(errs...)
 }
