--- a/balance/balance.go
+++ b/balance/balance.go
@@ -74,6 +74,7 @@
 	return b, nil
 }
 
+// check returns an error for a negative count or time.
 func check(cfg *Config) error {
 	if cfg.Instances < 0 || cfg.Index < 0 || cfg.Limits.MaxAttempts < 0 {
 		return errors.New("balance: negative count in Config")
--- a/balance/loadaverage.go
+++ b/balance/loadaverage.go
@@ -5,12 +5,9 @@
 const (
 	// zoneMeanSeconds is the time over which the mean load of a zone is learned.
 	zoneMeanSeconds = 4.0
-	// zoneMeanMaxWeight is the most that one report weighs in it: a single report is chance.
+	// zoneMeanMaxWeight is the most that a report weighs in it for the time since the last one: a single report is
+	// chance.
 	zoneMeanMaxWeight = 0.1
-	// loadBiasSeconds is the time over which the load bias of an endpoint is learned.
-	loadBiasSeconds = 15.0
-	// loadBiasMaxWeight is the most that one report weighs in it.
-	loadBiasMaxWeight = 0.1
 )
 
 // loadAverage is the running mean of other nodes' load on some endpoints, by their load reports.
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -10,6 +10,10 @@
 	shorterIntervalWeight = 0.3
 	// longerIntervalWeight draws it to a longer one: an endpoint may report the same number twice by chance.
 	longerIntervalWeight = 0.01
+	// loadBiasSeconds is the time over which the load bias of an endpoint is learned.
+	loadBiasSeconds = 15.0
+	// loadBiasMaxWeight is the most that one report weighs in it: a single report is chance.
+	loadBiasMaxWeight = 0.1
 )
 
 // reportInterval is the time between two reports of an endpoint that differ: the age that a report may have. It is
--- a/balance/request.go
+++ b/balance/request.go
@@ -8,6 +8,9 @@
 // request is one client request that this node has taken. Its life: it arrives, may wait for health checks, is placed
 // (forwarded, rejected or failed), and after each attempt that fails is placed again. It is finished with its final
 // answer, and forgotten once its last attempt has ended too.
+//
+// Invariants: pendingAttempts counts the pending attempts; Balancer.requests has each request that is not finished or
+// has a pending attempt.
 type request struct {
 	id                string
 	class             *Class
--- a/balance/timer.go
+++ b/balance/timer.go
@@ -22,7 +22,7 @@
 	endpoint *endpointState
 }
 
-// timerSet holds the timers that have not fired, by id. Ids are never used twice.
+// timerSet holds the timers that have not fired, by id. Invariant: ids are never used twice, and never 0.
 type timerSet struct {
 	pending map[uint64]timer
 	lastID  uint64
