--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -91,7 +91,13 @@
 // startProcess starts a node with a discovery and further keys in its configuration, and waits until it serves.
 func startProcess(t *testing.T, discovery string, keys ...string) *process {
 	t.Helper()
-	p := &process{Cmd: exec.Command(os.Args[0]), t: t, config: t.TempDir() + "/config.json", listen: address(), keys: keys}
+	p := &process{
+		Cmd:    exec.Command(os.Args[0]),
+		t:      t,
+		config: t.TempDir() + "/config.json",
+		listen: address(),
+		keys:   keys,
+	}
 	p.configure(discovery)
 	p.Env = append(os.Environ(), "GLENCART_TEST_RUN=1", "BALANCER_CONFIG="+p.config, "TMPDIR="+t.TempDir())
 	read, write, err := os.Pipe()
@@ -123,8 +129,12 @@
 // configure replaces the configuration file with one that names a discovery.
 func (p *process) configure(discovery string) {
 	p.t.Helper()
-	p.write(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,%s"settings":{"classes":[{"name":"a","deadline":%d},{"name":"read","effect":"pure","deadline":%d}]}}`,
-		p.listen, discovery, strings.Join(append(slices.Clone(p.keys), ""), ","), shutdownDeadline, shutdownDeadline))
+	const (
+		node    = `{"name":"n0","listen":%q,"discovery":%q,%s"settings":{"classes":[%s]}}`
+		classes = `{"name":"a","deadline":%d},{"name":"read","effect":"pure","deadline":%d}`
+	)
+	keys := strings.Join(append(slices.Clone(p.keys), ""), ",")
+	p.write(fmt.Sprintf(node, p.listen, discovery, keys, fmt.Sprintf(classes, shutdownDeadline, shutdownDeadline)))
 }
 
 // awaitLine reads the log until a line contains text.
--- a/cmd/hitchvale-node/shutdown_test.go
+++ b/cmd/hitchvale-node/shutdown_test.go
@@ -134,8 +134,9 @@
 	for i := range 24 { // so many that some are not known yet to hang
 		s := httptest.NewServer(p.backend)
 		t.Cleanup(s.CloseClientConnections) // before Close, which waits for what hangs
-		members = append(members, fmt.Sprintf(`{"id":"s-%d","host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":"ready","size":1.0,"up_since_ms":0}`,
-			i, s.Listener.Addr().String()))
+		const member = `{"id":"s-%d","host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":"ready","size":1.0,` +
+			`"up_since_ms":0}`
+		members = append(members, fmt.Sprintf(member, i, s.Listener.Addr().String()))
 	}
 	addr, _ := discovery(t, members...)
 	p.first = startProcess(t, addr, `"admin":"127.0.0.1:0"`)
@@ -152,7 +153,8 @@
 			p.Fatal(err)
 		}
 		p.Cleanup(func() { conn.Close() })
-		c := &lateClient{Conn: conn, id: fmt.Sprintf("id-%d-%d", to.Process.Pid, at.Milliseconds()), at: at, begin: p.begin}
+		id := fmt.Sprintf("id-%d-%d", to.Process.Pid, at.Milliseconds())
+		c := &lateClient{Conn: conn, id: id, at: at, begin: p.begin}
 		if strings.Contains(p.begin, "%s") {
 			c.begin = fmt.Sprintf(p.begin, c.id)
 		}
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -27,9 +27,24 @@
 }
 
 // passingErrors are errors of accept(2) that pass: of a shortage, or of a connection that has broken already.
-var passingErrors = []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
-	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
-	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR}
+var passingErrors = []error{
+	syscall.ECONNABORTED,
+	syscall.ENFILE,
+	syscall.EMFILE,
+	syscall.ENOBUFS,
+	syscall.ENOMEM,
+	syscall.EPERM,
+	syscall.ENETDOWN,
+	syscall.EPROTO,
+	syscall.ENOPROTOOPT,
+	syscall.EHOSTDOWN,
+	syscall.ENONET,
+	syscall.EHOSTUNREACH,
+	syscall.EOPNOTSUPP,
+	syscall.ENETUNREACH,
+	syscall.ETIMEDOUT,
+	syscall.EINTR,
+}
 
 // startFlaky starts a node whose calls of accept fail with the given errors, in turn, where fails says so.
 func startFlaky(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
@@ -146,7 +161,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := time.Duration(seconds * float64(time.Second)); left > waits-waited+150*time.Millisecond || left < waits-waited-patience/4 {
+	left := time.Duration(seconds * float64(time.Second))
+	if left > waits-waited+150*time.Millisecond || left < waits-waited-patience/4 {
 		t.Errorf("told %v of %v after %v in the backlog", left, waits, waited)
 	}
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -46,11 +46,18 @@
 	}
 }
 
-// startLarge starts a node that streams, with the least memory for buffered bodies.
+// orderHead returns the head of a request of the class "order" with a body of so many bytes.
+func orderHead(version, id string, length int) string {
+	const fields = "Host: x\r\nX-Trace-Id: %s\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: %d\r\n\r\n"
+	return "POST /x " + version + "\r\n" + fmt.Sprintf(fields, id, length)
+}
+
+// startLarge starts a node that streams, and buffers at most maxBodyBytes of a request.
 func startLarge(t *testing.T, b *rawBackend) *started {
 	t.Helper()
-	return startAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}), func(c *Config) {
-		c.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept whole
+	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	return startAdmin(t, list, func(c *Config) {
+		c.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
 	})
 }
 
@@ -96,9 +103,10 @@
 // The longest body that is buffered is served, of known and unknown length; TestMalformedRequests has those a byte
 // longer.
 func TestLongestBufferedBody(t *testing.T) {
-	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: newRawBackend(t, "127.0.0.1:0", hashing).Addr().String(), phase: "ready"}))
+	addr := newRawBackend(t, "127.0.0.1:0", hashing).Addr().String()
+	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: addr, phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
-	cfg.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept
+	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
 	n := start(t, cfg)
 	for _, size := range []int64{maxBodyBytes, -1} {
 		resp, body := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
@@ -149,18 +157,27 @@
 		}
 		return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 	}
+	const (
+		chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
+		interim     = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
+	)
 	for name, tc := range map[string]struct {
-		answer, want string
-		slow         bool // it comes in two parts
+		answer string
+		want   string
+		slow   bool // it comes in two parts
 	}{
-		"sized":              {answer: ok200(big), want: big},
-		"sized, slow":        {answer: ok200(big), want: big, slow: true},
-		"chunked":            {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n" + chunks(big, 70_001), want: big},
-		"chunked, slow":      {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(big[:40<<10], 999), want: big[:40<<10], slow: true},
-		"small chunks":       {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks("hello there", 3), want: "hello there"},
+		"sized":       {answer: ok200(big), want: big},
+		"sized, slow": {answer: ok200(big), want: big, slow: true},
+		"chunked":     {answer: chunkedHead + "Trailer: X-Sum\r\n\r\n" + chunks(big, 70_001), want: big},
+		"chunked, slow": {
+			answer: chunkedHead + "\r\n" + chunks(big[:40<<10], 999),
+			want:   big[:40<<10],
+			slow:   true,
+		},
+		"small chunks":       {answer: chunkedHead + "\r\n" + chunks("hello there", 3), want: "hello there"},
 		"ends with its end":  {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, want: big},
 		"small, to its end":  {answer: "HTTP/1.0 200 OK\r\n\r\nhello", want: "hello"},
-		"1xx ahead":          {answer: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + ok200(big), want: big},
+		"1xx ahead":          {answer: interim + ok200(big), want: big},
 		"beyond the largest": {answer: ok200(strings.Repeat(big, 7)), want: strings.Repeat(big, 7)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -212,7 +229,7 @@
 				}
 				defer c.Close()
 				c.SetDeadline(time.Now().Add(patience))
-				fmt.Fprintf(c, "POST /x %s\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n", version)
+				io.WriteString(c, orderHead(version, "a", 0))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil {
 					_, err = io.Copy(io.Discard, resp.Body)
@@ -284,7 +301,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 1000000\r\n\r\n")
+	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // nothing of the body has been sent
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
@@ -307,7 +324,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 1000000\r\n\r\n")
+	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
 	c.Write(noise(200000))
 	c.Close()
 	if err := receive(t, "the end at the backend", seen); err == nil {
@@ -346,7 +363,7 @@
 		}
 		defer c.Close()
 		c.(*net.TCPConn).SetReadBuffer(64 << 10)
-		fmt.Fprintf(c, "POST /x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a%p\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n", c)
+		io.WriteString(c, orderHead("HTTP/1.1", fmt.Sprintf("a%p", c), 0))
 		b := make([]byte, 1<<10)
 		if k, err := c.Read(b); err != nil || !strings.HasPrefix(string(b[:k]), "HTTP/1.1 200") {
 			t.Fatalf("%q, %v", b[:k], err)
@@ -399,7 +416,12 @@
 						}
 					}
 				}()
-				p := &minRateBody{source: io.LimitReader(out, int64(c.size)), setReadDeadline: out.SetReadDeadline, waited: c.head, limit: maxStreamedBody}
+				p := &minRateBody{
+					source:          io.LimitReader(out, int64(c.size)),
+					setReadDeadline: out.SetReadDeadline,
+					waited:          c.head,
+					limit:           maxStreamedBody,
+				}
 				n, err := io.Copy(io.Discard, p)
 				if ok := err == nil && n == int64(c.size); ok != c.ok {
 					t.Errorf("%d bytes, %v", n, err)
@@ -411,7 +433,8 @@
 
 // A body over its limit is an error, and a memory budget that is used up has bodies streamed.
 func TestBodyLimits(t *testing.T) {
-	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: func(time.Time) error { return nil }, limit: 4}
+	noDeadline := func(time.Time) error { return nil }
+	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: noDeadline, limit: 4}
 	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
 		t.Errorf("%v", err)
 	}
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -20,18 +20,21 @@
 		return ok200("")
 	}))
 	n := startOn(t, b.Addr().String())
-	inner := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: inner\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n"
+	inner := "POST /api/x HTTP/1.1\r\nHost: x\r\n" +
+		"X-Trace-Id: inner\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n"
 	outer := func(version, fields, body string) string {
-		return "POST /api/x " + version + "\r\nHost: x\r\nX-Trace-Id: outer\r\nX-Qos: order\r\nX-Customer: acme\r\n" + fields + "\r\n" + body
+		return "POST /api/x " + version + "\r\nHost: x\r\n" +
+			"X-Trace-Id: outer\r\nX-Qos: order\r\nX-Customer: acme\r\n" + fields + "\r\n" + body
 	}
+	const keepAlive = "Connection: keep-alive\r\n"
 	chunked := "0\r\n\r\n" + inner
 	sized := fmt.Sprintf("Content-Length: %d\r\n", len(chunked))
 	for name, text := range map[string]string{
 		"length and chunks":   outer("HTTP/1.1", sized+"Transfer-Encoding: chunked\r\n", chunked),
 		"chunks and length":   outer("HTTP/1.1", "transfer-encoding: Chunked\r\n"+sized, chunked),
 		"chunks, short count": outer("HTTP/1.1", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner),
-		"old with chunks":     outer("HTTP/1.0", "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n", chunked),
-		"old with both":       outer("HTTP/1.0", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", chunked),
+		"old with chunks":     outer("HTTP/1.0", keepAlive+"Transfer-Encoding: chunked\r\n", chunked),
+		"old with both":       outer("HTTP/1.0", keepAlive+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", chunked),
 		"folded length":       outer("HTTP/1.1", "Transfer-Encoding: chunked\r\nContent-Length:\r\n 5\r\n", chunked),
 		"folded chunks":       outer("HTTP/1.1", sized+"Transfer-Encoding:\r\n chunked\r\n", chunked),
 		"one length twice":    outer("HTTP/1.1", "Content-Length: 5\r\nContent-Length: 5\r\n", "hello"+inner),
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -16,7 +16,8 @@
 	got := make(chan *http.Request, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		got <- r
-		return "HTTP/1.1 200 OK\r\nContent-Type: text/x-menu\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+		return "HTTP/1.1 200 OK\r\nContent-Type: text/x-menu\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 	}))
 	n := startOn(t, b.Addr().String())
 	resp, body := do(t, ask(t, n.url+"/api/a%2Fb/7f3a?x=1&y=%20", "token", func(r *http.Request) {
@@ -48,7 +49,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
-	cfg.Limits.MemoryMB = 8 // so that no more than bodyMost of a request is kept
+	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
 	n := start(t, cfg)
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -152,7 +153,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: gone-1\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n")
+	io.WriteString(c, "GET /api/x HTTP/1.1\r\nHost: x\r\n"+
+		"X-Trace-Id: gone-1\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n")
 	receive(t, "the request at the backend", begun)
 	left := time.Now()
 	c.(*net.TCPConn).CloseWrite()
@@ -280,7 +282,8 @@
 	began := time.Now()
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	var after float64
-	if _, err := fmt.Sscan(resp.Header.Get("Retry-After"), &after); resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
+	_, err = fmt.Sscan(resp.Header.Get("Retry-After"), &after)
+	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
 		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if d := time.Since(began); d > 5*time.Second {
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -151,7 +151,9 @@
 			f.conns.track(c, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
-				if dropped := recover() == http.ErrAbortHandler; dropped != (end == nil) || !dropped && (w.Code != http.StatusOK || framed.isClosed()) {
+				dropped := recover() == http.ErrAbortHandler
+				served := w.Code == http.StatusOK && !framed.isClosed()
+				if dropped != (end == nil) || !dropped && !served {
 					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.isClosed())
 				}
 			}()
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -17,7 +17,8 @@
 
 // reading returns a request of the class "read" as it is sent on a connection.
 func reading(id string) string {
-	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
+	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\n" +
+		"X-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
 }
 
 // hanging starts a backend that answers all requests but those with the id "hangs". It reports which requests arrive,
@@ -60,7 +61,8 @@
 func (s *started) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
 	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
-	if _, body := do(t, ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })); body != "last" {
+	last := ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
+	if _, body := do(t, last); body != "last" {
 		t.Errorf("the last one got %q", body)
 	}
 	for id := receive(t, "the last one", came); id != "last"; id = receive(t, "the last one", came) {
@@ -99,7 +101,11 @@
 // behind is not started.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	for name, behind := range map[string]string{
-		"nothing": "", "a byte": "G", "a request": reading("behind"), "many": strings.Repeat(reading("behind"), 200), "noise": strings.Repeat("x", 4000),
+		"nothing":   "",
+		"a byte":    "G",
+		"a request": reading("behind"),
+		"many":      strings.Repeat(reading("behind"), 200),
+		"noise":     strings.Repeat("x", 4000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, came, ended := hanging(t)
@@ -249,7 +255,8 @@
 			}
 			text := listText(1, true, listed{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
 				listed{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
-			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, fmt.Sprintf(`"window":%d`, tc.window)))
+			window := fmt.Sprintf(`"window":%d`, tc.window)
+			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, window))
 			for range 15 { // so that the node may repeat any
 				do(t, ask(t, n.url+"/api/x", "read"))
 			}
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -11,32 +11,54 @@
 // The guard prevents an attempt that would violate an invariant and counts it; one that the Balancer could not know to
 // be impossible is prevented and not counted.
 func TestGuardRefusesWhatWouldBreakARule(t *testing.T) {
-	const unsafe, keyed, safe = 0, 1, 2
-	cfg := balance.Config{Limits: balance.Limits{MaxAttempts: 3}, Classes: []balance.Class{
-		{Repeatability: balance.NonIdempotent}, {Repeatability: balance.IdempotencyKey, KeyWindow: time.Second}, {Repeatability: balance.Idempotent}}}
-	over := func(st balance.Status) *attempt {
-		ended := &attempt{status: st, sentAt: time.Second}
-		ended.call.lifecycle.apply(resultRecorded)
-		return ended
+	const (
+		unsafe = iota
+		keyed
+		safe
+	)
+	cfg := balance.Config{
+		Limits: balance.Limits{MaxAttempts: 3},
+		Classes: []balance.Class{
+			unsafe: {Repeatability: balance.NonIdempotent},
+			keyed:  {Repeatability: balance.IdempotencyKey, KeyWindow: time.Second},
+			safe:   {Repeatability: balance.Idempotent},
+		},
 	}
-	ready, draining := &backend{phase: balance.Ready}, &backend{phase: balance.Draining}
+	// sent returns a request whose attempts were sent at one second and ended so.
+	sent := func(class int, statuses ...balance.Status) *request {
+		r := &request{class: class}
+		for _, status := range statuses {
+			ended := &attempt{status: status, sentAt: time.Second}
+			ended.call.lifecycle.apply(resultRecorded)
+			r.attempts = append(r.attempts, ended)
+		}
+		return r
+	}
+	const (
+		mayRun   = balance.StatusConnectionLost
+		neverRan = balance.StatusConnectFailed
+		late     = balance.StatusTimedOut
+		rejected = balance.StatusRejected
+	)
+	ready := &backend{phase: balance.Ready}
+	draining := &backend{phase: balance.Draining}
 	for name, tc := range map[string]struct {
-		r      *request
-		to     *backend
-		now    time.Duration
-		may    bool
-		broken rule // ruleCount: none
+		r        *request
+		to       *backend
+		now      time.Duration
+		may      bool
+		violated rule // ruleCount: none
 	}{
-		"first":                      {&request{class: unsafe}, ready, 0, true, ruleCount},
-		"to one that drains":         {&request{class: safe}, draining, 0, false, ruleCount},
+		"first":                      {sent(unsafe), ready, 0, true, ruleCount},
+		"to one that drains":         {sent(safe), draining, 0, false, ruleCount},
 		"answered":                   {&request{class: safe, state: requestResponded}, ready, 0, false, ruleCount},
-		"unsafe, may have run":       {&request{class: unsafe, attempts: []*attempt{over(balance.StatusConnectionLost)}}, ready, 0, false, ruleEffect},
-		"unsafe, still out":          {&request{class: unsafe, attempts: []*attempt{{}}}, ready, 0, false, ruleEffect},
-		"unsafe, never ran":          {&request{class: unsafe, attempts: []*attempt{over(balance.StatusConnectFailed)}}, ready, 0, true, ruleCount},
-		"keyed, within its window":   {&request{class: keyed, attempts: []*attempt{over(balance.StatusTimedOut)}}, ready, 1900 * time.Millisecond, true, ruleCount},
-		"keyed, after its window":    {&request{class: keyed, attempts: []*attempt{over(balance.StatusTimedOut)}}, ready, 2 * time.Second, false, ruleEffect},
-		"safe, may have run":         {&request{class: safe, attempts: []*attempt{over(balance.StatusConnectionLost)}}, ready, time.Hour, true, ruleCount},
-		"more often than is allowed": {&request{class: safe, attempts: []*attempt{over(balance.StatusRejected), over(balance.StatusRejected), over(balance.StatusRejected)}}, ready, 0, false, ruleAttempts},
+		"unsafe, may have run":       {sent(unsafe, mayRun), ready, 0, false, ruleEffect},
+		"unsafe, in flight":          {&request{class: unsafe, attempts: []*attempt{{}}}, ready, 0, false, ruleEffect},
+		"unsafe, never ran":          {sent(unsafe, neverRan), ready, 0, true, ruleCount},
+		"keyed, within its window":   {sent(keyed, late), ready, 1900 * time.Millisecond, true, ruleCount},
+		"keyed, after its window":    {sent(keyed, late), ready, 2 * time.Second, false, ruleEffect},
+		"safe, may have run":         {sent(safe, mayRun), ready, time.Hour, true, ruleCount},
+		"more often than is allowed": {sent(safe, rejected, rejected, rejected), ready, 0, false, ruleAttempts},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGuard(cfg, quiet())
@@ -44,7 +66,7 @@
 				t.Errorf("may be sent: %v", may)
 			}
 			for r := range ruleCount {
-				if n := g.violations[r].Load(); (n > 0) != (r == tc.broken) {
+				if n := g.violations[r].Load(); (n > 0) != (r == tc.violated) {
 					t.Errorf("%s: %d violations", ruleNames[r], n)
 				}
 			}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -88,12 +88,15 @@
 		return func(c net.Conn) { io.WriteString(c, text) }
 	}
 	for name, send := range map[string]func(net.Conn){
-		"nothing":                 func(net.Conn) {},
-		"half a head":             all("POST /api/x HTTP/1.1\r\nHost"),
-		"a slow head":             func(c net.Conn) { drip(c, proper+"\r\n", 100*time.Millisecond) },
-		"no body":                 all(proper + "Content-Length: 10\r\n\r\n"),
-		"half a body":             all(proper + "Content-Length: 10\r\n\r\nhello"),
-		"a body after a slow one": func(c net.Conn) { drip(c, proper, 20*time.Millisecond); all("Content-Length: 9\r\n\r\n")(c) },
+		"nothing":     func(net.Conn) {},
+		"half a head": all("POST /api/x HTTP/1.1\r\nHost"),
+		"a slow head": func(c net.Conn) { drip(c, proper+"\r\n", 100*time.Millisecond) },
+		"no body":     all(proper + "Content-Length: 10\r\n\r\n"),
+		"half a body": all(proper + "Content-Length: 10\r\n\r\nhello"),
+		"a body after a slow one": func(c net.Conn) {
+			drip(c, proper, 20*time.Millisecond)
+			all("Content-Length: 9\r\n\r\n")(c)
+		},
 		"a slow body": func(c net.Conn) {
 			drip(c, proper+"Content-Length: 90\r\n\r\n"+strings.Repeat("x", 90), 20*time.Millisecond)
 		},
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -22,7 +22,8 @@
 				members = append(members, listed{id: fmt.Sprintf("s-%08x", i), addr: b.Addr().String(), phase: "ready"})
 			}
 			list := listText(1, true, members...)
-			cfg := testConfig(t, newRegistry(t, list).addr, list, `"nInstances":1`, fmt.Sprintf(`"nInstances":%d`, tc.nodes))
+			instances := fmt.Sprintf(`"nInstances":%d`, tc.nodes)
+			cfg := testConfig(t, newRegistry(t, list).addr, list, `"nInstances":1`, instances)
 			cfg.PeerListen = "127.0.0.1:0"
 			for range tc.nodes {
 				cfg.Peers = append(cfg.Peers, peer.LocalAddr().String())
