--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -109,7 +109,7 @@
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
 	if head.Fault != "" {
 		f.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
-		rejectMalformed(w, hr, http.StatusBadRequest, head.Fault) // where the next request would begin is unknown
+		rejectWithText(w, hr, http.StatusBadRequest, head.Fault) // where the next request would begin is unknown
 		return
 	}
 	if head.Final {
@@ -158,7 +158,7 @@
 		if late && status == http.StatusRequestTimeout {
 			status = http.StatusServiceUnavailable // interrupted by the shutdown: nothing was done for it
 		}
-		rejectMalformed(w, hr, status, err.Error())
+		rejectWithText(w, hr, status, err.Error())
 		return
 	}
 	defer f.bodyMemory.release(r.bodyBytes)
@@ -173,7 +173,7 @@
 	if late {
 		f.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
 		f.figures.count(r.class, responseRejected)
-		rejectMalformed(w, hr, http.StatusServiceUnavailable, "this process is about to end")
+		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
 	if r.forwarded.upload != nil {
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -14,9 +14,9 @@
 // closeAfterResponse has the HTTP server close the connection after the current response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// rejectMalformed answers a request that can't be served with a line of text, and closes the connection. It gives the
+// rejectWithText answers a request that can't be served with a line of text, and closes the connection. It gives the
 // response's length, which http.Error leaves out: so the response is complete before the rest of the body has come.
-func rejectMalformed(w http.ResponseWriter, hr *http.Request, status int, text string) {
+func rejectWithText(w http.ResponseWriter, hr *http.Request, status int, text string) {
 	closeAfterResponse(w)
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
