--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -191,7 +191,7 @@
 	if body := r.forwarded.upload; body == nil {
 		count.begin()
 	} else {
-		body.onComplete = count.begin // a request is taken with its last byte
+		body.onComplete = count.begin // pending from the last byte on
 		defer body.discard()          // after the count below, as it may take its time
 	}
 	end := responseFailed
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -28,6 +28,9 @@
 
 // connState is the state of a client's connection. Closing the connection and reading from it both go by it under its
 // lock, so that nothing is read that would then be dropped. It is safe for concurrent use.
+//
+// The connection's phase changes once, by reject, closeIf or markClosed. The request's phase goes in circles:
+// markReceiving or readUnlessClosed, addHead, takeHead, finishMessage.
 type connState struct {
 	mu        sync.Mutex
 	phase     connPhase
--- a/internal/node/response_stream.go
+++ b/internal/node/response_stream.go
@@ -12,7 +12,7 @@
 	size     int64  // in bytes; -1: unknown
 	body     io.Reader
 	backend  *backendConn
-	release  func(whole bool) // gives the backend's connection back
+	release  func(complete bool) // gives the backend's connection back
 }
 
 // copyTo passes the response on, and releases the connection. It calls onLastByte before the last byte of a response of
