--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -7,11 +7,20 @@
 package httpframing
 
 import (
+	"errors"
 	"strconv"
 	"strings"
 	"time"
 )
 
+// The faults of a head, by which parsers of HTTP differ in where the request ends.
+var (
+	ErrLengthAndEncoding = errors.New("both Content-Length and Transfer-Encoding")
+	ErrEncodingInHTTP10  = errors.New("Transfer-Encoding in HTTP/1.0")
+	ErrContentLength     = errors.New("Content-Length is not one number")
+	ErrFoldedLine        = errors.New("a folded line")
+)
+
 // Head is what the head of a request says of the request's end.
 type Head struct {
 	Start            time.Time // of its first byte; for the first request, of the connection
@@ -22,7 +31,7 @@
 	// Final says that no other request may follow on the connection, as only the reader of the body can tell where
 	// it ends.
 	Final bool
-	Fault string // why the request can't be served; "" if it can
+	Fault error // why the request can't be served; nil if it can
 }
 
 // Parser follows the heads of requests on one connection.
@@ -69,15 +78,15 @@
 // finish judges the current head, which is complete, and resets the parser for the next one.
 func (p *Parser) finish() *Head {
 	head := p.head
-	if head.TransferEncoding && head.Fault == "" {
+	if head.TransferEncoding && head.Fault == nil {
 		switch {
 		case head.HasLength:
-			head.Fault = "both Content-Length and Transfer-Encoding"
+			head.Fault = ErrLengthAndEncoding
 		case head.HTTP10:
-			head.Fault = "Transfer-Encoding in HTTP/1.0"
+			head.Fault = ErrEncodingInHTTP10
 		}
 	}
-	head.Final = head.TransferEncoding || head.Fault != ""
+	head.Final = head.TransferEncoding || head.Fault != nil
 	p.head = Head{}
 	p.begun = false
 	p.line = nil // idle connections need no buffer
@@ -87,7 +96,7 @@
 // parseField takes one line after the request line.
 func (h *Head) parseField(line string) {
 	if line[0] == ' ' || line[0] == '\t' {
-		h.Fault = "a folded line" // parsers differ in how they read it
+		h.Fault = ErrFoldedLine
 		return
 	}
 	name, value, _ := strings.Cut(line, ":")
@@ -97,7 +106,7 @@
 	case strings.EqualFold(name, "Content-Length"):
 		length, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 63)
 		if h.HasLength || err != nil {
-			h.Fault = "Content-Length is not one number"
+			h.Fault = ErrContentLength
 		}
 		h.HasLength = true
 		h.ContentLength = int64(length)
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"net"
 	"sync"
 	"time"
@@ -8,6 +9,9 @@
 	"hitchvale/internal/httpframing"
 )
 
+// errNoHead is the fault of a request that the HTTP server found where none began.
+var errNoHead = errors.New("no head")
+
 // connPhase is whether a client's connection is still in use.
 type connPhase uint8
 
@@ -88,7 +92,7 @@
 	}
 	s.message = messageServing
 	if len(s.heads) == 0 {
-		return httpframing.Head{Final: true, Fault: "no head", Start: time.Now()}, true
+		return httpframing.Head{Final: true, Fault: errNoHead, Start: time.Now()}, true
 	}
 	head = s.heads[0]
 	s.heads = s.heads[1:]
