--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -369,22 +369,22 @@
 			t.Fatalf("%q, %v", b[:k], err)
 		}
 	}
-	// Nobody reads on: what is sent comes to rest.
+	// Nobody reads on: the backends stop sending.
 	last := int64(-1)
-	eventually(t, "the backends are held back", func() bool {
+	eventually(t, "the backends stop sending", func() bool {
 		now := sent.Load()
 		time.Sleep(20 * time.Millisecond)
-		rest := now == last
+		stalled := now == last
 		last = now
-		return rest
+		return stalled
 	})
 	if last >= readers*size {
-		t.Error("the answers were taken whole")
+		t.Error("the responses were taken completely")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > readers<<20 {
-		t.Errorf("%d bytes held for %d readers", grown, readers)
+		t.Errorf("%d bytes more for %d readers", grown, readers)
 	}
 }
 
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -287,6 +287,6 @@
 		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if d := time.Since(began); d > 5*time.Second {
-		t.Errorf("the refusal was held back for %v", d)
+		t.Errorf("the rejection was delayed for %v", d)
 	}
 }
--- a/internal/node/conn_state_test.go
+++ b/internal/node/conn_state_test.go
@@ -30,14 +30,14 @@
 // that have been read have to be answered; bytes left unread are reset by the close, and the client sends them again.
 func TestNothingIsReadOfAClosedConnection(t *testing.T) {
 	client, server := tcpPair(t)
-	framed := newClientConn(server, time.Now())
+	conn := newClientConn(server, time.Now())
 	read := make(chan int, 1)
 	go func() {
-		n, _ := framed.Read(make([]byte, 1<<10))
+		n, _ := conn.Read(make([]byte, 1<<10))
 		read <- n
 	}()
 	time.Sleep(20 * time.Millisecond) // it waits for the first byte
-	if !framed.closeIfWaiting(false) {
+	if !conn.closeIfWaiting(false) {
 		t.Fatal("not ended")
 	}
 	io.WriteString(client, "GET /x HTTP/1.1\r\n")
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -22,8 +22,8 @@
 	cfg.Admin, cfg.StateDir, cfg.Limits.Sockets = "127.0.0.1:0", t.TempDir(), 128
 	n := start(t, cfg)
 	dial := func(text string) { n.dialed(t, text) }
-	kept := &http.Transport{}
-	defer kept.CloseIdleConnections()
+	reused := &http.Transport{}
+	defer reused.CloseIdleConnections()
 	for i := range 8 * n.clients {
 		text := ""
 		if i%2 == 0 {
@@ -33,7 +33,7 @@
 		if i%16 != 0 {
 			continue
 		}
-		for name, tr := range map[string]*http.Transport{"new": {DisableKeepAlives: true}, "kept": kept} {
+		for name, tr := range map[string]*http.Transport{"new": {DisableKeepAlives: true}, "kept": reused} {
 			resp, err := tr.RoundTrip(ask(t, n.url+"/x", "read"))
 			if err != nil {
 				t.Fatalf("connection %d, a %s one: %v", i, name, err)
@@ -54,40 +54,40 @@
 // quarter.
 func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
 		f.streaming = true
 		conn := func() *limitedConn {
-			framed := newClientConn(nil, time.Now())
-			c := &limitedConn{Conn: framed, client: framed}
+			client := newClientConn(nil, time.Now())
+			c := &limitedConn{Conn: client, client: client}
 			f.conns.track(c, http.StateNew)
 			return c
 		}
-		heard := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
+		received := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
 		expect := func(what string, want *limitedConn) {
 			t.Helper()
 			if got := f.conns.slowest(); got != net.Conn(want) {
-				t.Errorf("%s does not go first", what)
+				t.Errorf("%s is not evicted first", what)
 			}
 		}
-		begun := conn()
-		heard(begun)
+		partial := conn()
+		received(partial)
 		time.Sleep(time.Second)
-		silent := conn()
+		unused := conn()
 		time.Sleep(time.Second)
-		expect("the silent one", silent)
+		expect("the silent one", unused)
 		time.Sleep(time.Second)
-		f.conns.track(silent, http.StateActive)
-		expect("the one with half a head", begun)
+		f.conns.track(unused, http.StateActive)
+		expect("the one with half a head", partial)
 		idle := conn()
 		f.conns.track(idle, http.StateActive)
 		f.conns.track(idle, http.StateIdle)
 		time.Sleep(2 * time.Second)
 		expect("the idle one", idle)
 		f.conns.track(idle, http.StateClosed)
-		heard(begun)
-		f.conns.track(begun, http.StateActive)
+		received(partial)
+		f.conns.track(partial, http.StateActive)
 		if got := f.conns.slowest(); got != nil {
-			t.Error("one that waits for its answer gives way")
+			t.Error("one that waits for its response is evicted")
 		}
 	})
 }
@@ -114,26 +114,26 @@
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	enders := map[string]func(f *clientServer){
 		"ended as idle":     func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
-		"gives way":         func(f *clientServer) { f.conns.evictSlowest() },
+		"evicted":           func(f *clientServer) { f.conns.evictSlowest() },
 		"the server's end":  nil,
 		"ended in the read": func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
-			within := func() {}
-			framed := newClientConn(lateConn{server, &within}, time.Now())
-			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
-			f.conns.track(c, http.StateNew)
-			f.conns.track(c, http.StateActive)
-			f.conns.track(c, http.StateIdle)
+			duringRead := func() {}
+			conn := newClientConn(lateConn{server, &duringRead}, time.Now())
+			limited := &limitedConn{Conn: conn, client: conn, release: func() {}}
+			f.conns.track(limited, http.StateNew)
+			f.conns.track(limited, http.StateActive)
+			f.conns.track(limited, http.StateIdle)
 			go io.WriteString(client, text)
 			if name == "ended in the read" {
-				within = func() { end(f) } // the bytes have left the system and are not seen yet
+				duringRead = func() { end(f) } // the bytes have left the kernel, and the read has not returned
 			}
-			hr, err := http.ReadRequest(bufio.NewReader(framed))
+			hr, err := http.ReadRequest(bufio.NewReader(conn))
 			if name == "ended in the read" {
 				if err == nil {
 					t.Errorf("%s: what crossed the close was read", name)
@@ -144,21 +144,21 @@
 				t.Fatal(err)
 			}
 			if end != nil {
-				end(f) // the server has it, but not yet said so
+				end(f) // the HTTP server has it, and has not said so
 			} else {
-				c.Close()
+				limited.Close()
 			}
-			f.conns.track(c, http.StateActive)
+			f.conns.track(limited, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
 				dropped := recover() == http.ErrAbortHandler
-				served := w.Code == http.StatusOK && !framed.isClosed()
+				served := w.Code == http.StatusOK && !conn.isClosed()
 				if dropped != (end == nil) || !dropped && !served {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, framed.isClosed())
+					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, conn.isClosed())
 				}
 			}()
 			f.loop.ready.Store(true)
-			f.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), c)))
+			f.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), limited)))
 		})
 	}
 }
@@ -167,16 +167,16 @@
 // good.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), testNames(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
 		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
-			framed := newClientConn(server, time.Now())
-			c := &limitedConn{Conn: framed, client: framed, release: func() {}}
+			tracked := newClientConn(server, time.Now())
+			c := &limitedConn{Conn: tracked, client: tracked, release: func() {}}
 			f.conns.track(c, http.StateNew)
 			return c
 		}
-		served, waits := conn(), conn()
+		served, idle := conn(), conn()
 		served.client.addHead(httpframing.Head{})
 		served.client.takeHead()
 		done := make(chan struct{})
@@ -185,9 +185,9 @@
 		go func() { f.drain(t.Context()); close(done) }()
 		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
-		ended := func(c *limitedConn) bool { return c.client.isClosed() }
-		if ended(served) || !ended(waits) {
-			t.Errorf("ended: the one being served %v, the other %v", ended(served), ended(waits))
+		closed := func(c *limitedConn) bool { return c.client.isClosed() }
+		if closed(served) || !closed(idle) {
+			t.Errorf("ended: the one being served %v, the other %v", closed(served), closed(idle))
 		}
 		select {
 		case <-done:
@@ -198,7 +198,7 @@
 		f.conns.track(served, http.StateActive)
 		f.conns.track(served, http.StateIdle)
 		<-done
-		if waits.client.takeHead(); waits.client.message == messageServing {
+		if idle.client.takeHead(); idle.client.message == messageServing {
 			t.Error("what was read after the end is served")
 		}
 	})
@@ -207,11 +207,11 @@
 // lateConn calls a function between a read and its return.
 type lateConn struct {
 	net.Conn
-	within *func()
+	duringRead *func()
 }
 
 func (c lateConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	(*c.within)()
+	(*c.duringRead)()
 	return n, err
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -179,7 +179,7 @@
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
-		l, f := inMemoryFront(t)
+		l, f := inMemoryServer(t)
 		send := func(c net.Conn, text string) { go io.WriteString(c, text) }
 		answered := func(c net.Conn) error {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -188,16 +188,16 @@
 			}
 			return err
 		}
-		begun, kept, resting, silent := l.dial(), l.dial(), l.dial(), l.dial()
-		defer silent.Close()
-		send(begun, text[:20])
-		for _, c := range []net.Conn{kept, resting} {
+		partial, reused, idle, unused := l.dial(), l.dial(), l.dial(), l.dial()
+		defer unused.Close()
+		send(partial, text[:20])
+		for _, c := range []net.Conn{reused, idle} {
 			send(c, text)
 			if err := answered(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		send(kept, text[:20])
+		send(reused, text[:20])
 		synctest.Wait()
 		f.shutdown.longestDeadline = maxDeadlineInGrace
 		f.shutdown.start()
@@ -205,11 +205,11 @@
 		defer cancel()
 		drained := make(chan struct{})
 		go func() { f.drain(ctx); close(drained) }()
-		if _, err := resting.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the one that rests: %v", err)
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("the idle one: %v", err)
 		}
 		time.Sleep(2 * time.Second)
-		for name, c := range map[string]net.Conn{"on a new connection": begun, "on a kept one": kept} {
+		for name, c := range map[string]net.Conn{"on a new connection": partial, "on one in use": reused} {
 			send(c, text[20:])
 			if err := answered(c); err != nil {
 				t.Errorf("half a head %s: %v", name, err)
@@ -217,7 +217,7 @@
 		}
 		<-drained
 		if ctx.Err() != nil {
-			t.Error("the silent one held the node up")
+			t.Error("the unused one delayed the exit")
 		}
 	})
 }
@@ -225,7 +225,7 @@
 // A request with an idempotency key that may have run is retried only within the key's window and the request's
 // deadline, however long the dial takes.
 func TestRetriesStayWithinTheKeyWindow(t *testing.T) {
-	const window = 200 * time.Millisecond
+	const shortWindow = 200 * time.Millisecond
 	for name, tc := range map[string]struct {
 		window  time.Duration
 		expires string
@@ -234,7 +234,7 @@
 		again   int
 	}{
 		"inside":   {time.Minute, "9.5", 1, http.StatusOK, 2},
-		"outside":  {window, "9.5", window, http.StatusBadGateway, 1},
+		"outside":  {shortWindow, "9.5", shortWindow, http.StatusBadGateway, 1},
 		"deadline": {time.Minute, "0.2", 0, http.StatusServiceUnavailable, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -255,8 +255,8 @@
 			}
 			text := listText(1, true, listed{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
 				listed{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
-			window := fmt.Sprintf(`"window":%d`, tc.window)
-			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, window))
+			windowSetting := fmt.Sprintf(`"window":%d`, tc.window)
+			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, windowSetting))
 			for range 15 { // so that the node may repeat any
 				do(t, ask(t, n.url+"/api/x", "read"))
 			}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -45,21 +45,21 @@
 	return c
 }
 
-// testNames returns the settings of a node with one class.
-func testNames() siteconfig.Settings {
+// oneClassSettings returns the settings of a node with one class.
+func oneClassSettings() siteconfig.Settings {
 	return siteconfig.Settings{Classes: []string{"order"}, Config: balance.Config{
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
 // inMemory runs the client side of a node on connections in memory; it forwards no request.
 func inMemory(t *testing.T) *pipeListener {
-	l, _ := inMemoryFront(t)
+	l, _ := inMemoryServer(t)
 	return l
 }
 
-func inMemoryFront(t *testing.T) (*pipeListener, *clientServer) {
+func inMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
-	names := testNames()
+	names := oneClassSettings()
 	f := newClientServer(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), names, 64, quiet())
 	l := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
 	srv := f.httpServer()
@@ -107,8 +107,8 @@
 		"both lengths, no body":    all(proper + "Content-Length: 10\r\nTransfer-Encoding: chunked\r\n\r\n"),
 		"health with a body":       all("GET /health/live HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
 		"much too long":            all(proper + "Content-Length: 64000000\r\n\r\n" + strings.Repeat("x", 8<<20)),
-		"asks leave for a body":    all(proper + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
-		"asks leave, is nameless":  all(nameless + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
+		"expects a continue":       all(proper + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
+		"expects it, no id":        all(nameless + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
 		"the server's own options": all("OPTIONS * HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 				c := l.dial()
 				sent := make(chan struct{})
 				go func() { send(c); close(sent) }()
-				// The first byte of an answer counts as heard, but for an interim one; the rest must end as well.
+				// The first byte of a final response counts; the connection must end as well.
 				text, _ := io.ReadAll(c)
 				if d := time.Since(began); d >= 3*time.Second {
 					t.Errorf("the node closed only after %v", d)
