--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -17,7 +17,8 @@
 
 // reading returns a request of the class "read" as it is sent on a connection.
 func reading(id string) string {
-	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
+	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\n" +
+		"X-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
 }
 
 // hanging starts a backend that answers all requests but those with the id "hangs". It reports which requests arrive,
@@ -60,7 +61,8 @@
 func (s *started) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
 	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
-	if _, body := do(t, ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })); body != "last" {
+	last := ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
+	if _, body := do(t, last); body != "last" {
 		t.Errorf("the last one got %q", body)
 	}
 	for id := receive(t, "the last one", came); id != "last"; id = receive(t, "the last one", came) {
@@ -99,7 +101,11 @@
 // behind is not started.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	for name, behind := range map[string]string{
-		"nothing": "", "a byte": "G", "a request": reading("behind"), "many": strings.Repeat(reading("behind"), 200), "noise": strings.Repeat("x", 4000),
+		"nothing":   "",
+		"a byte":    "G",
+		"a request": reading("behind"),
+		"many":      strings.Repeat(reading("behind"), 200),
+		"noise":     strings.Repeat("x", 4000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, came, ended := hanging(t)
@@ -173,7 +179,7 @@
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
-		l, f := inMemoryFront(t)
+		l, f := inMemoryServer(t)
 		send := func(c net.Conn, text string) { go io.WriteString(c, text) }
 		answered := func(c net.Conn) error {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -182,16 +188,16 @@
 			}
 			return err
 		}
-		begun, kept, resting, silent := l.dial(), l.dial(), l.dial(), l.dial()
-		defer silent.Close()
-		send(begun, text[:20])
-		for _, c := range []net.Conn{kept, resting} {
+		partial, reused, idle, unused := l.dial(), l.dial(), l.dial(), l.dial()
+		defer unused.Close()
+		send(partial, text[:20])
+		for _, c := range []net.Conn{reused, idle} {
 			send(c, text)
 			if err := answered(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		send(kept, text[:20])
+		send(reused, text[:20])
 		synctest.Wait()
 		f.shutdown.longestDeadline = maxDeadlineInGrace
 		f.shutdown.start()
@@ -199,11 +205,11 @@
 		defer cancel()
 		drained := make(chan struct{})
 		go func() { f.drain(ctx); close(drained) }()
-		if _, err := resting.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the one that rests: %v", err)
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+			t.Errorf("the idle one: %v", err)
 		}
 		time.Sleep(2 * time.Second)
-		for name, c := range map[string]net.Conn{"on a new connection": begun, "on a kept one": kept} {
+		for name, c := range map[string]net.Conn{"on a new connection": partial, "on one in use": reused} {
 			send(c, text[20:])
 			if err := answered(c); err != nil {
 				t.Errorf("half a head %s: %v", name, err)
@@ -211,7 +217,7 @@
 		}
 		<-drained
 		if ctx.Err() != nil {
-			t.Error("the silent one held the node up")
+			t.Error("the unused one delayed the exit")
 		}
 	})
 }
@@ -219,7 +225,7 @@
 // A request with an idempotency key that may have run is retried only within the key's window and the request's
 // deadline, however long the dial takes.
 func TestRetriesStayWithinTheKeyWindow(t *testing.T) {
-	const window = 200 * time.Millisecond
+	const shortWindow = 200 * time.Millisecond
 	for name, tc := range map[string]struct {
 		window  time.Duration
 		expires string
@@ -228,7 +234,7 @@
 		again   int
 	}{
 		"inside":   {time.Minute, "9.5", 1, http.StatusOK, 2},
-		"outside":  {window, "9.5", window, http.StatusBadGateway, 1},
+		"outside":  {shortWindow, "9.5", shortWindow, http.StatusBadGateway, 1},
 		"deadline": {time.Minute, "0.2", 0, http.StatusServiceUnavailable, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -249,7 +255,8 @@
 			}
 			text := listText(1, true, listed{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
 				listed{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
-			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, fmt.Sprintf(`"window":%d`, tc.window)))
+			windowSetting := fmt.Sprintf(`"window":%d`, tc.window)
+			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, windowSetting))
 			for range 15 { // so that the node may repeat any
 				do(t, ask(t, n.url+"/api/x", "read"))
 			}
