--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -22,7 +22,11 @@
 				t.Fatal(a.incarnation, err)
 			}
 			s := session("n", "p", 1)
-			for _, c := range []SessionCommand{{"session-expire", s}, {"session-open", session("n", by, 2)}, {"session-expire", session("n", by, 2)}} {
+			for _, c := range []SessionCommand{
+				{"session-expire", s},
+				{"session-open", session("n", by, 2)},
+				{"session-expire", session("n", by, 2)},
+			} {
 				if _, err := w.apply(c.Op, c.Session); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -87,8 +87,8 @@
 		if !ok || n.AgeMs < 0 {
 			continue
 		}
-		if age := now.Sub(w.sentAt[reportKey(n.Node, h.Incarnation, h.Sequence)]); n.Fresh && age > maxFreshAgeIntervals*modelInterval ||
-			age.Milliseconds() > n.AgeMs {
+		age := now.Sub(w.sentAt[reportKey(n.Node, h.Incarnation, h.Sequence)])
+		if n.Fresh && age > maxFreshAgeIntervals*modelInterval || age.Milliseconds() > n.AgeMs {
 			w.violate("a report of %s, %v old, is told as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
 		}
 	}
@@ -281,7 +281,11 @@
 		start := func(node string) {
 			gone, kill := context.WithCancel(ctx)
 			name := fmt.Sprintf("%s.%d", node, len(processes[node])+1)
-			p := &process{link: &link{registryModel: w, node: node, processEnded: gone, calls: &w.calls}, kill: kill, ended: make(chan error, 1)}
+			p := &process{
+				link:  &link{registryModel: w, node: node, processEnded: gone, calls: &w.calls},
+				kill:  kill,
+				ended: make(chan error, 1),
+			}
 			p.agent = NewAgent(AgentConfig{Node: node, Site: "a", Address: "127.0.0.1:1", Interval: modelInterval}, name, p.link,
 				func() Report { return Report{Metrics: LoadMetrics{Connections: 1}} }, slog.New(slog.DiscardHandler))
 			processes[node] = append(processes[node], p)
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -20,16 +20,30 @@
 		want error
 		same bool
 	}{
-		"the next process":                      {cmd: SessionCommand{"session-open", session("n", "p3", 3)}},
-		"the same process again":                {cmd: SessionCommand{"session-open", session("n", "p2", 2)}, same: true},
-		"an older process, late":                {cmd: SessionCommand{"session-open", session("n", "p1", 1)}, want: ErrSuperseded},
-		"another process, as the present one":   {cmd: SessionCommand{"session-open", session("n", "p9", 2)}, want: ErrSuperseded},
-		"the present process, one above itself": {cmd: SessionCommand{"session-open", session("n", "p2", 3)}, want: ErrSuperseded},
-		"a jump":                                {cmd: SessionCommand{"session-open", session("n", "p3", 9)}, want: ErrMalformed},
-		"no process":                            {cmd: SessionCommand{"session-open", session("n", "", 3)}, want: ErrMalformed},
-		"the older process ends":                {cmd: SessionCommand{"session-close", session("n", "p1", 1)}, want: ErrSuperseded},
-		"the present process ends":              {cmd: SessionCommand{"session-close", session("n", "p2", 2)}},
-		"another name ends":                     {cmd: SessionCommand{"session-expire", session("m", "p1", 1)}, want: ErrSessionNotFound},
+		"the next process":       {cmd: SessionCommand{"session-open", session("n", "p3", 3)}},
+		"the same process again": {cmd: SessionCommand{"session-open", session("n", "p2", 2)}, same: true},
+		"an older process, late": {
+			cmd: SessionCommand{"session-open", session("n", "p1", 1)}, want: ErrSuperseded,
+		},
+		"another process, as the present one": {
+			cmd: SessionCommand{"session-open", session("n", "p9", 2)}, want: ErrSuperseded,
+		},
+		"the present process, one above itself": {
+			cmd: SessionCommand{"session-open", session("n", "p2", 3)}, want: ErrSuperseded,
+		},
+		"a jump": {
+			cmd: SessionCommand{"session-open", session("n", "p3", 9)}, want: ErrMalformed,
+		},
+		"no process": {
+			cmd: SessionCommand{"session-open", session("n", "", 3)}, want: ErrMalformed,
+		},
+		"the older process ends": {
+			cmd: SessionCommand{"session-close", session("n", "p1", 1)}, want: ErrSuperseded,
+		},
+		"the present process ends": {cmd: SessionCommand{"session-close", session("n", "p2", 2)}},
+		"another name ends": {
+			cmd: SessionCommand{"session-expire", session("m", "p1", 1)}, want: ErrSessionNotFound,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSessionStore()
@@ -46,7 +60,8 @@
 				t.Errorf("changed by what was refused: %+v", s)
 			}
 			text, _ := s.Encode()
-			if r := NewSessionStore(); r.Decode(text, 3) != nil || r.LastIncarnation["n"] != s.LastIncarnation["n"] || len(r.Open) != len(s.Open) {
+			if r := NewSessionStore(); r.Decode(text, 3) != nil ||
+				r.LastIncarnation["n"] != s.LastIncarnation["n"] || len(r.Open) != len(s.Open) {
 				t.Errorf("restored as %+v", r)
 			}
 		})
@@ -59,8 +74,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, given := NewSessionStore(), map[uint64]string{}
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			n := session("n", rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(t, "process"), rapid.Uint64Range(0, 8).Draw(t, "incarnation"))
-			c := &SessionCommand{rapid.SampledFrom([]statemachine.Operation{"session-open", "session-open", "session-close", "session-expire"}).Draw(t, "op"), n}
+			process := rapid.SampledFrom([]string{"p1", "p2", "p3"}).Draw(t, "process")
+			n := session("n", process, rapid.Uint64Range(0, 8).Draw(t, "incarnation"))
+			operations := []statemachine.Operation{"session-open", "session-open", "session-close", "session-expire"}
+			c := &SessionCommand{rapid.SampledFrom(operations).Draw(t, "op"), n}
 			before := s.LastIncarnation["n"]
 			out, err := s.Apply(c, 1)
 			if s.LastIncarnation["n"] < before {
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -71,10 +71,12 @@
 func TestReportsAreTrimmed(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
-		r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprintf("s-%08d", i), QueueEstimate: 0.123, Outstanding: float64(i % 5)})
+		load := EndpointLoad{ID: fmt.Sprintf("s-%08d", i), QueueEstimate: 0.123, Outstanding: float64(i % 5)}
+		r.Endpoints = append(r.Endpoints, load)
 	}
 	for i := range 32 {
-		r.TenantsByConnections = append(r.TenantsByConnections, WeightedKey{Key: fmt.Sprint("tenant", i), Weight: float64(100 - i)})
+		tenant := WeightedKey{Key: fmt.Sprint("tenant", i), Weight: float64(100 - i)}
+		r.TenantsByConnections = append(r.TenantsByConnections, tenant)
 	}
 	b, err := r.Trimmed()
 	if err != nil {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -13,7 +13,8 @@
 	t.Helper()
 	s := NewSessionStore()
 	for i := range n {
-		if _, err := s.Apply(&SessionCommand{"session-open", session(fmt.Sprintf("n%03d", i), "p", 1)}, int64(i+1)); err != nil {
+		c := &SessionCommand{"session-open", session(fmt.Sprintf("n%03d", i), "p", 1)}
+		if _, err := s.Apply(c, int64(i+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,10 +75,20 @@
 		c := NewCollector(1, time.Second)
 		c.Compile(s, 1, 0)
 		for _, i := range rand.New(rand.NewPCG(seed, 0)).Perm(9) {
-			r := ReportRequest{Report: Report{Node: fmt.Sprintf("n%03d", i), Incarnation: 1, Sequence: 1, Metrics: LoadMetrics{Connections: float64(i)}},
-				LastView: ViewVersion{1, 1}}
+			report := Report{
+				Node:        fmt.Sprintf("n%03d", i),
+				Incarnation: 1,
+				Sequence:    1,
+				Metrics:     LoadMetrics{Connections: float64(i)},
+			}
+			r := ReportRequest{Report: report, LastView: ViewVersion{1, 1}}
 			for j := range 3 {
-				r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprint("s", j), QueueEstimate: 0.1 * float64(i+j), Outstanding: 0.1 * float64(i), FailureRate: 0.01})
+				r.Endpoints = append(r.Endpoints, EndpointLoad{
+					ID:            fmt.Sprint("s", j),
+					QueueEstimate: 0.1 * float64(i+j),
+					Outstanding:   0.1 * float64(i),
+					FailureRate:   0.01,
+				})
 			}
 			if i == 8 { // a liar
 				r.Endpoints[0] = EndpointLoad{ID: "s0", QueueEstimate: 1e9, FailureRate: 1}
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -11,12 +11,13 @@
 func TestFleetTakesEveryMachineThroughItsTurn(t *testing.T) {
 	for _, gone := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
 		t.Run(fmt.Sprint(gone), func(t *testing.T) {
-			r := newPlanFixture(t)
-			r.mustApply(request("q", DisruptionBudget{Total: 2, PerSite: 1}, map[string]float64{"a": 3, "b": 3}, "s0", "s1", "s5", "s7"))
+			f := newPlanFixture(t)
+			floors := map[string]float64{"a": 3, "b": 3}
+			f.mustApply(request("q", DisruptionBudget{Total: 2, PerSite: 1}, floors, "s0", "s1", "s5", "s7"))
 			seen, at := map[string]int{}, map[string]int64{}
 			done, worked := map[string]bool{}, map[string]int{}
 			for epoch := uint64(1); epoch < 400 && len(done) < 4; epoch++ {
-				board := PlanView{SettledView: r.plan.SettledView, Order: slices.Clone(r.plan.Order), Turns: r.plan.ListTurns()}
+				board := PlanView{SettledView: f.plan.SettledView, Order: slices.Clone(f.plan.Order), Turns: f.plan.ListTurns()}
 				for _, x := range board.Turns {
 					if at[x.Machine] == x.Revision {
 						seen[x.Machine]++
@@ -24,25 +25,33 @@
 						seen[x.Machine], at[x.Machine] = 0, x.Revision
 					}
 				}
-				for _, node := range r.sessions.LiveNodes() {
+				for _, node := range f.sessions.LiveNodes() {
 					if slices.Contains(gone, node) && epoch%7 != 0 { // heard from now and then only
 						continue
 					}
-					for _, c := range Propose(board, NodeState{Node: node, Incarnation: r.sessions[node], View: ViewVersion{1, epoch}, FreshNodes: r.sessions.LiveNodes(),
-						ListRevision: r.revision, InFlight: map[string]int{}, ViewsUnchanged: seen}) {
+					state := NodeState{
+						Node:           node,
+						Incarnation:    f.sessions[node],
+						View:           ViewVersion{1, epoch},
+						FreshNodes:     f.sessions.LiveNodes(),
+						ListRevision:   f.revision,
+						InFlight:       map[string]int{},
+						ViewsUnchanged: seen,
+					}
+					for _, c := range Propose(board, state) {
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
-						r.apply(c) // the record decides
+						f.apply(c) // the record decides
 					}
 				}
-				if bad := r.checkLimits(); bad != "" {
+				if bad := f.checkLimits(); bad != "" {
 					t.Fatalf("epoch %d: %s", epoch, bad)
 				}
-				for _, x := range r.plan.ListTurns() { // the operators' part
+				for _, x := range f.plan.ListTurns() { // the operators' part
 					if worked[x.Machine]++; x.State == Quiet || x.State == Out && worked[x.Machine] > 40 || x.State == Returning {
 						next := map[TurnState]TurnState{Quiet: Out, Out: Returning, Returning: Done}[x.State]
-						if err := r.step(x.Machine, next); err != nil {
+						if err := f.step(x.Machine, next); err != nil {
 							t.Fatal(err)
 						}
 						done[x.Machine] = done[x.Machine] || next == Done
@@ -53,7 +62,7 @@
 				}
 			}
 			if len(done) != 4 {
-				t.Fatalf("%v came through; the board: %+v, order %v", done, r.plan.ListTurns(), r.plan.Order)
+				t.Fatalf("%v came through; the board: %+v, order %v", done, f.plan.ListTurns(), f.plan.Order)
 			}
 		})
 	}
@@ -75,7 +84,8 @@
 	} {
 		tc.l.Node, tc.l.Incarnation, tc.l.FreshNodes = "n0", 2, []string{"n0", "n1"}
 		turn.ConfirmedBy = tc.had
-		got := slices.ContainsFunc(Propose(PlanView{Turns: []Turn{turn}}, tc.l), func(c Command) bool { return c.Op == "rota-confirm" })
+		proposed := Propose(PlanView{Turns: []Turn{turn}}, tc.l)
+		got := slices.ContainsFunc(proposed, func(c Command) bool { return c.Op == "rota-confirm" })
 		if got != tc.want {
 			t.Errorf("%s: confirms %v", name, got)
 		}
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -73,7 +73,8 @@
 		waitWatches(b, r, watchers)
 		runtime.ReadMemStats(&ms1)
 		perWatch = float64(ms1.HeapInuse+ms1.StackInuse-ms0.HeapInuse-ms0.StackInuse) / watchers
-		if _, err := r.Write(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("w-%d", i), HostPort: "127.0.0.1:1", Phase: PhaseReady}}); err != nil {
+		member := Member{ID: fmt.Sprintf("w-%d", i), HostPort: "127.0.0.1:1", Phase: PhaseReady}
+		if _, err := r.Write(&MemberCommand{Op: "register", Member: member}); err != nil {
 			b.Fatal(err)
 		}
 		acked := time.Now()
@@ -109,7 +110,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := NewState(64)
 			for i := range n {
-				s.Apply(&MemberCommand{Op: "register", Member: Member{ID: fmt.Sprintf("s-%d", i), HostPort: "10.0.0.1:9000", Phase: PhaseReady, Size: 1}})
+				member := Member{ID: fmt.Sprintf("s-%d", i), HostPort: "10.0.0.1:9000", Phase: PhaseReady, Size: 1}
+				s.Apply(&MemberCommand{Op: "register", Member: member})
 			}
 			store, err := newSnapshotStore(b.TempDir(), slog.New(slog.DiscardHandler))
 			if err != nil {
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -25,14 +25,24 @@
 	return &fleet.Client{Replicas: addrs, HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-// node is an agent over HTTP for a test, ended with it.
+// testAgent starts a node's agent over HTTP that ends with the test.
 func testAgent(t testing.TB, name, process string, addrs []string) (*fleet.Agent, <-chan error) {
 	t.Helper()
 	c := fleetClient(addrs...)
-	a := fleet.NewAgent(fleet.AgentConfig{Node: name, Site: "a", Address: "127.0.0.1:1", Interval: fleetInterval, TTL: 2 * time.Second}, process, c,
-		func() fleet.Report {
-			return fleet.Report{Metrics: fleet.LoadMetrics{Connections: 7, DescriptorLimit: 64}, Endpoints: []fleet.EndpointLoad{{ID: "s-1", QueueEstimate: 2}}}
-		}, slog.New(slog.DiscardHandler))
+	cfg := fleet.AgentConfig{
+		Node:     name,
+		Site:     "a",
+		Address:  "127.0.0.1:1",
+		Interval: fleetInterval,
+		TTL:      2 * time.Second,
+	}
+	report := func() fleet.Report {
+		return fleet.Report{
+			Metrics:   fleet.LoadMetrics{Connections: 7, DescriptorLimit: 64},
+			Endpoints: []fleet.EndpointLoad{{ID: "s-1", QueueEstimate: 2}},
+		}
+	}
+	a := fleet.NewAgent(cfg, process, c, report, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, done := make(chan error, 1), make(chan struct{})
 	go func() { ended <- a.Run(ctx); close(done) }()
@@ -132,7 +142,8 @@
 		h, err := client.SessionStatus(ctx, "n1")
 		return err == nil && h.Session == nil && h.LastIncarnation == 1
 	})
-	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}}, 0)
+	report := fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}
+	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: report}, 0)
 	if !errors.Is(err, fleet.ErrSessionNotFound) {
 		t.Errorf("a report without a session: %v", err)
 	}
@@ -141,7 +152,8 @@
 		`{"node":"n1","process":"p","incarnation":9,"address":"127.0.0.1:1","ttl_ms":1000}`: "fleet.malformed",
 		`{"nod":"n1"}`: "registry.malformed",
 	} {
-		resp, err := http.Post("http://"+c.http[0]+"/registry/fleet/sessions", "application/json", bytes.NewBufferString(body))
+		url := "http://" + c.http[0] + "/registry/fleet/sessions"
+		resp, err := http.Post(url, "application/json", bytes.NewBufferString(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,8 +185,9 @@
 				late = append(late, d.Seconds()*1000)
 				mu.Unlock()
 			}, replicas: c.replicas}
-			a := fleet.NewAgent(fleet.AgentConfig{Node: fmt.Sprintf("n%03d", i), Site: "a", Address: "127.0.0.1:1", Interval: time.Second},
-				"p", timed, sampleReport, slog.New(slog.DiscardHandler))
+			name := fmt.Sprintf("n%03d", i)
+			cfg := fleet.AgentConfig{Node: name, Site: "a", Address: "127.0.0.1:1", Interval: time.Second}
+			a := fleet.NewAgent(cfg, "p", timed, sampleReport, slog.New(slog.DiscardHandler))
 			wg.Go(func() { a.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second) // sessions
@@ -210,7 +223,8 @@
 	took     func(time.Duration)
 }
 
-func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (fleet.View, bool, error) {
+func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (
+	fleet.View, bool, error) {
 	v, came, err := t.Client.SendReport(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
@@ -225,9 +239,21 @@
 
 // sampleReport is a report as a node of the full fleet makes it: it keeps to some twenty backends.
 func sampleReport() fleet.Report {
-	r := fleet.Report{Metrics: fleet.LoadMetrics{Connections: 123, Descriptors: 150, DescriptorLimit: 512, CPUFraction: 0.31, InFlight: 12, RejectedPerSecond: 0.2}}
+	r := fleet.Report{Metrics: fleet.LoadMetrics{
+		Connections:       123,
+		Descriptors:       150,
+		DescriptorLimit:   512,
+		CPUFraction:       0.31,
+		InFlight:          12,
+		RejectedPerSecond: 0.2,
+	}}
 	for i := range 20 {
-		r.Endpoints = append(r.Endpoints, fleet.EndpointLoad{ID: fmt.Sprintf("s-%08x", i*2654435761), QueueEstimate: 1.234, Outstanding: 2, FailureRate: 0.01})
+		r.Endpoints = append(r.Endpoints, fleet.EndpointLoad{
+			ID:            fmt.Sprintf("s-%08x", i*2654435761),
+			QueueEstimate: 1.234,
+			Outstanding:   2,
+			FailureRate:   0.01,
+		})
 	}
 	for i := range 8 {
 		h := fleet.WeightedKey{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -71,7 +71,8 @@
 			"fenced write": func(t *rapid.T) {
 				n := name.Draw(t, "name")
 				token := rapid.Uint64Range(0, m.tokens).Draw(t, "token")
-				r := s.Apply(&MemberCommand{Op: "phase", ID: "m", Phase: PhaseDraining, FencingToken: &FencingToken{Lease: n, Token: token}})
+				fence := &FencingToken{Lease: n, Token: token}
+				r := s.Apply(&MemberCommand{Op: "phase", ID: "m", Phase: PhaseDraining, FencingToken: fence})
 				if token < m.fenced[n] {
 					if !errors.Is(r.Err, ErrStaleFencingToken) {
 						t.Fatalf("token %d below %d accepted: %+v", token, m.fenced[n], r)
@@ -96,7 +97,8 @@
 			},
 			"": func(t *rapid.T) {
 				if len(s.leases.ByName) != len(m.held) || s.leases.LastToken != m.tokens {
-					t.Fatalf("state %d leases, token %d; model %d, %d", len(s.leases.ByName), s.leases.LastToken, len(m.held), m.tokens)
+					t.Fatalf("state %d leases, token %d; model %d, %d",
+						len(s.leases.ByName), s.leases.LastToken, len(m.held), m.tokens)
 				}
 				for n, l := range m.held {
 					if s.leases.ByName[n] != l {
@@ -118,7 +120,8 @@
 	acquire := func(i int, holder string) (int, string) {
 		return call(t, "POST", url(i, "/registry/leases/duty/acquire"), `{"holder":"`+holder+`","ttl_ms":300}`)
 	}
-	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/acquire"), `{"holder":"p1","ttl_ms":50}`); code != 400 {
+	shortTTL := `{"holder":"p1","ttl_ms":50}`
+	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/acquire"), shortTTL); code != 400 {
 		t.Fatalf("a TTL shorter than two elections: %d %s", code, text)
 	}
 	if code, text := acquire(lead, "p1"); code != 200 || !strings.Contains(text, `"token":1`) {
@@ -138,7 +141,8 @@
 		t.Fatalf("after the TTL: %d %s after %s", code, text, waited)
 	}
 	fenced := func(token string) int {
-		req, _ := http.NewRequest("POST", url(lead, "/registry/members"), strings.NewReader(`{"member":{"id":"s","host_port":"127.0.0.1:1"}}`))
+		body := strings.NewReader(`{"member":{"id":"s","host_port":"127.0.0.1:1"}}`)
+		req, _ := http.NewRequest("POST", url(lead, "/registry/members"), body)
 		req.Header.Set(fencingTokenHeader, token)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -154,7 +158,8 @@
 		t.Fatalf("the old holder's write after the new one's: %d", got)
 	}
 	// Release hands over at once.
-	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/release"), `{"holder":"p2","token":2}`); code != 200 {
+	release := url(lead, "/registry/leases/duty/release")
+	if code, text := call(t, "POST", release, `{"holder":"p2","token":2}`); code != 200 {
 		t.Fatalf("release: %d %s", code, text)
 	}
 	if code, text := acquire(lead, "p3"); code != 200 || !strings.Contains(text, `"token":3`) {
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -112,7 +112,8 @@
 	}
 	defer resp.Body.Close()
 	var l MemberList
-	if resp.StatusCode != http.StatusOK || resp.Header.Get(roleHeader) != "leader" || json.NewDecoder(resp.Body).Decode(&l) != nil {
+	if resp.StatusCode != http.StatusOK || resp.Header.Get(roleHeader) != "leader" ||
+		json.NewDecoder(resp.Body).Decode(&l) != nil {
 		return op, false
 	}
 	op.Return, op.Output = time.Now().UnixNano(), ""
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -73,7 +73,8 @@
 	status, code = callJSON(t, "POST", url("/registry/rota/requests"), ask, nil)
 	expect("the request", status, code, 200, "")
 	step := func(id string, to maintenance.TurnState, rev int64) (int, string) {
-		return callJSON(t, "POST", url("/registry/rota/machines/"+id+"/step"), maintenance.Command{Target: to, Revision: rev}, nil)
+		body := maintenance.Command{Target: to, Revision: rev}
+		return callJSON(t, "POST", url("/registry/rota/machines/"+id+"/step"), body, nil)
 	}
 	var s planAnswer
 	read := func() map[string]maintenance.Turn {
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -126,7 +126,8 @@
 				return code == http.StatusServiceUnavailable && strings.Contains(text, "registry.disk")
 			})
 			for range 20 {
-				if code, _ := call(t, "GET", "http://"+c.http[i]+"/registry/instances", ""); code == http.StatusOK && !c.holds(t, i, acknowledged) {
+				code, _ := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
+				if code == http.StatusOK && !c.holds(t, i, acknowledged) {
 					t.Fatal("a stale list was served")
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -13,8 +13,8 @@
 // version0 is a snapshot as the program wrote it before machines had parts of their own, and version0Bare one from
 // before the first lease.
 const (
-	version0 = `{"revision":7,"members":{"a":{"member":{"id":"a","host_port":"127.0.0.1:1","locality":"","flavor":"","cell":0,` +
-		`"phase":"draining","size":1,"up_since_ms":0},"ttl_ms":500,"changed":4}},` +
+	version0 = `{"revision":7,"members":{"a":{"member":{"id":"a","host_port":"127.0.0.1:1",` +
+		`"locality":"","flavor":"","cell":0,"phase":"draining","size":1,"up_since_ms":0},"ttl_ms":500,"changed":4}},` +
 		`"leases":{"reaper":{"name":"reaper","holder":"p1","token":3,"ttl_ms":1000}},"tokens":3,"fenced":{"reaper":2}}`
 	version0Bare = `{"revision":1,"members":{},"leases":null,"tokens":0,"fenced":null}`
 )
@@ -46,7 +46,8 @@
 	if err := n.Decode([]byte(version0Bare)); err != nil {
 		t.Fatal(err)
 	}
-	if r := n.Apply(&LeaseCommand{Op: "acquire", Lease: Lease{Name: "x", Holder: "p", TTLms: 1}}); r.Err != nil || r.Revision != 2 {
+	r := n.Apply(&LeaseCommand{Op: "acquire", Lease: Lease{Name: "x", Holder: "p", TTLms: 1}})
+	if r.Err != nil || r.Revision != 2 {
 		t.Errorf("the first lease after a snapshot without any: %+v", r)
 	}
 }
@@ -61,7 +62,8 @@
 	} {
 		s := NewState(16)
 		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "a", HostPort: "127.0.0.1:1", Phase: PhaseReady}})
-		if err := s.Decode([]byte(text)); !errors.Is(err, ErrSnapshotUnreadable) || s.Revision != 1 || len(s.members.Records) != 1 {
+		err := s.Decode([]byte(text))
+		if !errors.Is(err, ErrSnapshotUnreadable) || s.Revision != 1 || len(s.members.Records) != 1 {
 			t.Errorf("%s: %v, then %d %v", name, err, s.Revision, s.members.Records)
 		}
 	}
@@ -84,7 +86,8 @@
 		if r := s.Apply(c); r.Err != nil || r.Revision != int64(i+1) {
 			t.Fatalf("%s: %+v", line, r)
 		}
-		if text, err := EncodeCommand(c); err != nil || json.Valid(text) == false || !strings.Contains(string(text), string(c.Operation())) {
+		text, err := EncodeCommand(c)
+		if err != nil || json.Valid(text) == false || !strings.Contains(string(text), string(c.Operation())) {
 			t.Errorf("written again: %s %v", text, err)
 		}
 	}
