--- a/internal/durable/faultyfs_test.go
+++ b/internal/durable/faultyfs_test.go
@@ -22,9 +22,9 @@
 	synced  bool   // pending is durable
 }
 
-// FaultyFS is an FS in memory that tells durable contents and names from those that are only written, so that a test
-// can cut the power after any operation. A name is durable in its folder only after SyncDir. Not safe for concurrent
-// use.
+// FaultyFS is an FS in memory that separates durable contents and names from those that are only written, so that a
+// test can cut the power after any operation. A name is durable in its folder only after SyncDir. Not safe for
+// concurrent use.
 type FaultyFS struct {
 	names     map[string]*file // as read
 	durable   map[string]*file // that survive a power cut: those of each folder when it was last synced
--- a/internal/durable/snapshotstore_test.go
+++ b/internal/durable/snapshotstore_test.go
@@ -12,7 +12,7 @@
 }
 
 // A power cut at every operation of five snapshot writes in turn, with and without a torn unsynced write: after the
-// restart the newest snapshot that verifies is the last acknowledged one or the one being written, whole, and
+// restart the newest snapshot that verifies is the last acknowledged one or the one being written, complete, and
 // never an older one; no damage is reported, since no synced byte was harmed.
 func TestPowerCutAtEveryStepRetainsAcknowledgedSnapshot(t *testing.T) {
 	for _, tornBytes := range []int{0, 5, 40} {
@@ -57,7 +57,7 @@
 	}{
 		{"bit flipped in the data", newest, func(b []byte) []byte { b[len(b)/2] ^= 0x10; return b }, int64(headerSize), 1},
 		{"truncated", newest, func(b []byte) []byte { return b[:len(b)-3] }, -1, 1},
-		{"header gone", newest, func(b []byte) []byte { return b[:4] }, 0, 1},
+		{"header missing", newest, func(b []byte) []byte { return b[:4] }, 0, 1},
 		{"manifest damaged", "/data/MANIFEST", func(b []byte) []byte { b[2] ^= 1; return b }, 0, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 		}
 		f.MaxFileBytes = 100
 		if err := s.Write(9, payload(9)); !errors.Is(err, ErrDiskFull) {
-			t.Fatalf("a write past the room: %v", err)
+			t.Fatalf("a write beyond the limit: %v", err)
 		}
 		if e, _, _, err := s.Latest(); err != nil || e.Revision != 1 {
 			t.Fatalf("after a full disk: %d %v", e.Revision, err)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -89,7 +89,7 @@
 		}
 		age := now.Sub(w.sentAt[reportKey(n.Node, h.Incarnation, h.Sequence)])
 		if n.Fresh && age > maxFreshAgeIntervals*modelInterval || age.Milliseconds() > n.AgeMs {
-			w.violate("a report of %s, %v old, is told as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
+			w.violate("a report of %s, %v old, is shown as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
 		}
 	}
 	w.view = v
@@ -107,8 +107,8 @@
 	if w.sessions.LastIncarnation[s.Node] < before {
 		w.violate("the incarnation of %s went back", s.Node)
 	}
-	kept, _ := out.Value.(Session)
-	return kept, err
+	stored, _ := out.Value.(Session)
+	return stored, err
 }
 
 // elect changes the leader: a while without one, then a term whose collector knows no report.
@@ -129,7 +129,7 @@
 type link struct {
 	*registryModel
 	node         string
-	stalledUntil time.Time // the process stands still until then
+	stalledUntil time.Time // the process is paused until then
 	processEnded context.Context
 	calls        *sync.WaitGroup
 }
@@ -203,9 +203,9 @@
 			return Session{}, ErrViewNotReady.Of("model", nil)
 		}
 		l.lastHeartbeat[s.Node] = time.Now()
-		kept, err := l.apply("session-open", s)
+		stored, err := l.apply("session-open", s)
 		l.logEvent("%s open %d by %s: %v", s.Node, s.Incarnation, s.Process, err)
-		return kept, err
+		return stored, err
 	})
 }
 
@@ -279,17 +279,17 @@
 		var all sync.WaitGroup
 		processes := map[string][]*process{}
 		start := func(node string) {
-			gone, kill := context.WithCancel(ctx)
+			processCtx, kill := context.WithCancel(ctx)
 			name := fmt.Sprintf("%s.%d", node, len(processes[node])+1)
 			p := &process{
-				link:  &link{registryModel: w, node: node, processEnded: gone, calls: &w.calls},
+				link:  &link{registryModel: w, node: node, processEnded: processCtx, calls: &w.calls},
 				kill:  kill,
 				ended: make(chan error, 1),
 			}
 			p.agent = NewAgent(AgentConfig{Node: node, Site: "a", Address: "127.0.0.1:1", Interval: modelInterval}, name, p.link,
 				func() Report { return Report{Metrics: LoadMetrics{Connections: 1}} }, slog.New(slog.DiscardHandler))
 			processes[node] = append(processes[node], p)
-			all.Go(func() { p.ended <- p.agent.Run(gone) })
+			all.Go(func() { p.ended <- p.agent.Run(processCtx) })
 		}
 		name := func(i int) string { return fmt.Sprintf("n%d", i) }
 		for i := range nodes {
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Against exact counts over random streams: a key's weight is never told too low nor further too high than Over says,
-// every key above its share of the total is there, no more counters are kept than asked for, and with no more keys
+// Against exact counts over random streams: a key's weight is never too low nor higher by more than MaxError,
+// every key above its share of the total is there, there are no more counters than configured, and with no more keys
 // than counters all is exact.
 func TestSketchKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,7 +43,7 @@
 	})
 }
 
-// Keys of any length and number take no more memory, and a cleared sketch counts anew without any.
+// Keys of any length and number take no more memory, and a cleared sketch counts again without allocating.
 func TestSketchMemoryIsFixed(t *testing.T) {
 	s := NewSketch(64)
 	fill := func() {
@@ -54,7 +54,7 @@
 	fill()
 	for _, h := range s.Top(64) {
 		if len(h.Key) > maxKeyBytes {
-			t.Errorf("a key of %d bytes is kept", len(h.Key))
+			t.Errorf("a key of %d bytes is stored", len(h.Key))
 		}
 	}
 	s.Clear()
@@ -67,7 +67,7 @@
 	}
 }
 
-// A report stays within its bound, says how much is left out, and leaves out what has least at stake.
+// A report is trimmed to its bound, counts what it omits, and omits the least loaded endpoints.
 func TestReportsAreTrimmed(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
@@ -87,7 +87,7 @@
 	}
 	for i, x := range b.Endpoints {
 		if x.Outstanding < 3 {
-			t.Fatalf("%+v is kept while busier ones are left out", x)
+			t.Fatalf("%+v is reported while busier ones are omitted", x)
 		}
 		if i > 0 && x.ID <= b.Endpoints[i-1].ID {
 			t.Fatal("not by id")
@@ -95,7 +95,7 @@
 	}
 }
 
-// Nothing is left out for 1,024 backends with the longest ids and figures.
+// Nothing is omitted for 1,024 endpoints with the longest IDs and metrics.
 func TestReportsHold1024Endpoints(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 1024 {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -68,7 +68,7 @@
 }
 
 // The view depends on what was reported and not on the order in which it came, bit for bit; backends are seen by the
-// fresh reports alone, and one sick node's word does not move them.
+// fresh reports alone, and one faulty node does not move them.
 func TestViewIsIndependentOfReportOrder(t *testing.T) {
 	s := openSessions(t, 9)
 	compile := func(seed uint64) []byte {
@@ -90,7 +90,7 @@
 					FailureRate:   0.01,
 				})
 			}
-			if i == 8 { // a liar
+			if i == 8 { // a faulty node
 				r.Endpoints[0] = EndpointLoad{ID: "s0", QueueEstimate: 1e9, FailureRate: 1}
 			}
 			if i == 7 {
@@ -117,6 +117,6 @@
 		t.Fatal(err)
 	}
 	if b := v.Endpoints[0]; b.ReportingNodes != 8 || b.QueueEstimate > 0.5 || b.FailureRate != 0.01 {
-		t.Errorf("a sick node's word counts: %+v", b)
+		t.Errorf("a faulty node moved the median: %+v", b)
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -50,7 +50,7 @@
 }
 
 // A released lease passes to the waiting candidate at once, with a higher token; a holder that can no longer
-// renew is told it lost the lease within its TTL.
+// renew is notified of the loss within the TTL.
 func TestReleaseHandsOverAndLossIsNotified(t *testing.T) {
 	addr, stop := startReplica(t)
 	c := &Client{Replicas: []string{addr}}
@@ -90,10 +90,10 @@
 	select {
 	case <-b.Lost:
 		if took := time.Since(cut); took > ttl {
-			t.Fatalf("loss told after %s, beyond the TTL", took)
+			t.Fatalf("loss notified after %s, beyond the TTL", took)
 		}
 	case <-time.After(2 * ttl):
-		t.Fatal("loss never told")
+		t.Fatal("loss never notified")
 	}
 	b.Release(ctx)
 }
--- a/internal/maintenance/invariants_test.go
+++ b/internal/maintenance/invariants_test.go
@@ -186,7 +186,7 @@
 			}
 		}
 		if caught == "" {
-			t.Errorf("%s left out: not caught in 2,000 schedules", bug)
+			t.Errorf("%s left out: not detected in 2,000 schedules", bug)
 		}
 	}
 }
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -148,7 +148,7 @@
 	wantError(t, "the other, now next", f.step("s0", Granted), ErrOverBudget)
 	stale := Command{Op: "rota-step", Machine: "s1", Revision: read, Target: Draining}
 	wantError(t, "a step from what was read before", f.apply(stale), ErrTurnChanged)
-	wantError(t, "a step left out", f.step("s1", Out), ErrInvalidTransition)
+	wantError(t, "a skipped state", f.step("s1", Out), ErrInvalidTransition)
 }
 
 func TestQuietNeedsEveryLiveNode(t *testing.T) {
@@ -178,7 +178,7 @@
 	f.mustApply(request("q", DisruptionBudget{Total: 3}, map[string]float64{"a": 2}, "s0", "s1", "s2"))
 	f.advanceTo("s0", Out)
 	f.advanceTo("s1", Draining)
-	f.inventory.SetDraining("s3", true, 0) // dead: a has s2 alone
+	f.inventory.SetDraining("s3", true, 0) // failed: a has s2 alone
 	f.settle(map[string]float64{"s2": 1})
 	wantError(t, "no new grant", f.step("s2", Granted), ErrUnderFloor)
 	if got := f.plan.TurnsToRecall(); !slices.Equal(got, []string{"s1"}) {
@@ -215,7 +215,7 @@
 	f.settle(map[string]float64{"s1": 1})
 	wantError(t, "its slot is taken", f.step("s1", Granted), ErrOverBudget)
 	f.mustApply(Command{Op: "rota-free", Machine: "s0", Revision: f.plan.Turns["s0"].Revision})
-	wantError(t, "freed by an operator's word", f.step("s1", Granted), nil)
+	wantError(t, "freed by an operator", f.step("s1", Granted), nil)
 }
 
 func TestRequestIsWithdrawnInEachState(t *testing.T) {
@@ -232,7 +232,7 @@
 			}
 			if s == Waiting {
 				if len(f.plan.Turns)+len(f.plan.Requests) != 0 {
-					t.Errorf("left behind: %+v", f.plan)
+					t.Errorf("still there: %+v", f.plan)
 				}
 				return
 			}
@@ -245,7 +245,7 @@
 			wantError(t, "its end", f.step("s0", Done), nil)
 			wantError(t, "then the other", f.step("s2", Granted), nil)
 			if _, ok := f.plan.Requests["q"]; ok {
-				t.Error("a request without a machine is kept")
+				t.Error("a request without a machine is still there")
 			}
 		})
 	}
@@ -257,7 +257,7 @@
 	wantError(t, "four machines of a site and a floor of four", f.apply(floorOfFour), ErrUnderFloor)
 	wantError(t, "a machine that is not listed", f.apply(request("q", DisruptionBudget{}, nil, "s99")), ErrNotFound)
 	if len(f.plan.Requests)+len(f.plan.Turns) != 0 || f.revision != 0 {
-		t.Error("refused and kept")
+		t.Error("refused, but stored")
 	}
 	wantError(t, "three", f.apply(request("q", DisruptionBudget{}, map[string]float64{"a": 3}, "s0", "s1")), nil)
 	f.settle(map[string]float64{"s0": 1, "s1": 2})
@@ -282,7 +282,7 @@
 	wantError(t, "with both back", f.step("s4", Granted), nil)
 }
 
-// Requests that overlap are merged: a machine has one turn, and the tightest budget of any that ask for it binds.
+// Requests that overlap are merged: a machine has one turn, and the tightest budget of the requests that name it binds.
 func TestOverlappingRequestsAreMerged(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("wide", DisruptionBudget{PerSite: 2}, nil, "s0", "s1", "s2"))
@@ -296,7 +296,7 @@
 	wantError(t, "s2 of another, as the first that fits", f.step("s2", Granted), nil)
 }
 
-// The cheapest goes first and one whose cost nobody knows last; a machine that is dear goes in the end, however many
+// The cheapest goes first and one of unknown cost last; an expensive machine goes in the end, however many
 // cheap ones come after it.
 func TestOrderByCostAndAge(t *testing.T) {
 	f := newPlanFixture(t)
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// The whole fleet in one process: nodes that read the same board propose by turns what Next says, some of them gone or
-// hearing nothing, and every machine asked for goes out and comes back, with never more out than the budget.
+// A fleet in one process: nodes that read the same plan propose in turn, some of them failed or cut off, and every
+// machine of the request goes out and comes back, with never more out than the budget allows.
 func TestFleetTakesEveryMachineThroughItsTurn(t *testing.T) {
-	for _, gone := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
-		t.Run(fmt.Sprint(gone), func(t *testing.T) {
+	for _, failed := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
+		t.Run(fmt.Sprint(failed), func(t *testing.T) {
 			f := newPlanFixture(t)
 			floors := map[string]float64{"a": 3, "b": 3}
 			f.mustApply(request("q", DisruptionBudget{Total: 2, PerSite: 1}, floors, "s0", "s1", "s5", "s7"))
@@ -26,7 +26,7 @@
 					}
 				}
 				for _, node := range f.sessions.LiveNodes() {
-					if slices.Contains(gone, node) && epoch%7 != 0 { // heard from now and then only
+					if slices.Contains(failed, node) && epoch%7 != 0 { // it proposes now and then only
 						continue
 					}
 					state := NodeState{
@@ -42,13 +42,13 @@
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
-						f.apply(c) // the record decides
+						f.apply(c) // the plan decides
 					}
 				}
 				if bad := f.checkLimits(); bad != "" {
 					t.Fatalf("epoch %d: %s", epoch, bad)
 				}
-				for _, x := range f.plan.ListTurns() { // the operators' part
+				for _, x := range f.plan.ListTurns() { // the operator's steps
 					if worked[x.Machine]++; x.State == Quiet || x.State == Out && worked[x.Machine] > 40 || x.State == Returning {
 						next := map[TurnState]TurnState{Quiet: Out, Out: Returning, Returning: Done}[x.State]
 						if err := f.step(x.Machine, next); err != nil {
@@ -62,7 +62,7 @@
 				}
 			}
 			if len(done) != 4 {
-				t.Fatalf("%v came through; the board: %+v, order %v", done, f.plan.ListTurns(), f.plan.Order)
+				t.Fatalf("%v came through; the plan: %+v, order %v", done, f.plan.ListTurns(), f.plan.Order)
 			}
 		})
 	}
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -88,7 +88,7 @@
 	c.replicas[i], c.stops[i] = r, func() { cancel(); <-served }
 }
 
-// stop ends replica i, as a crash would, but with its files whole.
+// stop stops replica i and closes its files.
 func (c *cluster) stop(i int) {
 	if c.replicas[i] == nil {
 		return
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -68,8 +68,9 @@
 	return func() bool { s := a.Status(); return s.Fresh == nodes && s.Nodes == nodes }
 }
 
-// Nodes that ask different replicas read one view, the same bytes under one stamp; a second process under a name ends
-// the first; and when the leader goes the next one's view takes over, in a higher term, with every session in it.
+// Nodes that use different replicas get the same bytes for one version of the view; a second process under a name
+// supersedes the first; and after the leader is stopped the next one publishes views, in a higher term, with every
+// session in them.
 func TestNodesGetTheSameView(t *testing.T) {
 	c := newClusterWith(t, 3, false)
 	var agents []*fleet.Agent
@@ -82,7 +83,7 @@
 	}
 	v, _, _ := agents[0].View()
 	if v.Endpoints[0].ReportingNodes != 3 || v.Endpoints[0].QueueEstimate != 2 || v.Nodes[1].Metrics.Connections != 7 {
-		t.Errorf("the view tells %+v", v)
+		t.Errorf("view %+v", v)
 	}
 
 	texts := map[string]string{}
@@ -104,7 +105,7 @@
 
 	newer, _ := testAgent(t, "n1", "p'", c.http)
 	await(t, "the newer process in the view", allFresh(newer, 3))
-	await(t, "the older one told", func() bool { return agents[1].Status().Superseded })
+	await(t, "the older process to be superseded", func() bool { return agents[1].Status().Superseded })
 
 	before := agents[0].Status().Version
 	for i, r := range c.replicas {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, keeps its form.
+// What is stored, or sent to processes of other versions, has the same form as in earlier versions.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[MemberCommand](t, "memberCommand")
 	goldenfile.RoundTrip[LeaseCommand](t, "leaseCommand")
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -165,7 +165,7 @@
 	if code, text := acquire(lead, "p3"); code != 200 || !strings.Contains(text, `"token":3`) {
 		t.Fatalf("after release: %d %s", code, text)
 	}
-	// The leader goes while p3 holds: the next leader waits a full TTL before p4 may have it.
+	// The leader stops while p3 holds the lease: the next leader waits a full TTL before p4 may have it.
 	c.stop(lead)
 	stopped := time.Now()
 	next := c.leader(t)
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -41,15 +41,15 @@
 	return resp.StatusCode, e.Code
 }
 
-// A machine's whole turn over HTTP on three replicas, each call to another one: asked for by selector, its order
+// A machine's whole turn over HTTP on three replicas, each call to another one: requested by selector, its order
 // settled on the view alone, granted, draining in the list, quiet once both nodes have confirmed, out, listed again,
 // done; and what the rules forbid on the way is refused with its code.
 func TestMaintenanceTurnOverHTTP(t *testing.T) {
 	c := newClusterWith(t, 3, false)
-	asked := 0
+	calls := 0
 	url := func(path string) string {
-		asked++
-		return "http://" + c.http[asked%3] + path
+		calls++
+		return "http://" + c.http[calls%3] + path
 	}
 	expect := func(what string, status int, code string, wantStatus int, wantCode string) {
 		t.Helper()
@@ -65,12 +65,12 @@
 		status, code := callJSON(t, "POST", url("/registry/members"), map[string]any{"member": m}, nil)
 		expect("register", status, code, 200, "")
 	}
-	ask := map[string]any{"id": "q", "select": map[string]any{"site": "a"}, "reason": "kernel", "length_ms": 1000,
+	maintenanceRequest := map[string]any{"id": "q", "select": map[string]any{"site": "a"}, "reason": "kernel", "length_ms": 1000,
 		"budget": map[string]int{"all": 1}, "floor": map[string]float64{"a": 3}}
-	status, code := callJSON(t, "POST", url("/registry/rota/requests"), ask, nil)
+	status, code := callJSON(t, "POST", url("/registry/rota/requests"), maintenanceRequest, nil)
 	expect("a floor that can never be met", status, code, 409, "rota.under-floor")
-	ask["floor"] = map[string]float64{"a": 2}
-	status, code = callJSON(t, "POST", url("/registry/rota/requests"), ask, nil)
+	maintenanceRequest["floor"] = map[string]float64{"a": 2}
+	status, code = callJSON(t, "POST", url("/registry/rota/requests"), maintenanceRequest, nil)
 	expect("the request", status, code, 200, "")
 	step := func(id string, to maintenance.TurnState, rev int64) (int, string) {
 		body := maintenance.Command{Target: to, Revision: rev}
@@ -93,7 +93,7 @@
 		status, _ := callJSON(t, "POST", url("/registry/rota/settle"), a.Status().Version, nil)
 		return status == 200
 	})
-	// The nodes tell of s-1 alone (testAgent): what nobody tells of goes behind it.
+	// The nodes report s-1 alone (testAgent): machines without a report follow it.
 	if read(); len(s.Order) != 3 || s.Order[0] != "s-1" {
 		t.Fatalf("order %v", s.Order)
 	}
@@ -138,11 +138,11 @@
 	status, code = step(id, maintenance.Done, read()[id].Revision)
 	expect("done", status, code, 200, "")
 	if _, ok := read()[id]; ok {
-		t.Error("a turn that is done is kept")
+		t.Error("a turn that is done is still there")
 	}
 	status, code = callJSON(t, "DELETE", url("/registry/rota/requests/q"), nil, nil)
 	expect("withdraw", status, code, 200, "")
 	if read(); len(s.Turns) != 0 {
-		t.Errorf("left: %+v", s.Turns)
+		t.Errorf("turns after the withdrawal: %+v", s.Turns)
 	}
 }
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -10,9 +10,8 @@
 	"time"
 )
 
-// Calls that a replica has taken when it is told to end get their answers: closing the server cut them off, as the end
-// of a node did with requests (docs/incidents/2026-12-03-upgrade.md). Whoever wrote would not know whether that was
-// done.
+// Calls that are in flight when a replica shuts down are answered, so that a writer knows whether its write was applied
+// (docs/incidents/2026-12-03-upgrade.md).
 func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
@@ -36,7 +35,7 @@
 }
 
 // Writes sent to a follower are forwarded and acknowledged once applied; every acknowledged write is there after
-// the leader is stopped, the revision goes on from where it was, and bad input changes nothing.
+// the leader is stopped, the revision continues, and bad input changes nothing.
 func TestAcknowledgedWritesSurviveTheLeader(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -67,7 +67,7 @@
 	return acknowledged
 }
 
-// holds tells whether a replica serves a list that has all of these members.
+// holds reports whether a replica serves a list that has all of these members.
 func (c *cluster) holds(t *testing.T, i int, ids []string) bool {
 	t.Helper()
 	code, text := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A snapshot that this program cannot take in whole is refused, and what was there stays.
+// A snapshot that this program cannot read completely is refused, and the state stays as it was.
 func TestSnapshotThatLosesRecordsIsRefused(t *testing.T) {
 	for name, text := range map[string]string{
 		"newer":        `{"version":2,"revision":9,"machines":{}}`,
