--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -13,14 +13,6 @@
 	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; by an operator alone
 )
 
-// TurnActions are the operations on one turn by the name that they have in the path of a call.
-var TurnActions = map[string]statemachine.Operation{
-	"step":    OpAdvanceTurn,
-	"confirm": OpConfirmDrained,
-	"overdue": OpMarkOverdue,
-	"free":    OpFreeOverdue,
-}
-
 // Command is a write of the plan.
 type Command struct {
 	Op       statemachine.Operation `json:"op"`
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"net/url"
-	"strings"
 	"time"
 
 	"hitchvale/internal/fleet"
@@ -37,7 +35,7 @@
 	ctx, cancel := context.WithTimeout(ctx, turnWithin)
 	defer cancel()
 	var b maintenance.PlanView
-	if err := t.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &b); err != nil {
+	if err := t.client.Call(ctx, http.MethodGet, maintenance.PlanPath, nil, &b); err != nil {
 		t.n.log.Warn("rota not read", "error", err)
 		return
 	}
@@ -83,11 +81,8 @@
 
 // propose makes one proposal; the record decides.
 func (t *turns) propose(ctx context.Context, c maintenance.Command) error {
-	switch c.Op {
-	case maintenance.OpSettleOrder:
-		return t.client.Call(ctx, http.MethodPost, "/registry/rota/settle", c.View, nil)
-	default:
-		path := "/registry/rota/machines/" + url.PathEscape(c.Machine) + "/" + strings.TrimPrefix(string(c.Op), "rota-")
-		return t.client.Call(ctx, http.MethodPost, path, c, nil)
+	if c.Op == maintenance.OpSettleOrder {
+		return t.client.Call(ctx, http.MethodPost, c.Path(), c.View, nil)
 	}
+	return t.client.Call(ctx, http.MethodPost, c.Path(), c, nil)
 }
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -11,13 +11,14 @@
 )
 
 func (r *Replica) routeMaintenance(mux *http.ServeMux) {
-	mux.HandleFunc("GET /registry/rota", r.leaderOnly(r.serveMaintenance))
-	mux.HandleFunc("POST /registry/rota/requests",
+	mux.HandleFunc("GET "+maintenance.PlanPath, r.leaderOnly(r.serveMaintenance))
+	mux.HandleFunc("POST "+maintenance.RequestsPath,
 		r.writeHandler(r.decodeMaintenanceRequest, newMaintenanceRequestResponse))
-	mux.HandleFunc("DELETE /registry/rota/requests/{id}", r.writeHandler(decodeWithdrawRequest, newRevisionResponse))
-	mux.HandleFunc("POST /registry/rota/settle", r.writeHandler(r.decodeSettleOrder, newOrderResponse))
+	mux.HandleFunc("DELETE "+maintenance.RequestsPath+"/{id}",
+		r.writeHandler(decodeWithdrawRequest, newRevisionResponse))
+	mux.HandleFunc("POST "+maintenance.SettlePath, r.writeHandler(r.decodeSettleOrder, newOrderResponse))
 	for action, operation := range maintenance.TurnActions {
-		mux.HandleFunc("POST /registry/rota/machines/{id}/"+action,
+		mux.HandleFunc("POST "+maintenance.TurnsPath+"/{id}/"+action,
 			r.writeHandler(turnDecoder(operation), newTurnResponse))
 	}
 }
