--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A process whose session was opened again while the answer was lost, and expired before it heard of it, goes on under
+// A process whose session was opened while the answer was lost, and expired before it learned of it, continues under
 // its name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
 func TestOwnSessionWithLostAnswerDoesNotSupersede(t *testing.T) {
 	for _, by := range []string{"p", "q"} {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -365,8 +365,8 @@
 	return broken, timeline
 }
 
-// settled checks what must hold once faults have been over for long: each name is held by one live process, the others
-// of it were told so and have ended, and its report is fresh.
+// checkConverged checks what must hold once faults have been over for long: each name is held by one live process, the others
+// of it are superseded and have ended, and its report is fresh.
 func (w *registryModel) checkConverged(processes map[string][]*process) {
 	fresh := map[string]bool{}
 	for _, n := range w.view.Nodes {
@@ -422,7 +422,7 @@
 	}
 }
 
-// A fleet of the full size keeps the same rules.
+// A fleet of the full size holds the same invariants.
 func TestViewInvariantsAtFullSize(t *testing.T) {
 	for seed := range uint64(1) {
 		if broken, timeline := playModel(t, seed, 300, false); len(broken) > 0 {
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -184,9 +184,9 @@
 	if got := f.plan.TurnsToRecall(); !slices.Equal(got, []string{"s1"}) {
 		t.Errorf("to be called back: %v", got)
 	}
-	board := PlanView{Order: f.plan.Order, Turns: f.plan.ListTurns(), ToRecall: f.plan.TurnsToRecall()}
+	view := PlanView{Order: f.plan.Order, Turns: f.plan.ListTurns(), ToRecall: f.plan.TurnsToRecall()}
 	node := NodeState{Node: "n0", Incarnation: 1, FreshNodes: []string{"n0"}, View: ViewVersion{1, 9}}
-	for _, c := range Propose(board, node) {
+	for _, c := range Propose(view, node) {
 		if c.Machine == "s1" {
 			wantError(t, "the one that drains is called back", f.apply(c), nil)
 		}
@@ -201,7 +201,7 @@
 	f.inventory.SetDraining("s3", false, 0)
 	wantError(t, "it comes back", errors.Join(f.step("s0", Returning), f.step("s0", Done)), nil)
 	f.settle(map[string]float64{"s1": 1, "s2": 2})
-	wantError(t, "then the one called back goes again", f.step("s1", Granted), nil)
+	wantError(t, "then the one recalled goes again", f.step("s1", Granted), nil)
 }
 
 func TestOverdueMachineOccupiesItsSlot(t *testing.T) {
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -17,8 +17,8 @@
 			seen, at := map[string]int{}, map[string]int64{}
 			done, worked := map[string]bool{}, map[string]int{}
 			for epoch := uint64(1); epoch < 400 && len(done) < 4; epoch++ {
-				board := PlanView{SettledView: f.plan.SettledView, Order: slices.Clone(f.plan.Order), Turns: f.plan.ListTurns()}
-				for _, x := range board.Turns {
+				view := PlanView{SettledView: f.plan.SettledView, Order: slices.Clone(f.plan.Order), Turns: f.plan.ListTurns()}
+				for _, x := range view.Turns {
 					if at[x.Machine] == x.Revision {
 						seen[x.Machine]++
 					} else {
@@ -38,7 +38,7 @@
 						InFlight:       map[string]int{},
 						ViewsUnchanged: seen,
 					}
-					for _, c := range Propose(board, state) {
+					for _, c := range Propose(view, state) {
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -95,11 +95,11 @@
 			}
 			text, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			stamp := resp.Header.Get(viewHeader)
-			if was, ok := texts[stamp]; resp.StatusCode != 200 || ok && was != string(text) {
-				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, stamp, was, text)
+			version := resp.Header.Get(viewHeader)
+			if was, ok := texts[version]; resp.StatusCode != 200 || ok && was != string(text) {
+				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, version, was, text)
 			}
-			texts[stamp] = string(text)
+			texts[version] = string(text)
 		}
 	}
 
@@ -120,7 +120,7 @@
 	})
 }
 
-// A process that stops reporting loses its session with its TTL, and the calls tell what is wrong with a code and a
+// A process that stops reporting loses its session with its TTL, and calls answer with a code, what is wrong and a
 // remedy.
 func TestSessionsExpireAndErrorsCarryRemedies(t *testing.T) {
 	c := newClusterWith(t, 1, false)
@@ -167,7 +167,7 @@
 	}
 }
 
-// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and tells
+// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and reports
 // the leader process's share of a core (all three replicas and the 300 nodes run in this process, so it is an upper
 // bound), the time from a view's epoch to its arrival at p99, and the bytes of a view.
 func BenchmarkFleetView(b *testing.B) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// timedRegistry tells how long after its epoch each view comes.
+// timedRegistry measures how long after its epoch each view arrives.
 type timedRegistry struct {
 	*fleet.Client
 	replicas []*Replica
@@ -238,7 +238,7 @@
 	return v, came, err
 }
 
-// sampleReport is a report as a node of the full fleet makes it: it keeps to some twenty backends.
+// sampleReport is a report as a node of the full fleet makes it, whose subset has some twenty endpoints.
 func sampleReport() fleet.Report {
 	r := fleet.Report{Metrics: fleet.LoadMetrics{
 		Connections:       123,
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -90,7 +90,7 @@
 	wg.Wait()
 }
 
-// do makes one call; ok false for a read that no leader served (it tells nothing of order).
+// callRegister makes one call; it returns false for a read that no leader served, which says nothing of the order.
 func callRegister(addr string, in registerInput) (porcupine.Operation, bool) {
 	client := &http.Client{Timeout: time.Second}
 	op := porcupine.Operation{Input: in, Call: time.Now().UnixNano()}
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -10,7 +10,7 @@
 	"hitchvale/internal/maintenance"
 )
 
-// rotaState is what GET /registry/rota answers.
+// planAnswer is the answer to GET /registry/rota.
 type planAnswer struct {
 	Revision int64
 	Order    []string
@@ -41,7 +41,7 @@
 	return resp.StatusCode, e.Code
 }
 
-// A machine's whole turn over HTTP on three replicas, each call to another one: requested by selector, its order
+// A machine's complete turn over HTTP on three replicas, each call to another one: requested by selector, its order
 // settled on the view alone, granted, draining in the list, quiet once both nodes have confirmed, out, listed again,
 // done; and what the rules forbid on the way is refused with its code.
 func TestMaintenanceTurnOverHTTP(t *testing.T) {
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// A replica that can't write keeps out of the way: it never serves a list that it can't keep up to date, and says why;
+// A replica that can't write never serves a list that it can't bring up to date, and says why;
 // the others go on, and it comes back by itself.
 func TestReplicaWithFailedDiskServesNoStaleList(t *testing.T) {
 	c := newCluster(t, 3)
