--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A process whose session was opened again while the answer was lost, and expired before it heard of it, goes on under
+// A process whose session was opened while the answer was lost, and expired before it learned of it, continues under
 // its name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
 func TestOwnSessionWithLostAnswerDoesNotSupersede(t *testing.T) {
 	for _, by := range []string{"p", "q"} {
@@ -22,7 +22,11 @@
 				t.Fatal(a.incarnation, err)
 			}
 			s := session("n", "p", 1)
-			for _, c := range []SessionCommand{{"session-expire", s}, {"session-open", session("n", by, 2)}, {"session-expire", session("n", by, 2)}} {
+			for _, c := range []SessionCommand{
+				{"session-expire", s},
+				{"session-open", session("n", by, 2)},
+				{"session-expire", session("n", by, 2)},
+			} {
 				if _, err := w.apply(c.Op, c.Session); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -13,7 +13,8 @@
 	t.Helper()
 	s := NewSessionStore()
 	for i := range n {
-		if _, err := s.Apply(&SessionCommand{"session-open", session(fmt.Sprintf("n%03d", i), "p", 1)}, int64(i+1)); err != nil {
+		c := &SessionCommand{"session-open", session(fmt.Sprintf("n%03d", i), "p", 1)}
+		if _, err := s.Apply(c, int64(i+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -67,19 +68,29 @@
 }
 
 // The view depends on what was reported and not on the order in which it came, bit for bit; backends are seen by the
-// fresh reports alone, and one sick node's word does not move them.
+// fresh reports alone, and one faulty node does not move them.
 func TestViewIsIndependentOfReportOrder(t *testing.T) {
 	s := openSessions(t, 9)
 	compile := func(seed uint64) []byte {
 		c := NewCollector(1, time.Second)
 		c.Compile(s, 1, 0)
 		for _, i := range rand.New(rand.NewPCG(seed, 0)).Perm(9) {
-			r := ReportRequest{Report: Report{Node: fmt.Sprintf("n%03d", i), Incarnation: 1, Sequence: 1, Metrics: LoadMetrics{Connections: float64(i)}},
-				LastView: ViewVersion{1, 1}}
+			report := Report{
+				Node:        fmt.Sprintf("n%03d", i),
+				Incarnation: 1,
+				Sequence:    1,
+				Metrics:     LoadMetrics{Connections: float64(i)},
+			}
+			r := ReportRequest{Report: report, LastView: ViewVersion{1, 1}}
 			for j := range 3 {
-				r.Endpoints = append(r.Endpoints, EndpointLoad{ID: fmt.Sprint("s", j), QueueEstimate: 0.1 * float64(i+j), Outstanding: 0.1 * float64(i), FailureRate: 0.01})
+				r.Endpoints = append(r.Endpoints, EndpointLoad{
+					ID:            fmt.Sprint("s", j),
+					QueueEstimate: 0.1 * float64(i+j),
+					Outstanding:   0.1 * float64(i),
+					FailureRate:   0.01,
+				})
 			}
-			if i == 8 { // a liar
+			if i == 8 { // a faulty node
 				r.Endpoints[0] = EndpointLoad{ID: "s0", QueueEstimate: 1e9, FailureRate: 1}
 			}
 			if i == 7 {
@@ -106,6 +117,6 @@
 		t.Fatal(err)
 	}
 	if b := v.Endpoints[0]; b.ReportingNodes != 8 || b.QueueEstimate > 0.5 || b.FailureRate != 0.01 {
-		t.Errorf("a sick node's word counts: %+v", b)
+		t.Errorf("a faulty node moved the median: %+v", b)
 	}
 }
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -90,7 +90,7 @@
 	wg.Wait()
 }
 
-// do makes one call; ok false for a read that no leader served (it tells nothing of order).
+// callRegister makes one call; it returns false for a read that no leader served, which says nothing of the order.
 func callRegister(addr string, in registerInput) (porcupine.Operation, bool) {
 	client := &http.Client{Timeout: time.Second}
 	op := porcupine.Operation{Input: in, Call: time.Now().UnixNano()}
@@ -112,7 +112,8 @@
 	}
 	defer resp.Body.Close()
 	var l MemberList
-	if resp.StatusCode != http.StatusOK || resp.Header.Get(roleHeader) != "leader" || json.NewDecoder(resp.Body).Decode(&l) != nil {
+	if resp.StatusCode != http.StatusOK || resp.Header.Get(roleHeader) != "leader" ||
+		json.NewDecoder(resp.Body).Decode(&l) != nil {
 		return op, false
 	}
 	op.Return, op.Output = time.Now().UnixNano(), ""
