--- a/balance/request.go
+++ b/balance/request.go
@@ -8,6 +8,9 @@
 // request is one client request that this node has taken. Its life: it arrives, may wait for health checks, is placed
 // (forwarded, rejected or failed), and after each attempt that fails is placed again. It is finished with its final
 // answer, and forgotten once its last attempt has ended too.
+//
+// Invariants: pendingAttempts counts the pending attempts; Balancer.requests has each request that is not finished or
+// has a pending attempt.
 type request struct {
 	id                string
 	class             *Class
@@ -28,13 +31,13 @@
 // attempt is one forwarding of a request to an endpoint.
 type attempt struct {
 	endpoint          *endpointState
-	sentAt            time.Duration // for an incomplete request: when its last byte had gone
+	sentAt            time.Duration // for an incomplete request: when its last byte had been sent
 	queueAtSend       float64       // the endpoint's queue estimate then
 	waitAtSendSeconds float64       // and the time that it took to clear
 	pending           bool
 	mayHaveRun        bool // it may have run, or may still run
 	lost              bool // it must be lost, and does not count as in flight
-	incomplete        bool // its last byte has not gone, and it does not count as in flight yet
+	incomplete        bool // its last byte has not been sent, and it does not count as in flight yet
 }
 
 func (r *request) lastAttempt() *attempt { return &r.attempts[len(r.attempts)-1] }
@@ -132,9 +135,9 @@
 	}
 }
 
-// onRequestWritten starts the time of an incomplete request: its last byte has gone. Endpoints start a request when its
-// last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing about the
-// endpoint.
+// onRequestWritten starts the time of an incomplete request: its last byte has been sent. Endpoints start a request
+// when its last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing
+// about the endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
@@ -216,11 +219,11 @@
 	if r.finished {
 		return
 	}
-	kind := Fail
 	if b.rejectAllowed(r) {
-		kind = Reject
+		b.emit(Action{Kind: Reject, Request: r.id, RetryAfter: b.retryAfter()})
+	} else {
+		b.emit(Action{Kind: Fail, Request: r.id})
 	}
-	b.emit(Action{Kind: kind, Request: r.id, RetryAfter: b.retryAfter()})
 	b.finish(r)
 }
 
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"net/url"
-	"strings"
 	"time"
 
 	"hitchvale/internal/fleet"
@@ -43,7 +41,7 @@
 	ctx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
 	var plan maintenance.PlanView
-	if err := d.client.Call(ctx, http.MethodGet, "/registry/rota", nil, &plan); err != nil {
+	if err := d.client.Call(ctx, http.MethodGet, maintenance.PlanPath, nil, &plan); err != nil {
 		d.node.log.Warn("maintenance plan not read", "error", err)
 		return
 	}
@@ -103,9 +101,7 @@
 // submit sends a command to the registry, which accepts or rejects it.
 func (d *maintenanceDriver) submit(ctx context.Context, command maintenance.Command) error {
 	if command.Op == maintenance.OpSettleOrder {
-		return d.client.Call(ctx, http.MethodPost, "/registry/rota/settle", command.View, nil)
+		return d.client.Call(ctx, http.MethodPost, command.Path(), command.View, nil)
 	}
-	step := strings.TrimPrefix(string(command.Op), "rota-")
-	path := "/registry/rota/machines/" + url.PathEscape(command.Machine) + "/" + step
-	return d.client.Call(ctx, http.MethodPost, path, command, nil)
+	return d.client.Call(ctx, http.MethodPost, command.Path(), command, nil)
 }
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -25,14 +25,24 @@
 	return &fleet.Client{Replicas: addrs, HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-// node is an agent over HTTP for a test, ended with it.
+// testAgent starts a node's agent over HTTP that ends with the test.
 func testAgent(t testing.TB, name, process string, addrs []string) (*fleet.Agent, <-chan error) {
 	t.Helper()
 	c := fleetClient(addrs...)
-	a := fleet.NewAgent(fleet.AgentConfig{Node: name, Site: "a", Address: "127.0.0.1:1", Interval: fleetInterval, TTL: 2 * time.Second}, process, c,
-		func() fleet.Report {
-			return fleet.Report{Metrics: fleet.LoadMetrics{Connections: 7, DescriptorLimit: 64}, Endpoints: []fleet.EndpointLoad{{ID: "s-1", QueueEstimate: 2}}}
-		}, slog.New(slog.DiscardHandler))
+	cfg := fleet.AgentConfig{
+		Node:     name,
+		Site:     "a",
+		Address:  "127.0.0.1:1",
+		Interval: fleetInterval,
+		TTL:      2 * time.Second,
+	}
+	report := func() fleet.Report {
+		return fleet.Report{
+			Metrics:   fleet.LoadMetrics{Connections: 7, DescriptorLimit: 64},
+			Endpoints: []fleet.EndpointLoad{{ID: "s-1", QueueEstimate: 2}},
+		}
+	}
+	a := fleet.NewAgent(cfg, process, c, report, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, done := make(chan error, 1), make(chan struct{})
 	go func() { ended <- a.Run(ctx); close(done) }()
@@ -58,8 +68,9 @@
 	return func() bool { s := a.Status(); return s.Fresh == nodes && s.Nodes == nodes }
 }
 
-// Nodes that ask different replicas read one view, the same bytes under one stamp; a second process under a name ends
-// the first; and when the leader goes the next one's view takes over, in a higher term, with every session in it.
+// Nodes that use different replicas get the same bytes for one version of the view; a second process under a name
+// supersedes the first; and after the leader is stopped the next one publishes views, in a higher term, with every
+// session in them.
 func TestNodesGetTheSameView(t *testing.T) {
 	c := newClusterWith(t, 3, false)
 	var agents []*fleet.Agent
@@ -72,7 +83,7 @@
 	}
 	v, _, _ := agents[0].View()
 	if v.Endpoints[0].ReportingNodes != 3 || v.Endpoints[0].QueueEstimate != 2 || v.Nodes[1].Metrics.Connections != 7 {
-		t.Errorf("the view tells %+v", v)
+		t.Errorf("view %+v", v)
 	}
 
 	texts := map[string]string{}
@@ -84,17 +95,17 @@
 			}
 			text, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			stamp := resp.Header.Get(viewHeader)
-			if was, ok := texts[stamp]; resp.StatusCode != 200 || ok && was != string(text) {
-				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, stamp, was, text)
+			version := resp.Header.Get(viewHeader)
+			if was, ok := texts[version]; resp.StatusCode != 200 || ok && was != string(text) {
+				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, version, was, text)
 			}
-			texts[stamp] = string(text)
+			texts[version] = string(text)
 		}
 	}
 
 	newer, _ := testAgent(t, "n1", "p'", c.http)
 	await(t, "the newer process in the view", allFresh(newer, 3))
-	await(t, "the older one told", func() bool { return agents[1].Status().Superseded })
+	await(t, "the older process to be superseded", func() bool { return agents[1].Status().Superseded })
 
 	before := agents[0].Status().Version
 	for i, r := range c.replicas {
@@ -109,7 +120,7 @@
 	})
 }
 
-// A process that stops reporting loses its session with its TTL, and the calls tell what is wrong with a code and a
+// A process that stops reporting loses its session with its TTL, and calls answer with a code, what is wrong and a
 // remedy.
 func TestSessionsExpireAndErrorsCarryRemedies(t *testing.T) {
 	c := newClusterWith(t, 1, false)
@@ -132,7 +143,8 @@
 		h, err := client.SessionStatus(ctx, "n1")
 		return err == nil && h.Session == nil && h.LastIncarnation == 1
 	})
-	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}}, 0)
+	report := fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}
+	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: report}, 0)
 	if !errors.Is(err, fleet.ErrSessionNotFound) {
 		t.Errorf("a report without a session: %v", err)
 	}
@@ -141,7 +153,8 @@
 		`{"node":"n1","process":"p","incarnation":9,"address":"127.0.0.1:1","ttl_ms":1000}`: "fleet.malformed",
 		`{"nod":"n1"}`: "registry.malformed",
 	} {
-		resp, err := http.Post("http://"+c.http[0]+"/registry/fleet/sessions", "application/json", bytes.NewBufferString(body))
+		url := "http://" + c.http[0] + "/registry/fleet/sessions"
+		resp, err := http.Post(url, "application/json", bytes.NewBufferString(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +167,7 @@
 	}
 }
 
-// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and tells
+// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and reports
 // the leader process's share of a core (all three replicas and the 300 nodes run in this process, so it is an upper
 // bound), the time from a view's epoch to its arrival at p99, and the bytes of a view.
 func BenchmarkFleetView(b *testing.B) {
@@ -173,8 +186,9 @@
 				late = append(late, d.Seconds()*1000)
 				mu.Unlock()
 			}, replicas: c.replicas}
-			a := fleet.NewAgent(fleet.AgentConfig{Node: fmt.Sprintf("n%03d", i), Site: "a", Address: "127.0.0.1:1", Interval: time.Second},
-				"p", timed, sampleReport, slog.New(slog.DiscardHandler))
+			name := fmt.Sprintf("n%03d", i)
+			cfg := fleet.AgentConfig{Node: name, Site: "a", Address: "127.0.0.1:1", Interval: time.Second}
+			a := fleet.NewAgent(cfg, "p", timed, sampleReport, slog.New(slog.DiscardHandler))
 			wg.Go(func() { a.Run(ctx) })
 		}
 		time.Sleep(3 * time.Second) // sessions
@@ -203,14 +217,15 @@
 	}
 }
 
-// timedRegistry tells how long after its epoch each view comes.
+// timedRegistry measures how long after its epoch each view arrives.
 type timedRegistry struct {
 	*fleet.Client
 	replicas []*Replica
 	took     func(time.Duration)
 }
 
-func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (fleet.View, bool, error) {
+func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (
+	fleet.View, bool, error) {
 	v, came, err := t.Client.SendReport(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
@@ -223,11 +238,23 @@
 	return v, came, err
 }
 
-// sampleReport is a report as a node of the full fleet makes it: it keeps to some twenty backends.
+// sampleReport is a report as a node of the full fleet makes it, whose subset has some twenty endpoints.
 func sampleReport() fleet.Report {
-	r := fleet.Report{Metrics: fleet.LoadMetrics{Connections: 123, Descriptors: 150, DescriptorLimit: 512, CPUFraction: 0.31, InFlight: 12, RejectedPerSecond: 0.2}}
+	r := fleet.Report{Metrics: fleet.LoadMetrics{
+		Connections:       123,
+		Descriptors:       150,
+		DescriptorLimit:   512,
+		CPUFraction:       0.31,
+		InFlight:          12,
+		RejectedPerSecond: 0.2,
+	}}
 	for i := range 20 {
-		r.Endpoints = append(r.Endpoints, fleet.EndpointLoad{ID: fmt.Sprintf("s-%08x", i*2654435761), QueueEstimate: 1.234, Outstanding: 2, FailureRate: 0.01})
+		r.Endpoints = append(r.Endpoints, fleet.EndpointLoad{
+			ID:            fmt.Sprintf("s-%08x", i*2654435761),
+			QueueEstimate: 1.234,
+			Outstanding:   2,
+			FailureRate:   0.01,
+		})
 	}
 	for i := range 8 {
 		h := fleet.WeightedKey{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -67,7 +67,7 @@
 	return acknowledged
 }
 
-// holds tells whether a replica serves a list that has all of these members.
+// holds reports whether a replica serves a list that has all of these members.
 func (c *cluster) holds(t *testing.T, i int, ids []string) bool {
 	t.Helper()
 	code, text := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
@@ -108,7 +108,7 @@
 	}
 }
 
-// A replica that can't write keeps out of the way: it never serves a list that it can't keep up to date, and says why;
+// A replica that can't write never serves a list that it can't bring up to date, and says why;
 // the others go on, and it comes back by itself.
 func TestReplicaWithFailedDiskServesNoStaleList(t *testing.T) {
 	c := newCluster(t, 3)
@@ -126,7 +126,8 @@
 				return code == http.StatusServiceUnavailable && strings.Contains(text, "registry.disk")
 			})
 			for range 20 {
-				if code, _ := call(t, "GET", "http://"+c.http[i]+"/registry/instances", ""); code == http.StatusOK && !c.holds(t, i, acknowledged) {
+				code, _ := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
+				if code == http.StatusOK && !c.holds(t, i, acknowledged) {
 					t.Fatal("a stale list was served")
 				}
 				time.Sleep(10 * time.Millisecond)
