--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -136,7 +136,7 @@
 func TestHeldConnectionsGiveWay(t *testing.T) {
 	addr := start(t, &fakeNode{ready: true})
 	var held []net.Conn
-	for i := range 4 * Conns {
+	for i := range 4 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
