--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -151,6 +151,27 @@
 	wantError(t, "a skipped state", f.step("s1", Out), ErrInvalidTransition)
 }
 
+// A plan that was restored from a snapshot, taken while a machine drained and no node had confirmed, takes confirmations.
+func TestConfirmationAfterRestore(t *testing.T) {
+	f := newPlanFixture(t)
+	f.mustApply(request("q", DisruptionBudget{}, nil, "s0"))
+	f.advanceTo("s0", Draining)
+	snapshot, err := f.plan.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := f.plan.Decode(snapshot, f.revision); err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if r := recover(); r != nil {
+			t.Errorf("the confirmation panicked: %v", r)
+		}
+	}()
+	f.confirmAll("s0")
+	wantError(t, "quiet once all have confirmed", f.step("s0", Quiet), nil)
+}
+
 func TestQuietNeedsEveryLiveNode(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("q", DisruptionBudget{}, nil, "s0"))
