--- a/internal/maintenance/confirmation.go
+++ b/internal/maintenance/confirmation.go
@@ -21,6 +21,9 @@
 	if t.ConfirmedBy[c.Node] == c.Incarnation {
 		return statemachine.Outcome{Unchanged: true}, nil
 	}
+	if t.ConfirmedBy == nil { // a snapshot has no empty map
+		t.ConfirmedBy = map[string]uint64{}
+	}
 	t.ConfirmedBy[c.Node] = c.Incarnation
 	return statemachine.Outcome{}, nil
 }
