--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -45,51 +45,78 @@
 	}
 }
 
+// check asserts the rules on one action, and notes what it begins or ends.
 func (w *world) check(a Action) {
-	t := w.t
-	t.Helper()
-	r := w.requests[a.Request]
+	w.t.Helper()
 	switch a.Kind {
 	case SetTimer:
 		w.timers, w.due = append(w.timers, a), append(w.due, w.now+a.Delay)
 	case Forward:
-		m, known := w.list[a.Endpoint]
-		if !known || m.Phase != Ready {
-			t.Fatalf("sent to %d, which is not ready", a.Endpoint)
-		}
-		if r == nil || r.finished {
-			t.Fatal("sent for a request that is over")
-		}
-		if a.Attempt != len(r.attempts) || a.Attempt >= w.cfg.Limits.MaxAttempts {
-			t.Fatalf("attempt %d after %d", a.Attempt, len(r.attempts))
-		}
-		for _, s := range r.attempts {
-			if s.pending && !w.cfg.Limits.HedgedRequests {
-				t.Fatal("two attempts at once")
-			}
-			if !s.mayHaveRun || r.class.Repeatability == Idempotent {
-				continue
-			}
-			if r.class.Repeatability == NonIdempotent {
-				t.Fatal("an unsafe request that may have run was sent again")
-			}
-			if w.now-s.sentAt >= r.class.KeyWindow || r.class.KeyScope == KeyScopeZone && m.Zone != s.endpoint.Zone ||
-				r.class.KeyScope == KeyScopeCell && m.Cell != s.endpoint.Cell {
-				t.Fatal("a keyed request was sent outside its window or group")
-			}
-		}
-		s := trackedAttempt{a.Request, a.Attempt, m, w.now, true, true}
-		r.attempts, w.pending = append(r.attempts, s), append(w.pending, s)
+		w.checkForward(a)
 	case Reject, Fail:
-		if r == nil || r.finished {
-			t.Fatal("answered twice")
+		w.checkFinalAnswer(a)
+	}
+}
+
+func (w *world) checkForward(a Action) {
+	w.t.Helper()
+	endpoint, known := w.list[a.Endpoint]
+	if !known || endpoint.Phase != Ready {
+		w.t.Fatalf("forwarded to %d, which is not ready", a.Endpoint)
+	}
+	r := w.requests[a.Request]
+	if r == nil || r.finished {
+		w.t.Fatal("forwarded for a request that is over")
+	}
+	if a.Attempt != len(r.attempts) || a.Attempt >= w.cfg.Limits.MaxAttempts {
+		w.t.Fatalf("attempt %d after %d", a.Attempt, len(r.attempts))
+	}
+	for _, earlier := range r.attempts {
+		if earlier.pending && !w.cfg.Limits.HedgedRequests {
+			w.t.Fatal("two attempts at once")
 		}
-		r.finished = true
-		for _, s := range r.attempts {
-			if a.Kind == Reject && s.mayHaveRun && r.class.Repeatability != Idempotent &&
-				(r.class.Repeatability == NonIdempotent || r.class.KeyScope != KeyScopeAll) {
-				t.Fatal("rejected though it may have run")
-			}
+		if earlier.mayHaveRun {
+			w.checkRepeat(r.class, &earlier, endpoint)
+		}
+	}
+	next := trackedAttempt{
+		request:    a.Request,
+		attempt:    a.Attempt,
+		endpoint:   endpoint,
+		sentAt:     w.now,
+		mayHaveRun: true,
+		pending:    true,
+	}
+	r.attempts, w.pending = append(r.attempts, next), append(w.pending, next)
+}
+
+// checkRepeat asserts that a request may go to an endpoint after an attempt that may have run.
+func (w *world) checkRepeat(class *Class, earlier *trackedAttempt, endpoint Endpoint) {
+	w.t.Helper()
+	if class.Repeatability == Idempotent {
+		return
+	}
+	if class.Repeatability == NonIdempotent {
+		w.t.Fatal("a non-idempotent request that may have run was forwarded again")
+	}
+	if w.now-earlier.sentAt >= class.KeyWindow ||
+		class.KeyScope == KeyScopeZone && endpoint.Zone != earlier.endpoint.Zone ||
+		class.KeyScope == KeyScopeCell && endpoint.Cell != earlier.endpoint.Cell {
+		w.t.Fatal("a keyed request was forwarded outside its window or scope")
+	}
+}
+
+func (w *world) checkFinalAnswer(a Action) {
+	w.t.Helper()
+	r := w.requests[a.Request]
+	if r == nil || r.finished {
+		w.t.Fatal("answered twice")
+	}
+	r.finished = true
+	for _, earlier := range r.attempts {
+		if a.Kind == Reject && earlier.mayHaveRun && r.class.Repeatability != Idempotent &&
+			(r.class.Repeatability == NonIdempotent || r.class.KeyScope != KeyScopeAll) {
+			w.t.Fatal("rejected though it may have run")
 		}
 	}
 }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -66,7 +66,7 @@
 			}
 		}
 		if counted != 4 {
-			t.Errorf("node %d keeps to %d endpoints that are no outliers", node, counted)
+			t.Errorf("node %d uses %d endpoints that are no outliers", node, counted)
 		}
 	}
 	for _, m := range members {
