--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -148,10 +148,10 @@
 	p.t.Fatalf("the node ended without logging %q: %v", text, p.Wait())
 }
 
-// leaves waits for the exit of a node that has got SIGTERM.
-func (p *process) leaves() {
+// awaitEnd waits for the exit of a node that has got SIGTERM.
+func (p *process) awaitEnd() {
 	p.t.Helper()
-	p.awaitLine("left")
+	p.awaitLine("shut down")
 	for p.logged.Scan() {
 	}
 	if err := p.Wait(); err != nil {
@@ -174,7 +174,7 @@
 	p.awaitLine("configuration replaced")
 	<-askedAfter
 	p.Process.Signal(syscall.SIGTERM)
-	p.leaves()
+	p.awaitEnd()
 }
 
 // A configuration that can't be read at SIGHUP is read again until it can be: 4 s after the signal the new discovery's
@@ -196,7 +196,7 @@
 		t.Error("discovery was not asked where it is now")
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	p.leaves()
+	p.awaitEnd()
 }
 
 // A draining node still forwards requests, so it follows a discovery that moves.
@@ -206,12 +206,12 @@
 	p := startProcess(t, before)
 	<-askedBefore
 	p.Process.Signal(syscall.SIGTERM)
-	p.awaitLine("leaving")
+	p.awaitLine("shutting down")
 	p.configure(after)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration replaced")
 	<-askedAfter
-	p.leaves()
+	p.awaitEnd()
 }
 
 // answers reports whether the node answers a request: it has no backend, so it rejects it.
--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -23,7 +23,6 @@
 var unfinishedPackages = map[string]bool{
 	"cmd/hitchvale-node":  true,
 	"internal/admin":      true,
-	"internal/discovery":  true,
 	"internal/node":       true,
 	"internal/siteconfig": true,
 	"internal/tomlfile":   true,
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -101,7 +101,7 @@
 		resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	time.Sleep(acceptPeriod + 4*clearFor)
+	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	failing.Store(false)
 	if status := receive(t, "the answer", answered); status != http.StatusOK {
 		t.Errorf("answered %d", status)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if number > 0 {
-		l.figures.retries.Add(1)
+		l.counters.retries.Add(1)
 	}
 	if action.StartWithin > 0 {
 		a.call.startBy = time.Now().Add(action.StartWithin)
@@ -75,7 +75,7 @@
 	a.status = res.status
 	l.guard.checkStart(r, a, l.firstByteAt(a))
 	l.statistics.attempts[res.status]++
-	l.figures.attempts[res.status].Add(1)
+	l.counters.attempts[res.status].Add(1)
 	if res.status == balance.StatusSucceeded && r.isOpen() {
 		l.passOn(r, a, res)
 	}
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -33,7 +33,7 @@
 	settings siteconfig.Settings
 	warnings *lograte.Limited
 	log      *slog.Logger
-	figures  *figures
+	counters *counters
 	shutdown *shutdownSchedule
 	conns    *connTracker
 
@@ -43,7 +43,7 @@
 	handedOver atomic.Bool   // another process of the node accepts connections
 	streaming  bool          // long bodies are streamed, and connections stay open also above the eviction threshold
 	bodyMemory *memoryBudget // of requests that are read into memory
-	fleet      *fleetPart    // nil: the node is in no fleet
+	fleet      *fleetMember  // nil: the node is in no fleet
 }
 
 // newClientServer returns the handler of a node that may hold at most maxConns connections of clients. Some of them are
@@ -56,12 +56,12 @@
 		settings:    settings,
 		warnings:    &lograte.Limited{Log: log},
 		log:         log,
-		figures:     loop.figures,
+		counters:    loop.counters,
 		shutdown:    schedule,
 		maxInFlight: int64(maxConns) * 7 / 8,
 		bodyMemory:  newMemoryBudget(0),
 	}
-	f.conns = newConnTracker(maxConns, &loop.figures.closes, f.connClosed)
+	f.conns = newConnTracker(maxConns, &loop.counters.closes, f.connClosed)
 	return f
 }
 
@@ -84,7 +84,7 @@
 // connClosed forgets what the fleet's report knows of a connection.
 func (f *clientServer) connClosed(c *clientConn) {
 	if f.fleet != nil {
-		f.fleet.closed(c)
+		f.fleet.connClosed(c)
 	}
 }
 
@@ -145,7 +145,7 @@
 	closeAfterResponse(w)
 	writeRejected(w, overloadRetryAfter)
 	if class := slices.Index(f.settings.Classes, hr.Header.Get("X-Qos")); class >= 0 {
-		f.figures.count(class, responseRejected)
+		f.counters.recordOutcome(class, responseRejected)
 	}
 }
 
@@ -167,12 +167,12 @@
 			panic(http.ErrAbortHandler) // the client disconnected before its request was read
 		}
 		if f.fleet != nil {
-			f.fleet.asked(c, r)
+			f.fleet.requestStarted(c, r)
 		}
 	}
 	if late {
 		f.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
-		f.figures.count(r.class, responseRejected)
+		f.counters.recordOutcome(r.class, responseRejected)
 		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
@@ -187,7 +187,7 @@
 
 // dispatch has the loop decide on a request, and writes its final response.
 func (f *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
-	count := newRequestCount(f.figures, r.class)
+	count := newRequestCount(f.counters, r.class)
 	if body := r.forwarded.upload; body == nil {
 		count.begin()
 	} else {
@@ -237,7 +237,7 @@
 
 // requestCount counts one request in the figures: as pending, and how it ended. It is for one goroutine, but for begin.
 type requestCount struct {
-	figures  *figures
+	counters *counters
 	class    int
 	begin    func() // counts the request as pending, once it is complete
 	end      func()
@@ -245,9 +245,9 @@
 }
 
 // newRequestCount returns the count of a request that has neither begun nor ended.
-func newRequestCount(figures *figures, class int) *requestCount {
-	begin, end := figures.pend()
-	return &requestCount{figures: figures, class: class, begin: begin, end: end}
+func newRequestCount(counters *counters, class int) *requestCount {
+	begin, end := counters.trackPending()
+	return &requestCount{counters: counters, class: class, begin: begin, end: end}
 }
 
 // finish counts the end of the request. Only the first call counts.
@@ -257,5 +257,5 @@
 	}
 	c.finished = true
 	c.end()
-	c.figures.count(c.class, kind)
+	c.counters.recordOutcome(c.class, kind)
 }
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -24,7 +24,7 @@
 	dial := func(text string) { n.dialed(t, text) }
 	reused := &http.Transport{}
 	defer reused.CloseIdleConnections()
-	for i := range 8 * n.clients {
+	for i := range 8 * n.maxClientConns {
 		text := ""
 		if i%2 == 0 {
 			text = "POST /x HTTP/1.1\r\nHost: x\r\nX-Tra"
@@ -45,8 +45,8 @@
 			}
 		}
 	}
-	if got := n.listener.openConns(); got > n.clients {
-		t.Errorf("%d connections, %d allowed", got, n.clients)
+	if got := n.listener.openConns(); got > n.maxClientConns {
+		t.Errorf("%d connections, %d allowed", got, n.maxClientConns)
 	}
 }
 
@@ -54,7 +54,7 @@
 // quarter.
 func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
 		f.streaming = true
 		conn := func() *limitedConn {
 			client := newClientConn(nil, time.Now())
@@ -120,7 +120,7 @@
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
 			duringRead := func() {}
@@ -167,7 +167,7 @@
 // good.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newFigures(nil), quiet()), oneClassSettings(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
 		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -1,10 +1,13 @@
 package node
 
-import "hitchvale/balance"
+import (
+	"hitchvale/balance"
+	"hitchvale/internal/discovery"
+)
 
 // updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
 // complete list does not name count as removed.
-func (l *eventLoop) updateEndpoints(kind balance.ListKind, list List) {
+func (l *eventLoop) updateEndpoints(kind balance.ListKind, list discovery.List) {
 	if len(list.Members) > 0 {
 		l.log.Info("endpoint list received",
 			"revision", list.Revision, "complete", list.Complete, "endpoints", len(list.Members))
@@ -29,13 +32,13 @@
 
 // updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock.
 // Idle connections to a process that the entry replaces are closed.
-func (l *eventLoop) updateBackend(member Member) balance.Endpoint {
+func (l *eventLoop) updateBackend(member discovery.Member) balance.Endpoint {
 	b := l.backendsByID[member.ID]
 	isNew := b == nil
 	if isNew {
 		b = l.addBackend(member)
 	}
-	process := backendProcess{addr: member.Addr, startedAt: member.StartedAt}
+	process := backendProcess{addr: member.Address, startedAt: member.StartedAt}
 	if member.Phase == balance.Removed {
 		process = b.process // the entry of a removed one need not have an address
 	}
@@ -43,11 +46,11 @@
 		l.upstream.pool.closeIdleTo(b.process)
 	}
 	if isNew || b.process.startedAt != process.startedAt {
-		b.startedAt = l.startOf(process.startedAt)
+		b.startedAt = l.localStartTime(process.startedAt)
 	}
 	b.process = process
 	b.phase = member.Phase
-	b.listEntry = member.Line
+	b.listEntry = member.Raw
 
 	endpoint := member.Endpoint
 	endpoint.ID = b.endpointID
@@ -57,11 +60,11 @@
 
 // addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have
 // set.
-func (l *eventLoop) addBackend(member Member) *backend {
+func (l *eventLoop) addBackend(member discovery.Member) *backend {
 	b := &backend{id: member.ID, endpointID: balance.EndpointID(len(l.backendsByEndpointID))}
 	l.backendsByID[b.id] = b
 	l.backendsByEndpointID = append(l.backendsByEndpointID, b)
-	l.log.Info("backend added", "backend", b.id, "endpoint_id", b.endpointID, "address", member.Addr)
+	l.log.Info("backend added", "backend", b.id, "endpoint_id", b.endpointID, "address", member.Address)
 	l.applyCordon(b, l.cordons.Backends[b.id])
 	return b
 }
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -58,18 +58,18 @@
 				}
 			})
 			cfg := testConfig(t, disco.Addr().String(), before, `"zones"`, `"membershipMode":"`+mode+`","zones"`)
-			cfg.Limits.Sockets = leastSockets
+			cfg.Limits.Sockets = minDescriptors
 			n := start(t, cfg)
 			eventually(t, "readiness", n.loop.ready.Load)
 			close(down)
-			for i := range 4 * n.clients {
+			for i := range 4 * n.maxClientConns {
 				text := ""
 				if i%2 == 0 {
 					text = "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Tr"
 				}
 				n.dialed(t, text)
 			}
-			eventually(t, "a node full of idle clients", func() bool { return n.server.conns.open() >= n.clients*3/4 })
+			eventually(t, "a node full of idle clients", func() bool { return n.server.conns.open() >= n.maxClientConns*3/4 })
 			close(back)
 			eventually(t, "the drain", func() (heard bool) {
 				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
@@ -80,7 +80,7 @@
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
 			open, _ := n.pool.size()
-			if held := n.listener.openConns(); held+open+otherSockets > cfg.Limits.Sockets {
+			if held := n.listener.openConns(); held+open+reservedDescriptors > cfg.Limits.Sockets {
 				t.Errorf("%d connections of clients and %d to backends, of %d descriptors",
 					held, open, cfg.Limits.Sockets)
 			}
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -36,7 +36,7 @@
 	requests             map[string]*request
 	backendsByID         map[string]*backend // by discovery's id
 	backendsByEndpointID []*backend          // by the Balancer's id
-	cordons              cordons
+	cordons              cordonRecord
 	cordonTimes          map[string]cordonTimes // of cordons, on the loop's clock, by discovery's id
 	listRevision         int64                  // of the last endpoint list
 	lastListAt           time.Duration          // when discovery last sent a list to this process; 0: not yet
@@ -50,7 +50,7 @@
 	actions      []balance.Action
 
 	statistics        statistics
-	figures           *figures
+	counters          *counters
 	gaugesPublishedAt time.Duration
 	unservedLog       *lograte.Limited
 }
@@ -60,7 +60,7 @@
 
 // newEventLoop returns an event loop that has no guard rules, no discovery and no peers yet.
 func newEventLoop(
-	balancer *balance.Balancer, upstream *upstreamTransport, figures *figures, log *slog.Logger,
+	balancer *balance.Balancer, upstream *upstreamTransport, counters *counters, log *slog.Logger,
 ) *eventLoop {
 	startedAt := time.Now()
 	return &eventLoop{
@@ -78,7 +78,7 @@
 		requests:           map[string]*request{},
 		backendsByID:       map[string]*backend{},
 		cordonTimes:        map[string]cordonTimes{},
-		figures:            figures,
+		counters:           counters,
 		unservedLog:        &lograte.Limited{Log: log},
 	}
 }
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -60,7 +60,7 @@
 func inMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
 	names := oneClassSettings()
-	f := newClientServer(newEventLoop(nil, nil, newFigures([]string{"order"}), quiet()), names, 64, quiet())
+	f := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), quiet()), names, 64, quiet())
 	l := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
 	srv := f.httpServer()
 	ended := make(chan struct{})
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/discovery"
 	"hitchvale/internal/fleet"
 )
 
@@ -85,7 +86,7 @@
 // endpointListReceived is an endpoint list from discovery, or changes to the last one.
 type endpointListReceived struct {
 	kind balance.ListKind
-	list List
+	list discovery.List
 }
 
 func (m endpointListReceived) handle(l *eventLoop) { l.updateEndpoints(m.kind, m.list) }
@@ -102,12 +103,12 @@
 
 // cordonsChanged is the record of cordons as it stands in the file now.
 type cordonsChanged struct {
-	cordons cordons
+	record  cordonRecord
 	applied chan<- struct{} // buffered; receives when the Balancer has been notified; nil: nobody waits
 }
 
 func (m cordonsChanged) handle(l *eventLoop) {
-	l.applyCordons(m.cordons)
+	l.applyCordons(m.record)
 	if m.applied != nil {
 		m.applied <- struct{}{}
 	}
@@ -130,10 +131,12 @@
 	l.handle(balance.HandoverChanged{HandedOver: m.handedOver})
 }
 
-// nodeTakenOver is what this process has been handed by the one that it replaces.
-type nodeTakenOver struct{ learned learned }
+// nodeTakenOver has the state of the predecessor.
+type nodeTakenOver struct{ state handoverState }
 
-func (m nodeTakenOver) handle(l *eventLoop) { l.handle(balance.TookOver{State: l.recall(m.learned)}) }
+func (m nodeTakenOver) handle(l *eventLoop) {
+	l.handle(balance.TookOver{State: l.importState(m.state)})
+}
 
 // finalResponsesDue says that, in a shutdown, every request has to have its final response now.
 type finalResponsesDue struct{}
@@ -147,8 +150,8 @@
 
 // cordonState is what the event loop knows of cordons.
 type cordonState struct {
-	cordons cordons
-	known   bool // the backend that was asked for has been listed, or cordoned, before
+	record cordonRecord
+	known  bool // the backend that was asked for has been listed, or cordoned, before
 }
 
 // cordonQuery asks for the cordons, and whether a backend is known.
@@ -158,19 +161,19 @@
 }
 
 func (m cordonQuery) handle(l *eventLoop) {
-	known := l.backendsByID[m.backendID] != nil || l.cordons.Backends[m.backendID].Since > 0
-	m.reply <- cordonState{cordons: l.cordons, known: known}
+	known := l.backendsByID[m.backendID] != nil || l.cordons.Backends[m.backendID].CordonedAt > 0
+	m.reply <- cordonState{record: l.cordons, known: known}
 }
 
-// learnedQuery asks for what a successor of this process should know.
-type learnedQuery struct{ reply chan<- learned }
+// handoverStateQuery asks for the state that a successor of this process takes over.
+type handoverStateQuery struct{ reply chan<- handoverState }
 
-func (m learnedQuery) handle(l *eventLoop) { m.reply <- l.remember() }
+func (m handoverStateQuery) handle(l *eventLoop) { m.reply <- l.exportState() }
 
 // endpointListQuery asks for the endpoint list in discovery's form.
 type endpointListQuery struct{ reply chan<- []byte }
 
-func (m endpointListQuery) handle(l *eventLoop) { m.reply <- l.listed() }
+func (m endpointListQuery) handle(l *eventLoop) { m.reply <- l.encodeList() }
 
 // endpointLoadQuery asks for the Balancer's estimates of each endpoint's load.
 type endpointLoadQuery struct{ reply chan<- []fleet.EndpointLoad }
@@ -178,7 +181,7 @@
 func (m endpointLoadQuery) handle(l *eventLoop) {
 	var loads []fleet.EndpointLoad
 	for _, load := range l.balancer.EndpointLoads() {
-		loads = append(loads, backendLoad(l.backendsByEndpointID[load.ID].id, load))
+		loads = append(loads, fleetEndpointLoad(l.backendsByEndpointID[load.ID].id, load))
 	}
 	m.reply <- loads
 }
--- a/internal/node/response_count_test.go
+++ b/internal/node/response_count_test.go
@@ -62,18 +62,18 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			loop := newEventLoop(nil, nil, newFigures([]string{"order"}), quiet())
+			loop := newEventLoop(nil, nil, newCounters([]string{"order"}), quiet())
 			f := newClientServer(loop, siteconfig.Settings{}, 64, quiet())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
 				r.forwarded.upload = &requestStream{source: bytes.NewReader(nil), err: io.EOF}
 			}
 			r.response <- tc.answer(t)
-			ends, looked := &f.figures.ends[0], false
+			ends, looked := &f.counters.outcomes[0], false
 			w := &lookingWriter{header: http.Header{}, size: len(body)}
 			w.look = func() {
 				looked = true
-				if n, p := ends.completed.Load(), f.figures.pending.Load(); n != 1 || p != 0 {
+				if n, p := ends.completed.Load(), f.counters.pendingRequests.Load(); n != 1 || p != 0 {
 					t.Errorf("completed %d, pending %d with the last byte, want 1 and 0", n, p)
 				}
 			}
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -48,10 +48,10 @@
 }
 
 // A process whose discovery accepts calls and answers none becomes ready on the list of its configuration: at once
-// where lists are polled, and long before 10 s where they are pushed (firstListWithin).
+// where lists are polled, and long before 10 s where they are pushed (firstListTimeout).
 func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
-	if firstListWithin > 5*time.Second {
-		t.Errorf("a pushed list is waited for for %v", firstListWithin)
+	if firstListTimeout > 5*time.Second {
+		t.Errorf("a pushed list is waited for for %v", firstListTimeout)
 	}
 	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	known := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
