--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -21,9 +21,7 @@
 
 // unfinishedPackages are those whose code has not been brought to these rules yet (docs/ROADMAP.md).
 var unfinishedPackages = map[string]bool{
-	"cmd/hitchvale-node":  true,
 	"internal/admin":      true,
-	"internal/node":       true,
 	"internal/siteconfig": true,
 	"internal/tomlfile":   true,
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,9 +5,13 @@
 	"time"
 )
 
+// drainIdleTime is how long nothing may be in flight before a drain closes connections that never had a request: their
+// clients have no more than connected, and may still send one.
+const drainIdleTime = 300 * time.Millisecond
+
 // drain closes connections as they become idle, until none is left. Those that never had a request are closed when
-// nothing has happened for drainIdleTime, or when requests are not admitted any more; incomplete requests are rejected when
-// the last responses are due. It returns early when ctx ends, or when only clients are left that do not close.
+// nothing was in flight for drainIdleTime, or when requests are not admitted any more; incomplete requests are rejected
+// when the last responses are due. It returns early when ctx ends, or when only clients are left that do not close.
 func (f *clientServer) drain(ctx context.Context) {
 	for still := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; still += shutdownPollInterval {
 		f.conns.closeIdle(0, closedDraining)
--- a/internal/node/gracefulshutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -10,19 +9,17 @@
 	"sync"
 	"time"
 
-	"hitchvale/internal/siteconfig"
+	"hitchvale/balance"
 )
 
 const (
 	// backlogEmptyFor is how long no connection must have waited for the backlog to count as empty.
 	backlogEmptyFor = 50 * time.Millisecond
-	// drainIdleTime is how long nothing may be in flight before connections that never sent a request are closed.
-	drainIdleTime = 300 * time.Millisecond
 	// shutdownPollInterval is how often the conditions of a shutdown are checked.
 	shutdownPollInterval = 10 * time.Millisecond
 )
 
-// shutDown ends this process in the order of its schedule (shutdown.go): it goes on accepting until clients send
+// shutDown ends this process in the order of its schedule (shutdownSchedule): it goes on accepting until clients send
 // nothing new, answers what it has read, and closes each connection after a response or once it is idle. All of that is
 // done before the earliest time at which the process may be killed.
 func (n *Node) shutDown(server *http.Server) error {
@@ -110,11 +107,26 @@
 	}
 }
 
-// longestDeadline returns the longest time for which a request may be in flight.
-func longestDeadline(settings siteconfig.Settings) time.Duration {
-	var longest time.Duration
-	for _, class := range settings.Config.Classes {
-		longest = max(longest, cmp.Or(class.Deadline, defaultDeadline))
+// failAllOpen fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
+// with a later deadline of their own. Responses that are being streamed go on.
+func (l *eventLoop) failAllOpen() {
+	var open []*request
+	for _, r := range l.requests {
+		if r.isOpen() {
+			open = append(open, r)
+		}
+	}
+	for _, r := range open {
+		l.handle(balance.ClientDisconnected{Request: r.id}) // nothing more is to be done for it
+		l.respond(r, finalResponse{kind: responseFailed})
+	}
+}
+
+// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
+func (l *eventLoop) checkAllResponded() {
+	for id, r := range l.requests {
+		if r.isOpen() {
+			l.guard.reportViolation(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
+		}
 	}
-	return longest
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -98,7 +98,9 @@
 
 // assistSuccessor sends the state, and then reports the descriptor usage until this process has no work left (done) or
 // one of the two ends.
-func (n *Node) assistSuccessor(ctx context.Context, successor *net.UnixConn, state handoverState) (done bool, err error) {
+func (n *Node) assistSuccessor(
+	ctx context.Context, successor *net.UnixConn, state handoverState,
+) (done bool, err error) {
 	message, err := encodeMessage(state)
 	if err != nil {
 		return false, err
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown_schedule.go
@@ -1,9 +1,9 @@
 package node
 
 import (
+	"cmp"
 	"time"
 
-	"hitchvale/balance"
 	"hitchvale/internal/monotime"
 	"hitchvale/internal/siteconfig"
 )
@@ -96,26 +96,11 @@
 	return deadline
 }
 
-// failAllOpen fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
-// with a later deadline of their own. Responses that are being streamed go on.
-func (l *eventLoop) failAllOpen() {
-	var open []*request
-	for _, r := range l.requests {
-		if r.isOpen() {
-			open = append(open, r)
-		}
-	}
-	for _, r := range open {
-		l.handle(balance.ClientDisconnected{Request: r.id}) // nothing more is to be done for it
-		l.respond(r, finalResponse{kind: responseFailed})
-	}
-}
-
-// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
-func (l *eventLoop) checkAllResponded() {
-	for id, r := range l.requests {
-		if r.isOpen() {
-			l.guard.reportViolation(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
-		}
+// longestDeadline returns the longest time for which a request may be in flight.
+func longestDeadline(settings siteconfig.Settings) time.Duration {
+	var longest time.Duration
+	for _, class := range settings.Config.Classes {
+		longest = max(longest, cmp.Or(class.Deadline, defaultDeadline))
 	}
+	return longest
 }
