--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -22,7 +22,7 @@
 		if b.unavailableSince == 0 {
 			b.unavailableSince = l.now()
 		}
-		l.upstream.pool.closeIdleTo(b.process)
+		l.upstream.pool.CloseIdle(b.process)
 	}
 	l.ready.Store(ready && !l.awaitingFirstList)
 	l.cancelUnsentAttempts()
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
 // backend is a server that discovery has listed since the start of the node, and what the event loop knows of it.
@@ -12,7 +13,7 @@
 type backend struct {
 	id         string             // discovery's
 	endpointID balance.EndpointID // the Balancer's
-	process    backendProcess     // the one that is listed now
+	process    connpool.Server    // the one that is listed now
 	startedAt  time.Duration      // when that process started, on the loop's clock
 	phase      balance.Phase
 	listEntry  json.RawMessage // as discovery sent it
--- a/internal/node/conn_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -11,6 +10,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
 // Each attempt is written to one connection, once. http.Transport would send these again by itself when the reused
@@ -31,12 +31,12 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	if r := attemptOnce(t, x, to, get("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
 		t.Fatalf("the first: %v", r)
 	}
 	if r := attemptOnce(t, x, to, get("second")); r.status != balance.StatusConnectionLost {
-		t.Errorf("the second: status %v, want Dropped: it may have run", r.status)
+		t.Errorf("the second: status %v, want connection lost: it may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
 		t.Errorf("%d connections, %d requests", n, len(seen))
@@ -49,7 +49,7 @@
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	x, to := newTestTransport(t), backendProcess{addr: addr}
+	x, to := newTestTransport(t), connpool.Server{Addr: addr}
 	if r := attemptOnce(t, x, to, get("old")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
@@ -61,35 +61,12 @@
 	}
 }
 
-// A connection that has been idle for maxIdle is not reused: a request that crosses its close may have run.
-func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
-	for i := range 2 {
-		if r := attemptOnce(t, x, to, get(fmt.Sprint(i))); r.status != balance.StatusSucceeded {
-			t.Fatalf("%v", r.status)
-		}
-	}
-	if n := b.accepted.Load(); n != 1 {
-		t.Fatalf("a fresh idle connection was not reused: %d connections", n)
-	}
-	x.pool.mu.Lock()
-	x.pool.idle[to][0].idleSince = time.Now().Add(-x.pool.maxIdle)
-	x.pool.mu.Unlock()
-	if r := attemptOnce(t, x, to, get("later")); r.status != balance.StatusSucceeded {
-		t.Fatalf("%v", r.status)
-	}
-	if n := b.accepted.Load(); n != 2 {
-		t.Errorf("an old idle connection was used: %d connections", n)
-	}
-}
-
 // A connection is not reused after surplus bytes: they would be read as the response to the next request.
 func TestSurplusAfterResponseReachesNobody(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
-	x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
 		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: %v %q", id, r.status, r.body)
@@ -118,10 +95,13 @@
 			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
 		}
 	})
-	x := newTestTransport(t)
-	x.pool.quarantine = time.Second
-	x.pool.startQuarantine()
-	to := backendProcess{addr: b.Addr().String()}
+	x := newTestTransportOn(t, connpool.New(connpool.Config{
+		MaxOpen:    16,
+		Quarantine: time.Second,
+		Inspect:    inspectSocket,
+	}))
+	x.pool.StartQuarantine()
+	to := connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
 		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
@@ -145,37 +125,37 @@
 			wrote <- struct{}{}
 			br.ReadByte()
 		})
-		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
-		if x.pool.currentQuarantine() != 0 {
-			t.Error("wary from the start")
+		x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+		if x.pool.Quarantine() != 0 {
+			t.Error("quarantine from the start")
 		}
 		attemptOnce(t, x, to, get("one"))
 		<-wrote
-		eventually(t, name+": rest", func() bool {
+		eventually(t, name+": quarantine", func() bool {
 			attemptOnce(t, x, to, get("another"))
-			return x.pool.currentQuarantine() == quarantineTime
+			return x.pool.Quarantine() == connpool.QuarantineTime
 		})
 	}
 }
 
-// The pool has at most maxOpen connections, and closes an idle one for a new one.
+// The pool has at most MaxOpen connections, and closes an idle one for a new one.
 func TestPoolIsBounded(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
 	x := newTestTransport(t)
-	x.pool.maxOpen = 1
+	x.pool.SetMaxOpen(1)
 	for _, l := range []*rawBackend{a, b} {
-		r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, get("id"))
+		r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, get("id"))
 		if r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
 	}
-	c, err := x.pool.acquire(context.Background(), backendProcess{addr: b.Addr().String()})
+	c, err := x.pool.Acquire(context.Background(), connpool.Server{Addr: b.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := attemptOnce(t, x, backendProcess{addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
+	if r := attemptOnce(t, x, connpool.Server{Addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
 		t.Errorf("with no room: %v", r.status)
 	}
-	x.pool.discard(c)
+	x.pool.Discard(c)
 }
--- a/internal/node/cordonfile_test.go
+++ b/internal/node/cordonfile_test.go
@@ -90,7 +90,7 @@
 
 // backendAddr tells where the node takes a backend to be.
 func (s *started) backendAddr(t *testing.T, id string) (addr string) {
-	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.addr })
+	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
 	return addr
 }
 
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -135,11 +135,11 @@
 	addr, came, _ := hanging(t)
 	n := startOn(t, addr)
 	dialing, dial := make(chan struct{}, 8), make(chan struct{})
-	n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+	n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
 		<-dial
 		return nil
-	}
+	})
 	c := n.dialed(t, reading("left"))
 	receive(t, "a dial", dialing)
 	c.Close()
@@ -260,15 +260,15 @@
 			for range 15 { // so that the node may repeat any
 				do(t, ask(t, n.url+"/api/x", "read"))
 			}
-			n.pool.sweep(0)
+			n.pool.CloseAllIdle()
 			dialing, dial := make(chan struct{}), make(chan struct{})
-			n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+			n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 				if dials.Add(1) == 2 {
 					close(dialing)
 					<-dial
 				}
 				return nil
-			}
+			})
 			answered := make(chan int, 1)
 			go func() {
 				resp, _ := do(t, ask(t, n.url+"/api/x", "token", func(r *http.Request) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -28,13 +28,13 @@
 		t.Fatal(err)
 	}
 	dialing, dial := make(chan struct{}, 8), make(chan struct{})
-	n.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+	n.pool.DialContext = dialWithControl(func(_, addr string, _ syscall.RawConn) error {
 		if addr == old.Addr().String() {
 			dialing <- struct{}{}
 			<-dial
 		}
 		return nil
-	}
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
@@ -63,9 +63,8 @@
 		}
 	}
 	eventually(t, "the end of the dial", func() bool {
-		n.pool.mu.Lock()
-		defer n.pool.mu.Unlock()
-		return n.pool.open == 1
+		open, _ := n.pool.Size()
+		return open == 1
 	})
 	close(got)
 	for name := range got {
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -2,6 +2,7 @@
 
 import (
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 	"hitchvale/internal/discovery"
 )
 
@@ -38,15 +39,15 @@
 	if isNew {
 		b = l.addBackend(member)
 	}
-	process := backendProcess{addr: member.Address, startedAt: member.StartedAt}
+	process := connpool.Server{Addr: member.Address, StartedAt: member.StartedAt}
 	if member.Phase == balance.Removed {
 		process = b.process // the entry of a removed one need not have an address
 	}
 	if b.process != process {
-		l.upstream.pool.closeIdleTo(b.process)
+		l.upstream.pool.CloseIdle(b.process)
 	}
-	if isNew || b.process.startedAt != process.startedAt {
-		b.startedAt = l.localStartTime(process.startedAt)
+	if isNew || b.process.StartedAt != process.StartedAt {
+		b.startedAt = l.localStartTime(process.StartedAt)
 	}
 	b.process = process
 	b.phase = member.Phase
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -79,7 +79,7 @@
 			if resp.StatusCode != http.StatusOK || body != "fresh" {
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
-			open, _ := n.pool.size()
+			open, _ := n.pool.Size()
 			if held := n.listener.openConns(); held+open+reservedDescriptors > cfg.Limits.Sockets {
 				t.Errorf("%d connections of clients and %d to backends, of %d descriptors",
 					held, open, cfg.Limits.Sockets)
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -141,7 +141,7 @@
 		l.publishGauges(now)
 	}
 	if l.statistics.due(now) {
-		l.statistics.dials = l.upstream.pool.dials.Swap(0)
+		l.statistics.dials = l.upstream.pool.TakeDials()
 		l.statistics.discoveryCalls = l.takeDiscoveryCalls()
 		l.statistics.log(now, l.log, len(l.requests), l.balancer.Stats())
 	}
@@ -190,7 +190,7 @@
 		l.sendToPeer(a.Peer, a.Payload)
 	case balance.CloseIdle:
 		if b := l.backendFor(a.Endpoint); b != nil {
-			l.upstream.pool.closeIdleTo(b.process)
+			l.upstream.pool.CloseIdle(b.process)
 		}
 	case balance.Log:
 		l.log.Info(a.Text)
--- a/internal/node/fleetmember.go
+++ b/internal/node/fleetmember.go
@@ -146,7 +146,7 @@
 	span := max(now.at.Sub(m.last.at).Seconds(), minReportSpanSeconds)
 	limits := m.node.cfg.Limits
 	connections := float64(m.node.server.conns.open())
-	backendConns, _ := m.node.pool.size()
+	backendConns, _ := m.node.pool.Size()
 	metrics := fleet.LoadMetrics{
 		Connections:       connections,
 		Descriptors:       connections + float64(backendConns),
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -129,5 +129,5 @@
 	clients := max(n.maxClientConns-other.ClientConns, 1)
 	n.listener.setLimit(clients)
 	n.server.conns.setLimit(clients)
-	n.pool.setMaxOpen(max(n.maxBackendConns-other.BackendConns, 1))
+	n.pool.SetMaxOpen(max(n.maxBackendConns-other.BackendConns, 1))
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -136,7 +136,7 @@
 			lastActive = time.Now()
 		}
 		if time.Since(lastActive) >= predecessorLinger {
-			n.pool.setMaxOpen(0)
+			n.pool.SetMaxOpen(0)
 			return true, nil
 		}
 		select {
@@ -157,9 +157,9 @@
 	// one.
 	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
 	n.server.conns.evictDownTo(n.maxClientConns / 4)
-	inUse, idle := n.pool.size()
+	inUse, idle := n.pool.Size()
 	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/4))
-	n.pool.setMaxOpen(usage.BackendConns)
+	n.pool.SetMaxOpen(usage.BackendConns)
 	usage.ClientConns = n.listener.openConns()
 	usage.InFlight = n.server.conns.busy()
 	return usage, usage.ClientConns > 0 || inUse > idle
--- a/internal/node/handover_state.go
+++ b/internal/node/handover_state.go
@@ -26,7 +26,7 @@
 	state := handoverState{State: l.balancer.HandoverState(), Now: l.now()}
 	for i := range state.State.Endpoints {
 		b := l.backendsByEndpointID[state.State.Endpoints[i].ID]
-		state.State.Endpoints[i].StartedAt = b.process.startedAt
+		state.State.Endpoints[i].StartedAt = b.process.StartedAt
 		state.EndpointIDs = append(state.EndpointIDs, b.id)
 	}
 	return state
@@ -46,7 +46,7 @@
 	var endpoints []balance.EndpointHandoverState
 	for i, endpoint := range state.State.Endpoints {
 		b := l.backendsByID[state.EndpointIDs[i]]
-		if b == nil || b.process.startedAt != endpoint.StartedAt {
+		if b == nil || b.process.StartedAt != endpoint.StartedAt {
 			continue
 		}
 		endpoint.ID = b.endpointID
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -112,9 +112,8 @@
 	eventually(t, "the successor has all descriptors", func() bool {
 		successor.listener.mu.Lock()
 		defer successor.listener.mu.Unlock()
-		successor.pool.mu.Lock()
-		defer successor.pool.mu.Unlock()
-		return successor.listener.limit == successor.maxClientConns && successor.pool.maxOpen == successor.maxBackendConns
+		return successor.listener.limit == successor.maxClientConns &&
+			successor.pool.MaxOpen() == successor.maxBackendConns
 	})
 }
 
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
 // healthCheckTimeout is how long a health check may take: a later load report would be of the past.
@@ -41,11 +42,11 @@
 
 // checkHealth asks a backend for its load report and calls done, from another goroutine, with the result. A backend
 // that refuses to answer counts as one that rejects requests.
-func (x *upstreamTransport) checkHealth(to backendProcess, done func(attemptResult)) {
+func (x *upstreamTransport) checkHealth(to connpool.Server, done func(attemptResult)) {
 	request := &forwardedRequest{
 		method:      http.MethodGet,
 		url:         &url.URL{Path: "/stats"},
-		host:        to.addr,
+		host:        to.Addr,
 		header:      http.Header{},
 		healthCheck: true,
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,6 +10,7 @@
 	"hitchvale/balance"
 	"hitchvale/internal/accept"
 	"hitchvale/internal/admin"
+	"hitchvale/internal/connpool"
 	"hitchvale/internal/discovery"
 )
 
@@ -20,7 +21,7 @@
 	listener  *limitListener
 	server    *clientServer
 	loop      *eventLoop
-	pool      *connPool
+	pool      *connpool.Pool
 	discovery *discovery.Client
 	counters  *counters
 	metrics   *metrics
@@ -79,8 +80,7 @@
 	settings := n.cfg.Settings.Config
 	limits := settings.Limits
 	n.maxClientConns, n.maxBackendConns = n.cfg.Limits.divideDescriptors(n.cfg.Admin != "")
-	n.pool = newConnPool(n.maxBackendConns, limits.ConnectTimeout, limits.IdleClose)
-	n.pool.closes = &n.counters.closes
+	n.pool = newBackendPool(n.maxBackendConns, limits, &n.counters.closes)
 	inlineReports := settings.LoadReports == balance.InlineLoadReports
 	upstream := newUpstreamTransport(n.pool, inlineReports, &n.counters.attemptsWritten, n.log)
 	n.loop = newEventLoop(balancer, upstream, n.counters, n.log)
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -93,7 +93,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newEventLoop(bal, newUpstreamTransport(newConnPool(1, 0, 0), false, new(atomic.Int64), quiet()), newCounters(nil), quiet())
+	pool := newBackendPool(1, balance.Limits{}, new(closeCounters))
+	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), quiet()), newCounters(nil), quiet())
 	var notified atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	service := &outage{from: from, until: from.Add(lasts), fault: fault}
--- a/internal/node/request_stream.go
+++ b/internal/node/request_stream.go
@@ -7,6 +7,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"hitchvale/internal/connpool"
 )
 
 // errBodyAbandoned is the error of reading a body that is not forwarded any more.
@@ -85,7 +87,7 @@
 
 // copyTo sends the body to a backend. It returns nil when the last byte has been written; whileWriting says that an
 // error is of the backend's connection, and not of the client's.
-func (s *requestStream) copyTo(backend *backendConn) (whileWriting bool, err error) {
+func (s *requestStream) copyTo(backend *connpool.Conn) (whileWriting bool, err error) {
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buffer)
 	chunked := s.size < 0
--- a/internal/node/response_count_test.go
+++ b/internal/node/response_count_test.go
@@ -11,6 +11,7 @@
 	"testing/iotest"
 	"time"
 
+	"hitchvale/internal/connpool"
 	"hitchvale/internal/siteconfig"
 )
 
@@ -39,7 +40,7 @@
 	streamOf := func(t *testing.T, src io.Reader, size int64) *responseStream {
 		here, there := net.Pipe()
 		t.Cleanup(func() { here.Close(); there.Close() })
-		return &responseStream{buffered: body[:1000], size: size, body: src, backend: &backendConn{Conn: here}, release: func(bool) {}}
+		return &responseStream{buffered: body[:1000], size: size, body: src, backend: &connpool.Conn{Conn: here}, release: func(bool) {}}
 	}
 	complete := finalResponse{kind: responseServed, body: body}
 	rest := func() io.Reader { return bytes.NewReader(body[1000:]) }
--- a/internal/node/response_stream.go
+++ b/internal/node/response_stream.go
@@ -4,6 +4,8 @@
 	"io"
 	"net/http"
 	"time"
+
+	"hitchvale/internal/connpool"
 )
 
 // responseStream is a backend's response that is passed on while it comes in.
@@ -11,7 +13,7 @@
 	buffered []byte // what has been read of it so far
 	size     int64  // in bytes; -1: unknown
 	body     io.Reader
-	backend  *backendConn
+	backend  *connpool.Conn
 	release  func(complete bool) // gives the backend's connection back
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -24,7 +24,7 @@
 	n.runCordons(background, &running)
 	defer n.loadKnownList().Stop()
 	running.Go(func() { n.loop.run(background.Done()) })
-	running.Go(func() { n.pool.run(background) })
+	running.Go(func() { n.pool.Run(background) })
 	running.Go(func() { n.discovery.Run(background) })
 	n.runPeers(background, &running)
 	if n.fleet != nil {
--- a/internal/node/streamed_request.go
+++ b/internal/node/streamed_request.go
@@ -18,7 +18,7 @@
 func (e *upstreamExchange) streamRequest(ctx context.Context) attemptResult {
 	upload := e.request.upload
 	e.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
-	head := e.request.encodeHead(e.conn.process.addr, e.request.timeLeft)
+	head := e.request.encodeHead(e.conn.Server.Addr, e.request.timeLeft)
 	if _, err := e.conn.Write(head); err != nil {
 		e.discard(ctx, "request not written", err)
 		return attemptResult{status: balance.StatusConnectFailed, notReplayable: upload.anyForwarded()}
@@ -28,9 +28,9 @@
 	result, err := e.readResponse()
 	if err != nil {
 		upload.abandon()
-		e.transport.pool.discard(e.conn) // nothing more is written from here on
+		e.transport.pool.Discard(e.conn) // nothing more is written from here on
 		status := e.brokenUploadStatus(ctx, sent, err)
-		e.transport.logFailure(ctx, e.request, e.conn.process, "no complete response to a streamed request", err)
+		e.transport.logFailure(ctx, e.request, e.conn.Server, "no complete response to a streamed request", err)
 		return attemptResult{status: status, notReplayable: true}
 	}
 	result.notReplayable = true
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -11,6 +11,7 @@
 
 	"hitchvale/balance"
 	"hitchvale/internal/accept"
+	"hitchvale/internal/connpool"
 	"hitchvale/internal/lograte"
 	"hitchvale/internal/monotime"
 )
@@ -30,7 +31,7 @@
 // buffer: neither says whether the last byte has been written, which decides if the backend may have run the request.
 // Here a request is written in one call. net/http still encodes its header and parses the response.
 type upstreamTransport struct {
-	pool              *connPool
+	pool              *connpool.Pool
 	inlineLoadReports bool             // responses carry load reports
 	writtenRequests   *atomic.Int64    // counts requests that were written completely, health checks aside
 	bodyMemory        *memoryBudget    // of responses that are read completely before they are passed on
@@ -39,7 +40,7 @@
 }
 
 func newUpstreamTransport(
-	pool *connPool, inlineLoadReports bool, writtenRequests *atomic.Int64, log *slog.Logger,
+	pool *connpool.Pool, inlineLoadReports bool, writtenRequests *atomic.Int64, log *slog.Logger,
 ) *upstreamTransport {
 	return &upstreamTransport{
 		pool:              pool,
@@ -88,7 +89,7 @@
 // begun to write by call.startBy never does; one that is not over by the deadline is ended then, and its connection
 // with it. A streamed request has no deadline before its last byte.
 func (x *upstreamTransport) start(
-	call *upstreamCall, to backendProcess, request *forwardedRequest, deadline time.Time, done func(attemptResult),
+	call *upstreamCall, to connpool.Server, request *forwardedRequest, deadline time.Time, done func(attemptResult),
 ) {
 	var ctx context.Context
 	if request.upload == nil {
@@ -108,14 +109,14 @@
 
 // exchange sends a request on one connection and reads the response.
 func (x *upstreamTransport) exchange(
-	ctx context.Context, call *upstreamCall, to backendProcess, request *forwardedRequest, deadline time.Time,
+	ctx context.Context, call *upstreamCall, to connpool.Server, request *forwardedRequest, deadline time.Time,
 ) attemptResult {
-	conn, err := x.pool.acquire(ctx, to)
+	conn, err := x.pool.Acquire(ctx, to)
 	if err != nil {
 		return attemptResult{status: x.unconnectedStatus(ctx, request, to, err)}
 	}
 	if ctx.Err() != nil || !call.beginWrite() {
-		x.pool.discard(conn)
+		x.pool.Discard(conn)
 		return attemptResult{status: balance.StatusNotSent}
 	}
 	// A cancelled exchange closes its connection at once: nothing that comes later can reach a client.
@@ -131,10 +132,10 @@
 // unconnectedStatus is the status of an exchange that got no connection. What this machine is short of says nothing
 // of the backend.
 func (x *upstreamTransport) unconnectedStatus(
-	ctx context.Context, request *forwardedRequest, to backendProcess, err error,
+	ctx context.Context, request *forwardedRequest, to connpool.Server, err error,
 ) balance.Status {
 	switch {
-	case errors.Is(err, errPoolExhausted):
+	case errors.Is(err, connpool.ErrExhausted):
 		return balance.StatusNotSent
 	case accept.IsShortage(err):
 		x.logFailure(ctx, request, to, "no connection for want of resources", err)
@@ -161,19 +162,19 @@
 
 // logFailure logs, at a bounded rate, why an exchange got no complete response; cancelled ones are not logged.
 func (x *upstreamTransport) logFailure(
-	ctx context.Context, request *forwardedRequest, to backendProcess, reason string, err error,
+	ctx context.Context, request *forwardedRequest, to connpool.Server, reason string, err error,
 ) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	x.failureLog.Warn("attempt failed",
-		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.addr, "error", err)
+		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.Addr, "error", err)
 }
 
 // upstreamExchange is an exchange on its connection.
 type upstreamExchange struct {
 	transport *upstreamTransport
-	conn      *backendConn
+	conn      *connpool.Conn
 	request   *forwardedRequest
 	detach    func() bool // keeps the end of the context from closing the connection; false if it has
 }
@@ -181,7 +182,7 @@
 // sendRequest writes a request whose body is complete, and reads the response.
 func (e *upstreamExchange) sendRequest(ctx context.Context, deadline time.Time) attemptResult {
 	e.conn.SetDeadline(deadline)
-	head := e.request.encodeHead(e.conn.process.addr, time.Until(deadline))
+	head := e.request.encodeHead(e.conn.Server.Addr, time.Until(deadline))
 	message := net.Buffers{head, e.request.body}
 	written, err := message.WriteTo(e.conn.Conn)
 	if err != nil {
@@ -204,6 +205,6 @@
 
 // discard closes the connection of an exchange that has failed, and logs why.
 func (e *upstreamExchange) discard(ctx context.Context, reason string, err error) {
-	e.transport.pool.discard(e.conn)
-	e.transport.logFailure(ctx, e.request, e.conn.process, reason, err)
+	e.transport.pool.Discard(e.conn)
+	e.transport.logFailure(ctx, e.request, e.conn.Server, reason, err)
 }
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -16,15 +16,32 @@
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
 // newTestTransport returns a transport with a pool of its own.
 func newTestTransport(t *testing.T) *upstreamTransport {
-	p := newConnPool(16, 2*time.Second, 5*time.Second)
+	limits := balance.Limits{ConnectTimeout: testConnectTimeout, IdleClose: 5 * time.Second}
+	return newTestTransportOn(t, newBackendPool(16, limits, new(closeCounters)))
+}
+
+// newTestTransportOn returns a transport with a pool, which it runs until the test ends.
+func newTestTransportOn(t *testing.T, pool *connpool.Pool) *upstreamTransport {
 	ctx, cancel := context.WithCancel(context.Background())
-	go p.run(ctx)
+	go pool.Run(ctx)
 	t.Cleanup(cancel)
-	return newUpstreamTransport(p, true, new(atomic.Int64), quiet())
+	return newUpstreamTransport(pool, true, new(atomic.Int64), quiet())
+}
+
+// testConnectTimeout is that of testSettings.
+const testConnectTimeout = 2 * time.Second
+
+// dialWithControl returns a pool's DialContext that calls control before each connect.
+func dialWithControl(
+	control func(network, addr string, conn syscall.RawConn) error,
+) func(context.Context, string, string) (net.Conn, error) {
+	dialer := &net.Dialer{Timeout: testConnectTimeout, KeepAlive: -1, Control: control}
+	return dialer.DialContext
 }
 
 func get(id string) *forwardedRequest {
@@ -33,7 +50,7 @@
 }
 
 // attemptOnce makes one attempt and waits for its result.
-func attemptOnce(t *testing.T, x *upstreamTransport, to backendProcess, m *forwardedRequest) attemptResult {
+func attemptOnce(t *testing.T, x *upstreamTransport, to connpool.Server, m *forwardedRequest) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 1)
 	x.start(new(upstreamCall), to, m, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
@@ -142,7 +159,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := attemptOnce(t, newTestTransport(t), backendProcess{addr: b.Addr().String()}, get("id"))
+			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, get("id"))
 			if r.stream != nil {
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status, r.body = balance.StatusConnectionLost, nil // its client can tell
@@ -163,7 +180,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	r := attemptOnce(t, newTestTransport(t), backendProcess{addr: addr}, get("refused"))
+	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, get("refused"))
 	if r.status != balance.StatusConnectFailed {
 		t.Errorf("refused connection: %v", r.status)
 	}
@@ -190,10 +207,10 @@
 		reset(c)
 	}()
 	x := newTestTransport(t)
-	x.pool.dialer.Control = small
+	x.pool.DialContext = dialWithControl(small)
 	m := get("partial")
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
-	if r := attemptOnce(t, x, backendProcess{addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
+	if r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
 		t.Errorf("broken before the last byte: %v", r.status)
 	}
 }
@@ -211,7 +228,7 @@
 	})
 	x, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
-	to := backendProcess{addr: b.Addr().String()}
+	to := connpool.Server{Addr: b.Addr().String()}
 	x.start(c, to, get("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
@@ -219,10 +236,8 @@
 	if r := receive(t, "the outcome", done); r.status != balance.StatusCancelled {
 		t.Errorf("%v", r.status)
 	}
-	x.pool.mu.Lock()
-	defer x.pool.mu.Unlock()
-	if x.pool.open != 0 {
-		t.Errorf("%d connections left", x.pool.open)
+	if open, _ := x.pool.Size(); open != 0 {
+		t.Errorf("%d connections left", open)
 	}
 }
 
@@ -239,10 +254,10 @@
 		syscall.ETIMEDOUT:     balance.StatusConnectFailed,
 	} {
 		x := newTestTransport(t)
-		x.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+		x.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 			return os.NewSyscallError("connect", errno)
-		}
-		if r := attemptOnce(t, x, backendProcess{addr: b.Addr().String()}, get("id")); r.status != want {
+		})
+		if r := attemptOnce(t, x, connpool.Server{Addr: b.Addr().String()}, get("id")); r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
 	}
--- a/internal/node/upstream_response.go
+++ b/internal/node/upstream_response.go
@@ -2,21 +2,29 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"time"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
-// neverRanHeader is set to 1 on a backend's response to a request that it has not run.
-const neverRanHeader = "X-Never-Ran"
+const (
+	// neverRanHeader is set to 1 on a backend's response to a request that it has not run.
+	neverRanHeader = "X-Never-Ran"
+	// maxInformational is how many 1xx responses may precede the final one.
+	maxInformational = 8
+	// maxResponseBytes bounds a response as it comes over the connection: small chunks take several times their body.
+	maxResponseBytes = maxHeadBytes + 4*maxBodyBytes
+)
 
 // readResponse reads a response. One that is large or long in coming is read in part, and the rest is left to be
 // streamed. The connection is given back, or closed, when all of the response has been read. After an error the
 // caller discards it.
 func (e *upstreamExchange) readResponse() (attemptResult, error) {
-	resp, err := e.conn.readResponseHead(e.request.method)
+	resp, err := readResponseHead(e.conn, e.request.method)
 	if err != nil {
 		return attemptResult{}, err
 	}
@@ -34,11 +42,11 @@
 	case complete && detached:
 		e.finishResponse(resp, true)
 	case complete:
-		e.transport.pool.discard(e.conn)
+		e.transport.pool.Discard(e.conn)
 	case !detached:
 		return attemptResult{}, context.Canceled
 	default:
-		e.conn.unlimit()
+		e.conn.UnlimitRead()
 		result.stream = &responseStream{
 			buffered: body,
 			size:     resp.ContentLength,
@@ -52,20 +60,38 @@
 	return result, nil
 }
 
+// readResponseHead reads the head of the response to a request, past any 1xx responses. At most maxResponseBytes can
+// be read of the response.
+func readResponseHead(conn *connpool.Conn, method string) (*http.Response, error) {
+	conn.LimitRead(maxResponseBytes)
+	request := &http.Request{Method: method}
+	for range maxInformational {
+		resp, err := http.ReadResponse(conn.Reader, request)
+		if err != nil {
+			return nil, err
+		}
+		informational := resp.StatusCode >= 100 && resp.StatusCode < 200
+		if !informational || resp.StatusCode == http.StatusSwitchingProtocols {
+			return resp, nil
+		}
+	}
+	return nil, errors.New("too many 1xx responses")
+}
+
 // finishResponse gives the connection back to the pool if it can carry another request, and otherwise closes it. A
 // backend that sends more than its response starts the pool's quarantine.
 func (e *upstreamExchange) finishResponse(resp *http.Response, complete bool) {
-	surplus := complete && e.conn.reader.Buffered() > 0
+	surplus := complete && e.conn.Reader.Buffered() > 0
 	if surplus {
-		e.transport.pool.startQuarantine()
+		e.transport.pool.StartQuarantine()
 	}
 	endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	if !complete || surplus || resp.Close || endsWithConn || e.request.upload != nil {
-		e.transport.pool.discard(e.conn)
+		e.transport.pool.Discard(e.conn)
 		return
 	}
 	e.conn.SetDeadline(time.Time{})
-	e.transport.pool.release(e.conn)
+	e.transport.pool.Release(e.conn)
 }
 
 // readBody reads the body of a response, completely if it may be held in memory. Of one that may be streamed it
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"io"
 	"net"
 	"net/http"
@@ -12,6 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"hitchvale/balance"
+	"hitchvale/internal/connpool"
 )
 
 // A truncated response is not passed on, and its request may have run. One that stops within a line occupies its
@@ -41,7 +43,7 @@
 					br.ReadByte()
 					ended <- struct{}{}
 				})
-				x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+				x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
 				x.start(new(upstreamCall), to, get("id"), deadline, func(r attemptResult) { done <- r })
@@ -49,7 +51,7 @@
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
 				receive(t, "the end of the connection", ended)
-				if open, _ := x.pool.size(); open != 0 {
+				if open, _ := x.pool.Size(); open != 0 {
 					t.Errorf("%d connections held", open)
 				}
 			})
@@ -69,7 +71,7 @@
 			}
 			br.ReadByte()
 		})
-		x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
+		x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
 			if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
@@ -101,16 +103,13 @@
 				<-over
 				tc.end(c)
 			})
-			x, to := newTestTransport(t), backendProcess{addr: b.Addr().String()}
-			nc, err := net.Dial("tcp", to.addr)
+			x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+			nc, err := net.Dial("tcp", to.Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
-			cn := &backendConn{Conn: held, process: to}
-			cn.limit.R, cn.reader = held, bufio.NewReader(&cn.limit)
-			x.pool.reserveSlot()
-			x.pool.release(cn)
+			x.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
 			r := attemptOnce(t, x, to, get("id"))
 			if r.stream != nil { // the rest is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
