--- a/internal/lab/earlyclients.go
+++ b/internal/lab/earlyclients.go
@@ -36,14 +36,14 @@
 }
 
 // drawEarly draws what a client does early; its habit is empty for one that does nothing.
-func (l Load) drawEarly(rng *rand.Rand) (e earlyBegin) {
+func (load Load) drawEarly(rng *rand.Rand) (e earlyBegin) {
 	longest := maxEarlyWait
 	switch x := rng.Float64(); {
-	case x < l.LateSendShare:
+	case x < load.LateSendShare:
 		e.action = earlyConnect
-	case x < l.LateSendShare+l.EarlyBeginShare/2:
+	case x < load.LateSendShare+load.EarlyBeginShare/2:
 		e.action = earlyHead
-	case x < l.LateSendShare+l.EarlyBeginShare:
+	case x < load.LateSendShare+load.EarlyBeginShare:
 		e.action, longest = earlyBody, maxEarlyBodyWait
 	default:
 		return e
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -7,52 +7,14 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"hitchvale/internal/fleet"
 	"hitchvale/internal/timeline"
-	"hitchvale/internal/tomlfile"
 )
 
-// Fleet makes a scenario one of the fleet's shared view: nodes with a part in it, over Sites, that report each
-// Interval, while Schedules faults are drawn from Kinds (kill, pause, cut, leader, split, both), each waited out until
-// every node is fresh in every node's view again.
-type FleetScenario struct {
-	Interval   Duration `toml:"interval"`
-	Sites      int      `toml:"sites"`
-	FaultCount int      `toml:"schedules"`
-	Kinds      []string `toml:"kinds"`
-}
-
-var fleetKinds = []string{"kill", "pause", "cut", "leader", "split", "both"}
-
-func (fleet FleetScenario) check(scenario Scenario) error {
-	switch {
-	case scenario.Registries < 1:
-		return tomlfile.Bad("registries", "a fleet needs at least 1 registry replica")
-	case fleet.Interval.Duration < 50*time.Millisecond || fleet.Interval.Duration > time.Minute:
-		return tomlfile.Bad("fleet.interval", "%s is outside 50ms to 1m", fleet.Interval)
-	case fleet.Sites < 1 || fleet.Sites > 64:
-		return tomlfile.Bad("fleet.sites", "%d is outside 1 to 64", fleet.Sites)
-	case fleet.FaultCount < 0 || fleet.FaultCount > 100000:
-		return tomlfile.Bad("fleet.schedules", "%d is outside 0 to 100000", fleet.FaultCount)
-	case fleet.FaultCount > 0 && len(fleet.Kinds) == 0:
-		return tomlfile.Bad("fleet.kinds", "none named")
-	case len(scenario.Faults) > 0:
-		return tomlfile.Bad("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
-	}
-	for _, k := range fleet.Kinds {
-		if !slices.Contains(fleetKinds, k) {
-			return tomlfile.Bad("fleet.kinds", "%q is not one of %s", k, strings.Join(fleetKinds, ", "))
-		}
-	}
-	return nil
-}
-
 // fleetRun is the experiment: real nodes and replicas, faults drawn between them, and what every reader of the view
 // sees, taken down as it goes.
 type fleetRun struct {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,3 +1,7 @@
+// Package lab is the fault lab: it starts real processes of the program on loopback (nodes, registry replicas, stand-in
+// backends), places a TCP fault proxy on every link, applies faults on a schedule, records every request's outcome,
+// checks invariants over that history and writes a report with plots. A scenario file says which experiment is run:
+// nodes under load, a soak, a lease, a fleet's shared view or maintenance turns.
 package lab
 
 import (
@@ -15,31 +19,31 @@
 
 // Run plays a scenario and returns its report, which it has also written to opts.Out. The error is for a run
 // that could not be played (a child that did not start, a folder that could not be written); a run whose
-// invariants fail returns a report with Passed false and no error. Every child is ended before Run returns.
-func Run(ctx context.Context, s Scenario, opts Options) (Report, error) {
-	if s.Soak != nil {
-		return runSoak(ctx, s, opts)
+// invariants fail returns a report with Passed false and no error. Every child has exited when Run returns.
+func Run(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
+	if scenario.Soak != nil {
+		return runSoak(ctx, scenario, opts)
 	}
-	return runLoad(ctx, s, opts)
+	return runExperiment(ctx, scenario, opts)
 }
 
-// runLoad plays one run.
-func runLoad(ctx context.Context, s Scenario, opts Options) (Report, error) {
-	c, err := newCluster(opts, s.Seed)
+// runExperiment plays one run of the kind that the scenario describes.
+func runExperiment(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
+	cluster, err := newCluster(opts, scenario.Seed)
 	if err != nil {
 		return Report{}, err
 	}
-	defer c.close()
-	if s.Lease != nil {
-		return (&leaseRun{cluster: c, scenario: s}).run(ctx)
+	defer cluster.close()
+	if scenario.Lease != nil {
+		return (&leaseRun{cluster: cluster, scenario: scenario}).run(ctx)
 	}
-	l := &loadRun{cluster: c, scenario: s}
-	defer l.closeDiscovery()
+	load := &loadRun{cluster: cluster, scenario: scenario}
+	defer load.closeDiscovery()
 	switch {
-	case s.Maintenance != nil:
-		return runMaintenance(ctx, l)
-	case s.Fleet != nil:
-		return (&fleetRun{loadRun: l}).run(ctx)
+	case scenario.Maintenance != nil:
+		return runMaintenance(ctx, load)
+	case scenario.Fleet != nil:
+		return (&fleetRun{loadRun: load}).run(ctx)
 	}
-	return l.run(ctx)
+	return load.run(ctx)
 }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -9,8 +9,6 @@
 	"os"
 	"sync"
 	"time"
-
-	"hitchvale/internal/sysfault"
 )
 
 // loadRun is the experiment of nodes between clients and backends: a load while faults are applied on their times.
@@ -148,14 +146,7 @@
 		if err := os.WriteFile(conf, run.nodeConfig(i, addr, view, admin, replicas), 0o644); err != nil {
 			run.log.Error("node configuration not written", "node", name, "error", err)
 		}
-		var plan sysfault.Plan
-		switch {
-		case run.scenario.hasSystemCallFaults(i):
-			plan = drawSystemCallPlan(run.scenario, i)
-		case run.scenario.emptyPlan:
-			plan = sysfault.Plan{}
-		}
-		return run.tracedCommand(plan, i, run.opts.NodeBinary)
+		return run.tracedCommand(run.scenario.systemCallPlan(i), i, run.opts.NodeBinary)
 	}
 	env := []string{"BALANCER_CONFIG=" + conf, "BALANCER_NAME=" + name, "TMPDIR=" + tmp}
 	_, addr, err := run.startChild(ctx, "node", argv, env, "/health/ready")
--- a/internal/lab/maintenancerun.go
+++ b/internal/lab/maintenancerun.go
@@ -8,45 +8,14 @@
 	"net/http"
 	"os"
 	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"hitchvale/internal/maintenance"
 	"hitchvale/internal/timeline"
-	"hitchvale/internal/tomlfile"
 )
 
-// MaintenanceScenario makes a fleet's scenario one of machines taken out for work under load: an operator asks for all
-// backends, at most Budget of them out at once, and for each that is quiet ends its process, starts it again and has it
-// listed. Meanwhile faults are drawn from Kinds (pause: a node stands still; kill: one is killed and started again;
-// leader: the registry's leader is; outage: all replicas are, and start again a while later), one every Every.
-type MaintenanceScenario struct {
-	Budget int      `toml:"budget"`
-	Kinds  []string `toml:"kinds"`
-	Every  Duration `toml:"every"`
-}
-
-var maintenanceFaultKinds = []string{"pause", "kill", "leader", "outage"}
-
-func (maintenance MaintenanceScenario) check(scenario Scenario) error {
-	switch {
-	case scenario.Fleet == nil:
-		return tomlfile.Bad("work", "machines are taken out by a [fleet]")
-	case maintenance.Budget < 1 || maintenance.Budget >= scenario.Backends:
-		return tomlfile.Bad("work.budget", "%d is outside 1 to one below the backends", maintenance.Budget)
-	case len(maintenance.Kinds) > 0 && maintenance.Every.Duration < 100*time.Millisecond:
-		return tomlfile.Bad("work.every", "%s is below 100ms", maintenance.Every)
-	}
-	for _, k := range maintenance.Kinds {
-		if !slices.Contains(maintenanceFaultKinds, k) {
-			return tomlfile.Bad("work.kinds", "%q is not one of %s", k, strings.Join(maintenanceFaultKinds, ", "))
-		}
-	}
-	return nil
-}
-
 // maintenanceRun is the experiment.
 type maintenanceRun struct {
 	*loadRun
@@ -108,7 +77,7 @@
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, 0x307a))
 	w := run.scenario.Maintenance
 	for len(w.Kinds) > 0 {
-		sleepUntil(ctx, time.Now().Add(w.Every.Duration))
+		sleepUntil(ctx, time.Now().Add(w.FaultInterval.Duration))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/lab/procs.go
+++ b/internal/lab/procs.go
@@ -51,7 +51,7 @@
 	<-s.done
 }
 
-// Proc is one child process of the lab: a node or a stand-in backend, started again on restart.
+// Process is one child process of the lab: a node or a stand-in backend, started again on restart.
 type Process struct {
 	Name string
 	argv []string
--- /dev/null
+++ b/internal/lab/systemcallplan.go
@@ -0,0 +1,51 @@
+package lab
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"hitchvale/internal/sysfault"
+)
+
+// systemCallStream sets the draws of a node's plan apart from others of the same seed; the node's number is added.
+const systemCallStream = 0x5419
+
+// isTraced tells whether a node's system calls fail by a plan.
+func (scenario Scenario) isTraced(node int) bool {
+	return scenario.Soak != nil && float64(node) < scenario.Soak.TracedShare*float64(scenario.Nodes)
+}
+
+// systemCallPlan is the plan of a node's system calls; nil where the node is not traced.
+func (scenario Scenario) systemCallPlan(node int) sysfault.Plan {
+	switch {
+	case scenario.isTraced(node):
+		return drawSystemCallPlan(scenario, node)
+	case scenario.emptyPlan:
+		return sysfault.Plan{}
+	}
+	return nil
+}
+
+// drawSystemCallPlan draws the faults of a traced node's system calls.
+func drawSystemCallPlan(scenario Scenario, node int) sysfault.Plan {
+	rng := rand.New(rand.NewPCG(scenario.Seed, systemCallStream+uint64(node)))
+	span := func(from, to time.Duration) time.Duration {
+		return from + time.Duration(rng.Float64()*float64(to-from))
+	}
+	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt, sysfault.Short,
+		sysfault.Break, sysfault.Open, sysfault.Clock, sysfault.Clock}
+	steps := []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second}
+	var plan sysfault.Plan
+	for range 2 + rng.IntN(4) {
+		fault := sysfault.Fault{Kind: kinds[rng.IntN(len(kinds))]}
+		fault.From = span(scenario.Soak.FirstFaultAt.Duration, scenario.Duration.Duration)
+		if fault.Kind == sysfault.Clock {
+			fault.Step = steps[rng.IntN(len(steps))]
+		} else {
+			fault.For = span(100*time.Millisecond, 2*time.Second)
+			fault.Share = 0.05 + 0.45*rng.Float64()
+		}
+		plan = append(plan, fault)
+	}
+	return plan
+}
