--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -98,7 +98,9 @@
 
 // assistSuccessor sends the state, and then reports the descriptor usage until this process has no work left (done) or
 // one of the two ends.
-func (n *Node) assistSuccessor(ctx context.Context, successor *net.UnixConn, state handoverState) (done bool, err error) {
+func (n *Node) assistSuccessor(
+	ctx context.Context, successor *net.UnixConn, state handoverState,
+) (done bool, err error) {
 	message, err := encodeMessage(state)
 	if err != nil {
 		return false, err
@@ -136,7 +138,7 @@
 			lastActive = time.Now()
 		}
 		if time.Since(lastActive) >= predecessorLinger {
-			n.pool.setMaxOpen(0)
+			n.pool.SetMaxOpen(0)
 			return true, nil
 		}
 		select {
@@ -157,9 +159,9 @@
 	// one.
 	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
 	n.server.conns.evictDownTo(n.maxClientConns / 4)
-	inUse, idle := n.pool.size()
+	inUse, idle := n.pool.Size()
 	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/4))
-	n.pool.setMaxOpen(usage.BackendConns)
+	n.pool.SetMaxOpen(usage.BackendConns)
 	usage.ClientConns = n.listener.openConns()
 	usage.InFlight = n.server.conns.busy()
 	return usage, usage.ClientConns > 0 || inUse > idle
