--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -14,27 +14,28 @@
 
 // Decode fills v from text, refusing unknown keys. Errors read "line N: ..." with the key quoted.
 func Decode(text []byte, v any) error {
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(v); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		return describe(err)
 	}
 	return nil
 }
 
+// describe puts the line and the key in front of an error of the decoder.
 func describe(err error) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		e := strict.Errors[0]
-		row, _ := e.Position()
-		return fmt.Errorf("line %d: unknown key %q", row, strings.Join(e.Key(), "."))
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, _ := first.Position()
+		return fmt.Errorf("line %d: unknown key %q", line, strings.Join(first.Key(), "."))
 	}
-	var dec *toml.DecodeError
-	if errors.As(err, &dec) {
-		row, _ := dec.Position()
-		if k := dec.Key(); len(k) > 0 {
-			return fmt.Errorf("line %d: key %q: %s", row, strings.Join(k, "."), dec.Error())
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		if key := decodeErr.Key(); len(key) > 0 {
+			return fmt.Errorf("line %d: key %q: %s", line, strings.Join(key, "."), decodeErr.Error())
 		}
-		return fmt.Errorf("line %d: %s", row, dec.Error())
+		return fmt.Errorf("line %d: %s", line, decodeErr.Error())
 	}
 	return err
 }
@@ -42,58 +43,60 @@
 // Duration is a time.Duration written as "2s" or "150ms".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a Go duration.
-func (d *Duration) UnmarshalText(b []byte) error {
-	v, err := time.ParseDuration(string(b))
+// UnmarshalText decodes a Go duration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	value, err := time.ParseDuration(string(text))
 	if err != nil {
 		return err
 	}
-	d.Duration = v
+	d.Duration = value
 	return nil
 }
 
-// MarshalText writes a Go duration.
+// MarshalText encodes a Go duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// KeyError is a value that decoded but is out of range or inconsistent; Locate gives it its line.
+// KeyError is the error of a value that could be decoded and is out of range or inconsistent. Locate adds its line.
 type KeyError struct {
 	Key string // dotted, as "load.rate"
-	Msg string
+	Msg string // what is wrong with the value
 }
 
+// Error returns the key and the message.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %q: %s", e.Key, e.Msg) }
 
-// Bad makes a KeyError.
+// Bad returns a KeyError; the arguments are those of fmt.Sprintf.
 func Bad(key, format string, args ...any) error {
 	return &KeyError{Key: key, Msg: fmt.Sprintf(format, args...)}
 }
 
-// Locate puts the line of a KeyError's key in front of err, where text names the key outside arrays of tables;
-// other errors pass unchanged.
+// Locate adds the line at which text sets the key of a KeyError. Keys inside arrays of tables are not found; the error
+// is then returned as it is, like any other error.
 func Locate(text []byte, err error) error {
-	var k *KeyError
-	if !errors.As(err, &k) {
+	var keyError *KeyError
+	if !errors.As(err, &keyError) {
 		return err
 	}
-	if line := lineOf(text, k.Key); line > 0 {
+	if line := lineOf(text, keyError.Key); line > 0 {
 		return fmt.Errorf("line %d: %w", line, err)
 	}
 	return err
 }
 
-// lineOf finds the line that sets a dotted key, following [table] headers; 0 where none does.
+// lineOf returns the number of the line that sets a dotted key, which may follow a [table] header; 0 where none does.
 func lineOf(text []byte, key string) int {
+	const insideArray = "\x00" // no table has this name
 	table := ""
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
 		switch {
 		case strings.HasPrefix(line, "[["):
-			table = "\x00" // keys inside arrays of tables are not looked up by name
+			table = insideArray
 		case strings.HasPrefix(line, "["):
 			table = strings.TrimSpace(strings.Trim(line, "[]"))
 		default:
 			name, _, ok := strings.Cut(line, "=")
-			if !ok || table == "\x00" {
+			if !ok || table == insideArray {
 				continue
 			}
 			full := strings.TrimSpace(name)
