--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -55,9 +55,9 @@
 // applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is
 // notified of both: the record may have changed twice since it was last read.
 func (l *eventLoop) applyCordon(b *backend, c cordon) {
-	neverOut := c.CordonedAt == 0
+	neverCordoned := c.CordonedAt == 0
 	unchanged := c.Cordoned == b.cordoned && (c.Cordoned || c.UncordonedAt == b.uncordonedAt)
-	if neverOut || unchanged {
+	if neverCordoned || unchanged {
 		return
 	}
 	l.log.Info("cordon changed", "backend", b.id, "cordoned", c.Cordoned)
--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -32,10 +32,10 @@
 		}
 	})
 	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
-	if r := attemptOnce(t, x, to, get("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
+	if r := attemptOnce(t, x, to, newTestRequest("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
 		t.Fatalf("the first: %v", r)
 	}
-	if r := attemptOnce(t, x, to, get("second")); r.status != balance.StatusConnectionLost {
+	if r := attemptOnce(t, x, to, newTestRequest("second")); r.status != balance.StatusConnectionLost {
 		t.Errorf("the second: status %v, want connection lost: it may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
@@ -50,13 +50,13 @@
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
 	x, to := newTestTransport(t), connpool.Server{Addr: addr}
-	if r := attemptOnce(t, x, to, get("old")); r.status != balance.StatusSucceeded {
+	if r := attemptOnce(t, x, to, newTestRequest("old")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
 	b.Close()
 	reset(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
-	if r := attemptOnce(t, x, to, get("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
+	if r := attemptOnce(t, x, to, newTestRequest("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
 		t.Errorf("after the restart: %v %q", r.status, r.body)
 	}
 }
@@ -68,7 +68,7 @@
 	}))
 	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: %v %q", id, r.status, r.body)
 		}
 	}
@@ -103,7 +103,7 @@
 	x.pool.StartQuarantine()
 	to := connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
 		}
 	}
@@ -129,10 +129,10 @@
 		if x.pool.Quarantine() != 0 {
 			t.Error("quarantine from the start")
 		}
-		attemptOnce(t, x, to, get("one"))
+		attemptOnce(t, x, to, newTestRequest("one"))
 		<-wrote
 		eventually(t, name+": quarantine", func() bool {
-			attemptOnce(t, x, to, get("another"))
+			attemptOnce(t, x, to, newTestRequest("another"))
 			return x.pool.Quarantine() == connpool.QuarantineTime
 		})
 	}
@@ -145,7 +145,7 @@
 	x := newTestTransport(t)
 	x.pool.SetMaxOpen(1)
 	for _, l := range []*rawBackend{a, b} {
-		r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, get("id"))
+		r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, newTestRequest("id"))
 		if r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
@@ -154,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := attemptOnce(t, x, connpool.Server{Addr: a.Addr().String()}, get("id")); r.status != balance.StatusNotSent {
+	if r := attemptOnce(t, x, connpool.Server{Addr: a.Addr().String()}, newTestRequest("id")); r.status != balance.StatusNotSent {
 		t.Errorf("with no room: %v", r.status)
 	}
 	x.pool.Discard(c)
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -12,9 +12,9 @@
 // eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends it
 // messages; it turns them into events for the Balancer and carries out the actions that this returns.
 //
-// Invariants: one goroutine runs it, in run, and it alone touches the fields below the channels. It never blocks:
-// what may block runs in a goroutine of its own that sends its result as a message. So a sender may wait for the
-// loop, and the loop never waits for a sender. ready is the exception that any goroutine may read.
+// Invariants: one goroutine runs it, in run, and from then on it alone touches the Balancer, the tables, the timers and
+// the statistics; any goroutine may read ready. It never blocks: what may block runs in a goroutine of its own that
+// sends its result as a message. So a sender may wait for the loop, and the loop never waits for a sender.
 type eventLoop struct {
 	messages chan loopMessage
 	done     chan struct{} // closed when the loop has ended
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -44,7 +44,7 @@
 	return dialer.DialContext
 }
 
-func get(id string) *forwardedRequest {
+func newTestRequest(id string) *forwardedRequest {
 	return &forwardedRequest{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
@@ -159,7 +159,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, get("id"))
+			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, newTestRequest("id"))
 			if r.stream != nil {
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status, r.body = balance.StatusConnectionLost, nil // its client can tell
@@ -180,7 +180,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, get("refused"))
+	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, newTestRequest("refused"))
 	if r.status != balance.StatusConnectFailed {
 		t.Errorf("refused connection: %v", r.status)
 	}
@@ -208,7 +208,7 @@
 	}()
 	x := newTestTransport(t)
 	x.pool.DialContext = dialWithControl(small)
-	m := get("partial")
+	m := newTestRequest("partial")
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
 	if r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
 		t.Errorf("broken before the last byte: %v", r.status)
@@ -229,7 +229,7 @@
 	x, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
 	to := connpool.Server{Addr: b.Addr().String()}
-	x.start(c, to, get("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
+	x.start(c, to, newTestRequest("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -257,7 +257,7 @@
 		x.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 			return os.NewSyscallError("connect", errno)
 		})
-		if r := attemptOnce(t, x, connpool.Server{Addr: b.Addr().String()}, get("id")); r.status != want {
+		if r := attemptOnce(t, x, connpool.Server{Addr: b.Addr().String()}, newTestRequest("id")); r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
 	}
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -46,7 +46,7 @@
 				x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
-				x.start(new(upstreamCall), to, get("id"), deadline, func(r attemptResult) { done <- r })
+				x.start(new(upstreamCall), to, newTestRequest("id"), deadline, func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
@@ -73,7 +73,7 @@
 		})
 		x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
-			if r := attemptOnce(t, x, to, get(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+			if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
 			}
 			<-wrote
@@ -110,7 +110,7 @@
 			}
 			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
 			x.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
-			r := attemptOnce(t, x, to, get("id"))
+			r := attemptOnce(t, x, to, newTestRequest("id"))
 			if r.stream != nil { // the rest is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
