--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -31,11 +31,12 @@
 			io.WriteString(c, ok200("x"))
 		}
 	})
-	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
-	if r := attemptOnce(t, x, to, newTestRequest("first")); r.status != balance.StatusSucceeded || string(r.body) != "x" {
+	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+	r := attemptOnce(t, transport, to, newTestRequest("first"))
+	if r.status != balance.StatusSucceeded || string(r.body) != "x" {
 		t.Fatalf("the first: %v", r)
 	}
-	if r := attemptOnce(t, x, to, newTestRequest("second")); r.status != balance.StatusConnectionLost {
+	if r := attemptOnce(t, transport, to, newTestRequest("second")); r.status != balance.StatusConnectionLost {
 		t.Errorf("the second: status %v, want connection lost: it may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
@@ -49,14 +50,15 @@
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
-	x, to := newTestTransport(t), connpool.Server{Addr: addr}
-	if r := attemptOnce(t, x, to, newTestRequest("old")); r.status != balance.StatusSucceeded {
+	transport, to := newTestTransport(t), connpool.Server{Addr: addr}
+	if r := attemptOnce(t, transport, to, newTestRequest("old")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
 	b.Close()
 	reset(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
-	if r := attemptOnce(t, x, to, newTestRequest("new")); r.status != balance.StatusSucceeded || string(r.body) != "new" {
+	r := attemptOnce(t, transport, to, newTestRequest("new"))
+	if r.status != balance.StatusSucceeded || string(r.body) != "new" {
 		t.Errorf("after the restart: %v %q", r.status, r.body)
 	}
 }
@@ -66,9 +68,10 @@
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
-	x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		r := attemptOnce(t, transport, to, newTestRequest(id))
+		if r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: %v %q", id, r.status, r.body)
 		}
 	}
@@ -95,15 +98,16 @@
 			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
 		}
 	})
-	x := newTestTransportOn(t, connpool.New(connpool.Config{
+	transport := newTestTransportOn(t, connpool.New(connpool.Config{
 		MaxOpen:    16,
 		Quarantine: time.Second,
 		Inspect:    inspectSocket,
 	}))
-	x.pool.StartQuarantine()
+	transport.pool.StartQuarantine()
 	to := connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+		r := attemptOnce(t, transport, to, newTestRequest(id))
+		if r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
 		}
 	}
@@ -125,15 +129,15 @@
 			wrote <- struct{}{}
 			br.ReadByte()
 		})
-		x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
-		if x.pool.Quarantine() != 0 {
+		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+		if transport.pool.Quarantine() != 0 {
 			t.Error("quarantine from the start")
 		}
-		attemptOnce(t, x, to, newTestRequest("one"))
+		attemptOnce(t, transport, to, newTestRequest("one"))
 		<-wrote
 		eventually(t, name+": quarantine", func() bool {
-			attemptOnce(t, x, to, newTestRequest("another"))
-			return x.pool.Quarantine() == connpool.QuarantineTime
+			attemptOnce(t, transport, to, newTestRequest("another"))
+			return transport.pool.Quarantine() == connpool.QuarantineTime
 		})
 	}
 }
@@ -142,20 +146,21 @@
 func TestPoolIsBounded(t *testing.T) {
 	serve := answering(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
-	x := newTestTransport(t)
-	x.pool.SetMaxOpen(1)
+	transport := newTestTransport(t)
+	transport.pool.SetMaxOpen(1)
 	for _, l := range []*rawBackend{a, b} {
-		r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, newTestRequest("id"))
+		r := attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, newTestRequest("id"))
 		if r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
 	}
-	c, err := x.pool.Acquire(context.Background(), connpool.Server{Addr: b.Addr().String()})
+	c, err := transport.pool.Acquire(context.Background(), connpool.Server{Addr: b.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := attemptOnce(t, x, connpool.Server{Addr: a.Addr().String()}, newTestRequest("id")); r.status != balance.StatusNotSent {
+	r := attemptOnce(t, transport, connpool.Server{Addr: a.Addr().String()}, newTestRequest("id"))
+	if r.status != balance.StatusNotSent {
 		t.Errorf("with no room: %v", r.status)
 	}
-	x.pool.Discard(c)
+	transport.pool.Discard(c)
 }
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -42,7 +42,7 @@
 
 // checkHealth asks a backend for its load report and calls done, from another goroutine, with the result. A backend
 // that refuses to answer counts as one that rejects requests.
-func (x *upstreamTransport) checkHealth(to connpool.Server, done func(attemptResult)) {
+func (t *upstreamTransport) checkHealth(to connpool.Server, done func(attemptResult)) {
 	request := &forwardedRequest{
 		method:      http.MethodGet,
 		url:         &url.URL{Path: "/stats"},
@@ -51,9 +51,9 @@
 		healthCheck: true,
 	}
 	deadline := time.Now().Add(healthCheckTimeout)
-	x.start(new(upstreamCall), to, request, deadline, func(result attemptResult) {
+	t.start(new(upstreamCall), to, request, deadline, func(result attemptResult) {
 		if result.status == balance.StatusSucceeded && result.load.Has == 0 {
-			result.load = x.readLoadReport(string(result.body))
+			result.load = t.readLoadReport(string(result.body))
 		}
 		if result.status == balance.StatusApplicationError {
 			result.status = balance.StatusRejected
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -19,14 +19,14 @@
 		}
 		return ok200(body.Load().(string))
 	}))
-	x, done := newTestTransport(t), make(chan attemptResult, 1)
-	x.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
+	transport, done := newTestTransport(t), make(chan attemptResult, 1)
+	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	r := receive(t, "the health check", done)
 	if r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
 		t.Errorf("%+v", r)
 	}
 	body.Store("\x00\x01")
-	x.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
+	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	if r := receive(t, "the probe", done); r.load.Has != 0 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/node/load_report.go
+++ b/internal/node/load_report.go
@@ -29,10 +29,10 @@
 
 // readLoadReport returns a backend's load report, or an empty one if it is malformed, which is logged at a bounded
 // rate.
-func (x *upstreamTransport) readLoadReport(text string) balance.Load {
+func (t *upstreamTransport) readLoadReport(text string) balance.Load {
 	load, err := parseLoadReport(text)
 	if err != nil {
-		x.loadReportLog.Warn("malformed load report", "error", err)
+		t.loadReportLog.Warn("malformed load report", "error", err)
 	}
 	return load
 }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -88,7 +88,7 @@
 // start sends a request to a backend and calls done, from another goroutine, with the result. A call that has not
 // begun to write by call.startBy never does; one that is not over by the deadline is ended then, and its connection
 // with it. A streamed request has no deadline before its last byte.
-func (x *upstreamTransport) start(
+func (t *upstreamTransport) start(
 	call *upstreamCall, to connpool.Server, request *forwardedRequest, deadline time.Time, done func(attemptResult),
 ) {
 	var ctx context.Context
@@ -101,28 +101,28 @@
 	go func() {
 		defer cancel()
 		startedAt := time.Now()
-		result := x.exchange(ctx, call, to, request, deadline)
+		result := t.exchange(ctx, call, to, request, deadline)
 		result.elapsed = time.Since(startedAt)
 		done(result)
 	}()
 }
 
 // exchange sends a request on one connection and reads the response.
-func (x *upstreamTransport) exchange(
+func (t *upstreamTransport) exchange(
 	ctx context.Context, call *upstreamCall, to connpool.Server, request *forwardedRequest, deadline time.Time,
 ) attemptResult {
-	conn, err := x.pool.Acquire(ctx, to)
+	conn, err := t.pool.Acquire(ctx, to)
 	if err != nil {
-		return attemptResult{status: x.unconnectedStatus(ctx, request, to, err)}
+		return attemptResult{status: t.unconnectedStatus(ctx, request, to, err)}
 	}
 	if ctx.Err() != nil || !call.beginWrite() {
-		x.pool.Discard(conn)
+		t.pool.Discard(conn)
 		return attemptResult{status: balance.StatusNotSent}
 	}
 	// A cancelled exchange closes its connection at once: nothing that comes later can reach a client.
 	detach := context.AfterFunc(ctx, func() { conn.Close() })
 	defer detach()
-	e := &upstreamExchange{transport: x, conn: conn, request: request, detach: detach}
+	e := &upstreamExchange{transport: t, conn: conn, request: request, detach: detach}
 	if request.upload != nil {
 		return e.streamRequest(ctx)
 	}
@@ -131,17 +131,17 @@
 
 // unconnectedStatus is the status of an exchange that got no connection. What this machine is short of says nothing
 // of the backend.
-func (x *upstreamTransport) unconnectedStatus(
+func (t *upstreamTransport) unconnectedStatus(
 	ctx context.Context, request *forwardedRequest, to connpool.Server, err error,
 ) balance.Status {
 	switch {
 	case errors.Is(err, connpool.ErrExhausted):
 		return balance.StatusNotSent
 	case accept.IsShortage(err):
-		x.logFailure(ctx, request, to, "no connection for want of resources", err)
+		t.logFailure(ctx, request, to, "no connection for want of resources", err)
 		return balance.StatusNotSent
 	}
-	x.logFailure(ctx, request, to, "no connection", err)
+	t.logFailure(ctx, request, to, "no connection", err)
 	return balance.StatusConnectFailed
 }
 
@@ -161,13 +161,13 @@
 }
 
 // logFailure logs, at a bounded rate, why an exchange got no complete response; cancelled ones are not logged.
-func (x *upstreamTransport) logFailure(
+func (t *upstreamTransport) logFailure(
 	ctx context.Context, request *forwardedRequest, to connpool.Server, reason string, err error,
 ) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	x.failureLog.Warn("attempt failed",
+	t.failureLog.Warn("attempt failed",
 		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.Addr, "error", err)
 }
 
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -50,10 +50,10 @@
 }
 
 // attemptOnce makes one attempt and waits for its result.
-func attemptOnce(t *testing.T, x *upstreamTransport, to connpool.Server, m *forwardedRequest) attemptResult {
+func attemptOnce(t *testing.T, transport *upstreamTransport, to connpool.Server, m *forwardedRequest) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 1)
-	x.start(new(upstreamCall), to, m, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
+	transport.start(new(upstreamCall), to, m, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
 	return receive(t, "the outcome", done)
 }
 
@@ -206,11 +206,12 @@
 		io.ReadFull(c, make([]byte, 1000))
 		reset(c)
 	}()
-	x := newTestTransport(t)
-	x.pool.DialContext = dialWithControl(small)
+	transport := newTestTransport(t)
+	transport.pool.DialContext = dialWithControl(small)
 	m := newTestRequest("partial")
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
-	if r := attemptOnce(t, x, connpool.Server{Addr: l.Addr().String()}, m); r.status != balance.StatusConnectFailed {
+	r = attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, m)
+	if r.status != balance.StatusConnectFailed {
 		t.Errorf("broken before the last byte: %v", r.status)
 	}
 }
@@ -226,17 +227,17 @@
 			ended <- struct{}{}
 		}
 	})
-	x, done := newTestTransport(t), make(chan attemptResult, 2)
+	transport, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
 	to := connpool.Server{Addr: b.Addr().String()}
-	x.start(c, to, newTestRequest("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
+	transport.start(c, to, newTestRequest("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
 	if r := receive(t, "the outcome", done); r.status != balance.StatusCancelled {
 		t.Errorf("%v", r.status)
 	}
-	if open, _ := x.pool.Size(); open != 0 {
+	if open, _ := transport.pool.Size(); open != 0 {
 		t.Errorf("%d connections left", open)
 	}
 }
@@ -253,11 +254,12 @@
 		syscall.EHOSTUNREACH:  balance.StatusConnectFailed,
 		syscall.ETIMEDOUT:     balance.StatusConnectFailed,
 	} {
-		x := newTestTransport(t)
-		x.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
+		transport := newTestTransport(t)
+		transport.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 			return os.NewSyscallError("connect", errno)
 		})
-		if r := attemptOnce(t, x, connpool.Server{Addr: b.Addr().String()}, newTestRequest("id")); r.status != want {
+		r := attemptOnce(t, transport, connpool.Server{Addr: b.Addr().String()}, newTestRequest("id"))
+		if r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
 	}
--- a/internal/node/upstream_response.go
+++ b/internal/node/upstream_response.go
@@ -97,23 +97,23 @@
 // readBody reads the body of a response, completely if it may be held in memory. Of one that may be streamed it
 // returns at least the first byte: until something has been passed on, a failure can still be answered in another
 // way. One that may not be streamed has to be short.
-func (x *upstreamTransport) readBody(resp *http.Response, mayStream bool) (body []byte, complete bool, err error) {
+func (t *upstreamTransport) readBody(resp *http.Response, mayStream bool) (body []byte, complete bool, err error) {
 	size := resp.ContentLength
 	switch {
 	case !mayStream:
 		body, err = readShortBody(resp)
 		return body, err == nil, err
-	case size > maxBodyBytes || size > 0 && !x.bodyMemory.tryAcquire(size):
+	case size > maxBodyBytes || size > 0 && !t.bodyMemory.tryAcquire(size):
 		body = make([]byte, streamBufferSize)
 		n, err := io.ReadAtLeast(resp.Body, body, 1)
 		return body[:n], false, err
 	case size >= 0:
-		defer x.bodyMemory.release(size)
+		defer t.bodyMemory.release(size)
 		body = make([]byte, size)
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
 	}
-	return x.readUnsizedBody(resp.Body)
+	return t.readUnsizedBody(resp.Body)
 }
 
 // readShortBody reads a body of at most maxBodyBytes.
@@ -131,10 +131,10 @@
 // readUnsizedBody reads a body whose length is not given: up to its end or pieceSize, or what comes first where
 // memory for bodies is short. What has not been passed on can be answered in another way, if the response breaks off
 // or never ends.
-func (x *upstreamTransport) readUnsizedBody(body io.Reader) (read []byte, complete bool, err error) {
+func (t *upstreamTransport) readUnsizedBody(body io.Reader) (read []byte, complete bool, err error) {
 	enough := streamBufferSize
-	if x.bodyMemory.tryAcquire(streamBufferSize) {
-		defer x.bodyMemory.release(streamBufferSize)
+	if t.bodyMemory.tryAcquire(streamBufferSize) {
+		defer t.bodyMemory.release(streamBufferSize)
 	} else {
 		enough = 1
 	}
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -43,15 +43,15 @@
 					br.ReadByte()
 					ended <- struct{}{}
 				})
-				x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+				transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
-				x.start(new(upstreamCall), to, newTestRequest("id"), deadline, func(r attemptResult) { done <- r })
+				transport.start(new(upstreamCall), to, newTestRequest("id"), deadline, func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
 				receive(t, "the end of the connection", ended)
-				if open, _ := x.pool.Size(); open != 0 {
+				if open, _ := transport.pool.Size(); open != 0 {
 					t.Errorf("%d connections held", open)
 				}
 			})
@@ -71,9 +71,10 @@
 			}
 			br.ReadByte()
 		})
-		x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
-			if r := attemptOnce(t, x, to, newTestRequest(id)); r.status != balance.StatusSucceeded || string(r.body) != id {
+			r := attemptOnce(t, transport, to, newTestRequest(id))
+			if r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
 			}
 			<-wrote
@@ -103,14 +104,14 @@
 				<-over
 				tc.end(c)
 			})
-			x, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
+			transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 			nc, err := net.Dial("tcp", to.Addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
-			x.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
-			r := attemptOnce(t, x, to, newTestRequest("id"))
+			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
+			r := attemptOnce(t, transport, to, newTestRequest("id"))
 			if r.stream != nil { // the rest is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
