--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -6,19 +6,6 @@
 	"time"
 )
 
-// FaultWindow is a time in which a node was under a fault of its own process or of its clients' link: requests that
-// it held then may go unanswered through no fault of its code, and are counted apart, not excused silently.
-type FaultWindow struct {
-	Node int `json:"node"`
-	// Unix nanoseconds; End 0: to the end of the run
-	Start  int64  `json:"-"`
-	End    int64  `json:"-"`
-	Exited int64  `json:"-"` // of a kill: when the process had ended, some milliseconds after Start
-	Kind   string `json:"kind"`
-	// ProcessStart is, of a kill, when the killed process was started: what came before that is with another one.
-	ProcessStart int64 `json:"-"`
-}
-
 // Check is one invariant's verdict over the history.
 type Check struct {
 	Name       string `json:"name"`
@@ -104,9 +91,6 @@
 	return ""
 }
 
-// isUnanswered tells whether a request that was taken got no final answer.
-func (o Outcome) isUnanswered() bool { return o.Kind == kindBroken || o.Kind == kindNoAnswer }
-
 func (h History) finalAnswers() Check {
 	c := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
 	for _, o := range h.Outcomes {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -13,19 +13,6 @@
 	"time"
 )
 
-// Kinds of outcomes: what a client saw of a request.
-const (
-	kindServed             = "served"
-	kindRejected           = "refused"     // 429 or 503
-	kindFailed             = "failed"      // another code, or an answer that broke off so that its client could tell
-	kindBroken             = "broken"      // written whole, and the connection ended with no answer
-	kindNoAnswer           = "none"        // written whole, and no answer in time
-	kindClosedUnread       = "shut"        // shut unread twice: failed, and not lost (TERMS)
-	kindClientDisconnected = "left"        // its client has closed the connection first
-	kindUnconnected        = "unconnected" // no node accepted it: no request at all
-	kindIncomplete         = "unwritten"   // the connection broke before its last byte was written: not taken
-)
-
 // crossedCloseWindow is how soon a connection ends that a request crosses. One that ends later held the request.
 const crossedCloseWindow = 250 * time.Millisecond
 
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -15,6 +15,11 @@
 // Member is one entry of the list in PROTOCOL's form, the registry's own.
 type Member = registry.Member
 
+const (
+	phaseReady    = "ready"
+	phaseDraining = "draining"
+)
+
 type listAnswer struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -8,33 +8,6 @@
 	"time"
 )
 
-// Classes of requests: safe to repeat, unsafe, and dropped as a repeat by its key for a while.
-const (
-	classRead  = "read"
-	classClaim = "claim"
-	classToken = "token"
-)
-
-// Outcome is what a client saw of one request.
-type Outcome struct {
-	Trace             string `json:"trace"`
-	Node              int    `json:"node"` // the last one that it was sent to
-	Class             string `json:"class"`
-	SentAt            int64  `json:"sent_ns"`   // Unix time in nanoseconds
-	DialedAt          int64  `json:"dialed_ns"` // when its last connection was made
-	DoneAt            int64  `json:"done_ns"`
-	DisconnectedAt    int64  `json:"left_ns,omitempty"` // when its client left; 0: it stayed
-	ClientTimeout     int64  `json:"wait_ns"`           // how long its client waits
-	Status            int    `json:"status"`            // 0: no answer
-	Kind              string `json:"kind"`
-	FirstOnConnection bool   `json:"fresh,omitempty"`  // it was the first on its connection
-	EarlyAction       string `json:"early,omitempty"`  // what its client did long before: an earlyAction
-	Resent            bool   `json:"resent,omitempty"` // it crossed the close of a kept connection and was sent once more
-	// Crossed is when the close that it crossed was seen, a reset behind it included.
-	CrossedAt int64  `json:"crossed_ns,omitempty"`
-	Error     string `json:"error,omitempty"`
-}
-
 // answerGrace is how long after its deadline the driver still waits for a final answer (FLEET: half a second).
 const answerGrace = 500 * time.Millisecond
 
--- /dev/null
+++ b/internal/lab/upgrade.go
@@ -0,0 +1,45 @@
+package lab
+
+import (
+	"context"
+	"slices"
+	"syscall"
+	"time"
+)
+
+// upgrade starts a second process of a node, which takes over from the present one. That one gets SIGTERM once the
+// successor is ready, and SIGKILL at the earliest. Neither opens a fault window.
+func (run *loadRun) upgrade(ctx context.Context, i int) error {
+	replaced := run.processes[roleNode][i]
+	if replaced.Exited() == nil {
+		return nil // there is no process to take over from
+	}
+	_, admin := run.addresses.allocate()
+	env := append(slices.Clone(replaced.env), "BALANCER_ADMIN="+admin)
+	successor := &Process{Name: replaced.Name, argv: replaced.argv, env: env, log: replaced.log}
+	if err := successor.Start(run.spawner); err != nil {
+		return err
+	}
+	run.mu.Lock()
+	run.processes[roleNode][i] = successor
+	delete(run.terminatedAt, i) // it was of the replaced process
+	run.processes[roleReplaced] = append(run.processes[roleReplaced], replaced)
+	run.mu.Unlock()
+	run.timers.Go(func() { run.endReplaced(ctx, i, replaced, successor, admin) })
+	return nil
+}
+
+// endReplaced ends a node's replaced process once its successor is ready.
+func (run *loadRun) endReplaced(ctx context.Context, i int, replaced, successor *Process, admin string) {
+	if err := waitReady(ctx, successor, admin, adminHealthPath); err != nil {
+		run.log.Info("upgrade failed", "component", "lab", "node", successor.Name, "error", err)
+		return // the successor was ended before it was ready
+	}
+	replaced.Signal(syscall.SIGTERM)
+	select {
+	case <-ctx.Done():
+	case <-replaced.Exited():
+	case <-time.After(run.scenario.killAfter()):
+		run.killAtEarliest(i, replaced)
+	}
+}
