--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -78,7 +78,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
+func TestCallsAndTheirStatus(t *testing.T) {
 	ready, not := start(t, &fakeNode{ready: true}), start(t, &fakeNode{})
 	for _, c := range []struct {
 		addr, line string
@@ -109,7 +109,7 @@
 }
 
 // A call that is too long is an error or a close; nobody reads it to its end.
-func TestLongCallsEnd(t *testing.T) {
+func TestOversizedCallEnds(t *testing.T) {
 	c, err := net.Dial("tcp", start(t, &fakeNode{ready: true}))
 	if err != nil {
 		t.Fatal(err)
@@ -132,8 +132,8 @@
 	return len(p), nil
 }
 
-// Callers that hold their connection without a whole call never keep one from being answered.
-func TestHeldConnectionsGiveWay(t *testing.T) {
+// Connections without a complete call are evicted, so that a call is answered however many there are.
+func TestIncompleteCallsAreEvicted(t *testing.T) {
 	addr := start(t, &fakeNode{ready: true})
 	var held []net.Conn
 	for i := range 4 * MaxConns {
@@ -150,7 +150,7 @@
 	if status, _ := call(t, addr, "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 		t.Errorf("answered %d", status)
 	}
-	// The first of them gave way to the later ones.
+	// The first of them was evicted for the later ones.
 	held[0].SetReadDeadline(time.Now().Add(patience))
 	if _, err := io.ReadAll(held[0]); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("the longest held connection is still open: %v", err)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A malformed list leaves the last good one in place; the complete list is read again.
+// A malformed list is not passed on, and the complete list is read again.
 func TestMalformedListIsDropped(t *testing.T) {
 	for name, text := range map[string]string{
 		"not JSON":      `{"revision":2,`,
@@ -175,7 +175,7 @@
 	}
 }
 
-// A call that is queued at discovery keeps its place: one that was given up would have been served all the same.
+// A call that is queued at discovery keeps its place: discovery serves one that was abandoned all the same.
 func TestQueuedCallIsNotAbandoned(t *testing.T) {
 	var calls atomic.Int64
 	text := discoverytest.FormatList(7, true, member("ready"))
@@ -192,7 +192,7 @@
 	})
 	lists, failures := startClient(t, addr, nil)
 	if receive(t, "the list", lists); failures.Load() != 0 {
-		t.Errorf("%d calls were given up", failures.Load())
+		t.Errorf("%d calls were abandoned", failures.Load())
 	}
 }
 
--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -11,7 +11,7 @@
 	"context"
 )
 
-// stats reads the figures of a node on its second address.
+// stats reads the statistics of a node from its second address.
 func stats(t *testing.T, n *started) map[string]int {
 	t.Helper()
 	resp, body := do(t, adminCall(t, n, "GET", "/admin/stats"))
@@ -52,11 +52,11 @@
 	return start(t, cfg)
 }
 
-// Each request ends in one figure of its class, attempts count when they are written, and nothing stays pending.
-func TestFigures(t *testing.T) {
-	asked := make(chan string, 64)
+// Each request counts in one outcome of its class, attempts count when they are written, and nothing stays pending.
+func TestAdminStatistics(t *testing.T) {
+	paths := make(chan string, 64)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
-		asked <- r.URL.Path
+		paths <- r.URL.Path
 		switch r.URL.Path {
 		case "/turned-away":
 			return "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -76,10 +76,10 @@
 	}
 	do(t, ask(t, n.url+"/fine", "read"))
 	do(t, ask(t, n.url+"/error", "read")) // one backend: nowhere else to go
-	// A client that goes away ends its request, whatever it counts as.
+	// A client that disconnects ends its request, whatever it counts as.
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		for receive(t, "the slow request", asked) != "/slow" {
+		for receive(t, "the slow request", paths) != "/slow" {
 		}
 		cancel()
 	}()
@@ -98,7 +98,8 @@
 		t.Errorf("members_unavailable: %d", u)
 	}
 	for name, want := range map[string]int{
-		"completed.order": 2, "rejected.order": 1, "failed.order": 1, "completed.read": 1, "rejected.read": 1, "failed.read": 0,
+		"completed.order": 2, "rejected.order": 1, "failed.order": 1,
+		"completed.read": 1, "rejected.read": 1, "failed.read": 0,
 		"members": 2,
 	} {
 		if got[name] != want {
@@ -106,19 +107,19 @@
 		}
 	}
 	if sum := got["completed.token"] + got["rejected.token"] + got["failed.token"]; sum != 1 {
-		t.Errorf("%d ends of one token request", sum)
+		t.Errorf("%d outcomes of one token request", sum)
 	}
 }
 
 // Without a second address there is none.
-func TestNoAdminWithoutAnAddress(t *testing.T) {
+func TestNoAdminServerWithoutAddress(t *testing.T) {
 	if n := startOn(t, "127.0.0.1:9"); n.admin != nil {
 		t.Error("a second address is open")
 	}
 }
 
-// The second address says whether the process may be sent to.
-func TestHealthFollowsTheNode(t *testing.T) {
+// The second address reports whether the process is ready.
+func TestHealthFollowsReadiness(t *testing.T) {
 	n := startAdmin(t, listText(1, true))
 	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/health")); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answered %d without a backend", resp.StatusCode)
@@ -130,9 +131,9 @@
 	})
 }
 
-// /metrics tells the same ends as the figures, attempts by status, the list's revision and the calls of
-// discovery, in Prometheus's text form.
-func TestMetricsFollowTheFigures(t *testing.T) {
+// /metrics has the same outcomes as the statistics, attempts by status, the list's revision and the calls to discovery,
+// in Prometheus's text form.
+func TestMetricsEqualStatistics(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/error" {
 			return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -16,13 +16,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 0x8c1f30d27a5be964 || cfg.Limits.Sockets != 4096 || cfg.Known.Revision != 41 || len(cfg.Settings.Classes) != 3 {
+	if cfg.Seed != 0x8c1f30d27a5be964 || cfg.Limits.Sockets != 4096 || cfg.Known.Revision != 41 ||
+		len(cfg.Settings.Classes) != 3 {
 		t.Errorf("%+v", cfg)
 	}
 }
 
 // What is missing or malformed is one line that names it.
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, want string }{
 		"empty":          {goodConfig, "", "JSON"},
 		"no object":      {goodConfig, "[]", "array"},
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// startWithRecord starts a node on two backends, with a place for its record, and tells which backend served last.
+// startWithRecord starts a node on two backends, with its record in dir. served sends a request and returns the
+// backend.
 func startWithRecord(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
 	t.Helper()
 	var members []listed
@@ -42,7 +43,7 @@
 	return resp.StatusCode
 }
 
-// neverServes tells whether a backend gets nothing of many requests.
+// neverServes reports whether a backend gets none of many requests.
 func neverServes(served func() string, id string) bool {
 	for range 20 {
 		if served() == id {
@@ -52,31 +53,32 @@
 	return true
 }
 
-// A backend is out from the yes until it is put back, through lists that name it, at all processes of the node.
+// A backend is cordoned from the success of the call until it is uncordoned, through lists that name it, at all
+// processes of the node.
 func TestCordonHolds(t *testing.T) {
 	dir := t.TempDir()
 	n, reg, served := startWithRecord(t, dir)
 	other, _, servedByOther := startWithRecord(t, dir)
-	for range 2 { // twice out is out once
+	for range 2 { // cordoned twice is cordoned once
 		if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
 			t.Fatalf("answered %d", got)
 		}
 	}
 	if !neverServes(served, "s-a") {
-		t.Error("served by a backend that is out")
+		t.Error("served by a cordoned backend")
 	}
 	if got := stats(t, n); got["members"] != 2 || got["members_unavailable"] != 1 {
-		t.Errorf("figures: %v", got)
+		t.Errorf("statistics: %v", got)
 	}
 	reg.next <- listText(2, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
 		listed{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
 	eventually(t, "the list is taken in", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
 	if !neverServes(served, "s-a") {
-		t.Error("served by a backend that is out, after a list that names it")
+		t.Error("served by a cordoned backend, after a list that names it")
 	}
 	eventually(t, "the other process follows", func() bool { return stats(t, other)["members_unavailable"] == 1 })
 	if !neverServes(servedByOther, "s-a") {
-		t.Error("the other process sends to a backend that is out")
+		t.Error("the other process sends to a cordoned backend")
 	}
 	if got := adminPost(t, other, "/admin/uncordon/s-a"); got != http.StatusOK {
 		t.Fatalf("answered %d", got)
@@ -84,17 +86,17 @@
 	eventually(t, "the backend is used again", func() bool { return servedByOther() == "s-a" })
 	eventually(t, "the first process follows", func() bool { return stats(t, n)["members_unavailable"] == 0 })
 	if got := adminPost(t, n, "/admin/cordon/s-none"); got != http.StatusNotFound {
-		t.Errorf("a backend that nobody knows: answered %d", got)
+		t.Errorf("unknown backend: answered %d", got)
 	}
 }
 
-// backendAddr tells where the node takes a backend to be.
+// backendAddr returns the address of a backend as the node has it.
 func (s *started) backendAddr(t *testing.T, id string) (addr string) {
 	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
 	return addr
 }
 
-// What is out stays out in a process that starts later.
+// A cordon holds in a process that starts later.
 func TestCordonOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	n, _, _ := startWithRecord(t, dir)
@@ -103,12 +105,12 @@
 	receive(t, "the end of the node", n.err)
 	next, _, served := startWithRecord(t, dir)
 	if !neverServes(served, "s-a") || stats(t, next)["members_unavailable"] != 1 {
-		t.Error("a backend that is out is used by the next process")
+		t.Error("a cordoned backend is used by the next process")
 	}
 }
 
-// A record that is missing, empty or damaged keeps no node from starting, nor from writing a new one.
-func TestDamagedRecord(t *testing.T) {
+// A record that is empty or malformed keeps no node from starting, nor from writing a new one.
+func TestMalformedCordonRecord(t *testing.T) {
 	for name, text := range map[string]string{"empty": "", "damaged": `{"version":1,"back`, "odd": `[1,2]`} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -120,7 +122,7 @@
 				t.Errorf("answered %d", got)
 			}
 			if !neverServes(served, "s-a") {
-				t.Error("served by a backend that is out")
+				t.Error("served by a cordoned backend")
 			}
 			c, err := newCordonFile(dir, "n1", quiet()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
@@ -130,16 +132,16 @@
 	}
 }
 
-// No yes where the record can't be written: the next process would not know.
-func TestNoYesWithoutARecord(t *testing.T) {
+// A call fails where the record can't be written: the next process would not have the cordon.
+func TestCordonFailsWithoutARecord(t *testing.T) {
 	n, _, _ := startWithRecord(t, filepath.Join(t.TempDir(), "missing"))
 	if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", got)
 	}
 }
 
-// What a process knows outlives a file that is lost, and nothing older replaces it.
-func TestChangesBuildOnWhatIsKnown(t *testing.T) {
+// The record that a process has outlives its file, and no older one replaces it.
+func TestUpdateStartsFromTheKnownRecord(t *testing.T) {
 	f := newCordonFile(t.TempDir(), "n/1", quiet())
 	if strings.Contains(filepath.Base(f.path), "/") {
 		t.Errorf("path %q", f.path)
@@ -177,9 +179,9 @@
 	}
 }
 
-// A record that can't be read for a moment still binds: a process that starts then leaves out what is out, one that follows hears
-// of a change, and a change never replaces what could not be read.
-func TestRecordThatCannotBeReadForAMoment(t *testing.T) {
+// A record with transient read errors still binds: a process that starts then has the cordons, one that watches
+// receives a change, and an update never replaces what could not be read.
+func TestTransientReadErrorsOfTheRecord(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	dir := t.TempDir()
@@ -190,7 +192,7 @@
 	starts := newCordonFile(dir, "n1", quiet())
 	starts.readFile = failingRead(3)
 	if c := starts.loadAtStart(); !c.Backends["a"].Cordoned {
-		t.Errorf("a process that starts knows %+v", c)
+		t.Errorf("a process that starts has %+v", c)
 	}
 	follows := newCordonFile(dir, "n1", quiet())
 	follows.loadAtStart()
@@ -198,22 +200,23 @@
 	if _, err := newCordonFile(dir, "n1", quiet()).update(ctx, out, "b", true, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan cordonRecord, 16)
-	go follows.watch(ctx, func(c cordonRecord) { heard <- c })
+	records := make(chan cordonRecord, 16)
+	go follows.watch(ctx, func(c cordonRecord) { records <- c })
 	select {
-	case c := <-heard:
+	case c := <-records:
 		if !c.Backends["b"].Cordoned {
-			t.Errorf("heard %+v", c)
+			t.Errorf("received %+v", c)
 		}
 	case <-time.After(patience):
-		t.Error("a process that follows does not hear of the change")
+		t.Error("a process that watches does not receive the change")
 	}
 	changes := newCordonFile(dir, "n1", quiet())
 	changes.readFile = failingRead(1)
 	if _, err := changes.update(ctx, cordonRecord{}, "c", true, 3*time.Second); err == nil {
 		t.Error("a change took the place of a record that could not be read")
 	}
-	if c, err := newCordonFile(dir, "n1", quiet()).load(); err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
+	c, err := newCordonFile(dir, "n1", quiet()).load()
+	if err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
 		t.Errorf("the record has %+v, %v", c, err)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -13,11 +13,11 @@
 	"hitchvale/balance"
 )
 
-// Once a backend drains nothing new goes out to it: not from the module, and not what still hangs in a dial.
-func TestDrainStopsWhatHangsInADial(t *testing.T) {
-	got := make(chan string, 8)
+// Nothing new is sent to a draining backend: no request that the module forwards, and no attempt that still dials.
+func TestDrainCancelsAttemptsThatDial(t *testing.T) {
+	served := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return answering(func(*http.Request) string { got <- name; return ok200(name) })
+		return answering(func(*http.Request) string { served <- name; return ok200(name) })
 	}
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
@@ -48,12 +48,12 @@
 	receive(t, "a dial", dialing)
 	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0},
 		listed{"new", other.Addr().String(), "ready", 0})
-	eventually(t, "the news", func() (told bool) {
-		s.onLoop(t, func() { told = n.loop.backendsByID["old"].phase == balance.Draining })
-		return told
+	eventually(t, "the watch event", func() (draining bool) {
+		s.onLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
+		return draining
 	})
 	close(dial)
-	// It never ran, so the module may send it on or refuse it; a node this young has earned no retry.
+	// The request never ran, so the module may forward or reject it; a node this young has no retry budget.
 	if body := receive(t, "the answer", answered); body == "old" {
 		t.Errorf("answered %q", body)
 	}
@@ -66,16 +66,16 @@
 		open, _ := n.pool.Size()
 		return open == 1
 	})
-	close(got)
-	for name := range got {
+	close(served)
+	for name := range served {
 		if name == "old" {
-			t.Error("a request went out to a backend that drains")
+			t.Error("a request was sent to a draining backend")
 		}
 	}
 }
 
-// A list that is known is gone on from: reading it all again would cost discovery work for each line.
-func TestKnownListIsWatchedFrom(t *testing.T) {
+// A node with a known list watches from its revision: reading the list again costs discovery work for each entry.
+func TestWatchStartsFromTheKnownList(t *testing.T) {
 	text := listText(41, true, listed{"s", "127.0.0.1:1", "ready", 0})
 	reg := newRegistry(t, text)
 	n, err := New(testConfig(t, reg.addr, text), quiet())
@@ -88,21 +88,22 @@
 	t.Cleanup(func() { cancel(); <-ended })
 	eventually(t, "the first call", func() bool { return len(reg.asked()) > 0 })
 	if first := reg.asked()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
-		t.Errorf("the first call asks for %q", first)
+		t.Errorf("the first call has the query %q", first)
 	}
 }
 
-// A list that is pushed counts as told from the first moment of a new process: it is not ready on the one that it was
-// started with, but once it has read what the agent has, which it asks for without waiting. An agent that does not answer
-// keeps it away for a while only.
-func TestNewProcessReadsThePushedListFirst(t *testing.T) {
+// A pushed list counts as notified from the start of a process: it is not ready on the list of its configuration, but
+// once it has read the agent's, which its first call does without waiting. An agent that does not answer delays it for
+// a while only.
+func TestNotReadyBeforeTheFirstPushedList(t *testing.T) {
 	known := listText(1, true, listed{"s", "127.0.0.1:9", "ready", 0})
 	for _, answers := range []bool{true, false} {
-		release, asked := make(chan struct{}), make(chan string, 64)
+		release, queries := make(chan struct{}), make(chan string, 64)
 		b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
-			asked <- r.URL.RawQuery
+			queries <- r.URL.RawQuery
 			<-release
-			return ok200(listText(2, false, listed{"s", "127.0.0.1:9", "draining", 0}, listed{"u", "127.0.0.1:9", "ready", 0}))
+			return ok200(listText(2, false,
+				listed{"s", "127.0.0.1:9", "draining", 0}, listed{"u", "127.0.0.1:9", "ready", 0}))
 		}))
 		n, err := New(testConfig(t, b.Addr().String(), known), quiet())
 		if err != nil {
@@ -114,8 +115,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { n.Run(ctx); close(done) }()
-		if first := receive(t, "the first call", asked); first != "after=1&wait_ms=0" {
-			t.Errorf("the first call asks for %q", first)
+		if first := receive(t, "the first call", queries); first != "after=1&wait_ms=0" {
+			t.Errorf("the first call has the query %q", first)
 		}
 		if n.loop.ready.Load() && answers {
 			t.Error("ready before the agent's list was read")
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -12,14 +12,14 @@
 	"hitchvale/internal/fleet"
 )
 
-// Without the key a node has nothing of the fleet: no agent, no hook, no goroutine, no connection, no call.
-func TestNoFleetWithoutItsKey(t *testing.T) {
+// Without the key a node is in no fleet: it has no agent, no hook, no goroutine, no connection, no call.
+func TestNoFleetMemberWithoutTheKey(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	n := startAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
 	do(t, ask(t, n.url+"/api/x", "read"))
 	if n.fleet != nil || n.server.fleet != nil || n.loop.onServed != nil {
-		t.Error("a part in the fleet without the key")
+		t.Error("a fleet member without the key")
 	}
 	stacks := make([]byte, 4<<20)
 	if stacks = stacks[:runtime.Stack(stacks, true)]; strings.Contains(string(stacks), "hitchvale/internal/fleet.") {
@@ -40,7 +40,8 @@
 		`{"registry":["127.0.0.1:1"],"site":"a"}`:           "",
 		`{"registry":["127.0.0.1:1"],"interval_ms":"soon"}`: "interval_ms",
 	} {
-		cfg, err := ParseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","fleet":` + text + `,"settings":` + testSettings + `}`))
+		cfg, err := ParseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","fleet":` + text +
+			`,"settings":` + testSettings + `}`))
 		switch {
 		case want == "" && (err != nil || cfg.Fleet.IntervalMs != 1000 || cfg.Fleet.Tenants != 64):
 			t.Errorf("%s: %v, %+v", text, err, cfg.Fleet)
@@ -50,8 +51,8 @@
 	}
 }
 
-// A report tells what clients hold by tenant, what backends have done for each, and what the module found of backends.
-func TestReportTellsOfTenantsAndBackends(t *testing.T) {
+// A report has the connections and the backends' work by tenant, and the module's estimates of the endpoints.
+func TestFleetReport(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		time.Sleep(5 * time.Millisecond)
 		return ok200("x")
@@ -76,12 +77,14 @@
 	}
 	r := n.fleet.report()
 	conns := func(r fleet.Report) float64 {
-		if i := slices.IndexFunc(r.TenantsByConnections, func(h fleet.WeightedKey) bool { return h.Key == "acme" }); i >= 0 {
+		isAcme := func(tenant fleet.WeightedKey) bool { return tenant.Key == "acme" }
+		if i := slices.IndexFunc(r.TenantsByConnections, isAcme); i >= 0 {
 			return r.TenantsByConnections[i].Weight
 		}
 		return 0
 	}
-	if conns(r) != 3 || r.Metrics.Connections < 3 || r.Metrics.Descriptors <= r.Metrics.Connections || r.Metrics.DescriptorLimit == 0 {
+	if conns(r) != 3 || r.Metrics.Connections < 3 || r.Metrics.Descriptors <= r.Metrics.Connections ||
+		r.Metrics.DescriptorLimit == 0 {
 		t.Errorf("%+v", r)
 	}
 	if len(r.TenantsByWork) != 1 || r.TenantsByWork[0].Key != "acme" || r.TenantsByWork[0].Weight < 0.010 {
@@ -95,6 +98,6 @@
 	}
 	eventually(t, "the ends of the connections", func() bool { return conns(n.fleet.report()) == 0 })
 	if again := n.fleet.report(); len(again.TenantsByWork) != 0 {
-		t.Errorf("work is told twice: %+v", again.TenantsByWork)
+		t.Errorf("work is reported twice: %+v", again.TenantsByWork)
 	}
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -17,7 +17,7 @@
 	"hitchvale/balance"
 )
 
-// process starts a process of a node that may run beside another one.
+// process starts a process of the node whose files are in dir; another one may run already.
 func process(t *testing.T, dir, listen, list string, change ...string) *started {
 	t.Helper()
 	cfg := testConfig(t, newRegistry(t, list).addr, list, change...)
@@ -43,9 +43,9 @@
 	}))
 }
 
-// clients ask without end, on new connections and on kept ones, and count what gets no answer. Returned is what ends
-// them.
-func clients(t *testing.T, url string, asked, bad *atomic.Int64) (stop func()) {
+// sendUntilStopped sends requests from eight clients, half of them on reused connections, until stop is called. It
+// counts those sent and those without a response.
+func sendUntilStopped(t *testing.T, url string, sent, unanswered *atomic.Int64) (stop func()) {
 	var wg sync.WaitGroup
 	quit := make(chan struct{})
 	for i := range 8 {
@@ -59,17 +59,17 @@
 				default:
 				}
 				r := ask(t, url+"/x", "read")
-				asked.Add(1)
+				sent.Add(1)
 				resp, err := tr.RoundTrip(r)
 				if err != nil {
 					t.Log(err)
-					bad.Add(1)
+					unanswered.Add(1)
 					continue
 				}
-				// A process that knows nothing yet may refuse; that is an answer.
+				// A process without estimates may reject; that is a response.
 				if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 					t.Log(resp.Status)
-					bad.Add(1)
+					unanswered.Add(1)
 				}
 				resp.Body.Close()
 			}
@@ -84,19 +84,19 @@
 	list := listText(7, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
-	var asked, bad atomic.Int64
-	stop := clients(t, predecessor.url, &asked, &bad)
+	var sent, unanswered atomic.Int64
+	stop := sendUntilStopped(t, predecessor.url, &sent, &unanswered)
 	eventually(t, "the predecessor has estimates", func() bool { return stats(t, predecessor)["completed.read"] > 50 })
 	// The configuration of the successor has an old list; it uses the predecessor's.
 	successor := process(t, dir, predecessor.Addr().String(), listText(1, true))
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
-	var knows float64
+	var meanLatency float64
 	successor.onLoop(t, func() {
 		for _, s := range successor.loop.balancer.HandoverState().Endpoints {
-			knows += s.MeanLatency
+			meanLatency += s.MeanLatency
 		}
 	})
-	if knows == 0 {
+	if meanLatency == 0 {
 		t.Error("the successor has no estimates of its backends")
 	}
 	before := stats(t, successor)["completed.read"]
@@ -106,8 +106,8 @@
 	}
 	eventually(t, "the successor serves", func() bool { return stats(t, successor)["completed.read"] > before+100 })
 	stop()
-	if bad.Load() > 0 {
-		t.Errorf("%d of %d requests got no answer", bad.Load(), asked.Load())
+	if unanswered.Load() > 0 {
+		t.Errorf("%d of %d requests got no response", unanswered.Load(), sent.Load())
 	}
 	eventually(t, "the successor has all descriptors", func() bool {
 		successor.listener.mu.Lock()
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	predecessor.stop()
-	eventually(t, "the predecessor leaves", predecessor.server.shutdown.started)
+	eventually(t, "the shutdown of the predecessor", predecessor.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, predecessor.url+"/x", "read"))
@@ -237,7 +237,7 @@
 	successor.stop()
 	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	if predecessor.server.handedOver.Load() {
-		t.Error("the predecessor does not serve, though the new one leaves")
+		t.Error("the predecessor does not serve, though the successor shuts down")
 	} else if resp, _ := do(t, ask(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
@@ -250,10 +250,10 @@
 	}
 }
 
-// A predecessor that is not there, or does not answer, keeps no new one from serving.
+// A predecessor that does not run, or does not answer, keeps no process from serving.
 func TestStartsWithoutAnswerOfPredecessor(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	for name, leave := range map[string]func(path string){
+	for name, prepare := range map[string]func(path string){
 		"nobody": func(string) {},
 		"a file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
 		"a dead socket": func(path string) {
@@ -276,20 +276,20 @@
 			if err := os.Mkdir(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			leave(filepath.Join(dir, "glencart-n1.sock"))
+			prepare(filepath.Join(dir, "glencart-n1.sock"))
 			n := process(t, dir, "", list)
 			eventually(t, "the process is ready", func() bool { return healthy(t, n) })
 			if resp, _ := do(t, ask(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
-			next := process(t, dir, n.Addr().String(), list)
-			eventually(t, "the successor is ready", func() bool { return healthy(t, next) })
+			successor := process(t, dir, n.Addr().String(), list)
+			eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 		})
 	}
 }
 
-// A listener that rests leaves connections in its queue, and accepts them afterwards.
-func TestRestingListener(t *testing.T) {
+// A paused listener leaves connections in its backlog, and accepts them afterwards.
+func TestPausedListener(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -315,7 +315,7 @@
 	defer c.Close()
 	select {
 	case <-accepted:
-		t.Error("accepted while it rests")
+		t.Error("accepted while paused")
 	case <-time.After(20 * time.Millisecond):
 	}
 	l.setPaused(false)
@@ -323,7 +323,7 @@
 	eventually(t, "it is released", func() bool { return l.openConns() == 0 })
 }
 
-// While another process takes what comes, cold servers get nothing from this one.
+// While a successor accepts, this process sends nothing to endpoints in slow start.
 func TestHandoverSharesOneSlowStartBudget(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
 		listed{id: "s-b", addr: echo(t).Addr().String(), phase: "ready"})
@@ -360,12 +360,12 @@
 	successor := process(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "it is handed over", func() bool { return predecessor.server.handedOver.Load() })
 	if successor.handover.serving.Load() && time.Since(successor.handover.startedAt) < predecessorSettleTimeout {
-		t.Error("the successor says yes while the old one is at work")
+		t.Error("the successor reports ready while the predecessor has a request in flight")
 	}
 	predecessor.stop()
 	select {
 	case <-predecessor.err:
-		t.Fatal("the predecessor ended within an answer")
+		t.Fatal("the predecessor ended within a response")
 	case <-time.After(acceptPeriod + 2*deadline):
 	}
 	close(more)
@@ -376,7 +376,8 @@
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 }
 
-// The predecessor sheds connections that keep it waiting, so that the new one has room for those that ask.
+// The predecessor closes connections that keep it waiting, so that the successor has descriptors for clients with
+// requests.
 func TestPredecessorShedsConnections(t *testing.T) {
 	dir := t.TempDir()
 	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
@@ -389,12 +390,14 @@
 		}
 		defer c.Close()
 	}
-	eventually(t, "the crowd is in", func() bool { return predecessor.listener.openConns() >= predecessor.maxClientConns/2 })
+	eventually(t, "the idle clients are accepted", func() bool {
+		return predecessor.listener.openConns() >= predecessor.maxClientConns/2
+	})
 	successor := process(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "the crowd is shed", func() bool {
+	eventually(t, "the idle clients are closed", func() bool {
 		return predecessor.server.handedOver.Load() && predecessor.listener.openConns() <= predecessor.maxClientConns/4
 	})
-	eventually(t, "the successor has room", func() bool {
+	eventually(t, "the successor has the descriptors", func() bool {
 		successor.server.conns.mu.Lock()
 		defer successor.server.conns.mu.Unlock()
 		return successor.server.conns.evictAbove >= (successor.maxClientConns-successor.maxClientConns/4)*3/4
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -18,8 +18,8 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// outage is a discovery that fails from one time to another, and lists a drain from the end on. A watch that is open when
-// it begins fails with it.
+// outage is a discovery that fails from one time to another, and lists a drain from the end on. A watch that is open
+// when it begins fails with it.
 type outage struct {
 	from, until time.Time
 	fault       string // silent: calls meanwhile are never answered; refused; busy
@@ -31,7 +31,8 @@
 	open := time.Now().Before(o.from)
 	down := func() bool { now := time.Now(); return !now.Before(o.from) && (open || now.Before(o.until)) }
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); time.Now().Before(end) && !down() && time.Now().Before(o.until); {
+	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	for time.Now().Before(end) && !down() && time.Now().Before(o.until) {
 		next := o.until
 		if open {
 			next = o.from
@@ -64,8 +65,9 @@
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, however long it was away, whatever became of
-// calls meanwhile and however large the fleet: the module's backoff and the client's timeouts together have to hold that.
+// A change counts as notified 6 s after discovery had it and could be reached, however long it was away, whatever
+// became of calls meanwhile and however large the fleet: the module's backoff and the client's timeouts together have
+// to hold that.
 func TestChangeIsNotifiedSoonAfterAnOutage(t *testing.T) {
 	for _, fault := range []string{"silent", "refused", "busy"} {
 		for _, polled := range []bool{true, false} {
@@ -73,7 +75,9 @@
 				t.Run(fmt.Sprintf("%s,polled=%v,nodes=%d", fault, polled, instances), func(t *testing.T) {
 					for seed := range uint64(4) {
 						for _, lasts := range []time.Duration{0, 4 * time.Second, 11 * time.Second, 63 * time.Second} {
-							synctest.Test(t, func(t *testing.T) { notifiedAfterOutage(t, fault, polled, instances, seed, lasts) })
+							synctest.Test(t, func(t *testing.T) {
+								notifiedAfterOutage(t, fault, polled, instances, seed, lasts)
+							})
 						}
 					}
 				})
--- a/internal/node/peers_spin_test.go
+++ b/internal/node/peers_spin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// brokenConn fails each read at once, as a socket does whose machine has no buffers left.
+// brokenConn fails each read at once, like a socket on a machine without free buffers.
 type brokenConn struct {
 	reads  atomic.Int64
 	closed atomic.Bool
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// A node whose socket for datagrams fails goes on trying, and leaves the processor to what it serves.
+// A node whose gossip socket fails retries, at a rate that costs little processor time.
 func TestBrokenPeerSocketDoesNotSpin(t *testing.T) {
 	c := &brokenConn{}
 	p := &peers{conn: c, outgoing: make(chan datagram, 1)}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -19,33 +19,33 @@
 	return c
 }
 
-func TestPeers(t *testing.T) {
+func TestGossip(t *testing.T) {
 	peer, stranger := udp(t), udp(t)
 	p, err := listenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
 		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	type said struct {
+	type message struct {
 		peer int
 		text string
 	}
-	heard := make(chan said, 16)
+	received := make(chan message, 16)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		p.run(ctx, func(peer int, payload []byte) { heard <- said{peer, string(payload)} })
+		p.run(ctx, func(peer int, payload []byte) { received <- message{peer, string(payload)} })
 		close(ended)
 	}()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	// Neither a stranger nor a datagram that is too long is heard; datagrams on loopback keep their order.
+	// Datagrams of strangers and those that are too long are dropped; datagrams on loopback keep their order.
 	stranger.WriteToUDP([]byte("stranger"), to)
 	peer.WriteToUDP([]byte(strings.Repeat("x", maxDatagramBytes+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
-	if got := receive(t, "a datagram", heard); got != (said{1, "hello"}) {
-		t.Errorf("heard %+v", got)
+	if got := receive(t, "a datagram", received); got != (message{1, "hello"}) {
+		t.Errorf("received %+v", got)
 	}
-	// Nor is one that is too long, or for nobody, sent.
+	// Datagrams that are too long, or for an unknown peer, are not sent.
 	p.enqueue(1, make([]byte, maxDatagramBytes+1))
 	p.enqueue(7, []byte("nobody"))
 	p.enqueue(1, []byte("one"))
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -11,7 +11,7 @@
 
 // A node with 1,024 backends and as many peers loses none of either; the memory that this takes is logged, also for a
 // fleet of 350 nodes and 500 backends.
-func TestSizesOfALargeFleet(t *testing.T) {
+func TestLargeFleet(t *testing.T) {
 	for _, tc := range []struct{ nodes, backends int }{{350, 500}, {1024, 1024}} {
 		t.Run(fmt.Sprintf("%d nodes, %d backends", tc.nodes, tc.backends), func(t *testing.T) {
 			before := heapInUse()
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -10,7 +10,7 @@
 )
 
 // A node whose address is still in use for a moment, by a process that is being killed, waits for it and starts.
-func TestStartsOnceItsAddressIsFree(t *testing.T) {
+func TestStartWaitsForItsAddress(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
 			text := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
+func TestParseErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                "JSON",
 		`{"index":1}`:                      "index",
