--- a/internal/sysfault/plan.go
+++ b/internal/sysfault/plan.go
@@ -1,6 +1,6 @@
-// Package sysfault runs a program and has its system calls fail as Linux documents that they may. It traces its own
-// child with ptrace, which needs no rights, and knows nothing of what the program does. Which calls fail, when and how
-// often, is a plan.
+// Package sysfault is system call fault injection: it runs a program and has its system calls fail as Linux documents
+// that they may. It traces its own child with ptrace, which needs no privileges, and knows nothing of what the program
+// does. Which calls fail, when and how often, is a plan.
 package sysfault
 
 import (
@@ -13,9 +13,9 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those with a share hit that share of the calls while they last.
+// The kinds of faults. Those with a share hit that share of the calls in their time.
 const (
-	// Accept has accept fail with an error that passes, and leaves the connection in the backlog.
+	// Accept has accept fail with a transient error; the connection stays in the backlog.
 	Accept Kind = "accept"
 	// Connect has socket and connect fail with an error of the machine or of the network.
 	Connect Kind = "connect"
@@ -38,34 +38,34 @@
 	Kind  Kind          `json:"kind"`
 	From  time.Duration `json:"from"`
 	For   time.Duration `json:"for,omitempty"`
-	Share float64       `json:"share,omitempty"`
-	Step  time.Duration `json:"step,omitempty"`
+	Share float64       `json:"share,omitempty"` // of the calls, above 0 to 1
+	Step  time.Duration `json:"step,omitempty"`  // of the wall clock
 }
 
-// Plan is what befalls one program.
+// Plan is the faults of one program's system calls.
 type Plan []Fault
 
-// ParsePlan reads a plan as Plan.String words it.
+// ParsePlan reads a plan in the form of Plan.String.
 func ParsePlan(text string) (Plan, error) {
-	var p Plan
-	if err := json.Unmarshal([]byte(text), &p); err != nil {
+	var plan Plan
+	if err := json.Unmarshal([]byte(text), &plan); err != nil {
 		return nil, fmt.Errorf("plan: %w", err)
 	}
-	for i, f := range p {
-		switch f.Kind {
+	for i, fault := range plan {
+		switch fault.Kind {
 		case Clock:
 		case Accept, Connect, Interrupt, Short, Break, Open, Disk:
-			if f.Share <= 0 || f.Share > 1 || f.For <= 0 {
-				return nil, fmt.Errorf("plan: fault %d (%s): share %g for %v", i+1, f.Kind, f.Share, f.For)
+			if fault.Share <= 0 || fault.Share > 1 || fault.For <= 0 {
+				return nil, fmt.Errorf("plan: fault %d (%s): share %g for %v", i+1, fault.Kind, fault.Share, fault.For)
 			}
 		default:
-			return nil, fmt.Errorf("plan: fault %d: no kind %q", i+1, f.Kind)
+			return nil, fmt.Errorf("plan: fault %d: no kind %q", i+1, fault.Kind)
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
-// String words a plan for ParsePlan.
+// String is the plan as JSON.
 func (p Plan) String() string {
 	text, _ := json.Marshal(p) // plain values always encode
 	return string(text)
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -26,7 +26,7 @@
 	// noCall is a number that no system call has: the kernel makes none.
 	noCall = ^uint64(0)
 	// shortLeast is the smallest transfer that is cut short: smaller ones are often messages within a process.
-	shortLeast = 32
+	minShortTransfer = 32
 )
 
 var (
@@ -42,49 +42,55 @@
 )
 
 // Run runs a program under a plan until it ends, and returns its exit code. Draws come from the seed. The program ends
-// with this process. Signals that end a process are left to the program: whoever signals the group reaches both.
+// with this process. Signals that end a process are not forwarded: whoever signals the process group reaches both.
 func Run(plan Plan, seed uint64, argv []string) (code int, err error) {
 	runtime.LockOSThread() // ptrace knows its tracer by thread
-	signals := make(chan os.Signal, 16)
-	signal.Notify(signals, unix.SIGTERM, unix.SIGHUP, unix.SIGINT) // and heed none
+	ignored := make(chan os.Signal, 16)
+	signal.Notify(ignored, unix.SIGTERM, unix.SIGHUP, unix.SIGINT)
 	self, err := os.Executable()
 	if err != nil {
 		return 0, err
 	}
 	cmd := exec.Command(self, argv...)
 	cmd.Env = append(os.Environ(), stageVariable+"="+plan.String())
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
+	cmd.Stdin = os.Stdin
+	cmd.Stdout = os.Stdout
+	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &unix.SysProcAttr{Ptrace: true, Pdeathsig: unix.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return 0, err
 	}
-	t := &tracer{pid: cmd.Process.Pid, plan: plan, start: time.Now(), rng: rand.New(rand.NewPCG(seed, 0x5417)),
+	t := &tracer{pid: cmd.Process.Pid, plan: plan, start: time.Now(), rng: rand.New(rand.NewPCG(seed, drawStream)),
 		threads: map[int]*thread{}, dialed: map[uint64]bool{}}
-	if err := t.begin(); err != nil {
+	if err := t.attach(); err != nil {
 		cmd.Process.Kill()
 		return 0, err
 	}
-	return t.follow()
+	return t.traceUntilExit()
 }
 
+// drawStream sets the tracer's draws apart from others of the same seed.
+const drawStream = 0x5417
+
 // thread is a thread of the program.
 type thread struct {
-	awaitsExit bool // it stops once more, when its present call has been made
-	call       uint64
-	args       [3]uint64
+	awaitsExit bool      // it stops once more, when its present call has returned
+	call       uint64    // number of the last call that it stopped at
+	args       [3]uint64 // of that call
 }
 
+// tracer traces one program.
 type tracer struct {
 	pid     int
 	plan    Plan
 	start   time.Time
 	rng     *rand.Rand
-	threads map[int]*thread
+	threads map[int]*thread // by thread id
 	dialed  map[uint64]bool // descriptors of connections that the program has made itself
 }
 
-// begin takes on the process that sets the filter, at its first stop.
-func (t *tracer) begin() error {
+// attach sets the trace options of the process that sets the filter, at its first stop.
+func (t *tracer) attach() error {
 	var status unix.WaitStatus
 	if _, err := unix.Wait4(t.pid, &status, unix.WALL, nil); err != nil {
 		return fmt.Errorf("waiting for the program: %w", err)
@@ -98,68 +104,8 @@
 	return unix.PtraceCont(t.pid, 0)
 }
 
-// becameProgram takes in that the process that has set the filter is the program now, before its first instruction.
-func (t *tracer) becameProgram() {
-	t.threads = map[int]*thread{t.pid: {}}
-	if t.plan.has(Clock) {
-		if err := t.hideVDSO(); err != nil {
-			fmt.Fprintln(os.Stderr, "shim:", err)
-		}
-	}
-}
-
-// hideVDSO has the program read its clocks by system call. The stack holds argc, argv, the environment and the
-// auxiliary vector, each list ended by a zero.
-func (t *tracer) hideVDSO() error {
-	var regs unix.PtraceRegs
-	if err := unix.PtraceGetRegs(t.pid, &regs); err != nil {
-		return fmt.Errorf("registers: %w", err)
-	}
-	at := uintptr(regs.Rsp)
-	argc, err := t.word(at)
-	if err != nil {
-		return err
-	}
-	at += uintptr(argc+2) * wordSize
-	for {
-		entry, err := t.word(at)
-		if err != nil {
-			return err
-		}
-		if at += wordSize; entry == 0 {
-			break
-		}
-	}
-	for ; ; at += 2 * wordSize {
-		kind, err := t.word(at)
-		if err != nil || kind == 0 {
-			return err
-		}
-		if kind == atSysinfoEhdr {
-			return t.setWord(at, atIgnore)
-		}
-	}
-}
-
-func (t *tracer) word(at uintptr) (uint64, error) {
-	var b [wordSize]byte
-	if _, err := unix.PtracePeekData(t.pid, at, b[:]); err != nil {
-		return 0, fmt.Errorf("memory of the program: %w", err)
-	}
-	return binary.LittleEndian.Uint64(b[:]), nil
-}
-
-func (t *tracer) setWord(at uintptr, value uint64) error {
-	var b [wordSize]byte
-	binary.LittleEndian.PutUint64(b[:], value)
-	if _, err := unix.PtracePokeData(t.pid, at, b[:]); err != nil {
-		return fmt.Errorf("memory of the program: %w", err)
-	}
-	return nil
-}
-
-// follow passes the program's stops on until it ends.
-func (t *tracer) follow() (code int, err error) {
+// traceUntilExit handles the program's stops until it ends, and returns its exit code.
+func (t *tracer) traceUntilExit() (code int, err error) {
 	for {
 		var status unix.WaitStatus
 		id, err := unix.Wait4(-1, &status, unix.WALL, nil)
@@ -170,132 +116,167 @@
 			return 0, fmt.Errorf("waiting for the program: %w", err)
 		case status.Exited() || status.Signaled():
 			delete(t.threads, id)
-			if id != t.pid {
-				continue
-			}
-			if status.Signaled() {
-				return 128 + int(status.Signal()), nil
+			if id == t.pid {
+				return exitCode(status), nil
 			}
-			return status.ExitStatus(), nil
 		case status.Stopped():
-			sig := int(t.stopped(id, status))
-			if th := t.threads[id]; th != nil && th.awaitsExit {
-				unix.PtraceSyscall(id, sig)
-			} else {
-				unix.PtraceCont(id, sig) // a thread that has ended meanwhile is told of soon
-			}
+			t.resume(id, t.handleStop(id, status))
 		}
 	}
 }
 
-// stopped takes in a stop of a thread, and returns the signal that it is to get.
-func (t *tracer) stopped(id int, status unix.WaitStatus) unix.Signal {
+// exitCode is a program's exit code as a shell gives it.
+func exitCode(status unix.WaitStatus) int {
+	if status.Signaled() {
+		return 128 + int(status.Signal())
+	}
+	return status.ExitStatus()
+}
+
+// resume has a stopped thread continue with a signal, to its call's return where that is awaited. A thread that has
+// ended meanwhile is reported soon, so errors are of no use.
+func (t *tracer) resume(id int, signal unix.Signal) {
+	if th := t.threads[id]; th != nil && th.awaitsExit {
+		unix.PtraceSyscall(id, int(signal))
+		return
+	}
+	unix.PtraceCont(id, int(signal))
+}
+
+// handleStop handles a stop of a thread, and returns the signal that the thread is to get.
+func (t *tracer) handleStop(id int, status unix.WaitStatus) unix.Signal {
 	th := t.threads[id]
-	sig := status.StopSignal()
+	signal := status.StopSignal()
 	switch {
-	case th == nil: // a new one stops first of all
+	case th == nil: // a new thread begins with a stop
 		t.threads[id] = &thread{}
-		if sig == unix.SIGSTOP {
+		if signal == unix.SIGSTOP {
 			return 0
 		}
-		return t.stopped(id, status)
-	case sig == syscallStop:
+		return t.handleStop(id, status)
+	case signal == syscallStop:
 		th.awaitsExit = false
-		t.leave(id, th)
+		t.callReturned(id, th)
 		return 0
-	case sig == unix.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_SECCOMP:
-		t.enter(id, th)
+	case signal == unix.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_SECCOMP:
+		t.callEntered(id, th)
 		return 0
-	case sig == unix.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_EXEC:
-		t.becameProgram()
+	case signal == unix.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_EXEC:
+		t.programStarted()
 		return 0
-	case sig == unix.SIGTRAP:
+	case signal == unix.SIGTRAP:
 		return 0 // a clone
 	}
-	return sig
+	return signal
 }
 
-// hits draws whether a fault of a kind hits a call now.
-func (t *tracer) hits(kind Kind) bool {
-	share := t.plan.share(kind, time.Since(t.start))
-	return share > 0 && t.rng.Float64() < share
+// programStarted handles the stop before the program's first instruction, when the process that has set the filter has
+// become the program.
+func (t *tracer) programStarted() {
+	t.threads = map[int]*thread{t.pid: {}}
+	if t.plan.has(Clock) {
+		if err := t.hideVDSO(); err != nil {
+			fmt.Fprintln(os.Stderr, "shim:", err)
+		}
+	}
 }
 
-func (t *tracer) draw(errs []unix.Errno) unix.Errno { return errs[t.rng.IntN(len(errs))] }
-
-// enter looks at a call before it is made, and may have another one made or none.
-func (t *tracer) enter(id int, th *thread) {
+// callEntered handles a call before it is made: it fails without being made, is changed, or is made as it is.
+func (t *tracer) callEntered(id int, th *thread) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(id, &regs) != nil {
 		return
 	}
-	th.call, th.args = regs.Orig_rax, [3]uint64{regs.Rdi, regs.Rsi, regs.Rdx}
-	var fails unix.Errno
+	th.call = regs.Orig_rax
+	th.args = [3]uint64{regs.Rdi, regs.Rsi, regs.Rdx}
+	if errno := t.drawError(th); errno != 0 {
+		regs.Orig_rax = noCall
+		regs.Rax = uint64(-int64(errno))
+		unix.PtraceSetRegs(id, &regs)
+		return
+	}
 	switch th.call {
-	case unix.SYS_ACCEPT4, unix.SYS_ACCEPT:
-		if t.hits(Accept) {
-			fails = t.draw(acceptErrors)
+	case unix.SYS_CLOSE:
+		delete(t.dialed, th.args[0])
+	case unix.SYS_CONNECT:
+		th.awaitsExit = t.plan.has(Break)
+	case unix.SYS_CLOCK_GETTIME:
+		th.awaitsExit = t.plan.step(time.Since(t.start)) != 0
+	case unix.SYS_READ, unix.SYS_WRITE:
+		if t.drawShort(th) {
+			regs.Rdx = 1 + t.rng.Uint64N(th.args[2]-1)
+			unix.PtraceSetRegs(id, &regs)
+			th.awaitsExit = true
 		}
+	}
+}
+
+// drawError draws the error with which a call fails; 0: it does not.
+func (t *tracer) drawError(th *thread) unix.Errno {
+	switch th.call {
+	case unix.SYS_ACCEPT4, unix.SYS_ACCEPT:
+		return t.drawErrorOf(Accept, acceptErrors)
 	case unix.SYS_SOCKET:
-		if t.hits(Connect) {
-			fails = t.draw(socketErrors)
-		}
+		return t.drawErrorOf(Connect, socketErrors)
 	case unix.SYS_CONNECT:
-		if t.hits(Connect) {
-			fails = t.draw(connectErrors)
-		}
+		return t.drawErrorOf(Connect, connectErrors)
 	case unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_FUTEX, unix.SYS_NANOSLEEP:
 		if t.hits(Interrupt) {
-			fails = unix.EINTR
+			return unix.EINTR
 		}
 	case unix.SYS_READ:
-		if t.dialed[th.args[0]] && t.hits(Break) {
-			fails = t.draw(breakErrors)
+		if t.dialed[th.args[0]] {
+			return t.drawErrorOf(Break, breakErrors)
 		}
 	case unix.SYS_OPENAT:
-		if t.hits(Open) {
-			fails = t.draw(openErrors)
-		}
+		return t.drawErrorOf(Open, openErrors)
 	case unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE:
-		if t.hits(Disk) {
-			fails = t.draw(diskErrors)
-		}
-	case unix.SYS_CLOSE:
-		delete(t.dialed, th.args[0])
+		return t.drawErrorOf(Disk, diskErrors)
 	}
-	switch {
-	case fails != 0:
-		regs.Orig_rax = noCall
-		regs.Rax = uint64(-int64(fails))
-		unix.PtraceSetRegs(id, &regs)
-	case th.call == unix.SYS_CONNECT:
-		th.awaitsExit = t.plan.has(Break)
-	case th.call == unix.SYS_CLOCK_GETTIME:
-		th.awaitsExit = t.plan.step(time.Since(t.start)) != 0
-	case (th.call == unix.SYS_READ || th.call == unix.SYS_WRITE) && th.args[2] >= shortLeast && t.hits(Short) &&
-		t.isSocket(th.args[0]):
-		regs.Rdx = 1 + t.rng.Uint64N(th.args[2]-1)
-		unix.PtraceSetRegs(id, &regs)
-		th.awaitsExit = true
+	return 0
+}
+
+// drawErrorOf draws whether a kind of fault hits a call now, and with which of its errors; 0: it does not.
+func (t *tracer) drawErrorOf(kind Kind, errs []unix.Errno) unix.Errno {
+	if !t.hits(kind) {
+		return 0
 	}
+	return errs[t.rng.IntN(len(errs))]
+}
+
+// drawShort draws whether a read or a write is cut short.
+func (t *tracer) drawShort(th *thread) bool {
+	return th.args[2] >= minShortTransfer && t.hits(Short) && t.isSocket(th.args[0])
+}
+
+// hits draws whether a kind of fault hits a call now.
+func (t *tracer) hits(kind Kind) bool {
+	share := t.plan.share(kind, time.Since(t.start))
+	return share > 0 && t.rng.Float64() < share
+}
+
+// isSocket tells whether a descriptor of the program is a socket.
+func (t *tracer) isSocket(fd uint64) bool {
+	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, fd))
+	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
-// leave looks at a call that has been made, and may change what came of it.
-func (t *tracer) leave(id int, th *thread) {
+// callReturned handles a call that has been made, and may change its result.
+func (t *tracer) callReturned(id int, th *thread) {
 	switch th.call {
 	case unix.SYS_CONNECT:
 		t.dialed[th.args[0]] = true
 	case unix.SYS_CLOCK_GETTIME:
 		if step := t.plan.step(time.Since(t.start)); step != 0 {
-			t.stepClock(id, uintptr(th.args[1]), step)
+			stepClock(id, uintptr(th.args[1]), step)
 		}
 	case unix.SYS_READ, unix.SYS_WRITE:
-		t.restoreCount(id, th)
+		restoreCount(id, th)
 	}
 }
 
-// restoreCount gives a thread back the register that a short transfer has changed: the kernel leaves it to the caller.
-func (t *tracer) restoreCount(id int, th *thread) {
+// restoreCount restores the register that a short transfer has changed, which the kernel does not change itself.
+func restoreCount(id int, th *thread) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(id, &regs) != nil || regs.Rdx == th.args[2] {
 		return
@@ -304,18 +285,13 @@
 	unix.PtraceSetRegs(id, &regs)
 }
 
-// stepClock adds to the seconds of a time that a call has written.
-func (t *tracer) stepClock(id int, at uintptr, step time.Duration) {
-	var b [wordSize]byte
-	if _, err := unix.PtracePeekData(id, at, b[:]); err != nil {
+// stepClock adds a step to the seconds of the time that a call has written at an address.
+func stepClock(id int, address uintptr, step time.Duration) {
+	var word [wordSize]byte
+	if _, err := unix.PtracePeekData(id, address, word[:]); err != nil {
 		return
 	}
-	seconds := int64(binary.LittleEndian.Uint64(b[:])) + int64(step/time.Second)
-	binary.LittleEndian.PutUint64(b[:], uint64(seconds))
-	unix.PtracePokeData(id, at, b[:])
-}
-
-func (t *tracer) isSocket(fd uint64) bool {
-	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, fd))
-	return err == nil && strings.HasPrefix(name, "socket:")
+	seconds := int64(binary.LittleEndian.Uint64(word[:])) + int64(step/time.Second)
+	binary.LittleEndian.PutUint64(word[:], uint64(seconds))
+	unix.PtracePokeData(id, address, word[:])
 }
