--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,6 @@
-// Package timeline draws what several processes did as text: a row an instant, a column a process, faults in a column
-// of their own. It is pure; tests print it when they fail, and compare it with a golden file where time is virtual.
+// Package timeline draws what several processes did as text: a row for each instant, a column for each process, and the
+// faults in a column of their own. It has no state and no clock; tests print a timeline when they fail, and compare it
+// with a golden file where time is virtual.
 package timeline
 
 import (
@@ -23,109 +24,130 @@
 	Text     string
 }
 
-// minIdleGap is how long nothing has to happen for a line that says so.
+// minIdleGap is the time without an event from which on the drawing has a line that says so.
 const minIdleGap = time.Second
 
-// Merge orders events: those with a revision by it, each taken up at the latest time that an earlier revision has; all
-// by time, then in the order given.
+// Merge orders events by time, then in the order given. Those with a revision are in its order: each counts as no
+// earlier than those of earlier revisions.
 func Merge(events []Event) []Event {
-	out := slices.Clone(events)
+	adjusted := slices.Clone(events)
 	var byRevision []int
-	for i, e := range out {
-		if e.Revision != 0 {
+	for i, event := range adjusted {
+		if event.Revision != 0 {
 			byRevision = append(byRevision, i)
 		}
 	}
-	slices.SortStableFunc(byRevision, func(a, b int) int { return cmp.Compare(out[a].Revision, out[b].Revision) })
-	rank, latest := map[int]int{}, time.Duration(0)
+	slices.SortStableFunc(byRevision, func(a, b int) int {
+		return cmp.Compare(adjusted[a].Revision, adjusted[b].Revision)
+	})
+	rank := map[int]int{} // 0: no revision
+	latest := time.Duration(0)
 	for n, i := range byRevision {
 		rank[i] = n + 1
-		latest = max(latest, out[i].At)
-		out[i].At = latest
+		latest = max(latest, adjusted[i].At)
+		adjusted[i].At = latest
 	}
-	order := make([]int, len(out))
+	order := make([]int, len(adjusted))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(out[a].At, out[b].At),
-			cmp.Compare(rank[a], rank[b]))
+		return cmp.Or(cmp.Compare(adjusted[a].At, adjusted[b].At), cmp.Compare(rank[a], rank[b]))
 	})
-	merged := make([]Event, len(out))
+	merged := make([]Event, len(order))
 	for n, i := range order {
-		merged[n] = out[i]
+		merged[n] = adjusted[i]
 	}
 	return merged
 }
 
-// Draw gives the text: columns in the order given, with those of events that are not among them behind, and the faults'
-// column last. Events of one millisecond share a row unless they share a column.
+// row is the events of one millisecond, at most one a column.
+type row struct {
+	at    time.Duration
+	cells []string
+}
+
+// Draw returns the drawing: the columns given, then those of other events, and the faults' column last. Events of one
+// millisecond share a row unless they share a column.
 func Draw(columns []string, events []Event) string {
 	events = Merge(events)
-	columns = slices.Clone(columns)
-	for _, e := range events {
-		if e.Process != Faults && !slices.Contains(columns, e.Process) {
-			columns = append(columns, e.Process)
+	columns = allColumns(columns, events)
+	rows := arrange(columns, events)
+	widths := make([]int, len(columns))
+	for i, column := range columns {
+		widths[i] = utf8.RuneCountInString(column)
+		for _, r := range rows {
+			widths[i] = max(widths[i], utf8.RuneCountInString(r.cells[i]))
 		}
 	}
-	columns = append(slices.DeleteFunc(columns, func(c string) bool { return c == Faults }), Faults)
-	type line struct {
-		at    time.Duration
-		cells []string
-	}
-	var lines []line
-	width := make([]int, len(columns))
-	for i, c := range columns {
-		width[i] = utf8.RuneCountInString(c)
-	}
-	for _, e := range events {
-		col, at := slices.Index(columns, e.Process), e.At.Truncate(time.Millisecond)
-		if n := len(lines); n == 0 || lines[n-1].at != at || lines[n-1].cells[col] != "" {
-			lines = append(lines, line{at, make([]string, len(columns))})
+	var b strings.Builder
+	writeRow(&b, widths, "s", columns)
+	for i, r := range rows {
+		if i > 0 && r.at-rows[i-1].at >= minIdleGap {
+			fmt.Fprintf(&b, "%9s  (%.1f s of quiet)\n", "", (r.at - rows[i-1].at).Seconds())
 		}
-		lines[len(lines)-1].cells[col] = e.Text
-		width[col] = max(width[col], utf8.RuneCountInString(e.Text))
+		writeRow(&b, widths, fmt.Sprintf("%.3f", r.at.Seconds()), r.cells)
 	}
-	var b strings.Builder
-	row := func(first string, cells []string) {
-		var r strings.Builder
-		fmt.Fprintf(&r, "%9s", first)
-		for i, c := range cells {
-			fmt.Fprintf(&r, "  %-*s", width[i], c)
+	return b.String()
+}
+
+// allColumns adds the columns of events that are not among those given, and moves the faults' to the end.
+func allColumns(columns []string, events []Event) []string {
+	columns = slices.Clone(columns)
+	for _, event := range events {
+		if event.Process != Faults && !slices.Contains(columns, event.Process) {
+			columns = append(columns, event.Process)
 		}
-		b.WriteString(strings.TrimRight(r.String(), " ") + "\n")
 	}
-	row("s", columns)
-	for i, l := range lines {
-		if i > 0 && l.at-lines[i-1].at >= minIdleGap {
-			fmt.Fprintf(&b, "%9s  (%.1f s of quiet)\n", "", (l.at - lines[i-1].at).Seconds())
+	return append(slices.DeleteFunc(columns, func(c string) bool { return c == Faults }), Faults)
+}
+
+// arrange places events in rows.
+func arrange(columns []string, events []Event) []row {
+	var rows []row
+	for _, event := range events {
+		column := slices.Index(columns, event.Process)
+		at := event.At.Truncate(time.Millisecond)
+		if n := len(rows); n == 0 || rows[n-1].at != at || rows[n-1].cells[column] != "" {
+			rows = append(rows, row{at: at, cells: make([]string, len(columns))})
 		}
-		row(fmt.Sprintf("%.3f", l.at.Seconds()), l.cells)
+		rows[len(rows)-1].cells[column] = event.Text
 	}
-	return b.String()
+	return rows
+}
+
+// writeRow writes a row: its time, and its cells at the columns' widths.
+func writeRow(b *strings.Builder, widths []int, first string, cells []string) {
+	var line strings.Builder
+	fmt.Fprintf(&line, "%9s", first)
+	for i, cell := range cells {
+		fmt.Fprintf(&line, "  %-*s", widths[i], cell)
+	}
+	b.WriteString(strings.TrimRight(line.String(), " ") + "\n")
 }
 
-// First is the first event of a process whose text has the given beginning, from a time on; false where there is none.
+// First returns the first event of a process, from a time on, whose text has the given beginning; false where there is
+// none.
 func First(events []Event, process, prefix string, since time.Duration) (Event, bool) {
-	for _, e := range Merge(events) {
-		if e.Process == process && e.At >= since && strings.HasPrefix(e.Text, prefix) {
-			return e, true
+	for _, event := range Merge(events) {
+		if event.Process == process && event.At >= since && strings.HasPrefix(event.Text, prefix) {
+			return event, true
 		}
 	}
 	return Event{}, false
 }
 
-// Between tells whether an event that matches stands after the first start event and before the first end event that
+// Between tells whether an event that matches comes after the first start event and before the first end event that
 // follows it, in the merged order.
 func Between(events []Event, isStart, isEnd, matches func(Event) bool) bool {
-	open := false
-	for _, e := range Merge(events) {
+	started := false
+	for _, event := range Merge(events) {
 		switch {
-		case !open:
-			open = isStart(e)
-		case isEnd(e):
+		case !started:
+			started = isStart(event)
+		case isEnd(event):
 			return false
-		case matches(e):
+		case matches(event):
 			return true
 		}
 	}
