--- a/balance/action.go
+++ b/balance/action.go
@@ -5,7 +5,9 @@
 // ActionKind is what to do.
 type ActionKind uint8
 
-// Kinds of actions, with the fields of Action that each one uses.
+// Kinds of actions, with the fields of Action that each one uses. The Balancer emits neither CancelAttempt,
+// UnwatchEndpoints, FetchEndpoints, SendToPeer and CloseIdle nor a Timeout yet; the simulator's protocol has them, and
+// every host carries them out.
 const (
 	Forward          ActionKind = iota // Request, Endpoint, Attempt, Timeout, StartWithin: launch the next attempt
 	CancelAttempt                      // Request, Attempt: stop waiting for an attempt
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -63,7 +63,7 @@
 	r.advance(-30 * time.Minute)
 	r.endAttempt("x", 0, to, StatusSucceeded)
 	for _, acts := range [][]Action{
-		r.endAttempt("x", 0, to, StatusConnectFailed),
+		r.endAttempt("x", 0, to, StatusNotDelivered),
 		r.endAttempt("x", 5, to, StatusSucceeded),
 		r.endAttempt("x", -1, to, StatusSucceeded),
 		r.handle(TimerFired{ID: 1 << 40}),
--- a/balance/config.go
+++ b/balance/config.go
@@ -73,7 +73,7 @@
 // Rules holds the figures of the rules that a node keeps on its own.
 type Rules struct {
 	AnswerGrace       time.Duration // final answers are valid for this long past the deadline
-	DrainGrace        time.Duration // nothing new goes to an endpoint this long after news of its drain
+	DrainGrace        time.Duration // nothing new goes to an endpoint this long after the list has it draining
 	PollInterval      time.Duration // how long a list may be used without a subscription
 	SlowStartFraction float64       // an endpoint starts with at least this fraction of its capacity
 	SlowStartDuration time.Duration // and has all of it after this time at the latest
@@ -112,6 +112,11 @@
 
 // Config is what a node knows at its start. Zero values are safe defaults: no permission is assumed, and every class is
 // taken as NonIdempotent.
+//
+// It has all settings that a site gives. No rule reads these yet: Class.ObjectiveStretch, LateValue and Stream;
+// Tenant.Share; Limits.Cancellation, Gossip, HedgedRequests, StreamsPerConn, MaxOpen, CPUPerSecond and CPUPerRequest;
+// all Prices but CrossZone and HealthCheck; Rules.AnswerGrace; WarmKeys, ClientsMarkRetries, Weights, Goal, LoadFields,
+// PassesDeadline and Stage.
 type Config struct {
 	Index              int // index of this instance among its peers
 	Instances          int // how many instances there are; 0 means 1
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -35,7 +35,7 @@
 	StatusApplicationError        // answered with an error; it may have run
 	StatusRejected                // sent back unseen: the queue is full, or the endpoint drains
 	StatusTimedOut                // no answer in time; it may have run, or may yet
-	StatusConnectFailed           // no connection came up
+	StatusNotDelivered            // no connection came up, or it broke before the last byte of the request
 	StatusConnectionLost          // the connection broke with the attempt in flight; it may have run
 	StatusCancelled               // given up by this node; it may have run
 	StatusNotSent
@@ -43,7 +43,7 @@
 
 // NeverRan reports whether the status proves that the attempt never ran.
 func (s Status) NeverRan() bool {
-	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
+	return s == StatusRejected || s == StatusNotDelivered || s == StatusNotSent
 }
 
 // Load is a load report.
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -29,9 +29,9 @@
 	meanQueueAtArrival float64 // queue estimate that the answered requests met
 	lastAnswerAt       time.Duration
 
-	failureRate float64
-	outlier     bool          // traffic is withheld, as logged
-	silentSince time.Duration // its last sign of life, or the send since when something is in flight
+	failureRate    float64
+	outlier        bool          // traffic is withheld, as logged
+	lastSignOfLife time.Duration // its last sign of life, or the send since when something is in flight
 
 	knownSince             time.Duration // when this node learned of its process
 	slowStartCreditSeconds float64       // work that may be sent to it in this window of slow start
@@ -51,7 +51,7 @@
 	e.meanLatencySeconds = 0
 	e.failureRate = 0
 	e.outlier = false
-	e.silentSince = now
+	e.lastSignOfLife = now
 }
 
 // inService reports whether an endpoint may get requests: it is listed as ready, and not cordoned.
--- a/balance/event.go
+++ b/balance/event.go
@@ -81,7 +81,7 @@
 	NotReplayable bool // what had come of an incomplete request is used up: it can't be sent again
 }
 
-// PeerMessage is a message from another instance. The Balancer makes no use of it.
+// PeerMessage is a message from another instance. Hosts deliver it, as the protocol has it; no rule uses it yet.
 type PeerMessage struct {
 	Peer    int
 	Payload []byte
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -121,7 +121,8 @@
 }
 
 // restore applies what another process of this node has learned. A state without an answer, or of other classes, is not
-// used.
+// used. There is no version in it: a field that the other process does not have reads as zero, so that a renamed tag
+// loses its figure without an error, and a queue budget of zero rejects almost everything until answers raise it.
 func (b *Balancer) restore(state *HandoverState) {
 	if state == nil || state.Answers == 0 || len(state.Classes) != len(b.latency.classes) {
 		return
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -22,10 +22,10 @@
 	seconds float64 // 0: not known yet
 }
 
-// isNews reports whether a load report is new, and learns the interval from it. ageSeconds is the time since the last
-// queue was first reported. The same queue within the interval is the same report again. Past the interval it is news:
+// isNew reports whether a load report is new, and learns the interval from it. ageSeconds is the time since the last
+// queue was first reported. The same queue within the interval is the same report again. Past the interval it is new:
 // an idle endpoint reports an empty queue again and again.
-func (i *reportInterval) isNews(changed, busy bool, ageSeconds float64) bool {
+func (i *reportInterval) isNew(changed, busy bool, ageSeconds float64) bool {
 	switch {
 	case changed && (i.seconds == 0 || ageSeconds < 2*i.seconds):
 		i.seconds = cmp.Or(i.seconds, ageSeconds)
@@ -52,7 +52,7 @@
 	e.abandoned = 0
 	first := e.reportedQueueSince == 0
 	age := (b.now - e.reportedQueueSince).Seconds()
-	if !first && !b.reportInterval.isNews(queue != e.reportedQueue, queue > 0, age) {
+	if !first && !b.reportInterval.isNew(queue != e.reportedQueue, queue > 0, age) {
 		return
 	}
 	e.reportedQueue = queue
--- a/balance/probeadmission.go
+++ b/balance/probeadmission.go
@@ -35,7 +35,8 @@
 // bound shows that rejecting was wrong; one that waited longer or failed shows that it was right.
 func (b *Balancer) recordProbeAdmission(r *request, ev *AttemptEnded) {
 	switch {
-	case r.probeBoundSeconds == 0 || ev.Attempt > 0 || ev.Status == StatusCancelled:
+	case r.probeBoundSeconds == 0 || // no probe admission
+		ev.Attempt > 0 || ev.Status == StatusCancelled:
 	case ev.Status == StatusSucceeded && b.queuedLess(ev.Elapsed, r):
 		b.probeAdmission.rejectionWasWrong()
 	default:
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -98,7 +98,7 @@
 // own.
 func TestUnacceptedAttemptsFade(t *testing.T) {
 	for status, want := range map[Status]float64{
-		StatusConnectFailed:    1,
+		StatusNotDelivered:     1,
 		StatusConnectionLost:   1,
 		StatusApplicationError: 1,
 		StatusRejected:         1,
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -80,7 +80,7 @@
 		b, e := withIncompleteRequest(t)
 		b.retryBudget.retries = maxRetryBudget
 		sent, rejected := 0, 0
-		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: e.ID, Status: StatusConnectFailed,
+		for _, a := range b.Handle(2*time.Second, AttemptEnded{Request: "a", Endpoint: e.ID, Status: StatusNotDelivered,
 			NotReplayable: notReplayable}, nil) {
 			switch a.Kind {
 			case Forward:
@@ -120,7 +120,7 @@
 		{"non-idempotent after a time-out", nonIdempotent, StatusTimedOut, 0, false, Fail},
 		{"non-idempotent after a cancel", nonIdempotent, StatusCancelled, 0, false, Fail},
 		{"non-idempotent, rejected", nonIdempotent, StatusRejected, 0, true, 0},
-		{"non-idempotent without a connection", nonIdempotent, StatusConnectFailed, 0, true, 0},
+		{"non-idempotent without a connection", nonIdempotent, StatusNotDelivered, 0, true, 0},
 		{"keyed by all in its window", keyedAll, StatusConnectionLost, 0, true, 0},
 		{"keyed by all past its window", keyedAll, StatusConnectionLost, 600 * ms, false, Fail},
 		{"keyed by all, rejected past its window", keyedAll, StatusRejected, 600 * ms, true, 0},
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,9 +7,11 @@
 //
 //	slowStartMargin * OverloadMultiple * slow start fraction * warm throughput of this node * OverloadWindow
 //
-// seconds of work. The nodes' warm throughputs add up to what one warm endpoint can do at most, whatever part of the
-// traffic each node has; one below 1/Instances, or not known yet, counts as that. A grant is a number of requests of
-// the mean unloaded latency, rounded up or down at random.
+// seconds of work. In one window the nodes' warm throughputs add up to what one warm endpoint can do at most, whatever
+// part of the traffic each node has. Each node counts at least 1/Instances, one second a second over all nodes, and a
+// peak that fades by warmThroughputDecay a window, so the sum may exceed what the endpoint did in the last window:
+// slowStartMargin has to cover both. A grant is a number of requests of the mean unloaded latency, rounded up or
+// down at random. A start, like the end of a cordon, grants once at once, and the next window's end grants again.
 
 const (
 	// slowStartMargin is the fraction of the site's overload bound that is granted: the rest is for uneven work.
@@ -27,8 +29,8 @@
 
 // slowStart is what a node may send to an endpoint in slow start.
 type slowStart struct {
-	// warmThroughput is the work, in seconds a second, that one warm endpoint does for this node. Summed over the
-	// nodes it is at most what such an endpoint can do, so that each node may spend its own.
+	// warmThroughput is the work, in seconds a second, that one warm endpoint does for this node, the highest of the
+	// last windows, faded.
 	warmThroughput float64
 	// handedOver is set while another process of this node takes new requests: this one gets no credit.
 	handedOver bool
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -10,7 +10,7 @@
 	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
 	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
 	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
-	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; by an operator alone
+	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; meant for operators, not enforced
 )
 
 // Command is a write of the plan.
--- a/internal/maintenance/transition.go
+++ b/internal/maintenance/transition.go
@@ -31,7 +31,8 @@
 	return false
 }
 
-// Transition is one change of state that a turn may make. Anyone may propose it; Proposer is who does in practice.
+// Transition is one change of state that a turn may make. The plan takes it from whoever reaches the registry; Proposer
+// is who proposes it in practice, and is not enforced.
 type Transition struct {
 	From      TurnState
 	To        TurnState
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -36,7 +36,7 @@
 	}
 	const (
 		mayRun   = balance.StatusConnectionLost
-		neverRan = balance.StatusConnectFailed
+		neverRan = balance.StatusNotDelivered
 		late     = balance.StatusTimedOut
 		rejected = balance.StatusRejected
 	)
--- a/internal/node/streamed_request.go
+++ b/internal/node/streamed_request.go
@@ -21,7 +21,7 @@
 	head := e.request.encodeHead(e.conn.Server.Addr, e.request.timeLeft)
 	if _, err := e.conn.Write(head); err != nil {
 		e.discard(ctx, "request not written", err)
-		return attemptResult{status: balance.StatusConnectFailed, notReplayable: upload.anyForwarded()}
+		return attemptResult{status: balance.StatusNotDelivered, notReplayable: upload.anyForwarded()}
 	}
 	sent := make(chan uploadEnd, 1)
 	go e.copyUpload(sent)
@@ -61,10 +61,10 @@
 		if end := <-sent; end.complete {
 			return unansweredStatus(ctx, err)
 		}
-		return balance.StatusConnectFailed
+		return balance.StatusNotDelivered
 	}
 	if len(sent) > 0 && !(<-sent).writeFailed {
 		return balance.StatusNotSent // its client has not sent it
 	}
-	return balance.StatusConnectFailed
+	return balance.StatusNotDelivered
 }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -142,7 +142,7 @@
 		return balance.StatusNotSent
 	}
 	t.logFailure(ctx, request, to, "no connection", err)
-	return balance.StatusConnectFailed
+	return balance.StatusNotDelivered
 }
 
 // unansweredStatus is the status of an exchange whose request was written completely and that got no complete
@@ -188,7 +188,7 @@
 	if err != nil {
 		e.discard(ctx, "request not written", err)
 		if written < int64(len(head)+len(e.request.body)) {
-			return attemptResult{status: balance.StatusConnectFailed} // it can't have run
+			return attemptResult{status: balance.StatusNotDelivered} // it can't have run
 		}
 		return attemptResult{status: unansweredStatus(ctx, err)}
 	}
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -181,7 +181,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, newTestRequest("refused"))
-	if r.status != balance.StatusConnectFailed {
+	if r.status != balance.StatusNotDelivered {
 		t.Errorf("refused connection: %v", r.status)
 	}
 
@@ -211,7 +211,7 @@
 	m := newTestRequest("partial")
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
 	r = attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, m)
-	if r.status != balance.StatusConnectFailed {
+	if r.status != balance.StatusNotDelivered {
 		t.Errorf("broken before the last byte: %v", r.status)
 	}
 }
@@ -250,9 +250,9 @@
 		syscall.ENFILE:        balance.StatusNotSent,
 		syscall.EMFILE:        balance.StatusNotSent,
 		syscall.ENOBUFS:       balance.StatusNotSent,
-		syscall.ENETUNREACH:   balance.StatusConnectFailed,
-		syscall.EHOSTUNREACH:  balance.StatusConnectFailed,
-		syscall.ETIMEDOUT:     balance.StatusConnectFailed,
+		syscall.ENETUNREACH:   balance.StatusNotDelivered,
+		syscall.EHOSTUNREACH:  balance.StatusNotDelivered,
+		syscall.ETIMEDOUT:     balance.StatusNotDelivered,
 	} {
 		transport := newTestTransport(t)
 		transport.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
