--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -13,7 +13,7 @@
 }
 
 // SetAddress has discovery called at another address from now on. A call under way at the old address is cancelled:
-// nothing more is to be learned there.
+// its answer would be of no use.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// All nodes share one discovery, which serves calls in turn: a call that is given up while it is queued has cost its
+// All nodes share one discovery, which serves calls in turn: a call that is abandoned while it is queued has cost its
 // place all the same, and the next one waits behind it. So the timeouts leave time for the queue; connecting needs no
 // turn.
 const (
@@ -20,7 +20,7 @@
 	defaultFullListTimeout = 5 * time.Second
 
 	idleConnTimeout        = 10 * time.Second
-	maxConnections         = 4 // two calls, and dials that were given up
+	maxConnections         = 4 // two calls, and abandoned dials
 	maxResponseHeaderBytes = 16 << 10
 	maxListBytes           = 4 << 20
 )
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,8 +9,8 @@
 	"hitchvale/balance"
 )
 
-// counters are the node's figures for its second address, since the start of the process. They may be read at any time,
-// from any goroutine. metrics reads them too.
+// counters are the node's statistics for its second address, since the start of the process. They may be read at any
+// time, from any goroutine. metrics reads them too.
 type counters struct {
 	classNames           []string
 	outcomes             []classOutcomes // by class
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -3,10 +3,10 @@
 const (
 	// minDescriptors is the smallest limit on descriptors that a node starts with.
 	minDescriptors = 64
-	// reservedDescriptors are left for all but clients and backends: listeners, discovery, standard streams, the
+	// reservedDescriptors are reserved for all but clients and backends: listeners, discovery, standard streams, the
 	// runtime.
 	reservedDescriptors = 32
-	// adminDescriptors are left for the second address, and for what a second process of the node opens.
+	// adminDescriptors are reserved for the second address, and for what a second process of the node opens.
 	adminDescriptors = 16
 	// defaultDescriptors is the limit where the configuration has none.
 	defaultDescriptors = 1024
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -92,7 +92,7 @@
 }
 
 // sendFinalResponses has each request that is still open answered from the time at which that is due, and has the event
-// loop check once, just before the earliest kill, that none is left.
+// loop check once, just before the earliest kill, that none is open.
 func (n *Node) sendFinalResponses(ctx context.Context) {
 	schedule := n.server.shutdown
 	pause(ctx, time.Until(schedule.responseDeadline().Time()))
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -29,8 +29,11 @@
 	// minIdleBeforeClose is how long a client's connection to the predecessor is idle before it is closed. The next
 	// request of a busy client comes sooner.
 	minIdleBeforeClose = 50 * time.Millisecond
-	// predecessorLinger is how long an idle predecessor stays, so that its figures can be read.
+	// predecessorLinger is how long an idle predecessor stays, so that its statistics can be read.
 	predecessorLinger = 5 * time.Second
+	// predecessorDivisor divides the node's connections: clients that keep a predecessor waiting are evicted down to
+	// that part, and its reservedBackendConns are no more than that part.
+	predecessorDivisor = 4
 )
 
 // handover is a process's part in the hand-overs of its node.
@@ -57,7 +60,7 @@
 	}
 }
 
-// returnToPredecessor has a predecessor that still runs serve again, as this process was told to end: the predecessor
+// returnToPredecessor has a predecessor that still runs serve again, as this process got SIGTERM: the predecessor
 // may outlive it, and does not accept while it believes that this process does.
 func (h *handover) returnToPredecessor() {
 	if h.predecessor != nil {
@@ -74,7 +77,7 @@
 }
 
 // runHandover takes over from the predecessor, if any, and then hands over to the next successor, until ctx ends. It
-// closes replaced when a successor serves and this process has no work left.
+// closes replaced when a successor serves and this process has no work any more.
 func (n *Node) runHandover(ctx context.Context, replaced chan<- struct{}) {
 	h := n.handover
 	if h.predecessor == nil {
@@ -124,7 +127,7 @@
 	}
 }
 
-// shareDescriptors limits this process to what the other process of the node leaves of the descriptor budget.
+// shareDescriptors limits this process to the descriptors that the other process of the node does not use.
 func (n *Node) shareDescriptors(other descriptorUsage) {
 	clients := max(n.maxClientConns-other.ClientConns, 1)
 	n.listener.setLimit(clients)
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -14,7 +14,7 @@
 // This file is the predecessor's side of a hand-over.
 
 // handOverTo hands the node over to the successor on a connection. It returns true once the successor serves and this
-// process has no work left, and false once the successor has ended before that.
+// process has no work any more, and false once the successor has ended before that.
 func (n *Node) handOverTo(ctx context.Context, successor *net.UnixConn) (done bool, err error) {
 	stop := closeWithContext(ctx, successor)
 	defer stop()
@@ -96,8 +96,8 @@
 	return err
 }
 
-// assistSuccessor sends the state, and then reports the descriptor usage until this process has no work left (done) or
-// one of the two ends.
+// assistSuccessor sends the state, and then reports the descriptor usage until this process has no work any more (done)
+// or one of the two ends.
 func (n *Node) assistSuccessor(
 	ctx context.Context, successor *net.UnixConn, state handoverState,
 ) (done bool, err error) {
@@ -120,8 +120,8 @@
 	return n.reportUsage(ctx, successor, ended)
 }
 
-// reportUsage writes each change of the descriptor usage until this process has no work left (done), or until ended is
-// closed or ctx ends.
+// reportUsage writes each change of the descriptor usage until this process has no work any more (done), or until ended
+// is closed or ctx ends.
 func (n *Node) reportUsage(ctx context.Context, w io.Writer, ended <-chan struct{}) (done bool, err error) {
 	reported := descriptorUsage{ClientConns: -1, BackendConns: n.maxBackendConns}
 	lastActive := time.Now()
@@ -158,9 +158,9 @@
 	// A request that began here now might not end in time. A client whose connection closes sends it again on a new
 	// one.
 	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
-	n.server.conns.evictDownTo(n.maxClientConns / 4)
+	n.server.conns.evictDownTo(n.maxClientConns / predecessorDivisor)
 	inUse, idle := n.pool.Size()
-	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/4))
+	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/predecessorDivisor))
 	n.pool.SetMaxOpen(usage.BackendConns)
 	usage.ClientConns = n.listener.openConns()
 	usage.InFlight = n.server.conns.busy()
--- a/internal/node/handover_state.go
+++ b/internal/node/handover_state.go
@@ -33,7 +33,7 @@
 }
 
 // importState returns the state of the predecessor's module, with this process's numbers and times. Endpoints that this
-// process does not know, or that have restarted since, are left out. The state is nil where it is inconsistent.
+// process does not know, or that have restarted since, are omitted. The state is nil where it is inconsistent.
 func (l *eventLoop) importState(state handoverState) *balance.HandoverState {
 	if len(state.EndpointIDs) != len(state.State.Endpoints) {
 		return nil
