--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -150,19 +150,19 @@
 	}
 }
 
-// nodeToldToEnd ends one node in order under load.
-const nodeToldToEnd = nodesUnderLoad + `
+// terminatedNode ends one node in order under load.
+const terminatedNode = nodesUnderLoad + `
 [[fault]]
 at = "2s"
 kind = "term"
 target = ["node-1"]
 `
 
-// A node that is told to end answers all that it has taken, and nothing that it loses is excused: a connect that is
-// refused after its end is no request.
-func TestNodeToldToEndLosesNothing(t *testing.T) {
+// A node that gets SIGTERM answers all requests that it has accepted, and no loss is excused: a connect that is refused
+// after its end is no request.
+func TestTerminatedNodeLosesNothing(t *testing.T) {
 	t.Parallel()
-	r := runScenario(t, nodeToldToEnd)
+	r := runScenario(t, terminatedNode)
 	requireChecks(t, r)
 	if n := r.Counts["broken"] + r.Counts["none"] + r.Counts["excused"]; n > 0 {
 		t.Errorf("%d requests without an answer: %v", n, r.Counts)
@@ -173,7 +173,7 @@
 func TestPlantedDropInADrainIsCaught(t *testing.T) {
 	t.Parallel()
 	nodeBinary, hitchvale := plantedNode(t, "faultDropInDrain=1")
-	r := playWith(t, nodeToldToEnd, nodeBinary, hitchvale)
+	r := playWith(t, terminatedNode, nodeBinary, hitchvale)
 	if r.Passed || len(r.Checks) == 0 || r.Checks[0].Violations != 1 {
 		t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
 	}
@@ -218,7 +218,7 @@
 kind = "restart"
 target = ["node-0"]
 `,
-		// Requests that come in slowly keep the successor from being ready, so the old process is not told to end.
+		// Requests that come in slowly keep the successor from being ready, so the old process gets no SIGTERM.
 		"successor": strings.Replace(upgrade, "late = 0.5", "begun = 0.5", 1) + `
 [[fault]]
 at = "2500ms"
@@ -256,9 +256,9 @@
 	}
 }
 
-// Discovery from three registry replicas: the first killed for good (every node was told it first), a drain, all
-// cut at once and two restarted, another drain. Nodes serve throughout and follow both drains from the replicas
-// left, no acknowledged write is lost, and nothing goes to a drained backend past the grace.
+// Discovery from three registry replicas: the first killed for good (every node was configured with it first), a drain, all
+// killed at once and two restarted, another drain. Nodes serve throughout and follow both drains from the remaining
+// replicas, no acknowledged write is lost, and nothing goes to a drained backend past the grace.
 func TestNodesServeThroughRegistryOutages(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, `
--- a/internal/lab/maintenancerun_test.go
+++ b/internal/lab/maintenancerun_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// With the budget's check left out at build time, more machines go out at once than the operator allowed, and the board
+// With the budget's check removed at build time, more machines go out at once than the operator allowed, and the plan
 // shows it.
 func TestPlantedBudgetIsCaught(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -63,7 +63,7 @@
 }
 
 // The lab's cost per request through a fault proxy, beside the direct path in the same run: compare the two
-// ns/op figures (the aim is under 5 % of throughput lost).
+// ns/op figures (the target is under 5 % of throughput lost).
 func BenchmarkProxyOverhead(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok\n") }))
 	defer srv.Close()
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -33,7 +33,7 @@
 }
 
 // A request that reaches a drained backend past the grace breaks the rule, unless its node was paused or cut off
-// while the drain was told.
+// while the nodes were notified of the drain.
 func TestDrainCheckExcusesOnlyFaultedNodes(t *testing.T) {
 	at := time.Unix(100, 0)
 	late := at.Add(1500 * time.Millisecond).UnixNano()
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -36,7 +36,7 @@
 shimmed = 0.5
 `
 
-// Overlapping troubles, failing system calls and a stepped wall clock break none of the checks.
+// Overlapping faults, failing system calls and a stepped wall clock break none of the checks.
 func TestShortSoakKeepsTheInvariants(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, shortSoak)
@@ -46,7 +46,7 @@
 	}
 }
 
-// A seed draws the same troubles each time, and another seed others; each of them is one that a scenario may have.
+// A seed draws the same faults each time, and another seed others; each of them is one that a scenario may have.
 func TestSoakIsAFunctionOfItsSeed(t *testing.T) {
 	s, err := LoadScenario(filepath.Join("..", "..", "deploy", "lab", "soak.toml"))
 	if err != nil {
@@ -63,7 +63,7 @@
 		for _, f := range faults {
 			kinds[f.Kind] = true
 			if f.Kind == "restart" || f.Kind == "rejoin" {
-				f.At.Duration = min(f.At.Duration, s.Duration.Duration) // what ends a trouble may come after the load
+				f.At.Duration = min(f.At.Duration, s.Duration.Duration) // what undoes a fault may come after the load
 			}
 			if err := s.checkFault(f); err != nil {
 				t.Errorf("seed %d: %+v: %v", seed, f, err)
@@ -92,11 +92,11 @@
 		f(&o)
 		return o
 	}
-	left := change(func(o *Outcome) { o.Kind, o.DisconnectedAt = kindClientDisconnected, at(100*time.Millisecond) })
+	disconnected := change(func(o *Outcome) { o.Kind, o.DisconnectedAt = kindClientDisconnected, at(100*time.Millisecond) })
 	token := change(func(o *Outcome) { o.Class = classToken })
 	broken := change(func(o *Outcome) { o.Kind = kindBroken })
-	attempt := func(backend string, after time.Duration, toldMs int64) []Attempt {
-		return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: at(after), DeadlineMs: toldMs}}
+	attempt := func(backend string, after time.Duration, deadlineMs int64) []Attempt {
+		return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: at(after), DeadlineMs: deadlineMs}}
 	}
 	runs := func(second time.Duration) []Execution {
 		return []Execution{{Trace: "x", Backend: "backend-0", At: at(0)}, {Trace: "x", Backend: "backend-1", At: at(second)}}
@@ -107,23 +107,23 @@
 		h      History
 		breaks string
 	}{
-		"gone in time":           {History{Outcomes: []Outcome{left}, Attempts: attempt("backend-0", 250*time.Millisecond, 0)}, ""},
-		"gone too long":          {History{Outcomes: []Outcome{left}, Attempts: attempt("backend-0", 400*time.Millisecond, 0)}, "no attempt begins after its client has left"},
-		"tells what is left":     {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 600)}, ""},
-		"tells too much":         {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 900)}, "no attempt tells more time than its client has left"},
-		"repeat in window":       {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow)}, ""},
-		"repeat after window":    {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second)}, "no keyed request runs again after its window"},
-		"unsafe twice":           {History{Outcomes: []Outcome{claim}, Executions: runs(time.Second)}, "no request runs twice or unasked"},
-		"drain, not told yet":    {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 1900*time.Millisecond, 0), DrainGrace: time.Second}, ""},
-		"drain, told":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 2200*time.Millisecond, 0), DrainGrace: time.Second}, "nothing begins at a draining backend past the grace"},
-		"drain, over":            {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 21*time.Second, 0), DrainGrace: time.Second}, ""},
-		"held at a kill":         {History{Outcomes: []Outcome{broken}, FaultWindows: kill}, ""},
-		"after a kill":           {History{Outcomes: []Outcome{late}, FaultWindows: kill}, "every request gets its final answer"},
-		"unread, not at a kill":  {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(0) })}, Kills: []Kill{{At: at(time.Second)}}}, ""},
-		"found by the kill":      {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(time.Second) })}, Kills: []Kill{{At: at(time.Second)}}}, "every request gets its final answer"},
-		"run late, sent in time": {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second), Attempts: attempt("backend-1", keyWindow, 0), DrainGrace: 5 * time.Second}, ""},
-		"before the killed one":  {History{Outcomes: []Outcome{broken}, FaultWindows: []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond), ProcessStart: at(time.Millisecond)}}}, "every request gets its final answer"},
-		"no answer":              {History{Outcomes: []Outcome{broken}}, "every request gets its final answer"},
+		"disconnected in time":    {History{Outcomes: []Outcome{disconnected}, Attempts: attempt("backend-0", 250*time.Millisecond, 0)}, ""},
+		"disconnected too long":   {History{Outcomes: []Outcome{disconnected}, Attempts: attempt("backend-0", 400*time.Millisecond, 0)}, "no attempt begins after its client has left"},
+		"remaining deadline":      {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 600)}, ""},
+		"deadline too long":       {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 900)}, "no attempt tells more time than its client has left"},
+		"repeat in window":        {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow)}, ""},
+		"repeat after window":     {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second)}, "no keyed request runs again after its window"},
+		"unsafe twice":            {History{Outcomes: []Outcome{claim}, Executions: runs(time.Second)}, "no request runs twice or unasked"},
+		"drain, not notified yet": {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 1900*time.Millisecond, 0), DrainGrace: time.Second}, ""},
+		"drain, notified":         {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 2200*time.Millisecond, 0), DrainGrace: time.Second}, "nothing begins at a draining backend past the grace"},
+		"drain, over":             {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 21*time.Second, 0), DrainGrace: time.Second}, ""},
+		"held at a kill":          {History{Outcomes: []Outcome{broken}, FaultWindows: kill}, ""},
+		"after a kill":            {History{Outcomes: []Outcome{late}, FaultWindows: kill}, "every request gets its final answer"},
+		"unread, not at a kill":   {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(0) })}, Kills: []Kill{{At: at(time.Second)}}}, ""},
+		"found by the kill":       {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(time.Second) })}, Kills: []Kill{{At: at(time.Second)}}}, "every request gets its final answer"},
+		"run late, sent in time":  {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second), Attempts: attempt("backend-1", keyWindow, 0), DrainGrace: 5 * time.Second}, ""},
+		"before the killed one":   {History{Outcomes: []Outcome{broken}, FaultWindows: []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond), ProcessStart: at(time.Millisecond)}}}, "every request gets its final answer"},
+		"no answer":               {History{Outcomes: []Outcome{broken}}, "every request gets its final answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, c := range append(Verify(tc.h), tc.h.verifySoak(drains, time.Time{})...) {
@@ -136,7 +136,7 @@
 }
 
 // upgradeSoak is the soak of upgrades in seconds, for the ordinary tests: series, successors that end, hanging
-// backends, clients that connect long before they ask, and, in one of its seeds, a crowd and a class of a minute.
+// backends, clients that connect long before they send a request, and, in one of its seeds, idle connections and a class of a minute.
 const upgradeSoak = `
 name = "short soak of upgrades"
 seed = 22
--- a/internal/sysfault/filter_linux_amd64.go
+++ b/internal/sysfault/filter_linux_amd64.go
@@ -183,6 +183,3 @@
 	}
 	return nil
 }
-
-// The program stops only at the calls that its plan may change: a filter that it sets on itself before it starts asks
-// the tracer about these and lets all others pass. It confines nothing.
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -93,7 +93,7 @@
 	return out.String()
 }
 
-// Calls fail as the plan says and while it lasts, the wall clock alone is stepped, and what is cut short arrives whole.
+// Calls fail as the plan says and while it lasts, the wall clock alone is stepped, and what is cut short arrives complete.
 func TestCallsFailAsPlanned(t *testing.T) {
 	const all = time.Minute
 	for name, tc := range map[string]struct {
