--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -40,28 +41,16 @@
 			if err != nil {
 				return err
 			}
-			cl, err := client()
+			leases, err := client()
 			if err != nil {
 				return err
 			}
-			h, err := cl.Acquire(cmd.Context(), args[0], holder, ttl)
+			held, err := leases.Acquire(cmd.Context(), args[0], holder, ttl)
 			if err != nil {
 				return failedError(err)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "{\"lease\":%q,\"holder\":%q,\"token\":%d}\n", h.Name, h.Holder, h.Token)
-			log.Info("lease held", "component", "lease", "lease", h.Name, "holder", h.Holder, "token", h.Token)
-			select {
-			case <-h.Lost:
-				return failedError(fmt.Errorf("lease %s lost", h.Name))
-			case <-cmd.Context().Done():
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			defer cancel()
-			if err := h.Release(ctx); err != nil {
-				return failedError(err)
-			}
-			log.Info("lease released", "component", "lease", "lease", h.Name, "token", h.Token)
-			return nil
+			fmt.Fprintf(cmd.OutOrStdout(), "{\"lease\":%q,\"holder\":%q,\"token\":%d}\n", held.Name, held.Holder, held.Token)
+			return holdLease(cmd.Context(), held, log)
 		},
 	}
 	c.Flags().StringVar(&holder, "holder", "", "this holder's id")
@@ -70,6 +59,29 @@
 	return c
 }
 
+// releaseTimeout bounds the release of a lease at the end of the command.
+const releaseTimeout = 2 * time.Second
+
+// holdLease holds a lease until ctx ends, then releases it; one that is lost before is an error.
+func holdLease(ctx context.Context, held *lease.Lease, log *slog.Logger) error {
+	log.Info("lease held", "component", "lease", "lease", held.Name, "holder", held.Holder, "token", held.Token)
+	select {
+	case <-held.Lost:
+		return failedError(fmt.Errorf("lease %s lost", held.Name))
+	case <-ctx.Done():
+	}
+	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	defer cancel()
+	if err := held.Release(releaseCtx); err != nil {
+		return failedError(err)
+	}
+	log.Info("lease released", "component", "lease", "lease", held.Name, "token", held.Token)
+	return nil
+}
+
+// showTimeout bounds the call of one replica.
+const showTimeout = 2 * time.Second
+
 func leaseShowCmd(replicas *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
@@ -78,25 +90,28 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var last error = usageError(errors.New("--registry: no replica named"))
 			for _, addr := range *replicas {
-				resp, err := (&http.Client{Timeout: 2 * time.Second}).Get("http://" + addr + "/registry/leases")
-				if err != nil {
-					last = failedError(err)
-					continue
-				}
-				var v any
-				err = json.NewDecoder(io.LimitReader(resp.Body, 4<<20)).Decode(&v)
-				resp.Body.Close()
-				if err != nil {
-					last = failedError(err)
-					continue
+				leases, err := fetchLeases(addr)
+				if err == nil {
+					return json.NewEncoder(cmd.OutOrStdout()).Encode(leases)
 				}
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(v)
+				last = failedError(err)
 			}
 			return last
 		},
 	}
 }
 
+// fetchLeases reads the list of leases of one replica.
+func fetchLeases(addr string) (leases any, err error) {
+	response, err := (&http.Client{Timeout: showTimeout}).Get("http://" + addr + "/registry/leases")
+	if err != nil {
+		return nil, err
+	}
+	defer response.Body.Close()
+	err = json.NewDecoder(io.LimitReader(response.Body, 4<<20)).Decode(&leases)
+	return leases, err
+}
+
 func leaseReleaseCmd(client func() (*lease.Client, error)) *cobra.Command {
 	var holder string
 	var token uint64
--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -47,7 +47,7 @@
 				rep.Snapshot = &e
 			}
 			if err == nil && repair && len(damage) > 0 && e.File != "" {
-				// Writing the newest whole snapshot again lists it alone and prunes what the manifest no longer has.
+				// Writing the newest complete snapshot again lists it alone and prunes what the manifest no longer has.
 				if err = s.Write(e.Revision, data); err == nil {
 					rep.Repaired, rep.Damage = true, nil
 				}
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 	"net"
 
 	"github.com/spf13/cobra"
@@ -27,37 +29,13 @@
 			if err != nil {
 				return err
 			}
-			cfg, err := registry.LoadConfig(path)
+			config, err := registry.LoadConfig(path)
 			if err != nil {
 				return usageError(err)
 			}
-			listen := func(addr string) (net.Listener, error) {
-				return accept.Open(func() (net.Listener, error) { return net.Listen("tcp", addr) }, func(err error) {
-					log.Warn("listen failed, retrying", "address", addr, "error", err)
-				})
-			}
-			raftLn, err := listen(cfg.ListenRaft())
-			if err != nil {
-				return failedError(fmt.Errorf("raft: %w", err))
-			}
-			httpLn, err := listen(cfg.HTTPAddr)
-			if err != nil {
-				raftLn.Close()
-				return failedError(fmt.Errorf("http: %w", err))
-			}
-			r, err := registry.Open(cfg, raftLn, log)
-			if err != nil {
-				httpLn.Close()
-				return failedError(err)
-			}
-			log.Info("serving", "component", "registry", "node", cfg.ID, "http", cfg.HTTPAddr, "raft", cfg.RaftAddr)
-			serveErr := r.Serve(cmd.Context(), httpLn)
-			if err := r.Close(); err != nil {
+			if err := serveReplica(cmd.Context(), config, log); err != nil {
 				return failedError(err)
 			}
-			if serveErr != nil {
-				return failedError(serveErr)
-			}
 			return nil
 		},
 	}
@@ -65,3 +43,35 @@
 	c.MarkFlagRequired("config")
 	return c
 }
+
+// serveReplica runs a replica until ctx ends.
+func serveReplica(ctx context.Context, config registry.Config, log *slog.Logger) error {
+	raftListener, err := listen(config.ListenRaft(), log)
+	if err != nil {
+		return fmt.Errorf("raft: %w", err)
+	}
+	httpListener, err := listen(config.HTTPAddr, log)
+	if err != nil {
+		raftListener.Close()
+		return fmt.Errorf("http: %w", err)
+	}
+	replica, err := registry.Open(config, raftListener, log)
+	if err != nil {
+		httpListener.Close()
+		return err
+	}
+	log.Info("serving", "component", "registry", "node", config.ID, "http", config.HTTPAddr, "raft", config.RaftAddr)
+	serveErr := replica.Serve(ctx, httpListener)
+	if err := replica.Close(); err != nil {
+		return err
+	}
+	return serveErr
+}
+
+// listen opens an address, and tries again for as long as accept.Open does.
+func listen(addr string, log *slog.Logger) (net.Listener, error) {
+	open := func() (net.Listener, error) { return net.Listen("tcp", addr) }
+	return accept.Open(open, func(err error) {
+		log.Warn("listen failed, retrying", "address", addr, "error", err)
+	})
+}
