--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -41,7 +41,8 @@
 			return err
 		}
 	}
-	return cluster.waitLeader(ctx)
+	_, err = cluster.waitLeader(ctx)
+	return err
 }
 
 // linkReplicas gives n replicas their addresses, and places a proxy on each link between two of them.
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -137,39 +137,35 @@
 	return err == nil && status.State == "Leader"
 }
 
-// waitLeader waits until some replica says that it leads, for electionTimeout at most.
-func (cluster *cluster) waitLeader(ctx context.Context) error {
+// waitLeader waits until some replica says that it leads, for electionTimeout at most, and gives its number.
+func (cluster *cluster) waitLeader(ctx context.Context) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, electionTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		for _, addr := range cluster.registryAddr {
+		for m, addr := range cluster.registryAddr {
 			if cluster.leads(ctx, addr) {
-				return nil
+				return m, nil
 			}
 		}
 		time.Sleep(registryRetryInterval)
 	}
-	return fmt.Errorf("the registry elected no leader in %s", electionTimeout)
+	return -1, fmt.Errorf("the registry elected no leader in %s", electionTimeout)
 }
 
 // leaderIndex is the number of the replica that leads, once there is one; -1 after electionTimeout.
 func (cluster *cluster) leaderIndex(ctx context.Context) int {
-	if cluster.waitLeader(ctx) != nil {
+	leader, err := cluster.waitLeader(ctx)
+	if err != nil {
 		return -1
 	}
-	for m, addr := range cluster.registryAddr {
-		if cluster.leads(ctx, addr) {
-			return m
-		}
-	}
-	return -1
+	return leader
 }
 
 // restartAfterElection kills a replica, waits for a leader among the others, and starts it again on its data.
 func (cluster *cluster) restartAfterElection(ctx context.Context, m int) error {
 	process := cluster.processes[roleRegistry][m]
 	process.Kill()
-	if err := cluster.waitLeader(ctx); err != nil {
+	if _, err := cluster.waitLeader(ctx); err != nil {
 		return err
 	}
 	if err := process.Start(cluster.spawner); err != nil {
@@ -204,7 +200,7 @@
 	if len(cluster.registryAddr) == 0 {
 		return check.done()
 	}
-	if err := cluster.waitLeader(ctx); err != nil {
+	if _, err := cluster.waitLeader(ctx); err != nil {
 		check.add(err.Error())
 		return check.done()
 	}
