--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -33,7 +33,7 @@
 )
 
 // ErrExhausted is the error of acquiring a connection where there may be no more of them.
-var ErrExhausted = errors.New("no descriptor left for a connection to a backend")
+var ErrExhausted = errors.New("connection limit reached")
 
 // CloseReason is why the pool closed a connection.
 type CloseReason uint8
@@ -65,9 +65,9 @@
 // Pool holds the connections to servers: the idle ones, and a count of all.
 //
 // A connection is reused if it is idle for less than maxIdle, has been through its quarantine, is still open and has
-// nothing to be read on it; of those the one used last. It is closed otherwise, and where its server becomes
-// unavailable. There are at most MaxOpen, idle or not; at the limit the one that has been idle longest is closed for
-// a new one. All methods may be called from any goroutine.
+// nothing to be read on it; of those the one used last. It is closed otherwise, and by CloseIdle if it is idle then.
+// There are at most MaxOpen, idle or not, but for those that were in use when SetMaxOpen lowered the limit; at the
+// limit the one that has been idle longest is closed for a new one. All methods may be called from any goroutine.
 type Pool struct {
 	// DialContext opens a connection. It may be replaced while nothing is dialed.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -191,7 +191,8 @@
 	return open
 }
 
-// StartQuarantine follows from a server that has sent more than a response.
+// StartQuarantine has connections rest between requests for quarantinePeriod. It is called after a server has sent more
+// than a response.
 func (p *Pool) StartQuarantine() { p.quarantineUntil.Store(monotime.Now().Add(quarantinePeriod)) }
 
 // Quarantine returns how long a connection has to be idle now before it is reused.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,9 +22,9 @@
 	Transport http.RoundTripper // nil: TCP
 	Log       *slog.Logger
 
-	OnList    func(List)                          // takes in a list
-	OnFailure func()                              // takes in that a call has failed
-	OnCall    func(took time.Duration, err error) // takes in the time of each call, from any goroutine; may be nil
+	OnList    func(List)                          // receives each list
+	OnFailure func()                              // is called when a call has failed
+	OnCall    func(took time.Duration, err error) // receives the time of each call, from any goroutine; may be nil
 }
 
 // Client keeps its owner up to date with the endpoint list. NewClient makes one, Run does the work; the other methods
@@ -103,7 +103,7 @@
 			continue
 		}
 		complaints.Warn("discovery call failed", "error", err)
-		c.drainRequests() // those made during the call have failed with it
+		c.takeRequests() // those made during the call have failed with it
 		c.onFailure()
 		c.useNextReplica()
 		if c.polls() {
--- a/internal/discovery/silence.go
+++ b/internal/discovery/hedge.go
@@ -16,8 +16,8 @@
 	fullListHedgeDelay = 3 * time.Second
 )
 
-// read is one way to read the list: the call, and the hedged call beside it when no answer comes.
-type read struct {
+// listRead is one way to read the list: the call, and the hedged call beside it when no answer comes.
+type listRead struct {
 	query      string        // "": the complete list
 	timeout    time.Duration // of the first call
 	hedgeQuery string        // of the hedged call, whose timeout is responseSlack as it waits for nothing
@@ -25,18 +25,18 @@
 }
 
 // fullRead reads the complete list, which costs discovery work for each entry.
-func (c *Client) fullRead() read {
-	return read{timeout: c.fullListTimeout, hedgeDelay: fullListHedgeDelay}
+func (c *Client) fullRead() listRead {
+	return listRead{timeout: c.fullListTimeout, hedgeDelay: fullListHedgeDelay}
 }
 
 // watchRead waits for a change after the revision that is known. Where lists are pushed, the first call of a process
 // does not wait: it must not serve on an older list than discovery's.
-func (c *Client) watchRead() read {
+func (c *Client) watchRead() listRead {
 	wait := c.watchWait
 	if !c.polls() && !c.position.listReceived {
 		wait = 0
 	}
-	return read{
+	return listRead{
 		query:      c.watchQuery(wait),
 		timeout:    c.watchWait + responseSlack,
 		hedgeQuery: c.watchQuery(0),
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("?after=%d&wait_ms=%d", c.position.revision, wait.Milliseconds())
 }
 
-// read reads the list at a URL. Among replicas no call is hedged: a silent one is abandoned for the next.
-func (c *Client) read(ctx context.Context, url string, r read) (List, error) {
+// readList reads the list at a URL. Among replicas no call is hedged: a silent one is abandoned for the next.
+func (c *Client) readList(ctx context.Context, url string, r listRead) (List, error) {
 	if len(c.replicas) > 1 {
 		return c.get(ctx, url+r.query, r.timeout)
 	}
@@ -58,7 +58,7 @@
 
 // hedgedGet makes a call, and a hedged one beside it if the first has no answer after the delay. The first answer
 // counts; an error counts once no other call is open, or if it wraps ErrMalformed.
-func (c *Client) hedgedGet(ctx context.Context, url string, r read) (List, error) {
+func (c *Client) hedgedGet(ctx context.Context, url string, r listRead) (List, error) {
 	type result struct {
 		list List
 		err  error
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -86,7 +86,7 @@
 	return list, nil
 }
 
-// endpoint returns the entry in the module's terms, without a number.
+// endpoint returns the entry in the Balancer's terms; its ID is left zero, as the node numbers endpoints.
 func (m *memberMessage) endpoint(settings siteconfig.Settings) (balance.Endpoint, error) {
 	phase := slices.Index(phaseNames, m.Phase)
 	_, addressErr := netip.ParseAddrPort(m.HostPort)
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -41,7 +41,7 @@
 }
 
 // drainRequests takes the requests made meanwhile, and reports whether the last of them ends the watch.
-func (c *Client) drainRequests() (unwatch bool) {
+func (c *Client) takeRequests() (unwatch bool) {
 	for {
 		select {
 		case kind := <-c.requests:
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,8 +8,10 @@
 	"time"
 )
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever became of calls meanwhile. So
-// no call is waited for alone for longer than half of that: see silence.go.
+// A change counts as notified 6 s after discovery had it and could be reached, whatever became of calls meanwhile. So a
+// watch that stays silent is hedged (hedge.go) after its wait and silenceTimeout: 3 s where lists are pushed, 4 s where
+// they are polled. Among replicas it is not hedged: the next replica is called after the wait and responseSlack, 4.5 s
+// or 5.5 s.
 const (
 	// pushWatchWait is how long discovery may hold a watch open where lists are pushed.
 	pushWatchWait = 2 * time.Second
@@ -61,7 +63,7 @@
 // follow reads the list, from the start or from the revision that is known, and then watches it if it is to. It ends
 // when a call fails, when ctx ends or when the watch is no longer wanted, and reports whether any list was received.
 func (c *Client) follow(ctx context.Context, url string, watch bool) (received bool, err error) {
-	c.enter(url)
+	c.switchURL(url)
 	for ctx.Err() == nil {
 		list, err := c.readNext(ctx, url, watch)
 		if err != nil {
@@ -72,7 +74,7 @@
 		c.position.listReceived = true
 		c.onList(list)
 		c.position.advance(list)
-		if !watch || c.drainRequests() {
+		if !watch || c.takeRequests() {
 			return true, nil
 		}
 		if time.Since(answeredAt) > maxWatchGap {
@@ -84,7 +86,7 @@
 
 // enter begins to read at a URL. Another discovery may number its lists in another way, so the list is read anew there;
 // replicas are of one registry, and a watch goes on.
-func (c *Client) enter(url string) {
+func (c *Client) switchURL(url string) {
 	if c.position.url != "" && c.position.url != url && c.replicas == nil {
 		c.position.resumable = false
 		c.log.Info("discovery moved", "url", url)
@@ -104,7 +106,7 @@
 	if watch && c.position.resumable {
 		next = c.watchRead()
 	}
-	list, err := c.read(ctx, url, next)
+	list, err := c.readList(ctx, url, next)
 	switch {
 	case errors.Is(err, ErrMalformed):
 		c.position.resumable = false // the changes in it are lost
--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -49,8 +49,8 @@
 }
 
 // Parse takes the next bytes of the connection. Where a head ends within them it returns the head and how many of the
-// bytes belong to it; the parser is then ready for the head of the next request, and the caller keeps its body away.
-// Else it returns nil and the number of all bytes.
+// bytes belong to it; the parser is then ready for the head of the next request, and the caller must not pass it the
+// body. Else it returns nil and the number of all bytes.
 func (p *Parser) Parse(data []byte) (used int, head *Head) {
 	if len(data) > 0 && p.head.Start.IsZero() {
 		p.head.Start = time.Now()
--- a/internal/node/admin_view.go
+++ b/internal/node/admin_view.go
@@ -33,7 +33,7 @@
 }
 
 // Cordon cordons or uncordons a backend. It returns once that is in the file and the module is notified. The error is
-// admin.ErrUnknown for a backend that was never listed.
+// admin.ErrUnknownBackend for a backend that was never listed.
 func (v adminView) Cordon(ctx context.Context, backendID string, cordoned bool) error {
 	loop := v.node.loop
 	reply := make(chan cordonState, 1)
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -24,6 +24,9 @@
 	responseWriteTimeout = 5 * time.Second
 	// overloadRetryAfter is the Retry-After of a request that was rejected since too many are in flight.
 	overloadRetryAfter = 250 * time.Millisecond
+	// inFlightEighths is the part of the clients' connections, in eighths, that may have a request in flight: the others
+	// are left for answers to those who come beyond it.
+	inFlightEighths = 7
 )
 
 // clientServer is the HTTP handler for clients: it reads requests, has the loop decide on them and writes the
@@ -58,7 +61,7 @@
 		log:         log,
 		counters:    loop.counters,
 		shutdown:    schedule,
-		maxInFlight: int64(maxConns) * 7 / 8,
+		maxInFlight: int64(maxConns) * inFlightEighths / 8,
 		bodyMemory:  newMemoryBudget(0),
 	}
 	f.conns = newConnTracker(maxConns, &loop.counters.closes, f.connClosed)
@@ -202,7 +205,7 @@
 		f.writeFinalResponse(w, hr, r, response, count)
 		end = response.kind
 	case <-hr.Context().Done():
-		if c, ok := clientConnOf(hr.Context()); ok && c.isClosed() {
+		if c, ok := clientConnOf(hr.Context()); ok && c.isClosedOrRejected() {
 			f.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
 		}
 		f.loop.post(clientDisconnected{r})
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -48,12 +48,12 @@
 func (s *connState) markReceiving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setReceiving()
+	s.setReceivingLocked()
 	return s.phase == connOpen
 }
 
-// setReceiving is markReceiving under the lock.
-func (s *connState) setReceiving() {
+// setReceivingLocked is markReceiving under the lock.
+func (s *connState) setReceivingLocked() {
 	if s.message != messageServing {
 		s.message = messageReceiving
 	}
@@ -70,7 +70,7 @@
 	}
 	n, err := read()
 	if n > 0 {
-		s.setReceiving()
+		s.setReceivingLocked()
 	}
 	return max(n, 0), err
 }
@@ -103,11 +103,13 @@
 func (s *connState) hasCompleteHead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.completeHead()
+	return s.hasCompleteHeadLocked()
 }
 
-// completeHead is hasCompleteHead under the lock.
-func (s *connState) completeHead() bool { return s.message == messageServing || len(s.heads) > 0 }
+// hasCompleteHeadLocked is hasCompleteHead under the lock.
+func (s *connState) hasCompleteHeadLocked() bool {
+	return s.message == messageServing || len(s.heads) > 0
+}
 
 // finishMessage records that a request has been answered and the connection stays; more says that some of the next
 // request has come already.
@@ -156,7 +158,7 @@
 func (s *connState) closeIf(condition func(message messagePhase) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.phase != connOpen || s.completeHead() || !condition(s.message) {
+	if s.phase != connOpen || s.hasCompleteHeadLocked() || !condition(s.message) {
 		return false
 	}
 	s.phase = connClosed
@@ -173,8 +175,8 @@
 	}
 }
 
-// isClosed reports whether this side has closed the connection, or rejected a request on it.
-func (s *connState) isClosed() bool {
+// isClosedOrRejected reports whether this side has closed the connection, or rejected a request on it.
+func (s *connState) isClosedOrRejected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase != connOpen
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -11,8 +11,12 @@
 // nothing, before it is evicted: a slow client is still one that wants a response.
 const slowHeadFactor = 4
 
+// evictionQuarters is the part of the connections, in quarters, above which slow clients are evicted: the last quarter
+// is for those who ask while the evicted ones close.
+const evictionQuarters = 3
+
 // evictionThreshold returns above how many connections slow clients are evicted, for a limit of connections.
-func evictionThreshold(limit int) int { return limit * 3 / 4 }
+func evictionThreshold(limit int) int { return limit * evictionQuarters / 4 }
 
 // connTracker follows the connections of clients, closes those that wait for their clients, and evicts slow clients
 // when connections become many: else a crowd of idle ones would lock out the others. It is safe for concurrent use.
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -152,9 +152,9 @@
 			w := httptest.NewRecorder()
 			defer func() {
 				dropped := recover() == http.ErrAbortHandler
-				served := w.Code == http.StatusOK && !conn.isClosed()
+				served := w.Code == http.StatusOK && !conn.isClosedOrRejected()
 				if dropped != (end == nil) || !dropped && !served {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, conn.isClosed())
+					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, conn.isClosedOrRejected())
 				}
 			}()
 			f.loop.ready.Store(true)
@@ -185,7 +185,7 @@
 		go func() { f.drain(t.Context()); close(done) }()
 		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
-		closed := func(c *limitedConn) bool { return c.client.isClosed() }
+		closed := func(c *limitedConn) bool { return c.client.isClosedOrRejected() }
 		if closed(served) || !closed(idle) {
 			t.Errorf("ended: the one being served %v, the other %v", closed(served), closed(idle))
 		}
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -10,11 +10,13 @@
 	adminDescriptors = 16
 	// defaultDescriptors is the limit where the configuration has none.
 	defaultDescriptors = 1024
+	// clientEighths is the clients' part of the descriptors, in eighths, with a second address: many of their connections
+	// may be idle, and those need none at a backend.
+	clientEighths = 5
 )
 
 // divideDescriptors divides the descriptors between connections of clients and connections to backends. A request in
-// flight has one of each; backends need more for idle connections and health checks. With a second address clients get
-// five eighths: many of their connections may be idle, and those need none at a backend.
+// flight has one of each; backends need more for idle connections and health checks.
 func (l Limits) divideDescriptors(admin bool) (clients, backends int) {
 	n := l.Sockets
 	if n == 0 {
@@ -23,7 +25,7 @@
 	n -= reservedDescriptors
 	if admin {
 		n -= min(adminDescriptors, n/2)
-		clients = n * 5 / 8
+		clients = n * clientEighths / 8
 	} else {
 		clients = n / 2
 	}
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/discovery"
 )
 
-// updateEndpoints takes in an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
+// updateEndpoints applies an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
 // complete list does not name count as removed.
 func (l *eventLoop) updateEndpoints(kind balance.ListKind, list discovery.List) {
 	if len(list.Members) > 0 {
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -34,9 +34,9 @@
 	defer cancel()
 	var running sync.WaitGroup
 	defer running.Wait()
-	draining, drained := context.WithCancel(ctx)
-	defer drained()
-	running.Go(func() { n.sendFinalResponses(draining) })
+	responsesCtx, stopResponses := context.WithCancel(ctx)
+	defer stopResponses()
+	running.Go(func() { n.sendFinalResponses(responsesCtx) })
 
 	pause(ctx, time.Until(schedule.acceptUntil().Time()))
 	err := n.drainClients(ctx)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -85,7 +85,8 @@
 	return true
 }
 
-// mayRunTwice reports whether the effect of a request could happen twice with another attempt.
+// mayRunTwice reports whether the effect of a request could happen twice with another attempt. It goes by the class and
+// the key window alone; that a retry stays within its key's scope is balance's repeatAllowed.
 func (g *guard) mayRunTwice(r *request, now time.Duration) bool {
 	if r.class >= len(g.classes) || g.classes[r.class].Repeatability == balance.Idempotent {
 		return false
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -159,10 +159,10 @@
 	// one.
 	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
 	n.server.conns.evictDownTo(n.maxClientConns / predecessorDivisor)
-	inUse, idle := n.pool.Size()
-	usage.BackendConns = max(min(reserved, inUse), min(reservedBackendConns, n.maxBackendConns/predecessorDivisor))
+	open, idle := n.pool.Size()
+	usage.BackendConns = max(min(reserved, open), min(reservedBackendConns, n.maxBackendConns/predecessorDivisor))
 	n.pool.SetMaxOpen(usage.BackendConns)
 	usage.ClientConns = n.listener.openConns()
 	usage.InFlight = n.server.conns.busy()
-	return usage, usage.ClientConns > 0 || inUse > idle
+	return usage, usage.ClientConns > 0 || open > idle
 }
--- a/internal/node/shutdown_schedule.go
+++ b/internal/node/shutdown_schedule.go
@@ -34,7 +34,8 @@
 //	acceptUntil       connections are accepted at least until then, and further while some wait in the backlog
 //	admitUntil        requests are admitted until then; later ones are rejected with 503
 //	responseDeadline  every admitted request has its final response, every incomplete one is rejected
-//	expired           the process exits, unless responses are still being streamed
+//	expired           the process exits, unless responses are still being streamed; closing its session (one fleet
+//	                  interval) and flushing its log (0.5 s) come behind that, and are not counted in the schedule
 //	earliestKill      SIGKILL may come
 //
 // It is the same whether or not another process of the node runs, as the time of the kill does not depend on that.
