--- a/cmd/hitchvale/errors_test.go
+++ b/cmd/hitchvale/errors_test.go
@@ -13,7 +13,8 @@
 	_ "hitchvale/internal/registry"
 )
 
-// Every kind of error has a remedy and a row of its own in docs/oncall.md, and no row is of an error that does not exist.
+// Every kind of error has a remedy and a row of its own in docs/oncall.md, and no row is of an error that does not
+// exist.
 func TestEveryErrorIsDocumented(t *testing.T) {
 	text, err := os.ReadFile("../../docs/oncall.md")
 	if err != nil {
--- a/cmd/hitchvale/main_test.go
+++ b/cmd/hitchvale/main_test.go
@@ -33,7 +33,8 @@
 		{[]string{"lab", "run", bad, "--log-format", "yaml"}, 2, "--log-format"},
 	} {
 		var out, errs bytes.Buffer
-		if code := run(context.Background(), c.args, &out, &errs); code != c.code || !strings.Contains(errs.String(), c.says) {
+		code := run(context.Background(), c.args, &out, &errs)
+		if code != c.code || !strings.Contains(errs.String(), c.says) {
 			t.Errorf("%v: exit %d, said %q", c.args, code, errs.String())
 		}
 	}
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// A replica that is cut off in one direction alone (it receives from its peers, and they do not receive from it) keeps nobody from
-// writing for longer than an election.
+// A replica that is cut off in one direction alone (it receives from its peers, and they do not receive from it) keeps
+// nobody from writing for longer than an election.
 func TestOneWayCutDoesNotStopWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// Discovery from three registry replicas: the first killed for good (every node was configured with it first), a drain, all
-// killed at once and two restarted, another drain. Nodes serve throughout and follow both drains from the remaining
+// Discovery from three registry replicas: the first killed for good (every node was configured with it first), a drain,
+// all killed at once and two restarted, another drain. Nodes serve throughout and follow both drains from the remaining
 // replicas, no acknowledged write is lost, and nothing goes to a drained backend past the grace.
 func TestNodesServeThroughRegistryOutages(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -43,7 +43,7 @@
 	}
 	acknowledged := run.checkAcks(ctx)
 	run.stopAll()
-	return run.judge(driver, starved, acknowledged)
+	return run.report(driver, starved, acknowledged)
 }
 
 // play sends the load while the faults are applied at their times, and returns once both have ended.
@@ -70,8 +70,8 @@
 	return driver, starved, nil
 }
 
-// judge checks the history of a run whose children have ended, and writes the report and every request's outcome.
-func (run *loadRun) judge(driver *Driver, starved *starvationLog, acknowledged Check) (Report, error) {
+// report checks the history of a run whose children have ended, and writes the report and every request's outcome.
+func (run *loadRun) report(driver *Driver, starved *starvationLog, acknowledged Check) (Report, error) {
 	history, unsent, err := run.history(driver)
 	if err != nil {
 		return Report{}, err
--- a/internal/lab/maintenance_run_test.go
+++ b/internal/lab/maintenance_run_test.go
@@ -36,7 +36,8 @@
 // returning, no request lost or run twice, and each of them comes back.
 func TestMachinesGoOutAndComeBackUnderFaults(t *testing.T) {
 	t.Parallel()
-	for seed, kinds := range []string{``, `"pause"`, `"leader"`, `"kill"`, `"outage"`, `"pause", "kill", "leader", "outage"`} {
+	for seed, kinds := range []string{``, `"pause"`, `"leader"`, `"kill"`, `"outage"`,
+		`"pause", "kill", "leader", "outage"`} {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			r := runScenario(t, workScenario(seed, kinds))
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -80,55 +80,168 @@
 	}
 }
 
-// Each check of the soak finds what breaks it, and nothing else.
-func TestSoakChecksFindWhatBreaksThem(t *testing.T) {
-	start := time.Unix(1000, 0)
-	at := func(after time.Duration) int64 { return start.Add(after).UnixNano() }
-	drains := map[string][]*drainPeriod{"backend-1": {{start: start, end: start.Add(20 * time.Second),
-		notifiedAt: map[string]time.Time{"node-0": start.Add(time.Second)}}}}
-	claim := Outcome{Trace: "x", Class: classClaim, SentAt: at(0), DialedAt: at(0), ClientTimeout: int64(time.Second), Kind: kindServed, DoneAt: at(time.Second)}
-	change := func(f func(*Outcome)) Outcome {
-		o := claim
-		f(&o)
-		return o
+// The names of the checks that soakCases break.
+const (
+	answerCheck     = "every request gets its final answer"
+	executionCheck  = "no request runs twice or unasked"
+	disconnectCheck = "no attempt begins after its client has left"
+	deadlineCheck   = "no attempt tells more time than its client has left"
+	keyCheck        = "no keyed request runs again after its window"
+	drainCheck      = "nothing begins at a draining backend past the grace"
+)
+
+// soakStart is when the history of every soakCase begins.
+var soakStart = time.Unix(1000, 0)
+
+// sinceSoakStart is a Unix time in nanoseconds.
+func sinceSoakStart(after time.Duration) int64 { return soakStart.Add(after).UnixNano() }
+
+// soakOutcome is a claim that was served within a second, with a change.
+func soakOutcome(change func(*Outcome)) []Outcome {
+	outcome := Outcome{
+		Trace:         "x",
+		Class:         classClaim,
+		SentAt:        sinceSoakStart(0),
+		DialedAt:      sinceSoakStart(0),
+		ClientTimeout: int64(time.Second),
+		Kind:          kindServed,
+		DoneAt:        sinceSoakStart(time.Second),
 	}
-	disconnected := change(func(o *Outcome) { o.Kind, o.DisconnectedAt = kindClientDisconnected, at(100*time.Millisecond) })
-	token := change(func(o *Outcome) { o.Class = classToken })
-	broken := change(func(o *Outcome) { o.Kind = kindBroken })
-	attempt := func(backend string, after time.Duration, deadlineMs int64) []Attempt {
-		return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: at(after), DeadlineMs: deadlineMs}}
+	if change != nil {
+		change(&outcome)
 	}
-	runs := func(second time.Duration) []Execution {
-		return []Execution{{Trace: "x", Backend: "backend-0", At: at(0)}, {Trace: "x", Backend: "backend-1", At: at(second)}}
+	return []Outcome{outcome}
+}
+
+// soakAttempt is an attempt by node-0.
+func soakAttempt(backend string, after time.Duration, deadlineMs int64) []Attempt {
+	return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: sinceSoakStart(after), DeadlineMs: deadlineMs}}
+}
+
+// soakExecutions are one at the start and a second one later, at another backend.
+func soakExecutions(second time.Duration) []Execution {
+	return []Execution{
+		{Trace: "x", Backend: "backend-0", At: sinceSoakStart(0)},
+		{Trace: "x", Backend: "backend-1", At: sinceSoakStart(second)},
 	}
-	kill := []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond)}}
-	late := change(func(o *Outcome) { o.Kind, o.DialedAt = kindBroken, at(600*time.Millisecond) })
-	for name, tc := range map[string]struct {
-		h      History
-		breaks string
-	}{
-		"disconnected in time":    {History{Outcomes: []Outcome{disconnected}, Attempts: attempt("backend-0", 250*time.Millisecond, 0)}, ""},
-		"disconnected too long":   {History{Outcomes: []Outcome{disconnected}, Attempts: attempt("backend-0", 400*time.Millisecond, 0)}, "no attempt begins after its client has left"},
-		"remaining deadline":      {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 600)}, ""},
-		"deadline too long":       {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-0", 500*time.Millisecond, 900)}, "no attempt tells more time than its client has left"},
-		"repeat in window":        {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow)}, ""},
-		"repeat after window":     {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second)}, "no keyed request runs again after its window"},
-		"unsafe twice":            {History{Outcomes: []Outcome{claim}, Executions: runs(time.Second)}, "no request runs twice or unasked"},
-		"drain, not notified yet": {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 1900*time.Millisecond, 0), DrainGrace: time.Second}, ""},
-		"drain, notified":         {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 2200*time.Millisecond, 0), DrainGrace: time.Second}, "nothing begins at a draining backend past the grace"},
-		"drain, over":             {History{Outcomes: []Outcome{claim}, Attempts: attempt("backend-1", 21*time.Second, 0), DrainGrace: time.Second}, ""},
-		"held at a kill":          {History{Outcomes: []Outcome{broken}, FaultWindows: kill}, ""},
-		"after a kill":            {History{Outcomes: []Outcome{late}, FaultWindows: kill}, "every request gets its final answer"},
-		"unread, not at a kill":   {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(0) })}, Kills: []Kill{{At: at(time.Second)}}}, ""},
-		"found by the kill":       {History{Outcomes: []Outcome{change(func(o *Outcome) { o.Resent, o.CrossedAt = true, at(time.Second) })}, Kills: []Kill{{At: at(time.Second)}}}, "every request gets its final answer"},
-		"run late, sent in time":  {History{Outcomes: []Outcome{token}, Executions: runs(keyWindow + time.Second), Attempts: attempt("backend-1", keyWindow, 0), DrainGrace: 5 * time.Second}, ""},
-		"before the killed one":   {History{Outcomes: []Outcome{broken}, FaultWindows: []FaultWindow{{Node: 0, Kind: "kill", Start: at(500 * time.Millisecond), ProcessStart: at(time.Millisecond)}}}, "every request gets its final answer"},
-		"no answer":               {History{Outcomes: []Outcome{broken}}, "every request gets its final answer"},
-	} {
+}
+
+// soakCase is a history, and the one check that it breaks; "": none.
+type soakCase struct {
+	history History
+	breaks  string
+}
+
+// soakCases are histories of one request at node-0. Backend-1 drains for 20 s, of which node-0 is notified after 1 s.
+func soakCases() map[string]soakCase {
+	setBroken := func(o *Outcome) { o.Kind = kindBroken }
+	setToken := func(o *Outcome) { o.Class = classToken }
+	setDisconnected := func(o *Outcome) {
+		o.Kind = kindClientDisconnected
+		o.DisconnectedAt = sinceSoakStart(100 * time.Millisecond)
+	}
+	setDialedAfterKill := func(o *Outcome) {
+		o.Kind = kindBroken
+		o.DialedAt = sinceSoakStart(600 * time.Millisecond)
+	}
+	setResentAt := func(after time.Duration) func(*Outcome) {
+		return func(o *Outcome) {
+			o.Resent = true
+			o.CrossedAt = sinceSoakStart(after)
+		}
+	}
+	kill := FaultWindow{Node: 0, Kind: "kill", Start: sinceSoakStart(500 * time.Millisecond)}
+	killOfLaterProcess := kill
+	killOfLaterProcess.ProcessStart = sinceSoakStart(time.Millisecond)
+	atEarliest := []Kill{{At: sinceSoakStart(time.Second)}}
+	return map[string]soakCase{
+		"disconnected in time": {history: History{
+			Outcomes: soakOutcome(setDisconnected),
+			Attempts: soakAttempt("backend-0", 250*time.Millisecond, 0),
+		}},
+		"disconnected too long": {breaks: disconnectCheck, history: History{
+			Outcomes: soakOutcome(setDisconnected),
+			Attempts: soakAttempt("backend-0", 400*time.Millisecond, 0),
+		}},
+		"remaining deadline": {history: History{
+			Outcomes: soakOutcome(nil),
+			Attempts: soakAttempt("backend-0", 500*time.Millisecond, 600),
+		}},
+		"deadline too long": {breaks: deadlineCheck, history: History{
+			Outcomes: soakOutcome(nil),
+			Attempts: soakAttempt("backend-0", 500*time.Millisecond, 900),
+		}},
+		"repeat in window": {history: History{
+			Outcomes:   soakOutcome(setToken),
+			Executions: soakExecutions(keyWindow),
+		}},
+		"repeat after window": {breaks: keyCheck, history: History{
+			Outcomes:   soakOutcome(setToken),
+			Executions: soakExecutions(keyWindow + time.Second),
+		}},
+		"executed late, sent in time": {history: History{
+			Outcomes:   soakOutcome(setToken),
+			Executions: soakExecutions(keyWindow + time.Second),
+			Attempts:   soakAttempt("backend-1", keyWindow, 0),
+			DrainGrace: 5 * time.Second,
+		}},
+		"unsafe twice": {breaks: executionCheck, history: History{
+			Outcomes:   soakOutcome(nil),
+			Executions: soakExecutions(time.Second),
+		}},
+		"drain, not notified yet": {history: History{
+			Outcomes:   soakOutcome(nil),
+			Attempts:   soakAttempt("backend-1", 1900*time.Millisecond, 0),
+			DrainGrace: time.Second,
+		}},
+		"drain, notified": {breaks: drainCheck, history: History{
+			Outcomes:   soakOutcome(nil),
+			Attempts:   soakAttempt("backend-1", 2200*time.Millisecond, 0),
+			DrainGrace: time.Second,
+		}},
+		"drain, over": {history: History{
+			Outcomes:   soakOutcome(nil),
+			Attempts:   soakAttempt("backend-1", 21*time.Second, 0),
+			DrainGrace: time.Second,
+		}},
+		"in flight at a kill": {history: History{
+			Outcomes:     soakOutcome(setBroken),
+			FaultWindows: []FaultWindow{kill},
+		}},
+		"after a kill": {breaks: answerCheck, history: History{
+			Outcomes:     soakOutcome(setDialedAfterKill),
+			FaultWindows: []FaultWindow{kill},
+		}},
+		"before the killed process": {breaks: answerCheck, history: History{
+			Outcomes:     soakOutcome(setBroken),
+			FaultWindows: []FaultWindow{killOfLaterProcess},
+		}},
+		"unread, not at a kill": {history: History{
+			Outcomes: soakOutcome(setResentAt(0)),
+			Kills:    atEarliest,
+		}},
+		"found by the kill": {breaks: answerCheck, history: History{
+			Outcomes: soakOutcome(setResentAt(time.Second)),
+			Kills:    atEarliest,
+		}},
+		"no answer": {breaks: answerCheck, history: History{
+			Outcomes: soakOutcome(setBroken),
+		}},
+	}
+}
+
+// Each check of the soak finds what breaks it, and nothing else.
+func TestSoakChecksFindWhatBreaksThem(t *testing.T) {
+	drains := map[string][]*drainPeriod{"backend-1": {{
+		start:      soakStart,
+		end:        soakStart.Add(20 * time.Second),
+		notifiedAt: map[string]time.Time{"node-0": soakStart.Add(time.Second)},
+	}}}
+	for name, tc := range soakCases() {
 		t.Run(name, func(t *testing.T) {
-			for _, c := range append(Verify(tc.h), tc.h.verifySoak(drains, time.Time{})...) {
-				if c.OK == (c.Name == tc.breaks) {
-					t.Errorf("%s: %+v", c.Name, c)
+			for _, check := range append(Verify(tc.history), tc.history.verifySoak(drains, time.Time{})...) {
+				if check.OK == (check.Name == tc.breaks) {
+					t.Errorf("%s: %+v", check.Name, check)
 				}
 			}
 		})
@@ -136,7 +249,8 @@
 }
 
 // upgradeSoak is the soak of upgrades in seconds, for the ordinary tests: series, successors that end, hanging
-// backends, clients that connect long before they send a request, and, in one of its seeds, idle connections and a class of a minute.
+// backends, clients that connect long before they send a request, and, in one of its seeds,
+// idle connections and a class of a minute.
 const upgradeSoak = `
 name = "short soak of upgrades"
 seed = 22
--- a/internal/lab/sysfault_test.go
+++ b/internal/lab/sysfault_test.go
@@ -45,7 +45,8 @@
 
 func playInto(b *testing.B, s Scenario, dir string) {
 	nodeBinary, hitchvale := binaries(b)
-	if _, err := Run(context.Background(), s, Options{Out: filepath.Join(dir, "out"), NodeBinary: nodeBinary, CommandBinary: hitchvale}); err != nil {
+	if _, err := Run(context.Background(), s, Options{Out: filepath.Join(dir, "out"), NodeBinary: nodeBinary,
+		CommandBinary: hitchvale}); err != nil {
 		b.Error(err)
 	}
 }
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -93,15 +93,17 @@
 	return out.String()
 }
 
-// Calls fail as the plan says and while it lasts, the wall clock alone is stepped, and what is cut short arrives complete.
+// Calls fail as the plan says and while it lasts, the wall clock alone is stepped, and what is cut short arrives
+// complete.
 func TestCallsFailAsPlanned(t *testing.T) {
 	const all = time.Minute
 	for name, tc := range map[string]struct {
 		plan Plan
 		want []string
 	}{
-		"nothing":   {nil, []string{"dial 0 open 0\n", "stepped 0s spent true", "echoed 100000 <nil>"}},
-		"clock":     {Plan{{Kind: Clock, From: 500 * time.Millisecond, Step: -time.Hour}}, []string{"stepped -1h0m0s spent true"}},
+		"nothing": {nil, []string{"dial 0 open 0\n", "stepped 0s spent true", "echoed 100000 <nil>"}},
+		"clock": {Plan{{Kind: Clock, From: 500 * time.Millisecond, Step: -time.Hour}},
+			[]string{"stepped -1h0m0s spent true"}},
 		"short":     {Plan{{Kind: Short, For: all, Share: 0.5}}, []string{"echoed 100000 <nil>"}},
 		"interrupt": {Plan{{Kind: Interrupt, For: all, Share: 0.2}}, []string{"dial 0 open 0\n", "echoed 100000 <nil>"}},
 		"windows":   {Plan{{Kind: Open, From: time.Hour, For: all, Share: 1}}, []string{"open 0\n"}},
@@ -116,7 +118,8 @@
 		})
 	}
 	const quiet, lasts = 400 * time.Millisecond, 800 * time.Millisecond // the program has to be loaded first
-	out := run(t, Plan{{Kind: Connect, From: quiet, For: lasts, Share: 0.5}, {Kind: Open, From: quiet, For: lasts, Share: 0.5}})
+	out := run(t, Plan{{Kind: Connect, From: quiet, For: lasts, Share: 0.5},
+		{Kind: Open, From: quiet, For: lasts, Share: 0.5}})
 	var dial, open int
 	if _, err := fmt.Sscanf(out, "dial %d open %d", &dial, &open); err != nil || dial == 0 || open == 0 {
 		t.Errorf("%s: dial %s, open %s: %v", out, strconv.Itoa(dial), strconv.Itoa(open), err)
