--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -33,7 +33,7 @@
 
 func (e *endpointState) fadeFailureRate() { e.failureRate -= failureRateDecay * e.failureRate }
 
-// failureCostSeconds is the time that an endpoint's failures are worth, beyond those that all endpoints have.
+// failureCostSeconds is the time that an endpoint's failures cost, beyond those that all endpoints have.
 func (b *Balancer) failureCostSeconds(e *endpointState) float64 {
 	return max(0, e.failureRate-b.outliers.meanFailureRate) * failureCostObjectives * b.latency.meanObjectiveSeconds
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxHeadLine bounds a line of a head, in bytes. The HTTP server bounds the whole head below that.
+	// maxHeadLine bounds a line of a head, in bytes. The HTTP server bounds the entire head below that.
 	maxHeadLine = 2 * maxHeadBytes
 	// maxReadAhead bounds what is read behind a request that is being served, in bytes.
 	maxReadAhead = maxHeadBytes + maxBodyBytes
--- a/internal/node/close_reasons.go
+++ b/internal/node/close_reasons.go
@@ -7,7 +7,7 @@
 
 // The reasons. The first five are of connections of clients, the others of connections to backends.
 const (
-	// closedEvicted: it kept the node waiting longest and made way for a new connection.
+	// closedEvicted: the node had waited for its client longest, and it made way for a new connection.
 	closedEvicted closeReason = iota
 	// closedForHandOver: it was idle at a process that hands over.
 	closedForHandOver
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -19,7 +19,7 @@
 func evictionThreshold(limit int) int { return limit * evictionQuarters / 4 }
 
 // connTracker follows the connections of clients, closes those that wait for their clients, and evicts slow clients
-// when connections become many: else a crowd of idle ones would lock out the others. It is safe for concurrent use.
+// when connections become many: else many idle ones would lock out the others. It is safe for concurrent use.
 type connTracker struct {
 	closeCounts *closeCounters
 	onClose     func(*clientConn) // called for each connection that has ended, under mu
@@ -110,8 +110,8 @@
 	}
 }
 
-// evictSlowest closes the connection that has kept the node waiting longest, even within a head. It reports whether
-// there was one. The caller holds mu.
+// evictSlowest closes the connection whose client the node has waited for longest, even within a head. It reports
+// whether there was one. The caller holds mu.
 func (t *connTracker) evictSlowest() bool {
 	for {
 		slowest := t.slowest()
@@ -127,7 +127,7 @@
 	}
 }
 
-// slowest returns the connection that has kept the node waiting longest, with the wait within a head divided by
+// slowest returns the connection whose client the node has waited for longest, with the wait within a head divided by
 // slowHeadFactor; nil if the node waits for none. The caller holds mu.
 func (t *connTracker) slowest() net.Conn {
 	var slowest net.Conn
--- a/internal/node/load_report.go
+++ b/internal/node/load_report.go
@@ -38,7 +38,7 @@
 }
 
 // parseLoadReport parses "TEXT name=value, name=value". Values of unknown names are skipped. One malformed value
-// makes the whole report malformed; an empty report, as of a backend that has just started, is not.
+// makes the entire report malformed; an empty report, as of a backend that has just started, is not.
 func parseLoadReport(text string) (balance.Load, error) {
 	var load balance.Load
 	text = strings.TrimSpace(text)
--- a/internal/registry/snapshotstore.go
+++ b/internal/registry/snapshotstore.go
@@ -20,7 +20,7 @@
 	// SnapshotDir is the directory of the snapshots within a replica's data_dir.
 	SnapshotDir = "snap"
 
-	// retainedSnapshots is how many snapshots are kept: the newest, and one to fall back to if that is damaged.
+	// retainedSnapshots is how many snapshots are retained: the newest, and one to fall back to if that is damaged.
 	retainedSnapshots = 2
 
 	// metaLengthBytes is the size of the big-endian length of raft's metadata that starts a snapshot's record.
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -15,7 +15,7 @@
 	statusNames = []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
 )
 
-// listKindNames are the kinds of news of the endpoint list; listKinds are theirs in package balance.
+// listKindNames are the kinds of updates of the endpoint list; listKinds are theirs in package balance.
 var (
 	listKindNames = []string{"changes", "all", "remembered", "refused"}
 	listKinds     = []balance.ListKind{balance.ListChanges, balance.CompleteList, balance.CachedList}
@@ -24,7 +24,7 @@
 // refusedListKind is the place of "refused" in listKindNames: it comes without a list.
 const refusedListKind = 3
 
-// maxRoutingKey is the largest whole number that a float64 holds exactly.
+// maxRoutingKey is the largest integer that a float64 holds exactly.
 const maxRoutingKey = 1<<53 - 1
 
 // decodeEvent fills in m from the fields of an event, or of a message that is not known.
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// endpointsListed reads news of the endpoint list; the endpoints stand in the numbered list that m names then.
+// endpointsListed reads an update of the endpoint list; the endpoints stand in the numbered list that m names then.
 func endpointsListed(m *Message, f *fields) balance.Event {
 	kind := f.oneOf("kind", listKindNames)
 	f.unsigned("stamp", math.MaxInt64)
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -101,7 +101,7 @@
 	return s
 }
 
-// unsigned returns a whole number from 0 to most.
+// unsigned returns an integer from 0 to most.
 func (f *fields) unsigned(key string, most uint64) uint64 {
 	s, ok := f.get(key)
 	if !ok {
