--- a/balance/action.go
+++ b/balance/action.go
@@ -42,3 +42,30 @@
 	Payload     []byte
 	Text        string
 }
+
+// forward launches an attempt of a request at an endpoint. Its first byte has to go within startWithin; 0: any time.
+func forward(request string, endpoint EndpointID, attempt int, startWithin time.Duration) Action {
+	return Action{Kind: Forward, Request: request, Endpoint: endpoint, Attempt: attempt, StartWithin: startWithin}
+}
+
+// reject is the final answer that promises the client that trying again is harmless, after retryAfter.
+func reject(request string, retryAfter time.Duration) Action {
+	return Action{Kind: Reject, Request: request, RetryAfter: retryAfter}
+}
+
+// fail is the final answer that promises nothing.
+func fail(request string) Action { return Action{Kind: Fail, Request: request} }
+
+// checkHealth sends a health check to an endpoint.
+func checkHealth(endpoint EndpointID) Action { return Action{Kind: HealthCheck, Endpoint: endpoint} }
+
+// startTimer has a TimerFired with an ID come after a delay.
+func startTimer(delay time.Duration, id uint64) Action {
+	return Action{Kind: SetTimer, Delay: delay, TimerID: id}
+}
+
+// watchEndpoints subscribes to changes of the endpoint list.
+func watchEndpoints() Action { return Action{Kind: WatchEndpoints} }
+
+// logText writes a line of the log.
+func logText(text string) Action { return Action{Kind: Log, Text: text} }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -129,4 +129,4 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) log(text string) { b.emit(Action{Kind: Log, Text: text}) }
+func (b *Balancer) log(text string) { b.emit(logText(text)) }
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -53,7 +53,7 @@
 	h.credit -= float64(n)
 	for _, i := range b.rng.Perm(len(b.usable))[:n] {
 		h.sent++
-		b.emit(Action{Kind: HealthCheck, Endpoint: b.usable[i].ID})
+		b.emit(checkHealth(b.usable[i].ID))
 	}
 	if n > 1 && b.reportInterval.seconds < b.latency.meanServiceSeconds {
 		h.awaited += n
--- a/balance/request.go
+++ b/balance/request.go
@@ -123,13 +123,7 @@
 	})
 	e.slowStartCreditSeconds -= b.workSeconds(r)
 	r.pendingAttempts++
-	b.emit(Action{
-		Kind:        Forward,
-		Request:     r.id,
-		Endpoint:    e.ID,
-		Attempt:     len(r.attempts) - 1,
-		StartWithin: b.startWithin(r),
-	})
+	b.emit(forward(r.id, e.ID, len(r.attempts)-1, b.startWithin(r)))
 	if !r.incomplete {
 		b.countInFlight(r)
 	}
@@ -220,9 +214,9 @@
 		return
 	}
 	if b.rejectAllowed(r) {
-		b.emit(Action{Kind: Reject, Request: r.id, RetryAfter: b.retryAfter()})
+		b.emit(reject(r.id, b.retryAfter()))
 	} else {
-		b.emit(Action{Kind: Fail, Request: r.id})
+		b.emit(fail(r.id))
 	}
 	b.finish(r)
 }
--- a/balance/timer.go
+++ b/balance/timer.go
@@ -41,7 +41,7 @@
 }
 
 func (b *Balancer) setTimer(delay time.Duration, t timer) {
-	b.emit(Action{Kind: SetTimer, Delay: delay, TimerID: b.timers.add(t)})
+	b.emit(startTimer(delay, b.timers.add(t)))
 }
 
 // onTimerFired does what a timer is for. A timer that is not known, or has fired before, does nothing.
@@ -61,9 +61,9 @@
 		b.checkLoss(&t.request.attempts[t.attempt])
 	case repeatedHealthCheck:
 		if b.inService(t.endpoint) {
-			b.emit(Action{Kind: HealthCheck, Endpoint: t.endpoint.ID})
+			b.emit(checkHealth(t.endpoint.ID))
 		}
 	case discoveryPoll:
-		b.emit(Action{Kind: WatchEndpoints})
+		b.emit(watchEndpoints())
 	}
 }
