--- a/cmd/glencart/main.go
+++ b/cmd/glencart/main.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/asynclog"
-	"glencart/internal/node"
+	"hitchvale/internal/asynclog"
+	"hitchvale/internal/node"
 )
 
 // logFlush is how long the end of the process waits for whoever reads its log.
--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"glencart/internal/lab"
-	"glencart/internal/shim"
+	"hitchvale/internal/lab"
+	"hitchvale/internal/shim"
 )
 
 func labCmd(g *globals) *cobra.Command {
--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"glencart/internal/lease"
+	"hitchvale/internal/lease"
 )
 
 func leaseCmd(g *globals) *cobra.Command {
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"glencart/internal/asynclog"
-	"glencart/internal/shim"
+	"hitchvale/internal/asynclog"
+	"hitchvale/internal/shim"
 )
 
 // version is set at build time with -ldflags "-X main.version=...".
--- a/cmd/hitchvale/recover.go
+++ b/cmd/hitchvale/recover.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"glencart/internal/durable"
-	"glencart/internal/registry"
+	"hitchvale/internal/durable"
+	"hitchvale/internal/registry"
 )
 
 func recoverCmd() *cobra.Command {
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"glencart/internal/accept"
-	"glencart/internal/registry"
+	"hitchvale/internal/accept"
+	"hitchvale/internal/registry"
 )
 
 func registryCmd(g *globals) *cobra.Command {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/wire"
+	"hitchvale/balance"
+	"hitchvale/internal/wire"
 )
 
 func main() {
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/lograte"
+	"hitchvale/internal/lograte"
 )
 
 // retryLeast and retryMost bound the wait after a failed call, which doubles from one to the other. The longest is far below
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/accept"
+	"hitchvale/internal/accept"
 )
 
 const (
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"glencart/internal/problem"
+	"hitchvale/internal/problem"
 )
 
 type marker struct{}
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -11,7 +11,7 @@
 	"net/netip"
 	"slices"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // Session is a process of a node, in the registry's state. Of two processes under one name the one with the higher
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/lease"
+	"hitchvale/internal/lease"
 )
 
 // Candidate is one process that wants a duty (`hitchvale lab candidate`): it acquires the lease, then does its
--- a/internal/lab/chart.go
+++ b/internal/lab/chart.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/timeline"
+	"hitchvale/internal/timeline"
 )
 
 // chart is what a run takes down for its timeline.
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/shim"
+	"hitchvale/internal/shim"
 )
 
 // stopGrace is how long a child has between SIGTERM and SIGKILL at the end of a run.
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/registry"
+	"hitchvale/internal/registry"
 )
 
 // Member is one entry of the list in PROTOCOL's form, the registry's own.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/fleet"
-	"glencart/internal/timeline"
-	"glencart/internal/tomlconf"
+	"hitchvale/internal/fleet"
+	"hitchvale/internal/timeline"
+	"hitchvale/internal/tomlconf"
 )
 
 // Fleet makes a scenario one of the fleet's shared view: nodes with a part in it, over Sites, that report each
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/shim"
+	"hitchvale/internal/shim"
 )
 
 // loadRun is the experiment of nodes between clients and backends: a load while faults are applied on their times.
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"glencart/internal/tomlconf"
+	"hitchvale/internal/tomlconf"
 )
 
 // Scenario is one experiment, as written in a TOML file.
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"glencart/internal/shim"
-	"glencart/internal/tomlconf"
+	"hitchvale/internal/shim"
+	"hitchvale/internal/tomlconf"
 )
 
 // Soak has troubles drawn from the seed, several of which overlap, instead of written faults: stops, reloads, restarts, drains,
--- a/internal/lab/work.go
+++ b/internal/lab/work.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/rota"
-	"glencart/internal/timeline"
-	"glencart/internal/tomlconf"
+	"hitchvale/internal/rota"
+	"hitchvale/internal/timeline"
+	"hitchvale/internal/tomlconf"
 )
 
 // Work makes a fleet's scenario one of machines taken out for work under load: an operator asks for all backends, at most
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/monotime"
+	"hitchvale/balance"
+	"hitchvale/internal/monotime"
 )
 
 // This file carries out attempts and probes, and gives requests their final answers.
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -16,10 +16,10 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/accept"
-	"glencart/internal/lograte"
-	"glencart/internal/monotime"
+	"hitchvale/balance"
+	"hitchvale/internal/accept"
+	"hitchvale/internal/lograte"
+	"hitchvale/internal/monotime"
 )
 
 const (
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/internal/lograte"
-	"glencart/internal/settings"
+	"hitchvale/internal/lograte"
+	"hitchvale/internal/settings"
 )
 
 const (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"glencart/internal/settings"
+	"hitchvale/internal/settings"
 )
 
 // Config is what a node is told at its start.
--- a/internal/node/cordon.go
+++ b/internal/node/cordon.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/admin"
-	"glencart/internal/lograte"
+	"hitchvale/internal/admin"
+	"hitchvale/internal/lograte"
 )
 
 // followEvery is how often the file is looked at: far more often than a drain's grace.
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // countEvery is how often the loop logs what it has counted.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/lograte"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/lograte"
+	"hitchvale/internal/settings"
 )
 
 const (
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"glencart/balance"
+	"hitchvale/balance"
 	"io"
 	"sync"
 	"sync/atomic"
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/fleet"
+	"hitchvale/balance"
+	"hitchvale/internal/fleet"
 )
 
 const (
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/monotime"
+	"hitchvale/internal/monotime"
 )
 
 const (
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/lograte"
+	"hitchvale/balance"
+	"hitchvale/internal/lograte"
 )
 
 // rule is a rule that the node keeps whatever the Balancer decides and in whatever order events come.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/internal/accept"
+	"hitchvale/internal/accept"
 )
 
 const (
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file is the side of the process that hands the node over.
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file is the side of the process that takes the node over.
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file passes on what one process of a node has learned to the next.
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"glencart/internal/accept"
+	"hitchvale/internal/accept"
 )
 
 // limitListener bounds how many connections are open at once. Beyond that they wait in the backlog, where
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file takes in lists of backends, and what is out by hand.
--- a/internal/node/listtext.go
+++ b/internal/node/listtext.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/settings"
 )
 
 // This file reads lists of backends as discovery words them.
--- a/internal/node/loadreport.go
+++ b/internal/node/loadreport.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"glencart/balance"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/settings"
 )
 
 // This file reads the load reports of backends.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/lograte"
+	"hitchvale/balance"
+	"hitchvale/internal/lograte"
 )
 
 // loop owns the Balancer, the tables of requests and backends, and the timers. Everything else posts to it, and
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // statusNames are the attempts' statuses as WIRE-hitchvale.md names them, in the order of balance.Status.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/accept"
-	"glencart/internal/admin"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/accept"
+	"hitchvale/internal/admin"
+	"hitchvale/internal/settings"
 )
 
 const (
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // datagramMost is the longest datagram between nodes, and peersLeast how many may wait in a small fleet: only turns of the
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"glencart/internal/monotime"
+	"hitchvale/internal/monotime"
 )
 
 // endpoint is one process of a backend: the address, and when it started.
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file reads what a client asks for: the head, the checks of it, and the body.
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // This file holds what the loop knows of backends, requests and attempts, and the final answers.
--- a/internal/node/rota.go
+++ b/internal/node/rota.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"glencart/internal/fleet"
-	"glencart/internal/rota"
+	"hitchvale/internal/fleet"
+	"hitchvale/internal/rota"
 )
 
 // turns is a node's part in the rota: with each view that tells of machines with a turn it reads the board, confirms what
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/monotime"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/monotime"
+	"hitchvale/internal/settings"
 )
 
 // The spans of a shutdown, from SIGTERM on (PROTOCOL).
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"glencart/internal/tomlconf"
+	"hitchvale/internal/tomlconf"
 )
 
 // Config is a replica's configuration file (TOML; see deploy/registry.toml and docs/registry.md).
--- a/internal/registry/diskstore.go
+++ b/internal/registry/diskstore.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"glencart/internal/lograte"
+	"hitchvale/internal/lograte"
 )
 
 // diskRetryLeast and diskRetryMost bound the wait after a failed write that has to be made, which doubles from one to the
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"glencart/internal/problem"
+	"hitchvale/internal/problem"
 )
 
 type marker struct{}
--- a/internal/registry/fleet.go
+++ b/internal/registry/fleet.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"glencart/internal/fleet"
-	"glencart/internal/machine"
+	"hitchvale/internal/fleet"
+	"hitchvale/internal/machine"
 )
 
 // fleetSide is the registry's part in the fleet's shared view (docs/ROADMAP.md): sessions go through the log; reports
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"glencart/internal/accept"
-	"glencart/internal/machine"
-	"glencart/internal/problem"
+	"hitchvale/internal/accept"
+	"hitchvale/internal/machine"
+	"hitchvale/internal/problem"
 )
 
 // bodyMost bounds a write's body, as PROTOCOL bounds bodies.
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"errors"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // Lease is a duty that one holder has at a time (Chubby's locks with sequencers; etcd's leases). Token is the
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// plantUnfenced, set at build time (-ldflags -X glencart/internal/registry.plantUnfenced=1), removes the fence
+// plantUnfenced, set at build time (-ldflags -X hitchvale/internal/registry.plantUnfenced=1), removes the fence
 // check: the planted bug that the lab's lease scenarios must catch. Empty in every build the project ships.
 var plantUnfenced string
 
--- a/internal/registry/lease_http.go
+++ b/internal/registry/lease_http.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // fenceHeader carries a write's fence as LEASE:TOKEN; the write is refused (409) below the highest token accepted.
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // Member is one entry of the list, in PROTOCOL's form.
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -17,9 +17,9 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"glencart/internal/fleet"
-	"glencart/internal/machine"
-	"glencart/internal/rota"
+	"hitchvale/internal/fleet"
+	"hitchvale/internal/machine"
+	"hitchvale/internal/rota"
 )
 
 // oneRPC turns raft's pipelining of appends off. Where a follower fails an append, as one does whose disk fails, the leader's
--- a/internal/registry/rota.go
+++ b/internal/registry/rota.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"glencart/internal/fleet"
-	"glencart/internal/machine"
-	"glencart/internal/rota"
+	"hitchvale/internal/fleet"
+	"hitchvale/internal/machine"
+	"hitchvale/internal/rota"
 )
 
 // listOf is the list as the rota sees it, in the same state.
--- a/internal/registry/snapstore.go
+++ b/internal/registry/snapstore.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"glencart/internal/durable"
+	"hitchvale/internal/durable"
 )
 
 // snapStore is raft's SnapshotStore over durable.Snapshots (docs/ROADMAP.md, "Recovery"): each raft snapshot is one
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"slices"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // snapshotVersion is the form of the snapshots written. Version 0 had the members and the leases side by side; it is
--- a/internal/rota/errors.go
+++ b/internal/rota/errors.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"glencart/internal/problem"
+	"hitchvale/internal/problem"
 )
 
 type marker struct{}
--- a/internal/rota/grant.go
+++ b/internal/rota/grant.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // ageShare is the part of the greatest cost that each settlement a machine has waited through takes off its own: after
--- a/internal/rota/rota.go
+++ b/internal/rota/rota.go
@@ -10,7 +10,7 @@
 	"maps"
 	"slices"
 
-	"glencart/internal/machine"
+	"hitchvale/internal/machine"
 )
 
 // State is where a machine's turn stands.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"glencart/balance"
+	"hitchvale/balance"
 )
 
 // LoadNames are the names of the values of a load report, in the order of the
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"glencart/balance"
-	"glencart/internal/settings"
+	"hitchvale/balance"
+	"hitchvale/internal/settings"
 )
 
 // Kind says what a message is.
