--- /dev/null
+++ b/balance/action.go
@@ -0,0 +1,42 @@
+package balance
+
+import "time"
+
+// ActionKind says what to do.
+type ActionKind uint8
+
+// Kinds of actions, with the fields of Action that each one uses.
+const (
+	Forward          ActionKind = iota // Request, Endpoint, Attempt, Timeout, StartWithin: launch the next attempt
+	CancelAttempt                      // Request, Attempt: stop waiting for an attempt
+	Reject                             // Request, RetryAfter: the final answer; trying again is harmless
+	Fail                               // Request: the final answer; it promises nothing
+	HealthCheck                        // Endpoint
+	SetTimer                           // Delay, TimerID
+	WatchEndpoints                     // subscribe to changes of the endpoint list
+	UnwatchEndpoints                   // end the subscription
+	FetchEndpoints                     // ask for the complete list once
+	SendToPeer                         // Peer, Payload
+	CloseIdle                          // Endpoint: close idle connections to it
+	Log                                // Text
+)
+
+// AllPeers as Action.Peer addresses every peer.
+const AllPeers = -1
+
+// Action is one thing for the node to carry out. Attempts of a request are numbered 0, 1, 2 ... in the order of its
+// Forward actions.
+type Action struct {
+	Kind        ActionKind
+	Request     string
+	Endpoint    EndpointID
+	Attempt     int
+	Timeout     time.Duration // of the attempt; 0: until the client gives up
+	StartWithin time.Duration // the attempt's first byte has to go within this time, or not at all; 0: any time
+	RetryAfter  time.Duration // advice to the client; 0: none
+	Delay       time.Duration // until the timer fires
+	TimerID     uint64
+	Peer        int // index of an instance, or AllPeers
+	Payload     []byte
+	Text        string
+}
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -27,7 +27,7 @@
 	if b.meanValue > 0 {
 		lean = b.value(r) / b.meanValue
 		if left := b.shareLeft(r); left != nil && *left < 1 {
-			lean *= b.cfg.OverShareWorth
+			lean *= b.cfg.OverQuotaValue
 		}
 	}
 	return lean
@@ -35,10 +35,10 @@
 
 // value is what a request is worth for each unit of work, which is that of a mean class.
 func (b *Balancer) value(r *request) float64 {
-	if b.cfg.WorthByWork || b.work(r) == 0 {
-		return r.class.Points
+	if b.cfg.PriorityPerWork || b.work(r) == 0 {
+		return r.class.PriorityWeight
 	}
-	return r.class.Points * b.meanBase() / b.work(r)
+	return r.class.PriorityWeight * b.meanBase() / b.work(r)
 }
 
 // pressure moves the bound on the wait. Crowded servers can work so badly that a bearable queue never clears,
@@ -50,12 +50,12 @@
 	b.judgedAt = b.now
 	step := min(partSpeed*b.gap, partStep) * b.part
 	switch {
-	case st == Expired || st == Delivered && late > 0 && late.Seconds() <= queued:
+	case st == StatusTimedOut || st == StatusSucceeded && late > 0 && late.Seconds() <= queued:
 		b.part -= step
-	case st == Delivered && late <= 0:
+	case st == StatusSucceeded && late <= 0:
 		b.part += step / lateOnce
 	}
 	b.part = min(max(b.part, partLeast), partMost)
-	b.state(&b.crowded, b.part == partLeast, b.part >= partFirst,
+	b.logTransition(&b.crowded, b.part == partLeast, b.part >= partFirst,
 		"answers come late: refusing early", "answers in time again")
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,3 @@
-// The interface of this package is in balance/types.go; this file holds every tuning constant.
-
 package balance
 
 import (
@@ -79,7 +77,7 @@
 	rng                        *rand.Rand
 	now                        time.Duration
 	out                        []Action
-	servers                    map[BackendID]*server
+	servers                    map[EndpointID]*server
 	ready                      []*server // servers that may be sent to, by id
 	requests                   map[string]*request
 	timers                     map[uint64]timer
@@ -112,7 +110,7 @@
 	zones                      map[int]crowd
 	retries                    float64 // attempts that may be sent again
 	probes                     float64 // probes sent
-	cordons                    map[BackendID]cordon
+	cordons                    map[EndpointID]cordon
 	handed                     bool    // another process of this node takes what comes
 	refresh                    float64 // seconds between two reports of a server that differ
 }
@@ -139,12 +137,12 @@
 	}
 	var aim mean
 	for _, c := range cfg.Classes {
-		if c.Deadline < 0 || c.Aim < 0 || c.Window < 0 {
+		if c.Deadline < 0 || c.LatencyObjective < 0 || c.KeyWindow < 0 {
 			return nil, errors.New("balance: negative time in a Class")
 		}
-		aim.add(c.Aim.Seconds())
+		aim.add(c.LatencyObjective.Seconds())
 	}
-	cfg.Rules.AskEvery = min(max(cmp.Or(cfg.Rules.AskEvery, askUntold), time.Second), time.Hour)
+	cfg.Rules.PollInterval = min(max(cmp.Or(cfg.Rules.PollInterval, askUntold), time.Second), time.Hour)
 	cfg.Instances, cfg.Limits.MaxAttempts = max(cfg.Instances, 1), max(cfg.Limits.MaxAttempts, 1)
 	var perSecond float64 // as far as it is told
 	shares := make([]share, len(cfg.Tenants))
@@ -154,8 +152,8 @@
 	}
 	return &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)),
-		servers: map[BackendID]*server{}, requests: map[string]*request{},
-		timers: map[uint64]timer{}, zones: map[int]crowd{}, cordons: map[BackendID]cordon{}, probedAt: -1,
+		servers: map[EndpointID]*server{}, requests: map[string]*request{},
+		timers: map[uint64]timer{}, zones: map[int]crowd{}, cordons: map[EndpointID]cordon{}, probedAt: -1,
 		meanAim: aim.value(), gap: aim.value(), peerPace: firstPace * aim.value(), part: partFirst,
 		partSize: max(partServers, int(perSecond*partSpan)),
 		classes:  make([]classStats, len(cfg.Classes)), shares: shares, scoutEvery: scoutOnce,
@@ -166,53 +164,62 @@
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.now, b.out = max(b.now, now), out // a clock that goes back is held
 	b.rollRates()
-	switch ev.Kind {
-	case MembersRemembered, MembersAll, MembersChanged, MembersRefused:
-		b.onMembers(&ev)
+	switch ev := ev.(type) {
+	case EndpointsListed:
+		b.onEndpointsListed(&ev)
+	case DiscoveryFailed:
+		b.onDiscoveryFailed()
 	case RequestArrived:
-		b.onRequest(&ev)
+		b.onRequestArrived(&ev)
+	case RequestWritten:
+		b.onRequestWritten(&ev)
 	case StreamStarted:
 		if r := b.requests[ev.Request]; r != nil {
 			r.streamed = true
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := b.requests[ev.Request]; r != nil {
 			b.end(r)
 		}
-	case Timer:
-		b.onTimer(ev.Mark)
-	case Probed:
-		if s := b.servers[ev.Backend]; s != nil {
-			b.report(s, ev.Load)
-			b.probed(s, ev.Status)
-			if b.pairs < pairsMost && s.seen > 0 {
-				b.pairs++
-				gap := cmp.Or(b.refresh, 2*b.peerPace) / 2
-				b.setTimer(time.Duration(gap*float64(time.Second)), timer{again: s})
-			}
-		}
-		if b.asked--; b.asked <= 0 {
-			b.release()
-		}
-	case Outcome:
-		b.onOutcome(&ev)
-	case Cordoned:
-		b.onCordon(&ev)
-	case Written:
-		b.onWritten(&ev)
-	case HandedOver, TookOver:
-		b.onHandOver(&ev)
+	case TimerFired:
+		b.onTimerFired(ev.ID)
+	case HealthChecked:
+		b.onHealthChecked(&ev)
+	case AttemptEnded:
+		b.onAttemptEnded(&ev)
+	case HandoverChanged:
+		b.onHandoverChanged(ev.HandedOver)
+	case TookOver:
+		b.onTookOver(ev.State)
+	case CordonChanged:
+		b.onCordonChanged(&ev)
 	}
 	out, b.out = b.out, nil
 	return out
 }
 
+// onHealthChecked takes in the result of a health check, and places the requests that waited for it.
+func (b *Balancer) onHealthChecked(ev *HealthChecked) {
+	if s := b.servers[ev.Endpoint]; s != nil {
+		b.report(s, ev.Load)
+		b.probed(s, ev.Status)
+		if b.pairs < pairsMost && s.seen > 0 {
+			b.pairs++
+			gap := cmp.Or(b.refresh, 2*b.peerPace) / 2
+			b.setTimer(time.Duration(gap*float64(time.Second)), timer{again: s})
+		}
+	}
+	if b.asked--; b.asked <= 0 {
+		b.release()
+	}
+}
+
 func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
 
 func (b *Balancer) log(text string) { b.do(Action{Kind: Log, Text: text}) }
 
 // state logs when something begins and when it ends.
-func (b *Balancer) state(is *bool, begins, ends bool, begin, end string) {
+func (b *Balancer) logTransition(is *bool, begins, ends bool, begin, end string) {
 	switch {
 	case begins && !*is:
 		b.log(begin)
@@ -225,12 +232,12 @@
 func (b *Balancer) setTimer(in time.Duration, t timer) {
 	b.lastMark++
 	b.timers[b.lastMark] = t
-	b.do(Action{Kind: SetTimer, In: in, Mark: b.lastMark})
+	b.do(Action{Kind: SetTimer, Delay: in, TimerID: b.lastMark})
 }
 
-func (b *Balancer) onTimer(mark uint64) {
-	t, ok := b.timers[mark]
-	delete(b.timers, mark)
+func (b *Balancer) onTimerFired(id uint64) {
+	t, ok := b.timers[id]
+	delete(b.timers, id)
 	switch {
 	case !ok:
 	case t.hold != nil:
@@ -240,11 +247,11 @@
 	case t.look != nil:
 		b.look(&t.look.attempts[t.attempt])
 	case t.again != nil:
-		if t.again.Phase == Ready && !b.cordons[t.again.Backend].out {
-			b.do(Action{Kind: Probe, Backend: t.again.Backend})
+		if t.again.Phase == Ready && !b.cordons[t.again.ID].out {
+			b.do(Action{Kind: HealthCheck, Endpoint: t.again.ID})
 		}
 	case t.end == nil:
-		b.do(Action{Kind: Watch})
+		b.do(Action{Kind: WatchEndpoints})
 	case !t.end.ended && !t.end.streamed:
 		b.answer(t.end)
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -8,10 +8,10 @@
 func (b *Balancer) warmth(s *server) float64 {
 	launched, rules := b.launched(s), &b.cfg.Rules
 	age := b.now - launched
-	if launched == 0 || age >= rules.WarmWithin {
+	if launched == 0 || age >= rules.SlowStartDuration {
 		return 1
 	}
-	return max(rules.ColdShare+(1-rules.ColdShare)*max(0, age.Seconds())/rules.WarmWithin.Seconds(), 0.01)
+	return max(rules.SlowStartFraction+(1-rules.SlowStartFraction)*max(0, age.Seconds())/rules.SlowStartDuration.Seconds(), 0.01)
 }
 
 // coldTime is how long a cold server would take for a request, behind what is known to be there. Of others
@@ -40,7 +40,7 @@
 	}
 	rules, unit := &b.cfg.Rules, max(b.meanBase(), 1e-6)
 	rate := max(b.warmRate, 1/float64(b.cfg.Instances))
-	units := coldMargin * rules.FallMultiple * b.warmth(s) * rate * rules.OverloadFor.Seconds() / unit
+	units := coldMargin * rules.OverloadMultiple * b.warmth(s) * rate * rules.OverloadWindow.Seconds() / unit
 	s.credit = min(s.credit, 0) + unit*math.Floor(units+b.rng.Float64())
 }
 
@@ -50,17 +50,28 @@
 	return b.warmth(s) == 1 || s.credit > b.work(r)/2
 }
 
-// onHandOver takes in that another process of this node takes what comes from now on, or that this one does. Both are
-// one node to a cold server: the new one has what is left of the old one's grants, or where it is not told nothing
-// while the window of the last one lasts, and the old one has nothing more.
-func (b *Balancer) onHandOver(ev *Event) {
-	b.handed = ev.Kind == HandedOver && ev.Out
+// onHandoverChanged takes in that another process of this node takes new requests from now on, or no longer.
+func (b *Balancer) onHandoverChanged(handedOver bool) {
+	b.handed = handedOver
+	b.splitGrants()
+	if handedOver {
+		b.retries /= 2 // the other half has gone with the HandoverState
+	}
+}
+
+// onTookOver takes in that this process takes what came to another one of this node until now.
+func (b *Balancer) onTookOver(state *HandoverState) {
+	b.handed = false
+	b.splitGrants()
+	b.restore(state)
+}
+
+// splitGrants drops what is left of this process's grants to cold servers and begins a window. Two processes are one node
+// to a cold server: the new one has what is left of the old one's grants, or where it is not told nothing while the
+// window of the last one lasts, and the old one has nothing more.
+func (b *Balancer) splitGrants() {
 	b.rolledAt = b.now
 	for _, s := range b.servers {
 		s.credit = min(s.credit, 0)
 	}
-	if b.handed {
-		b.retries /= 2 // the other half has gone with the Memory
-	}
-	b.recall(ev.Memory)
 }
--- a/balance/cordon.go
+++ b/balance/cordon.go
@@ -11,20 +11,20 @@
 	backAt time.Duration // when it was put back last
 }
 
-// onCordon takes a server out, or puts it back. Twice out is out once. While it is out it gets nothing new, whatever
+// onCordonChanged takes a server out, or puts it back. Twice out is out once. While it is out it gets nothing new, whatever
 // the lists say; put back it is another process, as cold as one that has just started.
-func (b *Balancer) onCordon(ev *Event) {
-	c := b.cordons[ev.Backend]
+func (b *Balancer) onCordonChanged(ev *CordonChanged) {
+	c := b.cordons[ev.Endpoint]
 	switch {
-	case c.out == ev.Out:
+	case c.out == ev.Cordoned:
 		return
-	case ev.Out:
+	case ev.Cordoned:
 		c.out, c.since = true, ev.At
 	default:
 		c.out, c.backAt = false, ev.At
 	}
-	b.cordons[ev.Backend] = c
-	if s := b.servers[ev.Backend]; s != nil && !c.out {
+	b.cordons[ev.Endpoint] = c
+	if s := b.servers[ev.Endpoint]; s != nil && !c.out {
 		b.renew(s)
 		b.grantCold(s)
 	}
@@ -34,10 +34,10 @@
 // launched is when a server's process started. One that was put back was restarted while it was out, whether or not
 // a list has told of it yet.
 func (b *Balancer) launched(s *server) time.Duration {
-	if c := b.cordons[s.Backend]; c.backAt > 0 && s.Launched < c.since {
+	if c := b.cordons[s.ID]; c.backAt > 0 && s.StartedAt < c.since {
 		return c.backAt
 	}
-	return s.Launched
+	return s.StartedAt
 }
 
 // renew forgets what was known of a server's old process. What was out there is lost with it; its outcomes are still
@@ -48,21 +48,21 @@
 }
 
 // renewedFor tells whether a start that a list tells came while the server was out: it was renewed when put back.
-func (b *Balancer) renewedFor(m Member) bool {
-	c := b.cordons[m.Backend]
-	return !c.out && c.backAt > 0 && c.since <= m.Launched && m.Launched <= c.backAt
+func (b *Balancer) renewedFor(m Endpoint) bool {
+	c := b.cordons[m.ID]
+	return !c.out && c.backAt > 0 && c.since <= m.StartedAt && m.StartedAt <= c.backAt
 }
 
-// Avoided counts the listed servers that get no requests now but to try them.
-func (b *Balancer) Avoided() int {
+// UnavailableEndpoints counts the listed servers that get no requests now but to try them.
+func (b *Balancer) UnavailableEndpoints() int {
 	n := 0
 	for _, s := range b.servers {
-		if s.Phase == Draining || s.Phase == Ready && (s.failed || b.cordons[s.Backend].out) {
+		if s.Phase == Draining || s.Phase == Ready && (s.failed || b.cordons[s.ID].out) {
 			n++
 		}
 	}
 	return n
 }
 
-// PutBackAt is when a server was last put back by hand, on the Balancer's clock; 0: never.
-func (b *Balancer) PutBackAt(id BackendID) time.Duration { return b.cordons[id].backAt }
+// UncordonedAt is when a server was last put back by hand, on the Balancer's clock; 0: never.
+func (b *Balancer) UncordonedAt(id EndpointID) time.Duration { return b.cordons[id].backAt }
--- a/balance/effects.go
+++ b/balance/effects.go
@@ -15,20 +15,20 @@
 // mayGo tells whether another attempt may go to s without an effect happening twice.
 func (b *Balancer) mayGo(r *request, s *server) bool {
 	first := r.firstRun()
-	if first == nil || r.class.Effect == Safe {
+	if first == nil || r.class.Repeatability == Idempotent {
 		return true
 	}
-	if r.class.Effect == Unsafe || b.now >= first.at+r.class.Window {
+	if r.class.Repeatability == NonIdempotent || b.now >= first.at+r.class.KeyWindow {
 		return false
 	}
-	return r.class.Scope == ScopeAll ||
-		r.class.Scope == ScopeZone && s.Zone == first.to.Zone ||
-		r.class.Scope == ScopeCell && s.Cell == first.to.Cell
+	return r.class.KeyScope == KeyScopeAll ||
+		r.class.KeyScope == KeyScopeZone && s.Zone == first.to.Zone ||
+		r.class.KeyScope == KeyScopeCell && s.Cell == first.to.Cell
 }
 
 // mayRefuse tells whether it is harmless for the client to try again.
 func (b *Balancer) mayRefuse(r *request) bool {
 	first := r.firstRun()
-	return first == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now < first.at+r.class.Window
+	return first == nil || r.class.Repeatability == Idempotent ||
+		r.class.Repeatability == IdempotencyKey && r.class.KeyScope == KeyScopeAll && b.now < first.at+r.class.KeyWindow
 }
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -86,7 +86,7 @@
 // Summed over the nodes it is at most what such a server can do, so each node may spend its own.
 func (b *Balancer) rollRates() {
 	span := (b.now - b.rolledAt).Seconds()
-	if span < max(b.cfg.Rules.OverloadFor.Seconds(), 1) {
+	if span < max(b.cfg.Rules.OverloadWindow.Seconds(), 1) {
 		return
 	}
 	var warm mean
--- a/balance/open.go
+++ b/balance/open.go
@@ -13,15 +13,15 @@
 	b.watch(r)
 }
 
-// onWritten takes in that the last byte of an open request has gone: its time begins.
-func (b *Balancer) onWritten(ev *Event) {
+// onRequestWritten takes in that the last byte of an open request has gone: its time begins.
+func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.open || ev.Attempt != len(r.attempts)-1 || !r.attempts[ev.Attempt].pending {
 		return
 	}
 	r.open, r.spoilt = false, true
-	r.arrived, r.deadline = b.now, b.now+ev.Budget
-	b.setTimer(ev.Budget, timer{end: r})
+	r.arrived, r.deadline = b.now, b.now+ev.TimeLeft
+	b.setTimer(ev.TimeLeft, timer{end: r})
 	a := &r.attempts[ev.Attempt]
 	a.open, a.at = false, b.now
 	a.met = b.entry(a.to)
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -9,12 +9,12 @@
 
 // probe asks distinct servers, drawn at random, once in a tick with arrivals.
 func (b *Balancer) probe() {
-	due := min(probesPerTick, probeSpend/max(b.cfg.Prices.Probe, 1e-9))
+	due := min(probesPerTick, probeSpend/max(b.cfg.Prices.HealthCheck, 1e-9))
 	if b.probes < float64(len(b.ready)) {
 		due = max(due, 1) // a node that has just started knows nothing
 	}
 	b.probeDue = min(b.probeDue+due, 2*probesPerTick)
-	if !b.cfg.Limits.Probing || b.probedAt == b.now {
+	if !b.cfg.Limits.HealthChecks || b.probedAt == b.now {
 		return
 	}
 	b.probedAt = b.now
@@ -22,7 +22,7 @@
 	b.probeDue -= float64(d)
 	for _, i := range b.rng.Perm(len(b.ready))[:d] {
 		b.probes++
-		b.do(Action{Kind: Probe, Backend: b.ready[i].Backend})
+		b.do(Action{Kind: HealthCheck, Endpoint: b.ready[i].ID})
 	}
 	if d > 1 && b.refresh < b.peerPace {
 		b.asked += d
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -39,27 +39,27 @@
 	open    bool // its last byte has not gone: it does not count as out yet
 }
 
-func (b *Balancer) onRequest(ev *Event) {
+func (b *Balancer) onRequestArrived(ev *RequestArrived) {
 	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) || b.requests[ev.Request] != nil {
 		return
 	}
 	r := &request{
 		id: ev.Request, class: &b.cfg.Classes[ev.Class], stats: &b.classes[ev.Class], tenant: ev.Tenant,
-		hint: ev.Hint, arrived: b.now, deadline: b.now + ev.Budget,
+		hint: ev.ExpectedWork, arrived: b.now, deadline: b.now + ev.TimeLeft,
 	}
 	b.requests[r.id] = r
-	if r.open = ev.Open; r.open {
+	if r.open = ev.Incomplete; r.open {
 		r.deadline = math.MaxInt64
 	} else {
 		// Every request is answered by its deadline, whatever becomes of its attempts.
-		b.setTimer(ev.Budget, timer{end: r})
+		b.setTimer(ev.TimeLeft, timer{end: r})
 	}
 	b.probe()
 	b.meanValue = cmp.Or(b.meanValue, b.value(r))
 	b.meanValue += valueWeight * (b.value(r) - b.meanValue)
 	if b.asked > 0 {
 		b.held = append(b.held, r)
-		b.setTimer(min(time.Duration(holdMost*float64(r.class.Aim)), ev.Budget), timer{hold: r})
+		b.setTimer(min(time.Duration(holdMost*float64(r.class.LatencyObjective)), ev.TimeLeft), timer{hold: r})
 		return
 	}
 	b.place(r)
@@ -116,7 +116,7 @@
 		// An idle server makes nobody wait, however slow it has become.
 		full := b.entry(s) > idleEntry && b.wait(s) > bound
 		if b.warmth(s) < 1 {
-			full = b.coldTime(r, s) > coldAims*r.class.Aim.Seconds()
+			full = b.coldTime(r, s) > coldAims*r.class.LatencyObjective.Seconds()
 		}
 		if full || r.tried(s) || !b.mayGo(r, s) || !b.coldAllows(r, s) {
 			continue
@@ -145,9 +145,9 @@
 	s.credit -= b.work(r)
 	r.pending++
 	n := len(r.attempts) - 1
-	act := Action{Kind: Send, Request: r.id, Backend: s.Backend, Attempt: n}
-	if first := r.firstRun(); r.class.Effect == Keyed && first != &r.attempts[n] {
-		act.Within = first.at + r.class.Window - b.now // a connection may take long to come up
+	act := Action{Kind: Forward, Request: r.id, Endpoint: s.ID, Attempt: n}
+	if first := r.firstRun(); r.class.Repeatability == IdempotencyKey && first != &r.attempts[n] {
+		act.StartWithin = first.at + r.class.KeyWindow - b.now // a connection may take long to come up
 	}
 	b.do(act)
 	if r.attempts[n].open = r.open; !r.open {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (b *Balancer) onOutcome(ev *Event) {
+func (b *Balancer) onAttemptEnded(ev *AttemptEnded) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].pending {
 		return
@@ -166,23 +166,23 @@
 	if !a.lost && !a.open {
 		a.to.out--
 	}
-	r.spoilt = r.spoilt || ev.Spoilt
+	r.spoilt = r.spoilt || ev.NotReplayable
 	b.leavePlace(a, ev)
 	// A time-out at a server that gave no sign in the meantime tells of that server, not of crowding, and so
 	// does one that no queue accounts for.
-	if !a.open && (ev.Status != Expired || a.to.owesAt > a.at && !b.lost(a, ev.Spent) && !a.lost) {
-		b.pressure(ev.Status, b.now-r.arrived-r.class.Aim, a.wait)
+	if !a.open && (ev.Status != StatusTimedOut || a.to.owesAt > a.at && !b.lost(a, ev.Elapsed) && !a.lost) {
+		b.pressure(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.wait)
 	}
 	b.scouted(r, ev)
-	b.judge(a.to, ev.Status, a, ev.Spent)
+	b.judge(a.to, ev.Status, a, ev.Elapsed)
 	b.compare(a.to)
 	b.report(a.to, ev.Load)
-	if ev.Status == Delivered && !a.open {
-		b.learnBase(r, a, ev.Spent.Seconds())
+	if ev.Status == StatusSucceeded && !a.open {
+		b.learnBase(r, a, ev.Elapsed.Seconds())
 		a.to.served += b.work(r)
-		b.learn(a.to, r, a, ev.Spent)
+		b.learn(a.to, r, a, ev.Elapsed)
 	}
-	r.ended = r.ended || ev.NoMore
+	r.ended = r.ended || ev.Final
 	switch {
 	case r.ended:
 		b.end(r)
@@ -194,11 +194,11 @@
 
 // leavePlace keeps the increment of an attempt that has ended where its server may still have it, or has not accepted it, until a
 // report or until that fades.
-func (b *Balancer) leavePlace(a *attempt, ev *Event) {
-	gaveUp := ev.Status == Expired || ev.Status == Revoked
+func (b *Balancer) leavePlace(a *attempt, ev *AttemptEnded) {
+	gaveUp := ev.Status == StatusTimedOut || ev.Status == StatusCancelled
 	switch {
-	case ev.Status == Delivered, ev.Status == Unused:
-	case gaveUp && !a.lost && !b.lost(a, ev.Spent):
+	case ev.Status == StatusSucceeded, ev.Status == StatusNotSent:
+	case gaveUp && !a.lost && !b.lost(a, ev.Elapsed):
 		a.to.left++ // its work may still stand in the queue there
 	default:
 		a.to.stuck++ // not accepted, or lost: else a server that fails fast looks idle
@@ -212,9 +212,9 @@
 	}
 	kind := Fail
 	if b.mayRefuse(r) {
-		kind = Refuse
+		kind = Reject
 	}
-	b.do(Action{Kind: kind, Request: r.id, RetryIn: b.comeBack()})
+	b.do(Action{Kind: kind, Request: r.id, RetryAfter: b.comeBack()})
 	b.end(r)
 }
 
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -10,7 +10,7 @@
 
 // server is one backend in the list.
 type server struct {
-	Member
+	Endpoint
 	more   float64 // what other nodes usually have there, beyond the mean of its zone
 	told   float64 // what they had by the last report or probe
 	toldAt time.Duration
@@ -31,54 +31,55 @@
 	rank   uint64 // place in this node's own order of the servers
 }
 
-func (b *Balancer) onMembers(ev *Event) {
-	if ev.Kind == MembersRefused {
-		// A refused or broken subscription leaves the node blind to drains: ask again.
-		if b.cfg.AskDiscovery {
-			b.state(&b.blind, true, false, "discovery refused: asking again", "")
-			wait := max(b.cfg.Rules.AskEvery/rewatchParts, b.callSpan()) << (min(b.refusals, 10) + 1)
-			b.refusals++
-			b.askIn(time.Duration(b.rng.Float64() * float64(min(wait, callMost))))
-		}
+// onDiscoveryFailed asks again after a while: a refused or broken subscription leaves the node blind to drains.
+func (b *Balancer) onDiscoveryFailed() {
+	if !b.cfg.PollDiscovery {
 		return
 	}
+	b.logTransition(&b.blind, true, false, "discovery refused: asking again", "")
+	wait := max(b.cfg.Rules.PollInterval/rewatchParts, b.callSpan()) << (min(b.refusals, 10) + 1)
+	b.refusals++
+	b.askIn(time.Duration(b.rng.Float64() * float64(min(wait, callMost))))
+}
+
+func (b *Balancer) onEndpointsListed(ev *EndpointsListed) {
 	b.blind, b.refusals = false, 0
-	if ev.Kind != MembersChanged {
+	if ev.Kind != ListChanges {
 		for _, s := range b.servers {
-			s.Phase = Gone // unless the full list names it, also one that this node does not keep to
+			s.Phase = Removed // unless the full list names it, also one that this node does not keep to
 		}
 	}
-	for _, m := range ev.Members {
+	for _, m := range ev.Endpoints {
 		b.update(m)
 	}
 	b.choose()
 	if len(b.ready) == 0 {
 		b.log("no ready backend")
 	}
-	if ev.Kind == MembersRemembered && b.cfg.AskDiscovery {
+	if ev.Kind == CachedList && b.cfg.PollDiscovery {
 		b.askIn(time.Duration(b.rng.Float64() * float64(b.callSpan())))
 	}
 }
 
 // callSpan is the time over which the nodes of the fleet spread their calls to discovery.
 func (b *Balancer) callSpan() time.Duration {
-	return min(b.cfg.Rules.AskEvery/callParts*time.Duration(b.cfg.Instances), callMost)
+	return min(b.cfg.Rules.PollInterval/callParts*time.Duration(b.cfg.Instances), callMost)
 }
 
 // askIn asks for the list in a while.
 func (b *Balancer) askIn(wait time.Duration) { b.setTimer(wait, timer{}) }
 
 // update takes in one line of the list. A changed start time is a new process with a new queue.
-func (b *Balancer) update(m Member) {
-	s := b.servers[m.Backend]
-	started := s == nil || s.Launched != m.Launched && !b.renewedFor(m)
+func (b *Balancer) update(m Endpoint) {
+	s := b.servers[m.ID]
+	started := s == nil || s.StartedAt != m.StartedAt && !b.renewedFor(m)
 	if s == nil {
-		s = &server{toldAt: b.now, since: b.now, rank: mix(uint64(m.Backend) ^ mix(uint64(b.cfg.Index)))}
-		b.servers[m.Backend] = s
+		s = &server{toldAt: b.now, since: b.now, rank: mix(uint64(m.ID) ^ mix(uint64(b.cfg.Index)))}
+		b.servers[m.ID] = s
 	} else if started {
 		b.renew(s)
 	}
-	s.Member = m
+	s.Endpoint = m
 	if started {
 		b.grantCold(s)
 	}
@@ -92,7 +93,7 @@
 	b.ready = b.ready[:0]
 	all := map[int]int{}
 	for _, s := range b.servers {
-		if s.Phase == Ready && !b.cordons[s.Backend].out {
+		if s.Phase == Ready && !b.cordons[s.ID].out {
 			b.ready = append(b.ready, s)
 			all[s.Zone]++
 		}
@@ -108,7 +109,7 @@
 		}
 		return sound[s.Zone] > size
 	})
-	slices.SortFunc(b.ready, func(x, y *server) int { return cmp.Compare(x.Backend, y.Backend) })
+	slices.SortFunc(b.ready, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 }
 
 // mix spreads the bits of x (the finalizer of SplitMix64).
--- a/balance/signs.go
+++ b/balance/signs.go
@@ -57,7 +57,7 @@
 // probed takes in how a probe ended. An answer is a sign of life: where one request is lost at a server that
 // has little else to answer, only probes tell that it goes on serving.
 func (b *Balancer) probed(s *server, st Status) {
-	if st == Delivered {
+	if st == StatusSucceeded {
 		s.owesAt = b.now
 	}
 }
@@ -66,10 +66,10 @@
 // idle to any probe. Cancelled and unsent attempts say nothing.
 func (b *Balancer) judge(s *server, st Status, a *attempt, spent time.Duration) {
 	switch st {
-	case Delivered, Shed:
+	case StatusSucceeded, StatusRejected:
 		s.fails -= failWeight * s.fails
 		s.owesAt = b.now
-	case Expired:
+	case StatusTimedOut:
 		switch {
 		case a.lost: // that has been told
 		case s.out == 0 && s.owesAt <= a.at:
@@ -79,7 +79,7 @@
 			// than its queue accounts for: then it was lost, and the next may be.
 			s.fails += failWeight * (1 - s.fails)
 		}
-	case AppError, Dropped, DialFailed:
+	case StatusApplicationError, StatusConnectionLost, StatusConnectFailed:
 		s.owesAt = b.now
 		s.fails += failWeight * (1 - s.fails)
 	}
@@ -88,10 +88,10 @@
 // scouted takes in what a scout met. A node that sees little may think all servers full for seconds, by a report or
 // some answers from one that is; a scout that waited less than the bound shows it, one that waited longer or came to
 // nothing shows that refusing is right.
-func (b *Balancer) scouted(r *request, ev *Event) {
+func (b *Balancer) scouted(r *request, ev *AttemptEnded) {
 	switch {
-	case r.bound == 0 || ev.Attempt > 0 || ev.Status == Revoked:
-	case ev.Status == Delivered && ev.Spent.Seconds()-b.work(r) < r.bound:
+	case r.bound == 0 || ev.Attempt > 0 || ev.Status == StatusCancelled:
+	case ev.Status == StatusSucceeded && ev.Elapsed.Seconds()-b.work(r) < r.bound:
 		b.scoutEvery = max(b.scoutEvery/2, 1)
 	default:
 		b.scoutEvery = min(b.scoutEvery*2, scoutOnce)
@@ -102,34 +102,34 @@
 func (b *Balancer) compare(s *server) {
 	// What all servers have in common makes none of them an outlier, and is no reason to refuse.
 	b.allFail += failWeight * (s.fails - b.allFail) / float64(len(b.ready)+1)
-	name := fmt.Sprintf("backend %d ", s.Backend)
-	b.state(&s.failed, s.fails > failsHigh, s.fails < failsLow,
+	name := fmt.Sprintf("backend %d ", s.ID)
+	b.logTransition(&s.failed, s.fails > failsHigh, s.fails < failsLow,
 		name+"fails: traffic withheld", name+"answers again")
 }
 
-// State is what a node may log of its Balancer.
-type State struct {
-	Ready     int     // servers that may be sent to
-	Part      float64 // part of the slack that queues may take up
-	Base      float64 // mean time of an answer without a queue, seconds
-	LeastWait float64 // the shortest wait at a server, seconds; 0 without one
+// Stats is what a node may log of its Balancer.
+type Stats struct {
+	UsableEndpoints int     // servers that may be sent to
+	QueueBudget     float64 // part of the slack that queues may take up
+	UnloadedLatency float64 // mean time of an answer without a queue, seconds
+	ShortestWait    float64 // the shortest wait at a server, seconds; 0 without one
 }
 
-// State returns the present state.
-func (b *Balancer) State() State {
-	st := State{Ready: len(b.ready), Part: b.part, Base: b.meanBase()}
+// Stats returns the present figures.
+func (b *Balancer) Stats() Stats {
+	st := Stats{UsableEndpoints: len(b.ready), QueueBudget: b.part, UnloadedLatency: b.meanBase()}
 	for i, s := range b.ready {
-		if w := b.wait(s); i == 0 || w < st.LeastWait {
-			st.LeastWait = w
+		if w := b.wait(s); i == 0 || w < st.ShortestWait {
+			st.ShortestWait = w
 		}
 	}
 	return st
 }
 
-// Loads tells of the servers that this node keeps to, by id.
-func (b *Balancer) Loads() (out []ServerLoad) {
+// EndpointLoads tells of the servers that this node keeps to, by id.
+func (b *Balancer) EndpointLoads() (out []EndpointLoad) {
 	for _, s := range b.ready {
-		out = append(out, ServerLoad{s.Backend, b.entry(s), s.out, s.fails})
+		out = append(out, EndpointLoad{s.ID, b.entry(s), s.out, s.fails})
 	}
 	return out
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -25,7 +25,7 @@
 func run(stdin io.Reader, stdout, notes io.Writer) error {
 	in, out := simproto.NewReader(stdin), bufio.NewWriterSize(stdout, 1<<16)
 	nodes := map[string]*balance.Balancer{}
-	var sheets [simproto.MaxSheet + 1][]balance.Member
+	var sheets [simproto.MaxSheet + 1][]balance.Endpoint
 	var now time.Duration
 	var reply []byte
 	var actions []balance.Action
@@ -73,7 +73,9 @@
 				continue
 			}
 			if m.UsesSheet {
-				m.Event.Members = sheets[m.Sheet]
+				listed := m.Event.(balance.EndpointsListed)
+				listed.Endpoints = sheets[m.Sheet]
+				m.Event = listed
 			}
 			actions = b.Handle(now, m.Event, actions[:0])
 			for i := range actions {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -22,9 +22,9 @@
 		budget = r.message.left
 		r.message.written = func() time.Time { return l.sentWhole(r) }
 	}
-	l.handle(balance.Event{
-		Kind: balance.RequestArrived, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key, HasKey: r.hasKey,
-		Budget: budget, Hint: r.hint, Repeat: r.repeat, Open: open,
+	l.handle(balance.RequestArrived{
+		Request: r.id, Class: r.class, Tenant: r.tenant, RoutingKey: r.key, HasRoutingKey: r.hasKey,
+		TimeLeft: budget, ExpectedWork: r.hint, ClientRetry: r.repeat, Incomplete: open,
 	})
 }
 
@@ -42,12 +42,12 @@
 	}
 	r.answered, r.goneAt = true, l.now()
 	l.counts.gone++
-	l.handle(balance.Event{Kind: balance.ClientGone, Request: r.id})
-	l.endAttempts(r, balance.Revoked)
+	l.handle(balance.ClientDisconnected{Request: r.id})
+	l.endAttempts(r, balance.StatusCancelled)
 }
 
 func (l *loop) send(a *balance.Action) {
-	r, b := l.requests[a.Request], l.backend(a.Backend)
+	r, b := l.requests[a.Request], l.backend(a.Endpoint)
 	if r == nil || b == nil {
 		return
 	}
@@ -58,18 +58,18 @@
 	r.attempts = append(r.attempts, at)
 	r.pending++
 	if !may {
-		l.outcome(r, n, result{status: balance.Unused})
+		l.outcome(r, n, result{status: balance.StatusNotSent})
 		return
 	}
 	deadline := r.deadline
-	if a.Limit > 0 {
-		if limit := time.Now().Add(a.Limit); deadline.IsZero() || limit.Before(deadline) {
+	if a.Timeout > 0 {
+		if limit := time.Now().Add(a.Timeout); deadline.IsZero() || limit.Before(deadline) {
 			deadline = limit
 		}
 	}
 	var begin time.Time
-	if a.Within > 0 {
-		begin = time.Now().Add(a.Within)
+	if a.StartWithin > 0 {
+		begin = time.Now().Add(a.StartWithin)
 	}
 	if n > 0 {
 		l.figures.retries.Add(1)
@@ -88,8 +88,8 @@
 		r.deadline = deadline
 		if n := len(r.attempts) - 1; !r.answered && n >= 0 && !r.attempts[n].over {
 			r.attempts[n].sent = l.now()
-			l.handle(balance.Event{Kind: balance.Written, Request: r.id, Attempt: n,
-				Budget: max(time.Until(deadline), 0)})
+			l.handle(balance.RequestWritten{Request: r.id, Attempt: n,
+				TimeLeft: max(time.Until(deadline), 0)})
 		}
 	})
 	return deadline
@@ -111,7 +111,7 @@
 	r.pending--
 	l.counts.outcomes[res.status]++
 	l.figures.attempts[res.status].Add(1)
-	if res.status == balance.Delivered && !r.answered {
+	if res.status == balance.StatusSucceeded && !r.answered {
 		r.answered = true
 		l.counts.answers[served]++
 		if l.worked != nil {
@@ -123,9 +123,9 @@
 		r.reply <- answer{kind: served, body: res.body, contentType: res.contentType, stream: res.stream}
 	}
 	l.forget(r)
-	l.handle(balance.Event{
-		Kind: balance.Outcome, Request: r.id, Attempt: n, Backend: at.to.number, Spent: l.now() - at.sent,
-		Status: res.status, NoMore: r.answered, Load: res.load, Spoilt: res.spoilt,
+	l.handle(balance.AttemptEnded{
+		Request: r.id, Attempt: n, Endpoint: at.to.number, Elapsed: l.now() - at.sent,
+		Status: res.status, Final: r.answered, Load: res.load, NotReplayable: res.spoilt,
 	})
 }
 
@@ -159,7 +159,7 @@
 	}
 	if at.call != nil {
 		if at.call.bar() {
-			st = balance.Unused
+			st = balance.StatusNotSent
 		}
 		at.call.cancel()
 	}
@@ -180,9 +180,9 @@
 	l.unserved.Warn("request not served", "request", r.id, "class", r.class, "refused", a.kind == refused, "late", a.late,
 		"attempts", len(r.attempts), "last", r.lastStatus(), "retry_in", a.retryIn)
 	r.reply <- a
-	st := balance.Revoked
+	st := balance.StatusCancelled
 	if a.late {
-		st = balance.Expired
+		st = balance.StatusTimedOut
 	}
 	l.endAttempts(r, st)
 }
@@ -201,18 +201,18 @@
 	}
 }
 
-func (l *loop) probe(number balance.BackendID) {
+func (l *loop) probe(number balance.EndpointID) {
 	b := l.backend(number)
 	if b == nil {
 		return
 	}
 	sent := l.now()
 	told := func(res result) {
-		l.handle(balance.Event{Kind: balance.Probed, Backend: number, Spent: l.now() - sent,
+		l.handle(balance.HealthChecked{Endpoint: number, Elapsed: l.now() - sent,
 			Status: res.status, Load: res.load})
 	}
 	if !b.takes() {
-		told(result{status: balance.Unused})
+		told(result{status: balance.StatusNotSent})
 		return
 	}
 	l.counts.probes++
@@ -236,6 +236,6 @@
 	}
 	for _, o := range out {
 		o.r.attempts[o.n].call.cancel()
-		l.outcome(o.r, o.n, result{status: balance.Unused})
+		l.outcome(o.r, o.n, result{status: balance.StatusNotSent})
 	}
 }
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -121,18 +121,18 @@
 	cn, err := x.pool.get(ctx, to)
 	switch {
 	case errors.Is(err, errNoRoom):
-		return result{status: balance.Unused} // says nothing of the backend
+		return result{status: balance.StatusNotSent} // says nothing of the backend
 	case accept.IsShortage(err):
 		x.failed(ctx, m, to, "this machine is short of what a connection needs", err)
-		return result{status: balance.Unused} // likewise
+		return result{status: balance.StatusNotSent} // likewise
 	case err != nil:
 		x.failed(ctx, m, to, "no connection", err)
-		return result{status: balance.DialFailed}
+		return result{status: balance.StatusConnectFailed}
 	}
 	late := !c.begin.IsZero() && !time.Now().Before(c.begin)
 	if ctx.Err() != nil || late || !c.state.CompareAndSwap(callQueued, callWriting) {
 		x.pool.discard(cn)
-		return result{status: balance.Unused}
+		return result{status: balance.StatusNotSent}
 	}
 	c.began.Store(monotime.Now())
 	// Given up means closed, at once: nothing that comes later can reach anyone.
@@ -148,7 +148,7 @@
 		x.pool.discard(cn)
 		x.failed(ctx, m, to, "not written", err)
 		if n < int64(len(head)+len(m.body)) {
-			return result{status: balance.DialFailed} // the last byte never left
+			return result{status: balance.StatusConnectFailed} // the last byte never left
 		}
 		return result{status: x.broken(ctx, err)}
 	}
@@ -170,7 +170,7 @@
 	if _, err := cn.Write(m.head(cn.to.addr, m.left)); err != nil {
 		x.pool.discard(cn)
 		x.failed(ctx, m, cn.to, "not written", err)
-		return result{status: balance.DialFailed, spoilt: m.open.touched()}
+		return result{status: balance.StatusConnectFailed, spoilt: m.open.touched()}
 	}
 	type end struct{ wrote, whole bool }
 	sent := make(chan end, 1)
@@ -190,20 +190,20 @@
 	if err != nil {
 		m.open.leave()
 		x.pool.discard(cn) // from here on nothing more is written
-		status := balance.DialFailed
+		status := balance.StatusConnectFailed
 		if m.open.taken.Load() {
 			// Its last byte may have gone.
 			if e := <-sent; e.whole {
 				status = x.broken(ctx, err)
 			}
 		} else if len(sent) > 0 && !(<-sent).wrote {
-			status = balance.Unused // its client did not send it
+			status = balance.StatusNotSent // its client did not send it
 		}
 		x.failed(ctx, m, cn.to, "no whole answer to a streamed request", err)
 		return result{status: status, spoilt: true}
 	}
 	r.spoilt = true
-	if r.status != balance.Delivered {
+	if r.status != balance.StatusSucceeded {
 		m.open.leave() // it has said no before the end
 	}
 	return r
@@ -233,7 +233,7 @@
 		cn.SetDeadline(time.Time{})
 		x.pool.put(cn)
 	}
-	body, ended, err := x.gather(resp, !m.probe && r.status == balance.Delivered)
+	body, ended, err := x.gather(resp, !m.probe && r.status == balance.StatusSucceeded)
 	switch {
 	case err != nil:
 		return result{}, err
@@ -313,24 +313,24 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded),
 		timed && !time.Now().Before(until):
-		return balance.Expired
+		return balance.StatusTimedOut
 	case ctx.Err() != nil:
-		return balance.Revoked
+		return balance.StatusCancelled
 	}
-	return balance.Dropped
+	return balance.StatusConnectionLost
 }
 
 // outcome reads a whole answer's status.
 func outcome(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return balance.Delivered
+		return balance.StatusSucceeded
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(neverRanHeader) == "1" {
-			return balance.Shed
+			return balance.StatusRejected
 		}
 	}
-	return balance.AppError
+	return balance.StatusApplicationError
 }
 
 // head words the head of the message for a backend.
@@ -372,11 +372,11 @@
 func (x *exchanges) probe(to endpoint, done func(result)) {
 	x.attempt(to, &message{method: http.MethodGet, url: &url.URL{Path: "/stats"}, host: to.addr, header: http.Header{}, probe: true},
 		time.Time{}, time.Now().Add(probeWithin), func(r result) {
-			if r.status == balance.Delivered && r.load.Has == 0 {
+			if r.status == balance.StatusSucceeded && r.load.Has == 0 {
 				r.load = x.report(string(r.body))
 			}
-			if r.status == balance.AppError {
-				r.status = balance.Shed // a probe that is turned away
+			if r.status == balance.StatusApplicationError {
+				r.status = balance.StatusRejected // a probe that is turned away
 			}
 			done(r)
 		})
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -16,29 +16,29 @@
 	arrived  int
 	sent     int
 	probes   int
-	dials    int64                   // connections to backends that were asked for
-	calls    int64                   // of discovery
-	answers  [doubled + 1]int        // final answers, by kind
-	late     int                     // those at or after the deadline, served ones aside
-	gone     int                     // clients that went away first
-	outcomes [balance.Unused + 1]int // attempts, by status
-	slowest  time.Duration           // the longest that one event kept the loop
+	dials    int64                          // connections to backends that were asked for
+	calls    int64                          // of discovery
+	answers  [doubled + 1]int               // final answers, by kind
+	late     int                            // those at or after the deadline, served ones aside
+	gone     int                            // clients that went away first
+	outcomes [balance.StatusNotSent + 1]int // attempts, by status
+	slowest  time.Duration                  // the longest that one event kept the loop
 }
 
 // due tells whether it is time to tell.
 func (c *counts) due(now time.Duration) bool { return now-c.since >= countEvery }
 
 // tell logs the counts and begins anew. Nothing is logged for a span without requests.
-func (c *counts) tell(now time.Duration, log *slog.Logger, open int, state balance.State) {
+func (c *counts) tell(now time.Duration, log *slog.Logger, open int, state balance.Stats) {
 	if c.arrived+c.sent > 0 {
 		o := &c.outcomes
 		log.Info("counts", "arrived", c.arrived, "open", open, "sent", c.sent, "probes", c.probes,
 			"dials", c.dials, "calls", c.calls, "served", c.answers[served],
 			"refused", c.answers[refused], "failed", c.answers[failed], "late", c.late, "gone", c.gone,
-			"delivered", o[balance.Delivered], "errors", o[balance.AppError], "shed", o[balance.Shed],
-			"expired", o[balance.Expired], "unconnected", o[balance.DialFailed], "dropped", o[balance.Dropped],
-			"revoked", o[balance.Revoked], "unsent", o[balance.Unused], "slowest", c.slowest,
-			"ready", state.Ready, "part", state.Part, "base", state.Base, "least_wait", state.LeastWait)
+			"delivered", o[balance.StatusSucceeded], "errors", o[balance.StatusApplicationError], "shed", o[balance.StatusRejected],
+			"expired", o[balance.StatusTimedOut], "unconnected", o[balance.StatusConnectFailed], "dropped", o[balance.StatusConnectionLost],
+			"revoked", o[balance.StatusCancelled], "unsent", o[balance.StatusNotSent], "slowest", c.slowest,
+			"ready", state.UsableEndpoints, "part", state.QueueBudget, "base", state.UnloadedLatency, "least_wait", state.ShortestWait)
 	}
 	*c = counts{since: now}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -90,7 +90,7 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
-	if names.Config.AskDiscovery {
+	if names.Config.PollDiscovery {
 		d.asked, d.wait = make(chan balance.ActionKind, 16), longWait
 	}
 	return d
@@ -151,10 +151,10 @@
 				return
 			case <-moved:
 			case kind := <-d.asked:
-				if kind == balance.Unwatch {
+				if kind == balance.UnwatchEndpoints {
 					continue
 				}
-				watch = kind == balance.Watch
+				watch = kind == balance.WatchEndpoints
 			}
 		}
 		heard, err := d.followMoves(ctx, watch)
@@ -315,7 +315,7 @@
 	for {
 		select {
 		case kind := <-d.asked:
-			ended = kind == balance.Unwatch
+			ended = kind == balance.UnwatchEndpoints
 		default:
 			return ended
 		}
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -18,7 +18,7 @@
 	pending  atomic.Int64
 	members  atomic.Int64
 	avoided  atomic.Int64
-	attempts [balance.Unused + 1]atomic.Int64 // by status
+	attempts [balance.StatusNotSent + 1]atomic.Int64 // by status
 	retries  atomic.Int64
 	closes   closeCounts
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -122,8 +122,8 @@
 	told := make(chan []fleet.BackendLoad, 1)
 	go p.n.loop.post(func() {
 		var out []fleet.BackendLoad
-		for _, s := range p.n.loop.bal.Loads() {
-			out = append(out, backendLoad(p.n.loop.byNumber[s.Backend].id, s))
+		for _, s := range p.n.loop.bal.EndpointLoads() {
+			out = append(out, backendLoad(p.n.loop.byNumber[s.ID].id, s))
 		}
 		told <- out
 	})
@@ -139,8 +139,8 @@
 	}
 }
 
-func backendLoad(id string, s balance.ServerLoad) fleet.BackendLoad {
-	return fleet.BackendLoad{ID: id, Estimate: s.Estimate, Outstanding: s.Outstanding, Failures: s.Failures}
+func backendLoad(id string, s balance.EndpointLoad) fleet.BackendLoad {
+	return fleet.BackendLoad{ID: id, Estimate: s.QueueEstimate, Outstanding: s.InFlight, Failures: s.FailureRate}
 }
 
 // processTime is the processor time that this process has used.
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -73,14 +73,14 @@
 
 // mayDouble tells whether an effect could happen twice if a request were sent once more.
 func (g *guard) mayDouble(r *request, now time.Duration) bool {
-	if r.class >= len(g.classes) || g.classes[r.class].Effect == balance.Safe {
+	if r.class >= len(g.classes) || g.classes[r.class].Repeatability == balance.Idempotent {
 		return false
 	}
 	for _, at := range r.attempts {
 		if at.over && at.status.NeverRan() {
 			continue
 		}
-		if c := &g.classes[r.class]; c.Effect == balance.Unsafe || now >= at.sent+c.Window {
+		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= at.sent+c.KeyWindow {
 			return true
 		}
 	}
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -60,7 +60,7 @@
 func (n *Node) handed(out bool) {
 	n.front.handed.Store(out)
 	n.listener.rest(out)
-	n.loop.post(func() { n.loop.handle(balance.Event{Kind: balance.HandedOver, Out: out}) })
+	n.loop.post(func() { n.loop.handle(balance.HandoverChanged{HandedOver: out}) })
 }
 
 // offer passes the listener and the list on.
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -108,7 +108,7 @@
 		pause(ctx, lookEvery)
 	}
 	known, left, err := h.take()
-	n.loop.post(func() { n.loop.handle(balance.Event{Kind: balance.TookOver, Memory: n.loop.recall(known)}) })
+	n.loop.post(func() { n.loop.handle(balance.TookOver{State: n.loop.recall(known)}) })
 	n.allow(left)
 	n.listener.rest(false)
 	n.log.Info("took over", "old", left, "error", err)
--- a/internal/node/learned.go
+++ b/internal/node/learned.go
@@ -11,9 +11,9 @@
 
 // learned is what the module of the old process has learned, with discovery's id for each server in it.
 type learned struct {
-	Memory balance.Memory `json:"memory"` // times are by the old process's clock, starts as discovery tells them
-	IDs    []string       `json:"ids"`
-	Now    time.Duration  `json:"now"` // that clock as this was written; 0: not told
+	Memory balance.HandoverState `json:"memory"` // times are by the old process's clock, starts as discovery tells them
+	IDs    []string              `json:"ids"`
+	Now    time.Duration         `json:"now"` // that clock as this was written; 0: not told
 }
 
 // listed words the list of backends in discovery's form.
@@ -25,7 +25,7 @@
 	}
 	list.Revision, list.Complete, list.Members = l.revision, true, []json.RawMessage{}
 	for _, b := range l.byNumber {
-		if b.phase != balance.Gone {
+		if b.phase != balance.Removed {
 			list.Members = append(list.Members, b.line)
 		}
 	}
@@ -35,10 +35,10 @@
 
 // remember returns what the module has learned.
 func (l *loop) remember() learned {
-	k := learned{Memory: l.bal.Remember(), Now: l.now()}
-	for i := range k.Memory.Servers {
-		b := l.byNumber[k.Memory.Servers[i].Backend]
-		k.Memory.Servers[i].Launched = b.to.launched
+	k := learned{Memory: l.bal.HandoverState(), Now: l.now()}
+	for i := range k.Memory.Endpoints {
+		b := l.byNumber[k.Memory.Endpoints[i].ID]
+		k.Memory.Endpoints[i].StartedAt = b.to.launched
 		k.IDs = append(k.IDs, b.id)
 	}
 	return k
@@ -46,26 +46,26 @@
 
 // recall returns what another process has learned, in this one's numbers. Backends that this one has not heard of are
 // left out.
-func (l *loop) recall(k learned) *balance.Memory {
-	if len(k.IDs) != len(k.Memory.Servers) {
+func (l *loop) recall(k learned) *balance.HandoverState {
+	if len(k.IDs) != len(k.Memory.Endpoints) {
 		return nil
 	}
 	var ahead time.Duration // of this clock before the other: the wall clock may have been stepped between the two starts
 	if k.Now > 0 {
 		ahead = l.now() - k.Now
 	}
-	k.Memory.RolledAt += ahead
-	var own []balance.ServerMemory
-	for i, s := range k.Memory.Servers {
+	k.Memory.WindowStart += ahead
+	var own []balance.EndpointHandoverState
+	for i, s := range k.Memory.Endpoints {
 		b := l.backends[k.IDs[i]]
-		if b == nil || b.to.launched != s.Launched {
+		if b == nil || b.to.launched != s.StartedAt {
 			continue // unheard of, or another process by now
 		}
-		s.Backend, s.Launched = b.number, b.start
-		s.ToldAt += ahead
-		s.Heard += ahead
+		s.ID, s.StartedAt = b.number, b.start
+		s.ReportedAt += ahead
+		s.LastAnswerAt += ahead
 		own = append(own, s)
 	}
-	k.Memory.Servers = own
+	k.Memory.Endpoints = own
 	return &k.Memory
 }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -9,30 +9,30 @@
 // This file takes in lists of backends, and what is out by hand.
 
 // list takes in what discovery says.
-func (l *loop) list(kind balance.EventKind, list List) {
+func (l *loop) list(kind balance.ListKind, list List) {
 	if len(list.Members) > 0 {
 		l.log.Info("list of backends", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
 	}
 	l.revision = list.Revision
-	l.untold = l.untold && kind == balance.MembersRemembered
+	l.untold = l.untold && kind == balance.CachedList
 	if list.Complete {
 		for _, b := range l.backends {
-			b.phase = balance.Gone // unless the list names it
+			b.phase = balance.Removed // unless the list names it
 		}
 	}
-	members := make([]balance.Member, 0, len(list.Members))
+	members := make([]balance.Endpoint, 0, len(list.Members))
 	for _, m := range list.Members {
 		b := l.backends[m.ID]
 		fresh := b == nil
 		if fresh {
-			b = &backend{number: balance.BackendID(len(l.byNumber)), id: m.ID}
+			b = &backend{number: balance.EndpointID(len(l.byNumber)), id: m.ID}
 			l.backends[m.ID] = b
 			l.byNumber = append(l.byNumber, b)
 			l.log.Info("backend named", "number", b.number, "id", b.id, "address", m.Addr)
 			l.cordon(b, l.cordons.Backends[b.id])
 		}
-		to := endpoint{m.Addr, m.Launched}
-		if m.Phase == balance.Gone {
+		to := endpoint{m.Addr, m.StartedAt}
+		if m.Phase == balance.Removed {
 			to = b.to // where it was
 		}
 		if b.to != to {
@@ -42,14 +42,14 @@
 			b.start = l.startOf(to.launched)
 		}
 		b.to, b.phase, b.line = to, m.Phase, m.Line
-		line := m.Member
-		line.Backend, line.Launched = b.number, b.start
+		line := m.Endpoint
+		line.ID, line.StartedAt = b.number, b.start
 		members = append(members, line)
 	}
-	if kind != balance.MembersRemembered {
+	if kind != balance.CachedList {
 		l.listedAt = l.now()
 	}
-	l.handle(balance.Event{Kind: kind, Members: members})
+	l.handle(balance.EndpointsListed{Kind: kind, Endpoints: members})
 	l.changed()
 }
 
@@ -101,9 +101,9 @@
 	l.log.Info("maintenance", "backend", b.id, "out", c.Out)
 	b.out, b.back = c.Out, c.Back
 	at := l.cordonTimes[b.id]
-	l.handle(balance.Event{Kind: balance.Cordoned, Backend: b.number, Out: true, At: at.since})
+	l.handle(balance.CordonChanged{Endpoint: b.number, Cordoned: true, At: at.since})
 	if !c.Out {
-		l.handle(balance.Event{Kind: balance.Cordoned, Backend: b.number, At: at.back})
+		l.handle(balance.CordonChanged{Endpoint: b.number, At: at.back})
 	}
 }
 
@@ -112,12 +112,12 @@
 	l.shownAt = now
 	listed := int64(0)
 	for _, b := range l.backends {
-		if b.phase != balance.Gone {
+		if b.phase != balance.Removed {
 			listed++
 		}
 	}
 	l.figures.members.Store(listed)
-	l.figures.avoided.Store(int64(l.bal.Avoided()))
+	l.figures.avoided.Store(int64(l.bal.UnavailableEndpoints()))
 }
 
 // showEvery is the least time between two looks at what the module avoids.
--- a/internal/node/listtext.go
+++ b/internal/node/listtext.go
@@ -27,7 +27,7 @@
 	ID   string
 	Addr string
 	Line json.RawMessage // as it was told
-	balance.Member
+	balance.Endpoint
 }
 
 // errMalformed is the error of an answer that can't be read as a list.
@@ -69,7 +69,7 @@
 			return List{}, fmt.Errorf("member %d: no id", i)
 		case phase < 0:
 			return List{}, fmt.Errorf("member %s: phase %q", m.ID, m.Phase)
-		case addrErr != nil && balance.Phase(phase) != balance.Gone:
+		case addrErr != nil && balance.Phase(phase) != balance.Removed:
 			return List{}, fmt.Errorf("member %s: host_port %q", m.ID, m.HostPort)
 		case m.Up < 0 || m.Up > math.MaxInt64/int64(time.Millisecond):
 			return List{}, fmt.Errorf("member %s: up_since_ms %d", m.ID, m.Up)
@@ -78,10 +78,10 @@
 		if m.Size != nil {
 			weight = *m.Size
 		}
-		list.Members = append(list.Members, Member{ID: m.ID, Addr: m.HostPort, Line: line, Member: balance.Member{
+		list.Members = append(list.Members, Member{ID: m.ID, Addr: m.HostPort, Line: line, Endpoint: balance.Endpoint{
 			// An unknown locality is some other one than ours.
-			Zone: slices.Index(names.Zones, m.Locality), Cell: m.Cell, Kind: slices.Index(names.Kinds, m.Flavor),
-			Weight: weight, Launched: time.Duration(m.Up) * time.Millisecond, Phase: balance.Phase(phase),
+			Zone: slices.Index(names.Zones, m.Locality), Cell: m.Cell, MachineKind: slices.Index(names.Kinds, m.Flavor),
+			Weight: weight, StartedAt: time.Duration(m.Up) * time.Millisecond, Phase: balance.Phase(phase),
 		}})
 	}
 	return list, nil
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -113,7 +113,7 @@
 		}
 		for now := l.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
 			t := heap.Pop(&l.timers).(timer)
-			l.handle(balance.Event{Kind: balance.Timer, Mark: t.mark})
+			l.handle(balance.TimerFired{ID: t.mark})
 		}
 		now := l.now()
 		l.counts.slowest = max(l.counts.slowest, now-began)
@@ -122,7 +122,7 @@
 		}
 		if l.counts.due(now) {
 			l.counts.dials, l.counts.calls = l.back.pool.dials.Swap(0), l.askedOf()
-			l.counts.tell(now, l.log, len(l.requests), l.bal.State())
+			l.counts.tell(now, l.log, len(l.requests), l.bal.Stats())
 		}
 	}
 }
@@ -146,27 +146,27 @@
 
 func (l *loop) do(a *balance.Action) {
 	switch a.Kind {
-	case balance.Send:
+	case balance.Forward:
 		l.send(a)
-	case balance.Cancel:
+	case balance.CancelAttempt:
 		if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-			l.giveUp(r, a.Attempt, balance.Revoked)
+			l.giveUp(r, a.Attempt, balance.StatusCancelled)
 		}
-	case balance.Refuse:
-		l.finish(l.requests[a.Request], answer{kind: refused, retryIn: a.RetryIn})
+	case balance.Reject:
+		l.finish(l.requests[a.Request], answer{kind: refused, retryIn: a.RetryAfter})
 	case balance.Fail:
 		l.finish(l.requests[a.Request], answer{kind: failed})
-	case balance.Probe:
-		l.probe(a.Backend)
+	case balance.HealthCheck:
+		l.probe(a.Endpoint)
 	case balance.SetTimer:
 		l.seq++
-		heap.Push(&l.timers, timer{at: l.now() + a.In, seq: l.seq, mark: a.Mark})
-	case balance.Watch, balance.Unwatch, balance.Fetch:
+		heap.Push(&l.timers, timer{at: l.now() + a.Delay, seq: l.seq, mark: a.TimerID})
+	case balance.WatchEndpoints, balance.UnwatchEndpoints, balance.FetchEndpoints:
 		l.askAbout(a.Kind)
-	case balance.Tell:
+	case balance.SendToPeer:
 		l.tellPeers(a.Peer, a.Payload)
-	case balance.Close:
-		if b := l.backend(a.Backend); b != nil {
+	case balance.CloseIdle:
+		if b := l.backend(a.Endpoint); b != nil {
 			l.back.pool.drop(b.to)
 		}
 	case balance.Log:
@@ -174,7 +174,7 @@
 	}
 }
 
-func (l *loop) backend(number balance.BackendID) *backend {
+func (l *loop) backend(number balance.EndpointID) *backend {
 	if int(number) >= len(l.byNumber) {
 		return nil
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -12,7 +12,7 @@
 )
 
 // statusNames are the attempts' statuses as WIRE-hitchvale.md names them, in the order of balance.Status.
-var statusNames = [balance.Unused + 1]string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped",
+var statusNames = [balance.StatusNotSent + 1]string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped",
 	"revoked", "unused"}
 
 // metrics are the node's figures in Prometheus's form, for /metrics on the second address. The counters are read
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 	n.clients, n.backends = cfg.Limits.share(cfg.Admin != "")
 	n.pool = newPool(n.backends, limits.ConnectTimeout, limits.IdleClose)
 	n.pool.closes = &n.figures.closes
-	n.loop = newLoop(bal, newExchanges(n.pool, cfg.Settings.Config.Reports == balance.InlineReports, &n.figures.upstream, log),
+	n.loop = newLoop(bal, newExchanges(n.pool, cfg.Settings.Config.LoadReports == balance.InlineLoadReports, &n.figures.upstream, log),
 		n.figures, log)
 	n.loop.guard = newGuard(cfg.Settings.Config, log)
 	n.metrics.guard = n.loop.guard
@@ -81,14 +81,14 @@
 	n.front.large = cfg.Admin != ""
 	n.disco = newDiscovery(cfg.Discovery, cfg.Registry, cfg.Settings, log,
 		func(list List) {
-			kind := balance.MembersChanged
+			kind := balance.ListChanges
 			if list.Complete {
-				kind = balance.MembersAll
+				kind = balance.CompleteList
 			}
 			n.metrics.revision.Set(float64(list.Revision))
 			n.loop.post(func() { n.loop.list(kind, list) })
 		},
-		func() { n.loop.post(func() { n.loop.handle(balance.Event{Kind: balance.MembersRefused}) }) })
+		func() { n.loop.post(func() { n.loop.handle(balance.DiscoveryFailed{}) }) })
 	n.disco.have, n.disco.after = len(n.cfg.Known.Members) > 0, n.cfg.Known.Revision
 	n.disco.timed = n.metrics.called
 	n.metrics.revision.Set(float64(n.cfg.Known.Revision))
@@ -183,12 +183,12 @@
 		})
 	}
 	// A pushed list counts as told from the first moment of a process, so it must not serve on an older one.
-	n.loop.untold = !n.cfg.Settings.Config.AskDiscovery && (n.handover == nil || n.handover.inherited == nil)
+	n.loop.untold = !n.cfg.Settings.Config.PollDiscovery && (n.handover == nil || n.handover.inherited == nil)
 	first := time.AfterFunc(n.firstList, func() { n.loop.post(n.loop.waitNoLonger) })
 	defer first.Stop()
 	known := n.cfg.Known
 	known.Complete = true
-	n.loop.list(balance.MembersRemembered, known)
+	n.loop.list(balance.CachedList, known)
 	wg.Go(func() { n.loop.run(work.Done()) })
 	wg.Go(func() { n.pool.run(work) })
 	wg.Go(func() { n.disco.run(work) })
@@ -196,7 +196,7 @@
 		wg.Go(func() {
 			n.peers.run(work, func(peer int, payload []byte) {
 				n.loop.post(func() {
-					n.loop.handle(balance.Event{Kind: balance.PeerMessage, Peer: peer, Payload: payload})
+					n.loop.handle(balance.PeerMessage{Peer: peer, Payload: payload})
 				})
 			})
 		})
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -50,10 +50,10 @@
 	key := h.Get("Idempotency-Key")
 	class := &f.names.Config.Classes[r.class]
 	method, keyed := http.MethodPost, false
-	switch class.Effect {
-	case balance.Safe:
+	switch class.Repeatability {
+	case balance.Idempotent:
 		method = http.MethodGet
-	case balance.Keyed:
+	case balance.IdempotencyKey:
 		keyed = true
 	}
 	switch {
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -11,7 +11,7 @@
 
 // backend is a backend that discovery has named since the start of the node.
 type backend struct {
-	number balance.BackendID
+	number balance.EndpointID
 	id     string
 	to     endpoint
 	phase  balance.Phase
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, r := range open {
-		l.handle(balance.Event{Kind: balance.ClientGone, Request: r.id}) // nothing more is to be done for it
+		l.handle(balance.ClientDisconnected{Request: r.id}) // nothing more is to be done for it
 		l.finish(r, answer{kind: failed})
 	}
 }
--- a/internal/siteconfig/siteconfig.go
+++ b/internal/siteconfig/siteconfig.go
@@ -230,25 +230,25 @@
 	}
 	cfg := balance.Config{
 		Index: c.Index, Instances: c.NInstances, Zone: c.Zone,
-		OverShareWorth: c.OverShareWorth, WarmKeys: c.Domain.WarmKeys, ClientsMark: c.Callers.MarksRetry,
-		WorthByWork:  pick("worthBy", c.WorthBy, "request", "work") == 1,
-		AskDiscovery: pick("membershipMode", c.MembershipMode, "push", "ask") == 1,
-		Reports:      balance.ReportSource(pick("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
-		Weights:      balance.WeightKind(pick("weightKind", c.WeightKind, "off", "nominal", "rough", "live")),
-		Tick:         time.Duration(c.Tick), PassesDeadline: c.Domain.PassesDeadline, Stage: c.Stage,
+		OverQuotaValue: c.OverShareWorth, WarmKeys: c.Domain.WarmKeys, ClientsMarkRetries: c.Callers.MarksRetry,
+		PriorityPerWork: pick("worthBy", c.WorthBy, "request", "work") == 1,
+		PollDiscovery:   pick("membershipMode", c.MembershipMode, "push", "ask") == 1,
+		LoadReports:     balance.LoadReportSource(pick("loadReport.source", c.LoadReport.Source, "off", "on_probe", "inline")),
+		Weights:         balance.WeightKind(pick("weightKind", c.WeightKind, "off", "nominal", "rough", "live")),
+		Tick:            time.Duration(c.Tick), PassesDeadline: c.Domain.PassesDeadline, Stage: c.Stage,
 	}
 	for i, name := range LoadNames {
 		if slices.Contains(c.LoadReport.Columns, name) {
-			cfg.Columns |= 1 << i
+			cfg.LoadFields |= 1 << i
 		}
 	}
 	for _, k := range c.Classes {
 		cfg.Classes = append(cfg.Classes, balance.Class{
 			// An aim that is not told is the deadline: all that is answered in time is worth the same.
-			Aim: time.Duration(cmp.Or(k.Aim, k.Deadline, int64(time.Second))), AimStretch: k.AimStretch, Deadline: time.Duration(k.Deadline),
-			Effect: balance.Effect(pick("effect", k.Effect, "side_effect", "token", "pure")),
-			Scope:  balance.Scope(pick("keyScope", k.KeyScope, "cell", "zone", "all")),
-			Window: time.Duration(k.Window), LateWorth: k.LateWorth, Points: k.Points, Stream: k.Stream,
+			LatencyObjective: time.Duration(cmp.Or(k.Aim, k.Deadline, int64(time.Second))), ObjectiveStretch: k.AimStretch, Deadline: time.Duration(k.Deadline),
+			Repeatability: balance.Repeatability(pick("effect", k.Effect, "side_effect", "token", "pure")),
+			KeyScope:      balance.KeyScope(pick("keyScope", k.KeyScope, "cell", "zone", "all")),
+			KeyWindow:     time.Duration(k.Window), LateValue: k.LateWorth, PriorityWeight: k.Points, Stream: k.Stream,
 		})
 	}
 	for _, t := range c.Tenants {
@@ -256,7 +256,7 @@
 	}
 	l, p, o := c.Limits, c.Prices, c.Obligations
 	cfg.Limits = balance.Limits{
-		Cancelling: l.Cancelling, Probing: l.Probing, Peers: l.Peers, SecondCopies: l.SecondCopies,
+		Cancellation: l.Cancelling, HealthChecks: l.Probing, Gossip: l.Peers, HedgedRequests: l.SecondCopies,
 		RetryAfter: l.RetryAfter, MaxAttempts: l.MaxAttempts, MaxRetryAfter: time.Duration(l.MaxRetryAfter),
 		ConnectTimeout: time.Duration(l.ConnectTimeout), IdleClose: time.Duration(l.IdleClose),
 		StreamsPerConn: l.StreamsPerConn, MaxOpen: l.MaxOpen,
@@ -264,12 +264,12 @@
 		CPUPerRequest: time.Duration(l.CPUPerRequest * float64(time.Microsecond)),
 	}
 	cfg.Prices = balance.Prices{CrossZone: p.CrossZone, Waste: p.Waste, LateFail: p.LateFail,
-		Probe: p.Probe, Peer: p.Peer, Handshake: p.Handshake,
+		HealthCheck: p.Probe, Peer: p.Peer, Handshake: p.Handshake,
 		Connection: p.Connection, Discovery: p.Discovery}
 	cfg.Rules = balance.Rules{
-		GraceToAnswer: time.Duration(o.GraceToAnswer), DrainGrace: time.Duration(o.DrainGrace),
-		AskEvery: time.Duration(o.AskEvery), ColdShare: o.ColdShare, WarmWithin: time.Duration(o.WarmWithin),
-		FallMultiple: o.FallMultiple, OverloadFor: time.Duration(o.OverloadFor),
+		AnswerGrace: time.Duration(o.GraceToAnswer), DrainGrace: time.Duration(o.DrainGrace),
+		PollInterval: time.Duration(o.AskEvery), SlowStartFraction: o.ColdShare, SlowStartDuration: time.Duration(o.WarmWithin),
+		OverloadMultiple: o.FallMultiple, OverloadWindow: time.Duration(o.OverloadFor),
 	}
 	cfg.Goal = balance.Goal{Whole: c.Goal.Whole, WorstClass: c.Goal.WorstClass,
 		WorstTenant: c.Goal.WorstTenant, WorstWindow: c.Goal.WorstWindow}
