--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -182,7 +182,7 @@
 		var l MemberList
 		// Revisions of other records than the list's are no news to a watch.
 		var rev, last int64
-		next := r.fsm.read(func(s *State) { rev, last, l = s.Revision, s.memberStore.lastRevision, s.ChangesSince(after) })
+		next := r.fsm.read(func(s *State) { rev, last, l = s.Revision, s.members.log.lastRevision, s.ChangesSince(after) })
 		if last > after || after > rev {
 			return l, r.canServeReads()
 		}
@@ -306,7 +306,7 @@
 	if err := decodeBody(req, &b); err != nil {
 		return nil, err
 	}
-	if err := checkPhase(b.Phase); err != nil {
+	if err := validatePhase(b.Phase); err != nil {
 		return nil, err
 	}
 	return withFencingToken(req, &MemberCommand{Op: opSetPhase, ID: req.PathValue("id"), Phase: b.Phase})
--- a/internal/registry/http_lease.go
+++ b/internal/registry/http_lease.go
@@ -77,7 +77,7 @@
 	name := req.PathValue("name")
 	var l Lease
 	var held bool
-	r.fsm.read(func(s *State) { l, held = s.ByName[name] })
+	r.fsm.read(func(s *State) { l, held = s.leases.ByName[name] })
 	if !held || l.Holder != b.Holder || l.Token != b.Token {
 		writeError(w, ErrLeaseLost.Of(name, nil))
 		return
@@ -91,7 +91,7 @@
 func (r *Replica) serveLeases(w http.ResponseWriter, req *http.Request) {
 	var out []Lease
 	r.fsm.read(func(s *State) {
-		for _, l := range s.ByName {
+		for _, l := range s.leases.ByName {
 			out = append(out, l)
 		}
 	})
@@ -101,7 +101,7 @@
 // dueLeases gives the expiry commands of leases whose renewals stopped for their TTL; called with beatMu held.
 func (r *Replica) expiredLeases(s *State, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
-	for name, l := range s.ByName {
+	for name, l := range s.leases.ByName {
 		if r.ttlElapsed(leaseKey(name), l.TTLms, now) {
 			due = append(due, &LeaseCommand{Op: opExpireLease, Lease: Lease{Name: name, Token: l.Token}})
 		}
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,16 +7,15 @@
 	"hitchvale/internal/statemachine"
 )
 
-// Lease is a duty that one holder has at a time (Chubby's locks with sequencers; etcd's leases). Token is the
-// fencing token of the grant: it rises strictly with every grant of any lease in the registry.
+// Lease is a duty that one holder has at a time, as a lock with a sequencer in Chubby or a lease in etcd.
 type Lease struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
-	Token  uint64 `json:"token"`
+	Token  uint64 `json:"token"` // the fencing token of the grant; it rises with every grant of any lease
 	TTLms  int64  `json:"ttl_ms"`
 }
 
-// Fence is what a write made on a duty's behalf carries: the lease and the token its holder was granted.
+// FencingToken is what a write on a duty's behalf carries: the lease, and the token that its holder was granted.
 type FencingToken struct {
 	Lease string `json:"lease"`
 	Token uint64 `json:"token"`
@@ -36,14 +35,14 @@
 	Lease Lease                  `json:"lease"`
 }
 
-// Operation is the command's operation.
+// Operation returns the command's operation.
 func (c *LeaseCommand) Operation() statemachine.Operation { return c.Op }
 
-// leases is the machine of the leases: by name, the token counter, and for each lease the highest token that a fenced
-// write carried and that was accepted.
+// leaseStore is the state machine of the leases.
 type leaseStore struct {
-	ByName         map[string]Lease  `json:"leases"`
-	LastToken      uint64            `json:"tokens"`
+	ByName    map[string]Lease `json:"leases"`
+	LastToken uint64           `json:"tokens"` // of the last grant
+	// AcceptedTokens is, by lease, the highest token of a fenced write that was accepted.
 	AcceptedTokens map[string]uint64 `json:"fenced"`
 }
 
@@ -51,68 +50,78 @@
 	return &leaseStore{ByName: map[string]Lease{}, AcceptedTokens: map[string]uint64{}}
 }
 
+// Kind is part of statemachine.Machine.
 func (s *leaseStore) Kind() string { return "leases" }
 
+// Commands is part of statemachine.Machine.
 func (s *leaseStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &LeaseCommand{} }
 	return statemachine.CommandsOf(empty, opAcquireLease, opReleaseLease, opExpireLease)
 }
 
-// Apply carries out acquire, release and expire. Acquire by the holder that has it gives the same token.
+// Apply executes a LeaseCommand and returns the lease. It fails with ErrMalformed, ErrLeaseHeld or ErrLeaseLost.
 func (s *leaseStore) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	c := cmd.(*LeaseCommand)
-	l, held := s.ByName[c.Lease.Name]
-	if c.Op != opAcquireLease {
-		if !held || l.Token != c.Lease.Token || (c.Op == opReleaseLease && l.Holder != c.Lease.Holder) {
-			return statemachine.Outcome{}, ErrLeaseLost.Of(c.Lease.Name, nil)
-		}
-		delete(s.ByName, l.Name)
-		return statemachine.Outcome{Value: l}, nil
+	if c.Op == opAcquireLease {
+		return s.acquire(c.Lease)
 	}
+	lease, held := s.ByName[c.Lease.Name]
+	if !held || lease.Token != c.Lease.Token || (c.Op == opReleaseLease && lease.Holder != c.Lease.Holder) {
+		return statemachine.Outcome{}, ErrLeaseLost.Of(c.Lease.Name, nil)
+	}
+	delete(s.ByName, lease.Name)
+	return statemachine.Outcome{Value: lease}, nil
+}
+
+// acquire grants a lease that is free with the next token. Its present holder gets the lease that it has.
+func (s *leaseStore) acquire(wanted Lease) (statemachine.Outcome, error) {
+	present, held := s.ByName[wanted.Name]
 	switch {
-	case c.Lease.Name == "" || c.Lease.Holder == "":
+	case wanted.Name == "" || wanted.Holder == "":
 		return statemachine.Outcome{}, ErrMalformed.Of("lease", errors.New("missing name or holder"))
-	case c.Lease.TTLms <= 0:
-		return statemachine.Outcome{}, ErrMalformed.Of("lease "+c.Lease.Name, errors.New("ttl_ms must be above 0"))
-	case held && l.Holder != c.Lease.Holder:
-		return statemachine.Outcome{}, ErrLeaseHeld.Of(c.Lease.Name, nil)
+	case wanted.TTLms <= 0:
+		return statemachine.Outcome{}, ErrMalformed.Of("lease "+wanted.Name, errors.New("ttl_ms must be above 0"))
+	case held && present.Holder != wanted.Holder:
+		return statemachine.Outcome{}, ErrLeaseHeld.Of(wanted.Name, nil)
 	case held:
-		return statemachine.Outcome{Unchanged: true, Value: l}, nil
+		return statemachine.Outcome{Unchanged: true, Value: present}, nil
 	}
 	s.LastToken++
-	l = Lease{Name: c.Lease.Name, Holder: c.Lease.Holder, Token: s.LastToken, TTLms: c.Lease.TTLms}
-	s.ByName[l.Name] = l
-	return statemachine.Outcome{Value: l}, nil
+	granted := Lease{Name: wanted.Name, Holder: wanted.Holder, Token: s.LastToken, TTLms: wanted.TTLms}
+	s.ByName[granted.Name] = granted
+	return statemachine.Outcome{Value: granted}, nil
 }
 
-// Encode writes the leases.
+// Encode is part of statemachine.Machine.
 func (s *leaseStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode takes the leases of a snapshot.
-func (s *leaseStore) Decode(text []byte, _ int64) error {
-	n := newLeaseStore()
-	if err := json.Unmarshal(text, n); err != nil {
+// Decode is part of statemachine.Machine.
+func (s *leaseStore) Decode(section []byte, _ int64) error {
+	decoded := newLeaseStore()
+	if err := json.Unmarshal(section, decoded); err != nil {
 		return err
 	}
-	if n.ByName == nil || n.AcceptedTokens == nil { // version 0 wrote null before the first lease
-		n.ByName, n.AcceptedTokens = map[string]Lease{}, map[string]uint64{}
+	if decoded.ByName == nil || decoded.AcceptedTokens == nil { // version 0 wrote null before the first lease
+		decoded.ByName = map[string]Lease{}
+		decoded.AcceptedTokens = map[string]uint64{}
 	}
-	*s = *n
+	*s = *decoded
 	return nil
 }
 
-// plantUnfenced, set at build time (-ldflags -X hitchvale/internal/registry.plantUnfenced=1), removes the fence
-// check: the planted bug that the lab's lease scenarios must catch. Empty in every build the project ships.
+// plantUnfenced removes the fence check if it is not empty. It is a planted fault that the lab's lease scenarios must
+// detect, set at build time (-ldflags -X hitchvale/internal/registry.plantUnfenced=1) by tests alone.
 var plantUnfenced string
 
-// fence checks a fenced write and records its token; nil where there is no fence.
-func (s *leaseStore) checkToken(f *FencingToken) error {
-	if f == nil || plantUnfenced != "" {
+// checkToken accepts a fenced write and records its token, or fails with ErrStaleFencingToken if the token is lower than
+// one already accepted for the lease. A write without a token is accepted.
+func (s *leaseStore) checkToken(token *FencingToken) error {
+	if token == nil || plantUnfenced != "" {
 		return nil
 	}
-	if f.Token < s.AcceptedTokens[f.Lease] {
-		return ErrStaleFencingToken.Of(f.Lease, nil)
+	if token.Token < s.AcceptedTokens[token.Lease] {
+		return ErrStaleFencingToken.Of(token.Lease, nil)
 	}
-	s.AcceptedTokens[f.Lease] = f.Token
+	s.AcceptedTokens[token.Lease] = token.Token
 	return nil
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -34,7 +34,7 @@
 		}),
 		gauge("hitchvale_registry_members", "Members in the list.", func() float64 {
 			var n int
-			r.fsm.read(func(s *State) { n = len(s.Records) })
+			r.fsm.read(func(s *State) { n = len(s.members.Records) })
 			return float64(n)
 		}),
 		gauge("hitchvale_registry_leader", "1 while this replica leads and may read.", func() float64 {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -89,7 +89,7 @@
 	store := newRetryingStore(wrap(file), log)
 	sessions := fleet.NewSessionStore()
 	state := NewState(cfg.ChangeLogSize, sessions)
-	turns := maintenance.NewPlan(memberInventory{state.memberStore}, liveSessions{sessions})
+	turns := maintenance.NewPlan(memberInventory{state.members}, liveSessions{sessions})
 	state.addMachines(turns)
 	r := &Replica{cfg: cfg, log: log.With("component", "registry", "node", cfg.ID), store: store, sessions: sessions,
 		maintenance: turns,
@@ -254,7 +254,7 @@
 		return ErrNotLeader.Of(r.cfg.ID, nil)
 	}
 	known := false
-	r.fsm.read(func(s *State) { _, known = s.Records[id] })
+	r.fsm.read(func(s *State) { _, known = s.members.Records[id] })
 	if !known {
 		return ErrMemberNotFound.Of(id, nil)
 	}
@@ -323,7 +323,7 @@
 	r.fsm.read(func(s *State) {
 		r.heartbeatMu.Lock()
 		defer r.heartbeatMu.Unlock()
-		for id, e := range s.Records {
+		for id, e := range s.members.Records {
 			if e.TTLms > 0 && r.ttlElapsed(id, e.TTLms, now) {
 				due = append(due, &MemberCommand{Op: opExpire, ID: id, SeenRevision: e.Revision})
 			}
