--- /dev/null
+++ b/internal/registry/http_members.go
@@ -0,0 +1,168 @@
+package registry
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"hitchvale/internal/statemachine"
+)
+
+// maxWatchWait bounds a watch's wait_ms (PROTOCOL-hitchvale.md).
+const maxWatchWait = 60 * time.Second
+
+// roleHeader names the role of the replica that served a complete list: a leader's answer is linearizable, a follower's
+// at most stale_read old.
+const (
+	roleHeader   = "X-Registry-Role"
+	roleLeader   = "leader"
+	roleFollower = "follower"
+)
+
+func (r *Replica) routeMembers(mux *http.ServeMux) {
+	mux.HandleFunc("GET /registry/instances", r.serveList)
+	mux.HandleFunc("POST /registry/members", r.writeHandler(r.decodeRegister, newRevisionResponse))
+	mux.HandleFunc("PUT /registry/members/{id}/phase", r.writeHandler(decodeSetPhase, newRevisionResponse))
+	mux.HandleFunc("DELETE /registry/members/{id}", r.writeHandler(decodeDeregister, newRevisionResponse))
+	mux.HandleFunc("POST /registry/members/{id}/heartbeat", r.leaderOnly(r.serveHeartbeat))
+}
+
+// serveList answers a read, or a watch if the call has after, from this replica's state.
+func (r *Replica) serveList(w http.ResponseWriter, req *http.Request) {
+	if !req.URL.Query().Has("after") {
+		r.serveCompleteList(w)
+		return
+	}
+	text := req.URL.Query().Get("after")
+	after, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		writeError(w, ErrMalformed.Of("after", fmt.Errorf("%q is not a revision", text)))
+		return
+	}
+	wait, err := parseWait(req)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	list, ok := r.watch(req.Context(), after, wait)
+	if !ok {
+		writeError(w, r.staleReadError())
+		return
+	}
+	writeJSON(w, list)
+}
+
+func (r *Replica) serveCompleteList(w http.ResponseWriter) {
+	if !r.canServeReads() {
+		writeError(w, r.staleReadError())
+		return
+	}
+	role := r.role() // before the read: a replica that leads before it has every acknowledged write
+	var list MemberList
+	r.fsm.read(func(s *State) { list = s.CompleteList() })
+	w.Header().Set(roleHeader, role)
+	writeJSON(w, list)
+}
+
+func (r *Replica) role() string {
+	if r.Leader() {
+		return roleLeader
+	}
+	return roleFollower
+}
+
+// watch waits until the list has changed since a revision, and returns the changes; after the given wait, or when the
+// replica shuts down, it returns what there is. It returns false if this replica may not serve reads by then, or if ctx
+// ends.
+func (r *Replica) watch(ctx context.Context, after int64, wait time.Duration) (MemberList, bool) {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	r.openWatches.Add(1)
+	defer r.openWatches.Add(-1)
+	for {
+		var list MemberList
+		var revision int64     // of the state
+		var listRevision int64 // of the list's last change: changes of other records are no event for a watch
+		changed := r.fsm.read(func(s *State) {
+			revision = s.Revision
+			listRevision = s.members.log.lastRevision
+			list = s.ChangesSince(after)
+		})
+		if listRevision > after || after > revision {
+			return list, r.canServeReads()
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			return list, r.canServeReads()
+		case <-r.watchesDone:
+			return list, r.canServeReads()
+		case <-ctx.Done():
+			return list, false
+		}
+	}
+}
+
+// registerRequest is the body of POST /registry/members.
+type registerRequest struct {
+	Member Member `json:"member"`
+	TTLms  int64  `json:"ttl_ms"`
+}
+
+func (r *Replica) decodeRegister(req *http.Request) (statemachine.Command, error) {
+	var body registerRequest
+	if err := decodeBody(req, &body); err != nil {
+		return nil, err
+	}
+	if body.Member.Phase == "" {
+		body.Member.Phase = PhaseReady
+	}
+	if body.TTLms < 0 {
+		return nil, ErrMalformed.Of("ttl_ms", errors.New("negative"))
+	}
+	if body.TTLms == 0 {
+		body.TTLms = r.cfg.DefaultTTL.Milliseconds()
+	}
+	if err := body.Member.Validate(); err != nil {
+		return nil, err
+	}
+	return withFencingToken(req, &MemberCommand{Op: opRegister, Member: body.Member, TTLms: body.TTLms})
+}
+
+// setPhaseRequest is the body of PUT /registry/members/{id}/phase.
+type setPhaseRequest struct {
+	Phase string `json:"phase"`
+}
+
+func decodeSetPhase(req *http.Request) (statemachine.Command, error) {
+	var body setPhaseRequest
+	if err := decodeBody(req, &body); err != nil {
+		return nil, err
+	}
+	if err := validatePhase(body.Phase); err != nil {
+		return nil, err
+	}
+	return withFencingToken(req, &MemberCommand{Op: opSetPhase, ID: req.PathValue("id"), Phase: body.Phase})
+}
+
+func decodeDeregister(req *http.Request) (statemachine.Command, error) {
+	return withFencingToken(req, &MemberCommand{Op: opDeregister, ID: req.PathValue("id")})
+}
+
+// withFencingToken adds the fencing token that a write of the list carries, if any.
+func withFencingToken(req *http.Request, c *MemberCommand) (statemachine.Command, error) {
+	token, err := parseFencingToken(req)
+	c.FencingToken = token
+	return c, err
+}
+
+func (r *Replica) serveHeartbeat(w http.ResponseWriter, req *http.Request) {
+	if err := r.Heartbeat(req.PathValue("id")); err != nil {
+		writeError(w, err)
+		return
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
