--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -13,9 +13,9 @@
 // expiryInterval is how often the leader looks for elapsed TTLs.
 const expiryInterval = 100 * time.Millisecond
 
-// heartbeatTable holds when the leader last got a heartbeat for each record with a TTL, on its monotonic clock. It is not
-// replicated: a new leader starts with an empty table, which gives every record its full TTL again, since a record must
-// not expire early for heartbeats that only the old leader got.
+// heartbeatTable holds when the leader last got a heartbeat for each record with a TTL, on its monotonic clock. It is
+// not replicated: a new leader starts with an empty table, which gives every record its full TTL again, since a record
+// must not expire early for heartbeats that only the old leader got.
 type heartbeatTable struct {
 	mu   sync.Mutex
 	last map[string]time.Time
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and tells the
-// leader process's share of a core (all three replicas and the 300 nodes run in this process, so it is an upper bound),
-// the time from a view's epoch to its arrival at p99, and the bytes of a view.
+// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and tells
+// the leader process's share of a core (all three replicas and the 300 nodes run in this process, so it is an upper
+// bound), the time from a view's epoch to its arrival at p99, and the bytes of a view.
 func BenchmarkFleetView(b *testing.B) {
 	const nodes = 300
 	c := newClusterFor(b, 3, false, time.Second)
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -28,7 +28,8 @@
 	defer f.mu.Unlock()
 	command, err := f.state.ParseCommand(entry.Data)
 	if err != nil {
-		// A replica of this cluster wrote the entry, so this is not expected; every replica of a version refuses it alike.
+		// A replica of this cluster wrote the entry, so this is not expected; every replica of a version refuses it
+		// alike.
 		return Result{Revision: f.state.Revision, Err: fmt.Errorf("log entry %d: %w", entry.Index, err)}
 	}
 	result := f.state.Apply(command)
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -34,8 +34,9 @@
 //	*      /registry/rota...                      maintenance turns (http_maintenance.go)
 //
 // A write is answered with 200 and {"revision":R} once it is applied. An error is answered with
-// {"code":...,"error":...,"remedy":...}: 400 for invalid input, which changes nothing, 404 for an unknown ID, 409 if the
-// state forbids the write, 503 if no leader can take it. With max_calls calls in flight, further ones get 503 at once.
+// {"code":...,"error":...,"remedy":...}: 400 for invalid input, which changes nothing, 404 for an unknown ID, 409 if
+// the state forbids the write, 503 if no leader can take it. With max_calls calls in flight, further ones get 503 at
+// once.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/status", r.serveStatus)
--- a/internal/registry/http_codec.go
+++ b/internal/registry/http_codec.go
@@ -14,8 +14,8 @@
 // maxBodyBytes bounds a call's body, as PROTOCOL-hitchvale.md bounds bodies.
 const maxBodyBytes = 64 << 10
 
-// decodeBody decodes a call's JSON body. It fails with ErrMalformed on unknown fields, and on a body over the limit that
-// the caller has set.
+// decodeBody decodes a call's JSON body. It fails with ErrMalformed on unknown fields, and on a body over the limit
+// that the caller has set.
 func decodeBody(req *http.Request, v any) error {
 	decoder := json.NewDecoder(req.Body)
 	decoder.DisallowUnknownFields()
--- a/internal/registry/http_lease.go
+++ b/internal/registry/http_lease.go
@@ -21,8 +21,8 @@
 	mux.HandleFunc("POST /registry/leases/{name}/renew", r.leaderOnly(r.serveRenew))
 }
 
-// minTTL is the shortest TTL of a lease or session: two election timeouts, so that it does not expire while a new leader
-// is elected.
+// minTTL is the shortest TTL of a lease or session: two election timeouts, so that it does not expire while a new
+// leader is elected.
 func (r *Replica) minTTL() time.Duration { return 2 * r.cfg.Timing.Election.Duration }
 
 // validateTTL refuses a TTL below minTTL.
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -20,8 +20,8 @@
 	return ""
 }
 
-// applyEarlierTerms makes a new leader ready to serve reads: a barrier waits until every entry that was committed before
-// its term is applied.
+// applyEarlierTerms makes a new leader ready to serve reads: a barrier waits until every entry that was committed
+// before its term is applied.
 func (r *Replica) applyEarlierTerms() {
 	term := r.raft.CurrentTerm()
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
@@ -33,8 +33,8 @@
 }
 
 // canServeReads reports whether this replica may serve reads: as leader, once it has applied every entry of earlier
-// terms; as follower, if its last contact with the leader is not older than stale_read. With a failed disk it may not: a
-// follower that can't write still gets heartbeats, but no entries.
+// terms; as follower, if its last contact with the leader is not older than stale_read. With a failed disk it may not:
+// a follower that can't write still gets heartbeats, but no entries.
 func (r *Replica) canServeReads() bool {
 	if r.store.lastError() != nil {
 		return false
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -113,8 +113,8 @@
 // detect, set at build time (-ldflags -X hitchvale/internal/registry.plantUnfenced=1) by tests alone.
 var plantUnfenced string
 
-// checkToken accepts a fenced write and records its token, or fails with ErrStaleFencingToken if the token is lower than
-// one already accepted for the lease. A write without a token is accepted.
+// checkToken accepts a fenced write and records its token, or fails with ErrStaleFencingToken if the token is lower
+// than one already accepted for the lease. A write without a token is accepted.
 func (s *leaseStore) checkToken(token *FencingToken) error {
 	if token == nil || plantUnfenced != "" {
 		return nil
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -41,9 +41,9 @@
 	return resp.StatusCode, e.Code
 }
 
-// A machine's whole turn over HTTP on three replicas, each call to another one: asked for by selector, its order settled
-// on the view alone, granted, draining in the list, quiet once both nodes have confirmed, out, listed again, done; and
-// what the rules forbid on the way is refused with its code.
+// A machine's whole turn over HTTP on three replicas, each call to another one: asked for by selector, its order
+// settled on the view alone, granted, draining in the list, quiet once both nodes have confirmed, out, listed again,
+// done; and what the rules forbid on the way is refused with its code.
 func TestTurnOverHTTP(t *testing.T) {
 	c := newClusterWith(t, 3, false)
 	asked := 0
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -193,8 +193,8 @@
 // Encode is part of statemachine.Machine.
 func (s *memberStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode is part of statemachine.Machine. The change log starts empty, so that a watch from before the snapshot gets the
-// complete list.
+// Decode is part of statemachine.Machine. The change log starts empty, so that a watch from before the snapshot gets
+// the complete list.
 func (s *memberStore) Decode(section []byte, revision int64) error {
 	decoded := memberStore{}
 	if err := json.Unmarshal(section, &decoded); err != nil {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -25,9 +25,9 @@
 	// raftStoreFile is the file in a replica's data_dir that holds raft's log and stable store (bbolt).
 	raftStoreFile = "raft.db"
 
-	// maxRPCsInFlight turns off raft's pipelining of appends. When a follower fails an append, as one with a failed disk
-	// does, the pipeline ends for the leader's reader alone; the leader's sender can wait for that reader for ever, and
-	// the follower gets nothing more.
+	// maxRPCsInFlight turns off raft's pipelining of appends. When a follower fails an append, as one with a failed
+	// disk does, the pipeline ends for the leader's reader alone; the leader's sender can wait for that reader for
+	// ever, and the follower gets nothing more.
 	maxRPCsInFlight = 1
 
 	// raftConnectionPool is the number of idle connections that raft caches for each peer.
@@ -37,7 +37,8 @@
 	raftIOTimeout = 5 * time.Second
 )
 
-// Replica is one member of the registry's raft cluster. Open starts it, Serve answers its HTTP calls and Close stops it.
+// Replica is one member of the registry's raft cluster. Open starts it, Serve answers its HTTP calls and Close stops
+// it.
 type Replica struct {
 	cfg       Config
 	log       *slog.Logger
@@ -77,8 +78,9 @@
 	io.Closer
 }
 
-// Open starts a replica from its data_dir: raft's log and stable store, and the snapshots. A new data_dir with bootstrap
-// set starts the cluster of the configured peers. Raft's transport takes over ln, the listener for cfg.RaftAddr.
+// Open starts a replica from its data_dir: raft's log and stable store, and the snapshots. A new data_dir with
+// bootstrap set starts the cluster of the configured peers. Raft's transport takes over ln, the listener for
+// cfg.RaftAddr.
 func Open(cfg Config, ln net.Listener, log *slog.Logger) (*Replica, error) {
 	return openWithStore(cfg, ln, log, func(s raftStore) raftStore { return s })
 }
@@ -175,8 +177,8 @@
 	return c
 }
 
-// bootstrap starts the cluster if data_dir has no state yet; raft refuses it otherwise, which is no error. Every replica
-// may bootstrap with the same peers.
+// bootstrap starts the cluster if data_dir has no state yet; raft refuses it otherwise, which is no error. Every
+// replica may bootstrap with the same peers.
 func (r *Replica) bootstrap() error {
 	var servers []raft.Server
 	for _, p := range r.cfg.Peers {
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -119,8 +119,9 @@
 	c.replicas[i], c.stops[i] = r, func() { cancel(); <-served }
 }
 
-// Calls that a replica has taken when it is told to end get their answers: closing the server cut them off, as the end of a
-// node did with requests (docs/incidents/2026-12-03-upgrade.md). Whoever wrote would not know whether that was done.
+// Calls that a replica has taken when it is told to end get their answers: closing the server cut them off, as the end
+// of a node did with requests (docs/incidents/2026-12-03-upgrade.md). Whoever wrote would not know whether that was
+// done.
 func TestReplicaToldToEndAnswersWhatItHas(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -11,42 +11,48 @@
 	"hitchvale/internal/lograte"
 )
 
-// diskRetryLeast and diskRetryMost bound the wait after a failed write that has to be made, which doubles from one to the
-// other.
-const minRetryDelay, maxRetryDelay = 20 * time.Millisecond, 500 * time.Millisecond
+// The backoff between retries of a write that has to succeed, which doubles from the first to the second.
+const (
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+)
+
+// currentTermKey is the key under which raft saves its term. Raft panics if that write fails.
+const currentTermKey = "CurrentTerm"
 
-// diskStore lets raft outlive a disk that fails for a while. Raft panics where it can't save its term, and after a cut of its
-// log's end that is followed by a failed append it holds an entry for the last one that is not there.
+// retryingStore lets raft survive a disk that fails for a while. Without it raft panics if it can't save its term, and
+// after it truncates the tail of its log and then fails to append, it assumes a last entry that is not there.
 //
-// Those two writes are made again until they succeed. Meanwhile raft's main loop stands still, so the replica neither votes
-// nor leads: raft ceases to lead before it saves a newer term, and only a follower cuts its log. Every other write fails at
-// once: a vote is then not given, a leader steps down, a follower does not acknowledge.
+// Those two writes are retried until they succeed. Meanwhile raft's main loop is blocked, so that the replica neither
+// votes nor leads: raft steps down before it saves a newer term, and only a follower truncates the tail. Every other
+// write fails at once: the vote is not given, the leader steps down, the follower does not acknowledge.
 //
-// Any error of the store counts as one that may pass. Nothing is read anew after a failed sync: the store (bbolt) writes each
-// transaction to pages that no durable one refers to, and syncs them before it writes the page that refers to them. What a
-// failed transaction left in the cache is therefore never taken for written; it is overwritten by the next one.
+// Every error of the store counts as temporary. Nothing is read again after a failed sync: the store (bbolt) writes
+// each transaction to pages that no durable page refers to, and syncs them before it writes the page that refers to
+// them. So what a failed transaction left in the page cache is never taken for written, and the next transaction
+// overwrites it.
 type retryingStore struct {
 	raftStore
 	warnings *lograte.Limited
 	stopped  chan struct{}
 
 	mu             sync.Mutex
-	lastWriteError error // of the last write; nil: it succeeded
-	tailTruncated  bool  // the log's end has been cut and nothing appended since
+	lastWriteError error // nil if the last write succeeded
+	tailTruncated  bool  // the log's tail was truncated and nothing appended since
 }
 
 func newRetryingStore(s raftStore, log *slog.Logger) *retryingStore {
 	return &retryingStore{raftStore: s, warnings: &lograte.Limited{Log: log}, stopped: make(chan struct{})}
 }
 
-// failing is the error of the last write; nil where it succeeded.
+// lastError returns the error of the last write; nil if it succeeded.
 func (s *retryingStore) lastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastWriteError
 }
 
-// stop ends the writes that are still tried. It is called once, before raft is shut down.
+// stop ends retries. It is to be called once, before raft is shut down.
 func (s *retryingStore) stop() { close(s.stopped) }
 
 // StoreLog is part of raft.LogStore.
@@ -58,19 +64,19 @@
 	if !s.isTailTruncated() {
 		return s.writeOnce("append", write)
 	}
-	err := s.writeUntilSuccess("append after a cut", write)
+	err := s.writeUntilSuccess("append after truncation", write)
 	s.setTailTruncated(false)
 	return err
 }
 
-// DeleteRange is part of raft.LogStore. Raft cuts the log's start after a snapshot, which may fail, and its end where it
-// differs from the leader's.
+// DeleteRange is part of raft.LogStore. Raft truncates the log's head after a snapshot, which may fail, and its tail
+// where it differs from the leader's log.
 func (s *retryingStore) DeleteRange(from, to uint64) error {
 	last, err := s.raftStore.LastIndex()
 	if err != nil {
 		return err
 	}
-	if err := s.writeOnce("cut the log", func() error { return s.raftStore.DeleteRange(from, to) }); err != nil {
+	if err := s.writeOnce("truncate", func() error { return s.raftStore.DeleteRange(from, to) }); err != nil {
 		return err
 	}
 	if to >= last {
@@ -93,44 +99,41 @@
 	return s.writeOnce("save "+string(key), write)
 }
 
-// currentTermKey is the key under which raft saves its term, the one write whose failure it does not bear.
-const currentTermKey = "CurrentTerm"
-
 func (s *retryingStore) isTailTruncated() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tailTruncated
 }
 
-func (s *retryingStore) setTailTruncated(cut bool) {
+func (s *retryingStore) setTailTruncated(truncated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tailTruncated = cut
+	s.tailTruncated = truncated
 }
 
-// try makes a write once.
-func (s *retryingStore) writeOnce(what string, write func() error) error {
+// writeOnce makes a write, remembers its error and logs it. operation names the write in the log.
+func (s *retryingStore) writeOnce(operation string, write func() error) error {
 	err := write()
 	s.mu.Lock()
 	s.lastWriteError = err
 	s.mu.Unlock()
 	if err != nil {
-		s.warnings.Warn("the disk fails: out of votes and of leadership until it works", "write", what, "error", err)
+		s.warnings.Warn("raft store write failed", "operation", operation, "error", err)
 	}
 	return err
 }
 
-// insist makes a write until it succeeds. When the replica stops first it ends the goroutine of raft that asked: raft takes
-// an error here for the end of the process.
-func (s *retryingStore) writeUntilSuccess(what string, write func() error) error {
-	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
-		if s.writeOnce(what, write) == nil {
+// writeUntilSuccess retries a write until it succeeds. If the replica stops first, it ends raft's goroutine that called
+// it: raft would panic at an error.
+func (s *retryingStore) writeUntilSuccess(operation string, write func() error) error {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		if s.writeOnce(operation, write) == nil {
 			return nil
 		}
 		select {
 		case <-s.stopped:
 			runtime.Goexit()
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
 }
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -51,7 +51,8 @@
 	return s.disk.write(func() error { return s.raftStore.SetUint64(k, v) })
 }
 
-// writeMembers registers members at any replica that takes them, until as many have been acknowledged or the time is up.
+// writeMembers registers members at any replica that takes them, until as many have been acknowledged or the time is
+// up.
 func (c *cluster) writeMembers(t *testing.T, prefix string, want int, within time.Duration) (acknowledged []string) {
 	t.Helper()
 	for try, end := 0, time.Now().Add(within); len(acknowledged) < want && time.Now().Before(end); try++ {
@@ -86,7 +87,8 @@
 	return true
 }
 
-// Replicas whose disks fail one write in a few stay up; what they acknowledge is there afterwards, on every one of them.
+// Replicas whose disks fail one write in a few stay up; what they acknowledge is there afterwards, on every one of
+// them.
 func TestReplicasOutliveFailingDisks(t *testing.T) {
 	c := newCluster(t, 3)
 	c.leader(t)
@@ -106,8 +108,8 @@
 	}
 }
 
-// A replica that can't write keeps out of the way: it never serves a list that it can't keep up to date, and says why; the
-// others go on, and it comes back by itself.
+// A replica that can't write keeps out of the way: it never serves a list that it can't keep up to date, and says why;
+// the others go on, and it comes back by itself.
 func TestReplicaWithoutADiskServesNoStaleList(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
--- a/internal/registry/snapshotstore.go
+++ b/internal/registry/snapshotstore.go
@@ -16,55 +16,70 @@
 	"hitchvale/internal/durable"
 )
 
-// snapStore is raft's SnapshotStore over durable.Snapshots (docs/ROADMAP.md, "Recovery"): each raft snapshot is one
-// checksummed record at its log index, holding raft's meta (JSON, after its 4-byte length) and the state; a
-// snapshot counts as taken only once it and the manifest are durable; a damaged newest one is logged with file and
-// offset, and the one before it serves.
+const (
+	// SnapshotDir is the directory of the snapshots within a replica's data_dir.
+	SnapshotDir = "snap"
+
+	// retainedSnapshots is how many snapshots are kept: the newest, and one to fall back to if that is damaged.
+	retainedSnapshots = 2
+
+	// metaLengthBytes is the size of the big-endian length of raft's metadata that starts a snapshot's record.
+	metaLengthBytes = 4
+)
+
+// snapshotStore implements raft.SnapshotStore over durable.SnapshotStore. Each snapshot is one checksummed record at
+// its log index: the length of raft's metadata, the metadata in JSON, and the state. A snapshot counts as taken once
+// the record and the manifest are durable. If the newest one is damaged, the one before it is used.
 type snapshotStore struct {
 	files durable.SnapshotStore
 	log   *slog.Logger
 
-	// listed is the snapshot that List last read and verified, kept for the Open that raft makes of it next, so
-	// that a start reads and checks the snapshot once, not twice.
+	// The snapshot that List last read and verified, cached for the Open that raft calls next, so that a start does not
+	// read it twice.
 	mu          sync.Mutex
 	cachedMeta  *raft.SnapshotMeta
 	cachedState []byte
 }
 
-// SnapshotFolder is where a replica's snapshots live inside its data_dir.
-const SnapshotDir = "snap"
-
 func newSnapshotStore(dataDir string, log *slog.Logger) (*snapshotStore, error) {
 	dir := filepath.Join(dataDir, SnapshotDir)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("snapshots: %w", err)
 	}
-	return &snapshotStore{files: durable.SnapshotStore{FS: durable.OSFS{}, Dir: dir, Keep: 2}, log: log}, nil
+	files := durable.SnapshotStore{FS: durable.OSFS{}, Dir: dir, Keep: retainedSnapshots}
+	return &snapshotStore{files: files, log: log}, nil
 }
 
-func (s *snapshotStore) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration,
-	confIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
-	meta := raft.SnapshotMeta{Version: version, ID: snapshotFileName(index), Index: index, Term: term,
-		Configuration: conf, ConfigurationIndex: confIndex}
+// Create is part of raft.SnapshotStore.
+func (s *snapshotStore) Create(version raft.SnapshotVersion, index, term uint64, configuration raft.Configuration,
+	configurationIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
+	meta := raft.SnapshotMeta{
+		Version:            version,
+		ID:                 snapshotFileName(index),
+		Index:              index,
+		Term:               term,
+		Configuration:      configuration,
+		ConfigurationIndex: configurationIndex,
+	}
 	return &snapshotSink{store: s, meta: meta}, nil
 }
 
+// List is part of raft.SnapshotStore. It returns the newest snapshot that verifies, if there is one.
 func (s *snapshotStore) List() ([]*raft.SnapshotMeta, error) {
 	meta, state, err := s.readLatest()
 	if err != nil || meta == nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	s.cachedMeta, s.cachedState = meta, state
+	s.cachedMeta = meta
+	s.cachedState = state
 	s.mu.Unlock()
 	return []*raft.SnapshotMeta{meta}, nil
 }
 
+// Open is part of raft.SnapshotStore. It opens the newest snapshot that verifies and fails for any other.
 func (s *snapshotStore) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
-	s.mu.Lock()
-	meta, state := s.cachedMeta, s.cachedState
-	s.cachedMeta, s.cachedState = nil, nil
-	s.mu.Unlock()
+	meta, state := s.takeCached()
 	if meta != nil && meta.ID == id {
 		return meta, io.NopCloser(bytes.NewReader(state)), nil
 	}
@@ -78,55 +93,82 @@
 	return meta, io.NopCloser(bytes.NewReader(state)), nil
 }
 
-// latest reads the newest snapshot that verifies; nil meta where there is none yet.
+// takeCached returns the cached snapshot, nil if there is none, and drops it from the cache.
+func (s *snapshotStore) takeCached() (*raft.SnapshotMeta, []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	meta, state := s.cachedMeta, s.cachedState
+	s.cachedMeta = nil
+	s.cachedState = nil
+	return meta, state
+}
+
+// readLatest reads the newest snapshot that verifies. The metadata is nil if there is no snapshot yet.
 func (s *snapshotStore) readLatest() (*raft.SnapshotMeta, []byte, error) {
-	e, data, damage, err := s.files.Latest()
+	entry, record, damage, err := s.files.Latest()
 	for _, d := range damage {
-		s.log.Warn("snapshot damaged, an older one serves", "file", d.File, "offset", d.Offset, "reason", d.Reason)
+		s.log.Warn("snapshot damaged", "file", d.File, "offset", d.Offset, "reason", d.Reason)
 	}
-	if err != nil || e.File == "" {
+	if err != nil || entry.File == "" {
 		return nil, nil, err
 	}
-	return decodeSnapshotRecord(e.File, data)
+	return decodeSnapshotRecord(entry.File, record)
+}
+
+// encodeSnapshotRecord returns the record of a snapshot.
+func encodeSnapshotRecord(meta raft.SnapshotMeta, state []byte) ([]byte, error) {
+	text, err := json.Marshal(meta)
+	if err != nil {
+		return nil, err
+	}
+	record := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
+	record = append(record, text...)
+	return append(record, state...), nil
 }
 
-// splitSnapshot reads a record's meta and state.
-func decodeSnapshotRecord(file string, data []byte) (*raft.SnapshotMeta, []byte, error) {
-	if len(data) < 4 || int(binary.BigEndian.Uint32(data)) > len(data)-4 {
+// decodeSnapshotRecord returns the metadata and the state of a record.
+func decodeSnapshotRecord(file string, record []byte) (*raft.SnapshotMeta, []byte, error) {
+	if len(record) < metaLengthBytes {
+		return nil, nil, fmt.Errorf("snapshot %s: meta length beyond the record", file)
+	}
+	metaLength := int(binary.BigEndian.Uint32(record))
+	body := record[metaLengthBytes:]
+	if metaLength > len(body) {
 		return nil, nil, fmt.Errorf("snapshot %s: meta length beyond the record", file)
 	}
-	n := binary.BigEndian.Uint32(data)
 	var meta raft.SnapshotMeta
-	if err := json.Unmarshal(data[4:4+n], &meta); err != nil {
+	if err := json.Unmarshal(body[:metaLength], &meta); err != nil {
 		return nil, nil, fmt.Errorf("snapshot %s: meta: %w", file, err)
 	}
-	state := data[4+n:]
+	state := body[metaLength:]
 	meta.Size = int64(len(state))
 	return &meta, state, nil
 }
 
 func snapshotFileName(index uint64) string { return fmt.Sprintf("snap-%020d.bin", index) }
 
-// snapSink gathers raft's snapshot in memory (the registry's state is small beside it) and writes it on Close.
+// snapshotSink collects a snapshot in memory and stores it on Close. It implements raft.SnapshotSink.
 type snapshotSink struct {
 	store *snapshotStore
 	meta  raft.SnapshotMeta
-	buf   bytes.Buffer
+	state bytes.Buffer
 }
 
-func (k *snapshotSink) Write(p []byte) (int, error) { return k.buf.Write(p) }
+// Write is part of raft.SnapshotSink.
+func (k *snapshotSink) Write(p []byte) (int, error) { return k.state.Write(p) }
 
+// ID is part of raft.SnapshotSink.
 func (k *snapshotSink) ID() string { return k.meta.ID }
 
+// Cancel is part of raft.SnapshotSink. Nothing has been stored.
 func (k *snapshotSink) Cancel() error { return nil }
 
+// Close is part of raft.SnapshotSink. It stores the snapshot.
 func (k *snapshotSink) Close() error {
-	k.meta.Size = int64(k.buf.Len())
-	meta, err := json.Marshal(k.meta)
+	k.meta.Size = int64(k.state.Len())
+	record, err := encodeSnapshotRecord(k.meta, k.state.Bytes())
 	if err != nil {
 		return err
 	}
-	rec := binary.BigEndian.AppendUint32(nil, uint32(len(meta)))
-	rec = append(append(rec, meta...), k.buf.Bytes()...)
-	return k.store.files.Write(int64(k.meta.Index), rec)
+	return k.store.files.Write(int64(k.meta.Index), record)
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -117,9 +117,9 @@
 	return json.Marshal(image)
 }
 
-// Decode replaces the state by a snapshot's. A machine without a section starts empty. A snapshot of a newer version, or
-// with a section of a machine that this program does not have, is refused with ErrSnapshotUnreadable: to drop the section
-// would lose acknowledged writes.
+// Decode replaces the state by a snapshot's. A machine without a section starts empty. A snapshot of a newer version,
+// or with a section of a machine that this program does not have, is refused with ErrSnapshotUnreadable: to drop the
+// section would lose acknowledged writes.
 func (s *State) Decode(text []byte) error {
 	var image snapshotImage
 	if err := json.Unmarshal(text, &image); err != nil {
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -11,13 +11,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// This file connects raft to its peers and to the log.
-
-// streamLayer is raft's TCP stream layer over a listener that the caller opened (so a test may use port 0).
+// streamLayer is raft's TCP stream layer over a listener that the caller has opened. It implements raft.StreamLayer.
 type streamLayer struct {
 	net.Listener
-	localAddr  net.Addr // what peers are dialled from; nil: the system picks
-	advertised net.Addr // what peers dial
+	localAddr  net.Addr // that peers are dialled from; nil: the system chooses
+	advertised net.Addr // that peers dial
 }
 
 func newStreamLayer(cfg Config, ln net.Listener) streamLayer {
@@ -31,16 +29,19 @@
 	return s
 }
 
+// Addr returns the address that peers dial.
 func (s streamLayer) Addr() net.Addr { return s.advertised }
 
+// Dial is part of raft.StreamLayer.
 func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	return (&net.Dialer{Timeout: timeout, LocalAddr: s.localAddr}).Dial("tcp", string(addr))
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: s.localAddr}
+	return dialer.Dial("tcp", string(addr))
 }
 
-// raftLog passes raft's own lines (hclog, JSON) into the replica's logger, one record a line.
+// raftLogWriter passes raft's own log lines, which are JSON, to the replica's logger, one record a line.
 type raftLogWriter struct{ log *slog.Logger }
 
-func (w raftLogWriter) Write(p []byte) (int, error) {
-	w.log.Warn("raft", "line", json.RawMessage(bytes.TrimSpace(p)))
-	return len(p), nil
+func (w raftLogWriter) Write(line []byte) (int, error) {
+	w.log.Warn("raft", "line", json.RawMessage(bytes.TrimSpace(line)))
+	return len(line), nil
 }
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -12,8 +12,8 @@
 	"hitchvale/internal/fleet"
 )
 
-// viewPublisher holds the fleet's view while this replica leads: it collects the nodes' reports and compiles them into a
-// view once an interval. Neither is replicated.
+// viewPublisher holds the fleet's view while this replica leads: it collects the nodes' reports and compiles them into
+// a view once an interval. Neither is replicated.
 type viewPublisher struct {
 	interval   time.Duration
 	clockStart time.Time // the collector's times count from here
