--- a/internal/lab/starved.go
+++ b/internal/lab/starved.go
@@ -34,7 +34,7 @@
 }
 
 // run looks at the processes that it is told of until ctx ends.
-func (s *starvationLog) run(ctx context.Context, processes func() map[string][]int) {
+func (log *starvationLog) run(ctx context.Context, processes func() map[string][]int) {
 	waited := map[string]time.Duration{} // by the thread's file
 	tick := time.NewTicker(starvationInterval)
 	defer tick.Stop()
@@ -45,13 +45,13 @@
 		case <-tick.C:
 		}
 		for name, pids := range processes() {
-			s.sample(name, pids, waited)
+			log.sample(name, pids, waited)
 		}
 	}
 }
 
 // sample takes down how long the threads of a child's processes have waited since the last look.
-func (s *starvationLog) sample(name string, pids []int, waited map[string]time.Duration) {
+func (log *starvationLog) sample(name string, pids []int, waited map[string]time.Duration) {
 	var longest time.Duration
 	for _, pid := range pids {
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -66,9 +66,9 @@
 	if longest < minStarvation {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.found = append(s.found, starvation{Child: name, At: time.Now(), For: longest})
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	log.found = append(log.found, starvation{Child: name, At: time.Now(), For: longest})
 }
 
 // runDelay is how long a thread has waited for a processor in all.
@@ -86,8 +86,8 @@
 }
 
 // children is what was taken down.
-func (s *starvationLog) all() []starvation {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]starvation(nil), s.found...)
+func (log *starvationLog) all() []starvation {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return append([]starvation(nil), log.found...)
 }
