--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -11,18 +11,18 @@
 const (
 	// claimPort is the port of a block's first address that its run listens on, so that no other run takes the block.
 	claimPort = 9
-	// maxClaimAttempts bounds the search for a block that is free: there are 16,384.
+	// maxClaimAttempts bounds the search for a block that is free.
 	maxClaimAttempts = 256
-	// firstPort is the first port given out on each address of a block.
+	// firstPort is the first port allocated on each address of a block.
 	firstPort = 20000
-	// blockHosts is how many addresses of a block are given out (127.A.B.2 to 127.A.B.254).
+	// blockHosts is how many addresses of a block are allocated (127.A.B.2 to 127.A.B.254).
 	blockHosts = 253
 )
 
 // errNoBlock says that no block of loopback addresses was free.
 var errNoBlock = errors.New("no block of loopback addresses is free: end other runs of the lab")
 
-// addresses gives out loopback addresses that nothing else on this machine takes: a run claims a block 127.A.B.0/24
+// addresses allocates loopback addresses that nothing else on this machine takes: a run claims a block 127.A.B.0/24
 // (A from 64 to 127) by listening in it, and outgoing connections have 127.0.0.1 as their source. So a child may bind
 // its address later, and bind it again after a restart.
 type addresses struct {
@@ -34,6 +34,7 @@
 	next int
 }
 
+// claimAddresses claims a free block.
 func claimAddresses() (*addresses, error) {
 	for range maxClaimAttempts {
 		a, b := 64+rand.IntN(64), rand.IntN(256)
@@ -45,7 +46,7 @@
 	return nil, errNoBlock
 }
 
-// allocate gives a host and port of the block that were not given out before.
+// allocate returns a host and an address (host:port) of the block that were not allocated before.
 func (a *addresses) allocate() (host, addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- /dev/null
+++ b/internal/lab/fleetrun.go
@@ -0,0 +1,67 @@
+package lab
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+const (
+	// fleetFaultStream sets the draws of a fleet run's faults apart from others of the same seed.
+	fleetFaultStream = 0xf1ee7
+	// readerPollInterval is the time between two samples of a reader of the view.
+	readerPollInterval = 20 * time.Millisecond
+)
+
+// fleetRun is the experiment of the fleet's shared view: real nodes and replicas, faults between them, and samples of
+// what each reader of the view has.
+type fleetRun struct {
+	*loadRun
+	views *viewRecorder
+}
+
+// run starts the processes, samples all readers of the view while the faults are played, and writes the report.
+func (run *fleetRun) run(ctx context.Context) (Report, error) {
+	run.drained = map[string]time.Time{}
+	run.views = newViewRecorder()
+	if err := run.setUp(ctx); err != nil {
+		return Report{}, err
+	}
+	run.start = time.Now()
+	sampleCtx, stop := context.WithCancel(ctx)
+	var readers sync.WaitGroup
+	for i := range run.scenario.Nodes {
+		sample := func() error { return run.sampleNode(sampleCtx, i) }
+		readers.Go(func() { run.pollReader(sampleCtx, processName(roleNode, i), sample) })
+	}
+	for m := range run.registryAddr {
+		sample := func() error { return run.sampleReplica(sampleCtx, m) }
+		readers.Go(func() { run.pollReader(sampleCtx, processName(roleRegistry, m), sample) })
+	}
+	err := run.playFaults(ctx)
+	stop()
+	readers.Wait()
+	return run.report(err)
+}
+
+// report writes the checks and the timeline. playErr is the error of the faults' play.
+func (run *fleetRun) report(playErr error) (Report, error) {
+	settled := Check{Name: "every node is fresh in every view again after each fault"}
+	if playErr != nil {
+		settled.add(playErr.Error())
+	}
+	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.faultMarks, Starts: run.starts(),
+		Checks: append(run.views.checks(), settled.done())}
+	for _, check := range report.Checks {
+		report.Passed = report.Passed && check.OK
+	}
+	var columns []string
+	for i := range run.scenario.Nodes {
+		columns = append(columns, processName(roleNode, i))
+	}
+	var err error
+	if report.Timeline, err = run.drawTimeline(columns); err != nil {
+		return report, err
+	}
+	return report, report.Write(run.opts.Out)
+}
--- /dev/null
+++ b/internal/lab/idleconnections.go
@@ -0,0 +1,46 @@
+package lab
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// idleReconnectDelay is how long a client waits before it opens an idle connection again.
+const idleReconnectDelay = 500 * time.Millisecond
+
+// holdIdleConnections holds count connections to the node until ctx ends. Nothing is sent on most of them, and half a
+// head on every third.
+func (c *client) holdIdleConnections(ctx context.Context, count int) {
+	var connections sync.WaitGroup
+	for i := range count {
+		sendsHead := i%3 == 0
+		connections.Go(func() {
+			for ctx.Err() == nil {
+				c.holdIdleConnection(ctx, sendsHead)
+				select {
+				case <-ctx.Done():
+				case <-time.After(idleReconnectDelay):
+				}
+			}
+		})
+	}
+	connections.Wait()
+}
+
+// holdIdleConnection connects and stays connected until the node ends the connection.
+func (c *client) holdIdleConnection(ctx context.Context, sendsHead bool) {
+	conn, err := c.dial()
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	if sendsHead {
+		io.WriteString(conn, http.MethodGet+incompleteHead)
+	}
+	io.Copy(io.Discard, conn)
+}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -41,7 +41,7 @@
 	defer load.closeDiscovery()
 	switch {
 	case scenario.Maintenance != nil:
-		return runMaintenance(ctx, load)
+		return (&maintenanceRun{loadRun: load}).run(ctx)
 	case scenario.Fleet != nil:
 		return (&fleetRun{loadRun: load}).run(ctx)
 	}
--- /dev/null
+++ b/internal/lab/loadchecks.go
@@ -0,0 +1,79 @@
+package lab
+
+import (
+	"fmt"
+	"time"
+)
+
+// Verify checks the invariants of every load run.
+func Verify(h History) []Check {
+	return []Check{h.finalAnswers(), h.noDoubleEffect(), h.noAttemptAfterDrain()}
+}
+
+// finalAnswers checks that every request that a node accepted got its final response, unless a fault of the node's own
+// explains why not.
+func (h History) finalAnswers() Check {
+	check := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
+	for _, outcome := range h.Outcomes {
+		if h.unansweredAtKill(outcome) {
+			check.add(fmt.Sprintf("%s at node-%d: unanswered at the kill", outcome.Trace, outcome.Node))
+			continue
+		}
+		if !outcome.isUnanswered() {
+			continue
+		}
+		if reason := h.Excuse(outcome); reason != "" {
+			check.Excused++
+			check.Reasons[reason]++
+			continue
+		}
+		check.add(fmt.Sprintf("%s at node-%d: %s (fresh %v, resent %v): %s", outcome.Trace, outcome.Node, outcome.Kind,
+			outcome.FirstOnConnection, outcome.Resent, outcome.Error))
+	}
+	return check.done()
+}
+
+// noDoubleEffect checks that no request of the claim class was executed twice, and none that no client sent.
+func (h History) noDoubleEffect() Check {
+	check := Check{Name: "no request runs twice or unasked"}
+	classes := make(map[string]string, len(h.Outcomes))
+	for _, outcome := range h.Outcomes {
+		classes[outcome.Trace] = outcome.Class
+	}
+	executions := map[string]int{}
+	for _, execution := range h.Executions {
+		class, sent := classes[execution.Trace]
+		if !sent {
+			check.add(fmt.Sprintf("%s at %s: no client sent it", execution.Trace, execution.Backend))
+			continue
+		}
+		if class != classClaim {
+			continue
+		}
+		executions[execution.Trace]++
+		if executions[execution.Trace] == 2 {
+			check.add(fmt.Sprintf("%s: ran twice, again at %s", execution.Trace, execution.Backend))
+		}
+	}
+	return check.done()
+}
+
+// noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. A node
+// that had a fault meanwhile could not be notified, and is excused.
+func (h History) noAttemptAfterDrain() Check {
+	check := Check{Name: "nothing reaches a draining backend past the grace"}
+	nodes := h.nodes()
+	for _, execution := range h.Executions {
+		drainedAt, ok := h.DrainedAt[execution.Backend]
+		if !ok || execution.At <= drainedAt.Add(h.DrainGrace).UnixNano() {
+			continue
+		}
+		if node, sent := nodes[execution.Trace]; sent && h.inFaultWindow(node, drainedAt.UnixNano(), execution.At) {
+			check.Excused++
+			continue
+		}
+		check.add(fmt.Sprintf("%s at %s: %s after it was set draining", execution.Trace, execution.Backend,
+			time.Duration(execution.At-drainedAt.UnixNano()).Round(time.Millisecond)))
+	}
+	return check.done()
+}
--- /dev/null
+++ b/internal/lab/registryclient.go
@@ -0,0 +1,227 @@
+package lab
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+)
+
+// errNoLeaderToKill says that no replica leads.
+var errNoLeaderToKill = errors.New("no leader to kill")
+
+const (
+	// eventTimeout bounds the wait for an event that must come, on a busy machine too.
+	eventTimeout = 30 * time.Second
+	// electionTimeout bounds the wait for the registry to elect a leader.
+	electionTimeout = 20 * time.Second
+	// acknowledgeTimeout bounds the wait for a write to be acknowledged.
+	acknowledgeTimeout = 10 * time.Second
+	// registryCallTimeout bounds one call of a replica.
+	registryCallTimeout = 2 * time.Second
+	// registryRetryInterval is the time between two calls of the registry that are repeated until one succeeds.
+	registryRetryInterval = 50 * time.Millisecond
+)
+
+// statusError is an answer other than 2xx.
+type statusError struct {
+	status int
+	text   string
+}
+
+// Error names the call, its status and its body.
+func (e *statusError) Error() string { return e.text }
+
+// registryCall makes one call of a replica and decodes a 2xx answer into out; another answer is a *statusError.
+func (cluster *cluster) registryCall(ctx context.Context, method, addr, path string, body, out any) error {
+	var reader io.Reader
+	if body != nil {
+		text, err := json.Marshal(body)
+		if err != nil {
+			return err
+		}
+		reader = bytes.NewReader(text)
+	}
+	ctx, cancel := context.WithTimeout(ctx, registryCallTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, reader)
+	if err != nil {
+		return err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, 8<<20))
+	if response.StatusCode/100 != 2 {
+		return &statusError{status: response.StatusCode, text: fmt.Sprintf("%s %s at %s: %d %s", method, path, addr,
+			response.StatusCode, bytes.TrimSpace(text))}
+	}
+	if out == nil {
+		return nil
+	}
+	return json.Unmarshal(text, out)
+}
+
+// callAnyReplica calls one replica after the other until one answers, for eventTimeout at most; an answer other than
+// 503 is final.
+func (cluster *cluster) callAnyReplica(ctx context.Context, method, path string, body, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, eventTimeout)
+	defer cancel()
+	var last error
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		addr := cluster.registryAddr[attempt%len(cluster.registryAddr)]
+		last = cluster.registryCall(ctx, method, addr, path, body, out)
+		var rejected *statusError
+		if last == nil || errors.As(last, &rejected) && rejected.status != http.StatusServiceUnavailable {
+			return last
+		}
+		sleepUntil(ctx, time.Now().Add(registryRetryInterval))
+	}
+	return fmt.Errorf("no replica answered: %w", last)
+}
+
+// ack is a write that the registry acknowledged, to be found in its list at the end.
+type ack struct {
+	ID       string
+	Phase    string
+	Revision int64
+}
+
+// registryWrite sends a write to one replica after the other until one acknowledges it, for acknowledgeTimeout at most.
+// It records the acknowledged write for checkAcks and returns its revision.
+func (cluster *cluster) registryWrite(ctx context.Context, method, path string, body any, write ack) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
+	defer cancel()
+	var last error
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		addr := cluster.registryAddr[attempt%len(cluster.registryAddr)]
+		var answer struct {
+			Revision int64 `json:"revision"`
+		}
+		if last = cluster.registryCall(ctx, method, addr, path, body, &answer); last == nil {
+			write.Revision = answer.Revision
+			cluster.mu.Lock()
+			cluster.acks = append(cluster.acks, write)
+			cluster.mu.Unlock()
+			return answer.Revision, nil
+		}
+		time.Sleep(registryRetryInterval)
+	}
+	return 0, fmt.Errorf("not acknowledged: %w", last)
+}
+
+// registerBackends lists every backend in the registry, each at its proxy.
+func (cluster *cluster) registerBackends(ctx context.Context, members []Member) error {
+	for _, member := range members {
+		body := map[string]any{"member": member}
+		write := ack{ID: member.ID, Phase: member.Phase}
+		if _, err := cluster.registryWrite(ctx, http.MethodPost, "/registry/members", body, write); err != nil {
+			return fmt.Errorf("registering %s: %w", member.ID, err)
+		}
+	}
+	return nil
+}
+
+// leads tells whether a replica says that it is the leader.
+func (cluster *cluster) leads(ctx context.Context, addr string) bool {
+	var status struct {
+		State string `json:"state"`
+	}
+	err := cluster.registryCall(ctx, http.MethodGet, addr, registryStatusPath, nil, &status)
+	return err == nil && status.State == "Leader"
+}
+
+// waitLeader waits until some replica says that it leads, for electionTimeout at most.
+func (cluster *cluster) waitLeader(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, electionTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		for _, addr := range cluster.registryAddr {
+			if cluster.leads(ctx, addr) {
+				return nil
+			}
+		}
+		time.Sleep(registryRetryInterval)
+	}
+	return fmt.Errorf("the registry elected no leader in %s", electionTimeout)
+}
+
+// leaderIndex is the number of the replica that leads, once there is one; -1 after electionTimeout.
+func (cluster *cluster) leaderIndex(ctx context.Context) int {
+	if cluster.waitLeader(ctx) != nil {
+		return -1
+	}
+	for m, addr := range cluster.registryAddr {
+		if cluster.leads(ctx, addr) {
+			return m
+		}
+	}
+	return -1
+}
+
+// restartAfterElection kills a replica, waits for a leader among the others, and starts it again on its data.
+func (cluster *cluster) restartAfterElection(ctx context.Context, m int) error {
+	process := cluster.processes[roleRegistry][m]
+	process.Kill()
+	if err := cluster.waitLeader(ctx); err != nil {
+		return err
+	}
+	if err := process.Start(cluster.spawner); err != nil {
+		return err
+	}
+	return waitReady(ctx, process, cluster.registryAddr[m], registryStatusPath)
+}
+
+// registryList is the list of members as a replica has it.
+type registryList struct {
+	Revision int64    `json:"revision"`
+	Members  []Member `json:"members"`
+}
+
+// newestList reads the list of the replica with the highest revision.
+func (cluster *cluster) newestList(ctx context.Context) registryList {
+	var newest registryList
+	for _, addr := range cluster.registryAddr {
+		var list registryList
+		err := cluster.registryCall(ctx, http.MethodGet, addr, "/registry/instances", nil, &list)
+		if err == nil && list.Revision >= newest.Revision {
+			newest = list
+		}
+	}
+	return newest
+}
+
+// checkAcks checks that every acknowledged write is in the newest list: the member in the phase acknowledged last, at a
+// revision no lower than the write's.
+func (cluster *cluster) checkAcks(ctx context.Context) Check {
+	check := Check{Name: "no acknowledged registry write is lost"}
+	if len(cluster.registryAddr) == 0 {
+		return check.done()
+	}
+	if err := cluster.waitLeader(ctx); err != nil {
+		check.add(err.Error())
+		return check.done()
+	}
+	list := cluster.newestList(ctx)
+	phases := map[string]string{}
+	for _, member := range list.Members {
+		phases[member.ID] = member.Phase
+	}
+	lastWrites := map[string]ack{}
+	for _, write := range cluster.acks {
+		lastWrites[write.ID] = write
+	}
+	for id, write := range lastWrites {
+		if phases[id] != write.Phase || list.Revision < write.Revision {
+			check.add(fmt.Sprintf("%s: acknowledged %s at revision %d; the list at %d has %q", id, write.Phase,
+				write.Revision, list.Revision, phases[id]))
+		}
+	}
+	return check.done()
+}
--- a/internal/lab/timelinelog.go
+++ b/internal/lab/timelinelog.go
@@ -10,29 +10,29 @@
 	"hitchvale/internal/timeline"
 )
 
-// timelineLog is what a run takes down for its timeline.
+// timelineLog records a run's timeline.
 type timelineLog struct {
 	mu       sync.Mutex
 	events   []timeline.Event
-	lastText map[string]string // by column: what say put there last
+	lastText map[string]string // by column: what recordChange added there last
 }
 
-// recordEvent adds to a column of the timeline.
-func (cluster *cluster) recordEvent(who, format string, args ...any) {
+// recordEvent adds an event to a column of the timeline.
+func (cluster *cluster) recordEvent(column, format string, args ...any) {
 	cluster.timelineLog.mu.Lock()
 	defer cluster.timelineLog.mu.Unlock()
 	cluster.timelineLog.events = append(cluster.timelineLog.events,
-		timeline.Event{At: time.Since(cluster.start), Process: who, Text: fmt.Sprintf(format, args...)})
+		timeline.Event{At: time.Since(cluster.start), Process: column, Text: fmt.Sprintf(format, args...)})
 }
 
-// recordChange adds to a column where it has something new to say.
-func (cluster *cluster) recordChange(who, text string) {
+// recordChange adds a text to a column where it differs from the last one there.
+func (cluster *cluster) recordChange(column, text string) {
 	cluster.timelineLog.mu.Lock()
-	changed := cluster.timelineLog.lastText[who] != text
-	cluster.timelineLog.lastText[who] = text
+	changed := cluster.timelineLog.lastText[column] != text
+	cluster.timelineLog.lastText[column] = text
 	cluster.timelineLog.mu.Unlock()
 	if changed {
-		cluster.recordEvent(who, "%s", text)
+		cluster.recordEvent(column, "%s", text)
 	}
 }
 
@@ -42,7 +42,7 @@
 	cluster.recordEvent(timeline.Faults, "%s %s", kind, strings.Join(targets, " "))
 }
 
-// drawTimeline draws the timeline into the run's folder, and gives it.
+// drawTimeline draws the timeline into the run's folder, and returns it.
 func (cluster *cluster) drawTimeline(columns []string) (string, error) {
 	text := timeline.Draw(columns, cluster.timelineLog.events)
 	return text, os.WriteFile(cluster.path("timeline.txt"), []byte(text), 0o644)
