--- a/balance/admission.go
+++ b/balance/admission.go
@@ -15,8 +15,8 @@
 	queueBudgetRatePerSecond = 2.0
 	// maxQueueBudgetStep is the largest change by one answer, as a fraction of the budget.
 	maxQueueBudgetStep = 0.1
-	// answersPerLateOne is the number of answers among which one late answer leaves the budget as it is.
-	answersPerLateOne = 20
+	// answersPerLateAnswer is the number of answers among which one late answer leaves the budget as it is.
+	answersPerLateAnswer = 20
 )
 
 // queueBudget is the fraction of the latency slack that queues may take up. It falls with answers that a queue made
@@ -43,7 +43,7 @@
 	case status == StatusTimedOut || status == StatusSucceeded && late > 0 && late.Seconds() <= queuedSeconds:
 		q.fraction -= step
 	case status == StatusSucceeded && late <= 0:
-		q.fraction += step / answersPerLateOne
+		q.fraction += step / answersPerLateAnswer
 	}
 	q.fraction = min(max(q.fraction, minQueueBudget), maxQueueBudget)
 }
@@ -62,10 +62,11 @@
 	}
 }
 
-// showsQueueing reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint that
-// gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue explains.
-func (b *Balancer) showsQueueing(a *attempt, ev *AttemptEnded) bool {
-	return ev.Status != StatusTimedOut || a.endpoint.lastSignOfLife > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
+// mayAdjustQueueBudget reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint
+// that gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue
+// explains.
+func (b *Balancer) mayAdjustQueueBudget(a *attempt, ev *AttemptEnded) bool {
+	return ev.Status != StatusTimedOut || a.endpoint.lastActivityAt > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
 }
 
 // slackSeconds is the longest wait that still lets an average request be answered within its latency objective.
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -31,7 +31,7 @@
 
 	failureRate    float64
 	outlier        bool          // traffic is withheld, as logged
-	lastSignOfLife time.Duration // its last sign of life, or the send since when something is in flight
+	lastActivityAt time.Duration // its last activity, or the send since when something is in flight
 
 	knownSince             time.Duration // when this node learned of its process
 	slowStartCreditSeconds float64       // work that may be sent to it in this window of slow start
@@ -51,7 +51,7 @@
 	e.meanLatencySeconds = 0
 	e.failureRate = 0
 	e.outlier = false
-	e.lastSignOfLife = now
+	e.lastActivityAt = now
 }
 
 // inService reports whether an endpoint may get requests: it is listed as ready, and not cordoned.
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -10,9 +10,9 @@
 	// maxHealthChecksPerTick is the most health checks in a tick: nodes that choose among a few random endpoints don't
 	// all choose the same one.
 	maxHealthChecksPerTick = 3
-	// healthCheckSpend is what the health checks of an arrival may cost, in the unit of Prices: with dear ones only some
-	// arrivals check.
-	healthCheckSpend = 0.004
+	// healthCheckBudgetPerArrival is what the health checks of an arrival may cost, in the unit of Prices: with dear
+	// ones only some arrivals check.
+	healthCheckBudgetPerArrival = 0.004
 	// minHealthCheckPrice avoids a division by zero where health checks are free.
 	minHealthCheckPrice = 1e-9
 	// maxCheckWaitFraction is the fraction of its latency objective for which a request may wait for health checks.
@@ -34,7 +34,7 @@
 // earn adds what an arrival pays for. A node that has not yet checked as many times as it has endpoints checks at each
 // arrival: it knows nothing.
 func (h *healthChecks) earn(price float64, endpoints int) {
-	perArrival := min(maxHealthChecksPerTick, healthCheckSpend/max(price, minHealthCheckPrice))
+	perArrival := min(maxHealthChecksPerTick, healthCheckBudgetPerArrival/max(price, minHealthCheckPrice))
 	if h.sent < float64(endpoints) {
 		perArrival = max(perArrival, 1)
 	}
@@ -76,12 +76,12 @@
 // would show nothing good.
 func (b *Balancer) stopAwaitingChecks(r *request) {
 	if slices.Contains(b.awaitingChecks, r) {
-		b.placeAwaiting()
+		b.placeWaitingRequests()
 	}
 }
 
-// placeAwaiting places the requests that wait for health checks.
-func (b *Balancer) placeAwaiting() {
+// placeWaitingRequests places the requests that wait for health checks.
+func (b *Balancer) placeWaitingRequests() {
 	waiting := slices.DeleteFunc(b.awaitingChecks, func(r *request) bool { return r.finished })
 	b.awaitingChecks = nil
 	b.healthChecks.awaited = 0
@@ -96,13 +96,13 @@
 	if e := b.endpoints[ev.Endpoint]; e != nil {
 		b.handleLoadReport(e, ev.Load)
 		if ev.Status == StatusSucceeded {
-			e.lastSignOfLife = b.now
+			e.lastActivityAt = b.now
 		}
 		b.repeatHealthCheck(e)
 	}
 	b.healthChecks.awaited--
 	if b.healthChecks.awaited <= 0 {
-		b.placeAwaiting()
+		b.placeWaitingRequests()
 	}
 }
 
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 		// Two arrivals in each of 1000 ticks, and at most probesPerTick checks in each.
-		want := int(min(1000*maxHealthChecksPerTick, 2000*healthCheckSpend/max(price, 1e-9)))
+		want := int(min(1000*maxHealthChecksPerTick, 2000*healthCheckBudgetPerArrival/max(price, 1e-9)))
 		if checks < want*9/10 || checks > want*11/10+1 || len(seen) != 3 {
 			t.Errorf("price %v: %d checks of %d endpoints, want %d", price, checks, len(seen), want)
 		}
@@ -75,7 +75,7 @@
 // dear health check is due: until it has checked as many times as it has endpoints, each arrival checks.
 func TestNewNodeChecksAtEachArrival(t *testing.T) {
 	cfg := testConfig()
-	cfg.Prices.HealthCheck = 1000 * healthCheckSpend
+	cfg.Prices.HealthCheck = 1000 * healthCheckBudgetPerArrival
 	members := make([]Endpoint, 5)
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -15,8 +15,8 @@
 	// maxWorkHintMultiple: an answer that took more than this multiple of its work hint met a queue, though none was
 	// estimated: estimates are old in a large fleet.
 	maxWorkHintMultiple = 2.0
-	// rareAnswerSeconds: an answer weighs as much as the time since the endpoint's last one has of this.
-	rareAnswerSeconds = 2.0
+	// answerTimeConstantSeconds: an answer weighs as much as the time since the endpoint's last one has of this.
+	answerTimeConstantSeconds = 2.0
 	// serviceTimeRecovery is how far an endpoint without answers goes back to the mean service time, a window.
 	serviceTimeRecovery = 0.3
 	// initialServiceObjectives is the service time and unloaded latency before the first answer, in mean objectives.
@@ -70,8 +70,8 @@
 	return unloaded.value()
 }
 
-// learnService adds an answer of any endpoint.
-func (l *latencyStats) learnService(weight, seconds, queueAtArrival float64) {
+// addAnswer adds an answer of any endpoint.
+func (l *latencyStats) addAnswer(weight, seconds, queueAtArrival float64) {
 	l.answers++
 	weight = max(weight, 1/l.answers)
 	l.meanLatencySeconds += weight * (seconds - l.meanLatencySeconds)
@@ -83,10 +83,11 @@
 	l.meanServiceSeconds = l.meanLatencySeconds / (l.meanQueueAtArrival + 1)
 }
 
-// learnUnloaded adds the latency of an answer, if it met no queue. Overloaded endpoints drain while the node rejects
-// early, and then show that they are fast, slow ones that they are slow: nothing else distinguishes the two. Until an
-// answer meets no queue the work hint stands for it: a node that starts among queues must not take them for the work.
-func (c *classStats) learnUnloaded(queueAtSend, seconds, hintSeconds float64) {
+// updateUnloadedLatency adds the latency of an answer, if it met no queue. Overloaded endpoints drain while the node
+// rejects early, and then show that they are fast, slow ones that they are slow: nothing else distinguishes the two.
+// Until an answer meets no queue the work hint stands for it: a node that starts among queues must not take them for
+// the work.
+func (c *classStats) updateUnloadedLatency(queueAtSend, seconds, hintSeconds float64) {
 	weight := unloadedSampleWeight
 	queued := queueAtSend > maxUnloadedQueue || hintSeconds > 0 && seconds > maxWorkHintMultiple*hintSeconds
 	switch {
@@ -102,27 +103,27 @@
 	c.unloadedSeconds += max(weight, 1/c.samples) * (seconds - c.unloadedSeconds)
 }
 
-// learnServiceTime adds the latency of an answer, relative to the unloaded latency of its class, and the queue that it
+// updateServiceTime adds the latency of an answer, relative to the unloaded latency of its class, and the queue that it
 // met.
-func (b *Balancer) learnServiceTime(e *endpointState, r *request, a *attempt, elapsed time.Duration) {
+func (b *Balancer) updateServiceTime(e *endpointState, r *request, a *attempt, elapsed time.Duration) {
 	if r.stats.unloadedSeconds == 0 {
 		return
 	}
 	seconds := elapsed.Seconds() / r.stats.unloadedSeconds * b.latency.meanUnloadedSeconds() * b.slowStartFraction(e)
-	weight := e.learnService(b.now, b.latency.meanServiceSeconds, seconds, a.queueAtSend)
-	b.latency.learnService(weight/float64(len(b.usable)+1), seconds, a.queueAtSend)
+	weight := e.addAnswer(b.now, b.latency.meanServiceSeconds, seconds, a.queueAtSend)
+	b.latency.addAnswer(weight/float64(len(b.usable)+1), seconds, a.queueAtSend)
 }
 
-// learnService adds an answer and returns its weight. An answer out of a long queue weighs more in the service time: a
+// addAnswer adds an answer and returns its weight. An answer out of a long queue weighs more in the service time: a
 // short queue is no load to an endpoint of many cores.
-func (e *endpointState) learnService(now time.Duration, fleetServiceSeconds, seconds, queue float64) (weight float64) {
+func (e *endpointState) addAnswer(now time.Duration, fleetServiceSeconds, seconds, queue float64) (weight float64) {
 	if e.meanLatencySeconds == 0 {
 		e.meanLatencySeconds = fleetServiceSeconds * (queue + 1)
 		e.meanQueueAtArrival = queue
 	}
 	weight = min(sampleWeight*(queue+1)/(e.meanQueueAtArrival+1), 1)
 	if e.lastAnswerAt > 0 {
-		weight = max(weight, 1-math.Exp(-(now-e.lastAnswerAt).Seconds()/rareAnswerSeconds))
+		weight = max(weight, 1-math.Exp(-(now-e.lastAnswerAt).Seconds()/answerTimeConstantSeconds))
 	}
 	e.lastAnswerAt = now
 	e.meanLatencySeconds += weight * (seconds - e.meanLatencySeconds)
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -13,7 +13,7 @@
 	r.serve(100, idempotent, in20ms)
 	e := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
-		r.b.learnServiceTime(e, r.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
+		r.b.updateServiceTime(e, r.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
 	}
 	if starting, peer := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); starting < 2*peer {
 		t.Errorf("service time %v in slow start, %v at a warm endpoint", starting, peer)
@@ -131,7 +131,7 @@
 	was := r.b.warmServiceSeconds(e)
 	req := r.request(idempotent, 0)
 	for range 3 {
-		r.b.learnServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
+		r.b.updateServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
 	}
 	if is := r.b.warmServiceSeconds(e); is > was/4 {
 		t.Errorf("service time %v, then %v after three answers as fast behind twelve others", was, is)
@@ -147,7 +147,7 @@
 	was, req := e.meanLatencySeconds, r.request(idempotent, 0)
 	for range 6 { // in three seconds
 		r.b.now += 500 * ms
-		r.b.learnServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
+		r.b.updateServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
 	}
 	if e.meanLatencySeconds < was+70e-3 {
 		t.Errorf("the time of an answer went from %.3f to %.3f s in three seconds of 0.120 s", was, e.meanLatencySeconds)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -23,7 +23,7 @@
 	meanFailureRate float64
 }
 
-func (o *outliers) learn(failureRate float64, endpoints int) {
+func (o *outliers) updateMeanFailureRate(failureRate float64, endpoints int) {
 	o.meanFailureRate += failureWeight * (failureRate - o.meanFailureRate) / float64(endpoints+1)
 }
 
@@ -31,20 +31,20 @@
 
 func (e *endpointState) countSuccess() { e.failureRate -= failureWeight * e.failureRate }
 
-func (e *endpointState) fadeFailureRate() { e.failureRate -= failureRateDecay * e.failureRate }
+func (e *endpointState) decayFailureRate() { e.failureRate -= failureRateDecay * e.failureRate }
 
 // failureCostSeconds is the time that an endpoint's failures cost, beyond those that all endpoints have.
 func (b *Balancer) failureCostSeconds(e *endpointState) float64 {
 	return max(0, e.failureRate-b.outliers.meanFailureRate) * failureCostObjectives * b.latency.meanObjectiveSeconds
 }
 
-// silenceSeconds is how long an endpoint has owed this node an answer without a sign of life. One that hangs has a
+// unresponsiveSeconds is how long an endpoint has owed this node an answer without a sign of life. One that hangs has a
 // bearable queue while it takes everything sent to it.
-func (b *Balancer) silenceSeconds(e *endpointState) float64 {
+func (b *Balancer) unresponsiveSeconds(e *endpointState) float64 {
 	if e.inFlight == 0 {
 		return 0
 	}
-	return (b.now - e.lastSignOfLife).Seconds()
+	return (b.now - e.lastActivityAt).Seconds()
 }
 
 // recordOutcome keeps an endpoint's failure rate, by this node's own attempts: an endpoint that fails fast looks idle
@@ -53,11 +53,11 @@
 	switch status {
 	case StatusSucceeded, StatusRejected:
 		e.countSuccess()
-		e.lastSignOfLife = b.now
+		e.lastActivityAt = b.now
 	case StatusTimedOut:
 		b.recordTimeout(e, a, elapsed)
 	case StatusApplicationError, StatusConnectionLost, StatusNotDelivered:
-		e.lastSignOfLife = b.now
+		e.lastActivityAt = b.now
 		e.countFailure()
 	}
 }
@@ -66,7 +66,7 @@
 func (b *Balancer) recordTimeout(e *endpointState, a *attempt, elapsed time.Duration) {
 	switch {
 	case a.lost: // counted by checkLoss
-	case e.inFlight == 0 && e.lastSignOfLife <= a.sentAt:
+	case e.inFlight == 0 && e.lastActivityAt <= a.sentAt:
 		e.failureRate = 1 // nothing came back at all
 	case b.isLost(a, elapsed):
 		e.countFailure()
@@ -75,7 +75,7 @@
 
 // updateOutlier compares an endpoint's failure rate with that of all, and logs when traffic is withheld.
 func (b *Balancer) updateOutlier(e *endpointState) {
-	b.outliers.learn(e.failureRate, len(b.usable))
+	b.outliers.updateMeanFailureRate(e.failureRate, len(b.usable))
 	switch {
 	case !e.outlier && e.failureRate > outlierFailureRate:
 		e.outlier = true
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -82,7 +82,7 @@
 	r.serve(1, idempotent, in20ms)
 	r.endAttempt("lost", 0, 1, StatusTimedOut)
 	r.advance(time.Minute)
-	if s := r.b.silenceSeconds(r.b.endpoints[1]); s != 0 {
+	if s := r.b.unresponsiveSeconds(r.b.endpoints[1]); s != 0 {
 		t.Errorf("%v s of silence with nothing out", s)
 	}
 }
--- a/balance/priority.go
+++ b/balance/priority.go
@@ -32,7 +32,7 @@
 	return r.class.PriorityWeight * b.latency.meanUnloadedSeconds() / work
 }
 
-func (b *Balancer) learnPriority(r *request) {
+func (b *Balancer) updateMeanPriority(r *request) {
 	b.meanPriority = cmp.Or(b.meanPriority, b.priority(r))
 	b.meanPriority += prioritySampleWeight * (b.priority(r) - b.meanPriority)
 }
--- a/balance/probeadmission.go
+++ b/balance/probeadmission.go
@@ -15,8 +15,8 @@
 	interval float64 // rejected requests for one probe admission
 }
 
-// take counts a request that would be rejected, and tells whether it is forwarded all the same.
-func (p *probeAdmission) take() bool {
+// admit counts a request that would be rejected, and tells whether it is forwarded all the same.
+func (p *probeAdmission) admit() bool {
 	p.rejected++
 	if p.rejected < p.interval {
 		return false
@@ -37,14 +37,14 @@
 	switch {
 	case r.probeBoundSeconds == 0 || // no probe admission
 		ev.Attempt > 0 || ev.Status == StatusCancelled:
-	case ev.Status == StatusSucceeded && b.queuedLess(ev.Elapsed, r):
+	case ev.Status == StatusSucceeded && b.waitedLessThanBound(ev.Elapsed, r):
 		b.probeAdmission.rejectionWasWrong()
 	default:
 		b.probeAdmission.rejectionWasRight()
 	}
 }
 
-// queuedLess reports whether an attempt of a probe admission spent less time in a queue than its bound.
-func (b *Balancer) queuedLess(elapsed time.Duration, r *request) bool {
+// waitedLessThanBound reports whether an attempt of a probe admission spent less time in a queue than its bound.
+func (b *Balancer) waitedLessThanBound(elapsed time.Duration, r *request) bool {
 	return elapsed.Seconds()-b.workSeconds(r) < r.probeBoundSeconds
 }
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -39,15 +39,15 @@
 func (b *Balancer) countInFlight(r *request) {
 	a := r.lastAttempt()
 	if a.endpoint.inFlight == 0 {
-		a.endpoint.lastSignOfLife = b.now
+		a.endpoint.lastActivityAt = b.now
 	}
 	a.endpoint.inFlight++
 	b.scheduleLossCheck(r)
 }
 
-// keepQueuePlace counts an attempt that has ended where its endpoint may still have it, or has not accepted it, until
-// a report comes or the count fades: else an endpoint that fails fast would look idle.
-func (b *Balancer) keepQueuePlace(a *attempt, ev *AttemptEnded) {
+// countAbandonedOrUnaccepted counts an attempt that has ended where its endpoint may still have it, or has not accepted
+// it, until a report comes or the count fades: else an endpoint that fails fast would look idle.
+func (b *Balancer) countAbandonedOrUnaccepted(a *attempt, ev *AttemptEnded) {
 	gaveUp := ev.Status == StatusTimedOut || ev.Status == StatusCancelled
 	switch {
 	case ev.Status == StatusSucceeded, ev.Status == StatusNotSent:
@@ -58,8 +58,8 @@
 	}
 }
 
-// fadeQueuePlaces is due once a window: a report may be long in coming, or never come.
-func (e *endpointState) fadeQueuePlaces() {
+// decayAbandonedAndUnaccepted is due once a window: a report may be long in coming, or never come.
+func (e *endpointState) decayAbandonedAndUnaccepted() {
 	e.unaccepted -= unacceptedDecay * e.unaccepted
 	e.abandoned -= abandonedDecay * e.abandoned
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -72,7 +72,7 @@
 		b.setTimer(ev.TimeLeft, timer{kind: requestDeadline, request: r})
 	}
 	b.sendHealthChecks()
-	b.learnPriority(r)
+	b.updateMeanPriority(r)
 	if !b.awaitChecks(r, ev.TimeLeft) {
 		b.place(r)
 	}
@@ -102,7 +102,7 @@
 		return nil
 	}
 	e := b.selectEndpoint(r, b.maxWaitSeconds(r))
-	if e == nil && len(r.attempts) == 0 && b.probeAdmission.take() {
+	if e == nil && len(r.attempts) == 0 && b.probeAdmission.admit() {
 		r.probeBoundSeconds = b.maxWaitSeconds(r)
 		e = b.selectEndpoint(r, math.Inf(1))
 	}
@@ -193,8 +193,8 @@
 // learnFrom updates the state of the attempt's endpoint, and the estimates, by how the attempt ended.
 func (b *Balancer) learnFrom(r *request, a *attempt, ev *AttemptEnded) {
 	e := a.endpoint
-	b.keepQueuePlace(a, ev)
-	if !a.incomplete && b.showsQueueing(a, ev) {
+	b.countAbandonedOrUnaccepted(a, ev)
+	if !a.incomplete && b.mayAdjustQueueBudget(a, ev) {
 		b.adjustQueueBudget(ev.Status, b.now-r.arrived-r.class.LatencyObjective, a.waitAtSendSeconds)
 	}
 	b.recordProbeAdmission(r, ev)
@@ -202,9 +202,9 @@
 	b.updateOutlier(e)
 	b.handleLoadReport(e, ev.Load)
 	if ev.Status == StatusSucceeded && !a.incomplete {
-		r.stats.learnUnloaded(a.queueAtSend, ev.Elapsed.Seconds(), r.workHint.Seconds())
+		r.stats.updateUnloadedLatency(a.queueAtSend, ev.Elapsed.Seconds(), r.workHint.Seconds())
 		e.servedWorkSeconds += b.workSeconds(r)
-		b.learnServiceTime(e, r, a, ev.Elapsed)
+		b.updateServiceTime(e, r, a, ev.Elapsed)
 	}
 }
 
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -27,7 +27,7 @@
 // While a request comes in its endpoint has no more to do, and its time has not begun.
 func TestIncompleteRequestCountsFromItsLastByte(t *testing.T) {
 	b, e := withIncompleteRequest(t)
-	if e.inFlight != 0 || b.silenceSeconds(e) != 0 {
+	if e.inFlight != 0 || b.unresponsiveSeconds(e) != 0 {
 		t.Errorf("in flight %v", e.inFlight)
 	}
 	at := 9 * time.Second // far beyond what its client waits
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -1,14 +1,14 @@
 package balance
 
 const (
-	// crossZoneObjectives is the wait, in mean latency objectives, that costs as much as a request's full priority
+	// crossZoneCostObjectives is the wait, in mean latency objectives, that costs as much as a request's full priority
 	// weight.
-	crossZoneObjectives = 1.5
+	crossZoneCostObjectives = 1.5
 	// maxIdleQueue is the largest queue estimate at which an endpoint counts as idle: it makes nobody wait, however
 	// slow it has become.
 	maxIdleQueue = 0.1
-	// silenceQueues: a silence costs what it lasts beyond this multiple of what the queue should take.
-	silenceQueues = 2
+	// toleratedUnresponsiveMultiple: a silence costs what it lasts beyond this multiple of what the queue should take.
+	toleratedUnresponsiveMultiple = 2
 	// maxUsefulFailureRate is the failure rate from which a rejection does more good than an attempt: an endpoint that
 	// serves about half of what it gets is better than a rejection.
 	maxUsefulFailureRate = 0.6
@@ -54,7 +54,7 @@
 // and crossing zones cost.
 func (b *Balancer) costSeconds(e *endpointState) float64 {
 	queue := (b.queueEstimate(e) + 1) * b.serviceSeconds(e)
-	silence := max(0, b.silenceSeconds(e)-silenceQueues*queue)
+	silence := max(0, b.unresponsiveSeconds(e)-toleratedUnresponsiveMultiple*queue)
 	return queue + b.failureCostSeconds(e) + silence + b.crossZoneCostSeconds(e)
 }
 
@@ -64,7 +64,7 @@
 	if e.Zone == b.cfg.Zone {
 		return 0
 	}
-	return b.cfg.Prices.CrossZone * crossZoneObjectives * b.latency.meanObjectiveSeconds
+	return b.cfg.Prices.CrossZone * crossZoneCostObjectives * b.latency.meanObjectiveSeconds
 }
 
 // expectedWaitSeconds is the time that an average request would lose at an endpoint, crossing zones aside. Failures
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -22,7 +22,7 @@
 	own, other := r.b.endpoints[1], r.b.endpoints[2]
 	own.inFlight, other.reportedLoad = 2, 2.5
 	other.loadBias, other.reportedAt = 2.5, r.now
-	own.lastSignOfLife = r.now
+	own.lastActivityAt = r.now
 	r.arrive("x", idempotent)
 	if to := r.forwardedTo(); to != 2 {
 		t.Errorf("sent to %d, which has this node's own", to)
--- a/balance/window.go
+++ b/balance/window.go
@@ -15,8 +15,8 @@
 	b.slowStart.endWindow(b.warmThroughput(length.Seconds()))
 	for _, e := range b.usable {
 		b.grantSlowStartCredit(e)
-		e.fadeFailureRate()
-		e.fadeQueuePlaces()
+		e.decayFailureRate()
+		e.decayAbandonedAndUnaccepted()
 		e.recoverServiceTime(b.windowStart, b.latency.meanServiceSeconds)
 	}
 	b.subset.endWindow(length.Seconds())
