--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// This file bounds the queue that a request may join. Beyond the bound it is rejected: longer queues serve no one in
-// time and clear only by rejecting.
+// This file bounds the queue that a request may join and rejects requests beyond the bound. In a longer queue every
+// request would be answered too late, and the queue would get shorter only by rejecting requests.
 
 const (
-	// initialQueueBudget is also the budget from which a node logs that answers come in time again.
+	// initialQueueBudget is also the budget from which a node logs that answers are in time again.
 	initialQueueBudget = 0.3
 	minQueueBudget     = 0.12
 	maxQueueBudget     = 1.0
-	// queueBudgetRatePerSecond is how fast the budget follows the answers: a node with few answers a second must
-	// notice overload in as many seconds as a busy one.
+	// queueBudgetRatePerSecond is the fraction of the budget by which it may change in a second. It is a rate per
+	// second and not per answer, because a node with few answers must notice overload in as many seconds as a busy
+	// node.
 	queueBudgetRatePerSecond = 2.0
 	// maxQueueBudgetStep is the largest change by one answer, as a fraction of the budget.
 	maxQueueBudgetStep = 0.1
-	// answersPerLateAnswer is the number of answers among which one late answer leaves the budget as it is.
+	// answersPerLateAnswer is the number of answers in time that make up for one late answer.
 	answersPerLateAnswer = 20
 )
 
-// queueBudget is the fraction of the latency slack that queues may take up. It falls with answers that a queue made
-// late and grows with those in time: overloaded endpoints can work so badly that a bearable queue never clears, and
-// only lateness shows it.
+// queueBudget is the fraction of the latency slack that queues may take up. It falls when a queue makes an answer late
+// and grows with answers in time. Overloaded endpoints can work so badly that a tolerable queue never clears, and only
+// late answers show this.
 //
 // Invariant: minQueueBudget <= fraction <= maxQueueBudget.
 type queueBudget struct {
 	fraction         float64
 	answerGapSeconds float64 // mean time between answers
 	lastAnswerAt     time.Duration
-	exhausted        bool // as logged
+	rejectingEarly   bool // the node has logged that it rejects early
 }
 
-// adjust follows an answer. late is the time beyond its latency objective, queuedSeconds the time that its queue
-// accounts for: a heavy request is late in any queue, and only what the queue made late counts.
+// adjust updates the budget by an answer. late is the time beyond its latency objective, and queuedSeconds is the time
+// that its queue explains. A late answer lowers the budget only if its queue explains all the lateness, because a heavy
+// request is late in any queue.
 func (q *queueBudget) adjust(now time.Duration, status Status, late time.Duration, queuedSeconds float64) {
-	if q.lastAnswerAt > 0 { // the clock may start anywhere: there is no gap before the first answer
+	if q.lastAnswerAt > 0 { // the clock may start at any value, so the first answer has no gap
 		q.answerGapSeconds += sampleWeight * ((now - q.lastAnswerAt).Seconds() - q.answerGapSeconds)
 	}
 	q.lastAnswerAt = now
@@ -48,23 +50,24 @@
 	q.fraction = min(max(q.fraction, minQueueBudget), maxQueueBudget)
 }
 
-// adjustQueueBudget follows an answer, and logs when the node begins to reject early and when it ends.
+// adjustQueueBudget updates the queue budget by an answer, and logs when the node begins to reject early and when it
+// stops.
 func (b *Balancer) adjustQueueBudget(status Status, late time.Duration, queuedSeconds float64) {
 	q := &b.queueBudget
 	q.adjust(b.now, status, late, queuedSeconds)
 	switch {
-	case !q.exhausted && q.fraction == minQueueBudget:
-		q.exhausted = true
-		b.log("answers come late: rejecting early")
-	case q.exhausted && q.fraction >= initialQueueBudget:
-		q.exhausted = false
-		b.log("answers in time again")
+	case !q.rejectingEarly && q.fraction == minQueueBudget:
+		q.rejectingEarly = true
+		b.log("answers are late: rejecting requests early")
+	case q.rejectingEarly && q.fraction >= initialQueueBudget:
+		q.rejectingEarly = false
+		b.log("answers are in time again: early rejection ended")
 	}
 }
 
-// mayAdjustQueueBudget reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint
-// that gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue
-// explains.
+// mayAdjustQueueBudget reports whether the end of an attempt may adjust the queue budget. A timeout may not if the
+// endpoint has shown no activity since the attempt was sent: that is a fault of the endpoint and not overload. The
+// timeout of a lost attempt may not either, because no queue explains it.
 func (b *Balancer) mayAdjustQueueBudget(a *attempt, ev *AttemptEnded) bool {
 	return ev.Status != StatusTimedOut || a.endpoint.lastActivityAt > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
 }
@@ -74,9 +77,9 @@
 	return max(b.latency.meanObjectiveSeconds-b.latency.meanUnloadedSeconds(), 0)
 }
 
-// meanMaxWaitSeconds is the longest wait at which a request of average priority is forwarded: the queue budget of the
-// slack, or of the unloaded latency where that is more. With all endpoints slow at once there is no slack, and
-// shorter queues would leave them idle and make no answer come sooner.
+// meanMaxWaitSeconds is the longest wait at which a request of average priority is forwarded: the queue budget times
+// the slack, or times the unloaded latency if that is longer. If all endpoints are slow at the same time there is no
+// slack. Shorter queues would then leave the endpoints idle, and no answer would come sooner.
 func (b *Balancer) meanMaxWaitSeconds() float64 {
 	return b.queueBudget.fraction * max(b.slackSeconds(), b.latency.meanUnloadedSeconds())
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -37,8 +37,8 @@
 		"endpoint N is an outlier: traffic withheld",
 		"endpoint N has recovered",
 		"no ready endpoint",
-		"answers come late: rejecting early",
-		"answers in time again",
+		"answers are late: rejecting requests early",
+		"answers are in time again: early rejection ended",
 		"discovery unavailable: polling again",
 	} {
 		if !strings.Contains(string(page), "`"+text+"`") {
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// maxHealthChecksPerTick is the most health checks in a tick: nodes that choose among a few random endpoints don't
-	// all choose the same one.
+	// maxHealthChecksPerTick is the largest number of health checks in a tick. Nodes that choose among a few random
+	// endpoints don't all choose the same endpoint.
 	maxHealthChecksPerTick = 3
-	// healthCheckBudgetPerArrival is what the health checks of an arrival may cost, in the unit of Prices: with dear
-	// ones only some arrivals check.
+	// healthCheckBudgetPerArrival is what the health checks of an arrival may cost, in the unit of Prices. If health
+	// checks are expensive, only some arrivals send a health check.
 	healthCheckBudgetPerArrival = 0.004
-	// minHealthCheckPrice avoids a division by zero where health checks are free.
+	// minHealthCheckPrice avoids a division by zero when health checks are free.
 	minHealthCheckPrice = 1e-9
 	// maxCheckWaitFraction is the fraction of its latency objective for which a request may wait for health checks.
 	maxCheckWaitFraction = 0.05
-	// maxRepeatChecks bounds the checks that only learn the interval between load reports.
+	// maxRepeatChecks limits the repeated checks, which only serve to learn the interval between load reports.
 	maxRepeatChecks = 16
 )
 
-// healthChecks counts the health checks of a node. Invariant: credit <= 2*maxHealthChecksPerTick, so that few are saved
-// up for a burst.
+// healthChecks counts the health checks of a node. Invariant: credit <= 2*maxHealthChecksPerTick, which limits a burst
+// of checks.
 type healthChecks struct {
 	credit      float64       // checks that arrivals have paid for
-	sent        float64       // since the node's start, repeated checks aside
-	lastRoundAt time.Duration // the last tick that sent some
+	sent        float64       // number since the node's start, without repeated checks
+	lastRoundAt time.Duration // the last tick with a round of checks
 	awaited     int           // results that waiting requests wait for
-	repeats     int           // endpoints checked twice in a row
+	repeats     int           // number of repeated checks
 }
 
-// earn adds what an arrival pays for. A node that has not yet checked as many times as it has endpoints checks at each
-// arrival: it knows nothing.
+// earn adds the credit of an arrival. A node that has not yet sent as many checks as it has endpoints knows nothing of
+// them, and sends a check at each arrival.
 func (h *healthChecks) earn(price float64, endpoints int) {
 	perArrival := min(maxHealthChecksPerTick, healthCheckBudgetPerArrival/max(price, minHealthCheckPrice))
 	if h.sent < float64(endpoints) {
@@ -41,7 +41,7 @@
 	h.credit = min(h.credit+perArrival, 2*maxHealthChecksPerTick)
 }
 
-// sendHealthChecks checks distinct endpoints, drawn at random, once in a tick with arrivals.
+// sendHealthChecks checks distinct endpoints, chosen at random, once in each tick with arrivals.
 func (b *Balancer) sendHealthChecks() {
 	h := &b.healthChecks
 	h.earn(b.cfg.Prices.HealthCheck, len(b.usable))
@@ -60,8 +60,8 @@
 	}
 }
 
-// awaitChecks reports whether an arrival waits for the health checks of its tick, which takes one round trip. Where a
-// node sees little traffic its queue estimates are older than a queue, and only these checks are fresh.
+// awaitChecks reports whether an arrival waits for the health checks of its tick, which takes one round trip. If a node
+// has little traffic, its queue estimates are older than the present queues, and only these checks are fresh.
 func (b *Balancer) awaitChecks(r *request, timeLeft time.Duration) bool {
 	if b.healthChecks.awaited <= 0 {
 		return false
@@ -72,8 +72,8 @@
 	return true
 }
 
-// stopAwaitingChecks places what waits with a request that has waited for long enough: a check without a result by now
-// would show nothing good.
+// stopAwaitingChecks places all waiting requests when a request has waited for the longest time. An endpoint whose
+// check has no result by then is not a good choice.
 func (b *Balancer) stopAwaitingChecks(r *request) {
 	if slices.Contains(b.awaitingChecks, r) {
 		b.placeWaitingRequests()
@@ -90,8 +90,9 @@
 	}
 }
 
-// onHealthChecked handles the result of a health check. A success is a sign of life: where one request is lost at an
-// endpoint that has little else to answer, only health checks show that it goes on serving.
+// onHealthChecked handles the result of a health check. A successful check counts as activity of the endpoint: if a
+// request is lost at an endpoint that has little else to answer, only health checks show that the endpoint still
+// serves.
 func (b *Balancer) onHealthChecked(ev *HealthChecked) {
 	if e := b.endpoints[ev.Endpoint]; e != nil {
 		b.handleLoadReport(e, ev.Load)
@@ -106,8 +107,8 @@
 	}
 }
 
-// repeatHealthCheck checks the same endpoint again soon: checks that are seconds apart can't show how often an endpoint
-// reports, and every report would pass for seconds old.
+// repeatHealthCheck checks the same endpoint again soon. Checks that are seconds apart can't show how often an endpoint
+// reports its load, and every report would be taken to be seconds old.
 func (b *Balancer) repeatHealthCheck(e *endpointState) {
 	if b.healthChecks.repeats < maxRepeatChecks && e.reportedQueue > 0 {
 		b.healthChecks.repeats++
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -6,40 +6,43 @@
 )
 
 const (
-	// sampleWeight is the weight of a new sample in a running mean, where no rule gives it more.
+	// sampleWeight is the weight of a new sample in a running mean, unless a rule gives it a higher weight.
 	sampleWeight = 0.05
-	// unloadedSampleWeight is that weight in the unloaded latency of a class.
+	// unloadedSampleWeight is the weight of a new sample in the unloaded latency of a class.
 	unloadedSampleWeight = 0.03
-	// maxUnloadedQueue is the largest queue estimate behind which an answer counts as unloaded.
+	// maxUnloadedQueue is the largest queue estimate at which an answer counts as unloaded.
 	maxUnloadedQueue = 1.0
-	// maxWorkHintMultiple: an answer that took more than this multiple of its work hint met a queue, though none was
-	// estimated: estimates are old in a large fleet.
+	// maxWorkHintMultiple is the multiple of its work hint beyond which an answer must have met a queue, even if the
+	// queue estimate shows none. Queue estimates are old in a large fleet.
 	maxWorkHintMultiple = 2.0
-	// answerTimeConstantSeconds: an answer weighs as much as the time since the endpoint's last one has of this.
+	// answerTimeConstantSeconds is the time constant with which the weight of an answer grows with the time since the
+	// endpoint's last answer.
 	answerTimeConstantSeconds = 2.0
-	// serviceTimeRecovery is how far an endpoint without answers goes back to the mean service time, a window.
+	// serviceTimeRecovery is the fraction of the way to the mean service time that an endpoint without answers goes in
+	// each window.
 	serviceTimeRecovery = 0.3
-	// initialServiceObjectives is the service time and unloaded latency before the first answer, in mean objectives.
+	// initialServiceObjectives is the service time and the unloaded latency before the first answer, in mean latency
+	// objectives.
 	initialServiceObjectives = 0.1
 )
 
 // latencyStats is what a node has learned of the latencies of all endpoints together.
 type latencyStats struct {
 	classes              []classStats
-	meanObjectiveSeconds float64 // of the classes' latency objectives
+	meanObjectiveSeconds float64 // mean of the classes' latency objectives
 
-	// Running means over all answers, as those of an endpoint: each endpoint may see few answers of this node.
-	answers            float64
+	// Running means over the answers of all endpoints, because this node may get few answers from each endpoint.
+	answers            float64 // number of answers in the means
 	meanLatencySeconds float64
 	meanQueueAtArrival float64
-	meanServiceSeconds float64 // of the two: what an endpoint without answers is taken for
+	meanServiceSeconds float64 // from the two above; it stands for endpoints without answers
 }
 
 // classStats is what a node has learned of a class.
 type classStats struct {
-	unloadedSeconds float64 // mean latency of an answer that met no queue; 0: not known
-	samples         float64 // that it is learned from
-	unqueuedSamples float64 // of them, those that met no queue, work hints aside
+	unloadedSeconds float64 // mean latency of an answer that met no queue; 0: unknown
+	samples         float64 // number of samples in unloadedSeconds
+	unqueuedSamples float64 // number of answers among them that met no queue, without work hints
 }
 
 func newLatencyStats(classes []Class) latencyStats {
@@ -56,7 +59,7 @@
 	return initialServiceObjectives * l.meanObjectiveSeconds
 }
 
-// meanUnloadedSeconds is the mean unloaded latency of the classes met so far.
+// meanUnloadedSeconds is the mean unloaded latency of the classes whose unloaded latency is known.
 func (l *latencyStats) meanUnloadedSeconds() float64 {
 	var unloaded mean
 	for i := range l.classes {
@@ -70,7 +73,7 @@
 	return unloaded.value()
 }
 
-// addAnswer adds an answer of any endpoint.
+// addAnswer adds an answer of any endpoint to the means.
 func (l *latencyStats) addAnswer(weight, seconds, queueAtArrival float64) {
 	l.answers++
 	weight = max(weight, 1/l.answers)
@@ -83,10 +86,10 @@
 	l.meanServiceSeconds = l.meanLatencySeconds / (l.meanQueueAtArrival + 1)
 }
 
-// updateUnloadedLatency adds the latency of an answer, if it met no queue. Overloaded endpoints drain while the node
-// rejects early, and then show that they are fast, slow ones that they are slow: nothing else distinguishes the two.
-// Until an answer meets no queue the work hint stands for it: a node that starts among queues must not take them for
-// the work.
+// updateUnloadedLatency adds the latency of an answer, if it met no queue. While the node rejects early, overloaded
+// endpoints drain and then show that they are fast, and slow endpoints show that they are slow. Nothing else
+// distinguishes the two. Until an answer meets no queue the work hint is added instead, because a node that starts when
+// queues are long must not take the time in queues for work.
 func (c *classStats) updateUnloadedLatency(queueAtSend, seconds, hintSeconds float64) {
 	weight := unloadedSampleWeight
 	queued := queueAtSend > maxUnloadedQueue || hintSeconds > 0 && seconds > maxWorkHintMultiple*hintSeconds
@@ -114,8 +117,8 @@
 	b.latency.addAnswer(weight/float64(len(b.usable)+1), seconds, a.queueAtSend)
 }
 
-// addAnswer adds an answer and returns its weight. An answer out of a long queue weighs more in the service time: a
-// short queue is no load to an endpoint of many cores.
+// addAnswer adds an answer to the endpoint's means and returns its weight. An answer after a long queue has a higher
+// weight in the service time, because a short queue is no load to an endpoint with many cores.
 func (e *endpointState) addAnswer(now time.Duration, fleetServiceSeconds, seconds, queue float64) (weight float64) {
 	if e.meanLatencySeconds == 0 {
 		e.meanLatencySeconds = fleetServiceSeconds * (queue + 1)
@@ -131,8 +134,8 @@
 	return weight
 }
 
-// recoverServiceTime is due once a window: an endpoint that looked slow gets no traffic, so that no answer would ever
-// show that it is fast again.
+// recoverServiceTime is called once a window. It moves the service time of an endpoint without answers towards that of
+// the fleet. An endpoint that looked slow gets no traffic, so no answer would show that it is fast again.
 func (e *endpointState) recoverServiceTime(windowStart time.Duration, fleetServiceSeconds float64) {
 	if e.lastAnswerAt < windowStart && e.meanLatencySeconds > 0 {
 		e.meanLatencySeconds += serviceTimeRecovery *
@@ -140,8 +143,8 @@
 	}
 }
 
-// warmServiceSeconds is the time for each request in an endpoint's queue when it is warm. One without answers has the
-// mean of all.
+// warmServiceSeconds is the time for each request in an endpoint's queue when the endpoint is warm. An endpoint without
+// answers has the mean of all endpoints.
 func (b *Balancer) warmServiceSeconds(e *endpointState) float64 {
 	if e.meanLatencySeconds == 0 {
 		return b.latency.meanServiceSeconds
@@ -149,13 +152,13 @@
 	return e.meanLatencySeconds / (e.meanQueueAtArrival + 1)
 }
 
-// serviceSeconds is the time for each request in an endpoint's queue by now: one in slow start gets faster.
+// serviceSeconds is the present time for each request in an endpoint's queue. It falls during slow start.
 func (b *Balancer) serviceSeconds(e *endpointState) float64 {
 	return b.warmServiceSeconds(e) / b.slowStartFraction(e)
 }
 
-// workSeconds is what a request costs an endpoint: its work hint, or the unloaded latency of its class. Latencies
-// with a queue would make light and heavy classes alike.
+// workSeconds is the work of a request for an endpoint: its work hint, or the unloaded latency of its class. Latencies
+// that include queues would make light and heavy classes look alike.
 func (b *Balancer) workSeconds(r *request) float64 {
 	switch {
 	case r.workHint > 0:
@@ -166,7 +169,7 @@
 	return b.latency.meanUnloadedSeconds()
 }
 
-// mean is a plain mean; 0 when nothing was added.
+// mean is an arithmetic mean. Its value is 0 if nothing was added.
 type mean struct {
 	sum   float64
 	count float64
--- a/balance/loadaverage.go
+++ b/balance/loadaverage.go
@@ -5,15 +5,15 @@
 const (
 	// zoneMeanSeconds is the time over which the mean load of a zone is learned.
 	zoneMeanSeconds = 4.0
-	// zoneMeanMaxWeight is the most that a report weighs in it for the time since the last one: a single report is
-	// chance.
+	// zoneMeanMaxWeight is the largest weight that a report gets in this mean for the time since the last report. A
+	// single report may be high or low by chance.
 	zoneMeanMaxWeight = 0.1
 )
 
-// loadAverage is the running mean of other nodes' load on some endpoints, by their load reports.
+// loadAverage is the running mean of the load of other nodes on some endpoints, from their load reports.
 type loadAverage struct {
-	mean      float64 // requests
-	reports   float64
+	mean      float64 // requests at an endpoint
+	reports   float64 // number of reports in the mean
 	updatedAt time.Duration
 }
 
@@ -24,7 +24,8 @@
 	a.updatedAt = now
 }
 
-// loadAverages are the mean loads of the fleet and of each zone: one zone may have more traffic than it can carry.
+// loadAverages holds the mean loads of the fleet and of each zone, because one zone may have more traffic than it can
+// handle.
 type loadAverages struct {
 	fleet loadAverage
 	zones map[int]loadAverage
@@ -37,13 +38,13 @@
 	l.zones[zone] = average
 }
 
-// restore sets the mean of a zone as another process has learned it.
+// restore sets the mean of a zone, and of the fleet, to a value that another process has learned.
 func (l *loadAverages) restore(now time.Duration, zone int, mean float64) {
 	l.fleet = loadAverage{mean: mean, reports: 1 / sampleWeight, updatedAt: now}
 	l.zones[zone] = l.fleet
 }
 
-// zoneMean is the mean load of a zone's endpoints, or of the fleet's where no endpoint of the zone has reported.
+// zoneMean is the mean load of a zone's endpoints, or of the fleet's if no endpoint of the zone has reported.
 func (l *loadAverages) zoneMean(zone int) float64 {
 	if average := l.zones[zone]; average.reports > 0 {
 		return average.mean
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,19 +6,22 @@
 )
 
 const (
-	// failureCostObjectives is what a certain failure costs, in mean latency objectives.
+	// failureCostObjectives is the cost of a failure rate of 1, in mean latency objectives.
 	failureCostObjectives = 3.0
 	// failureWeight is the weight of a new outcome in a failure rate.
 	failureWeight = 0.1
-	// failureRateDecay is the fraction of a failure rate that is forgotten in each window, so that traffic returns.
+	// failureRateDecay is the fraction by which a failure rate falls in each window, so that the endpoint gets traffic
+	// again.
 	failureRateDecay = 0.25
-	// outlierFailureRate is above that of a single failure.
+	// outlierFailureRate is the failure rate above which an endpoint is an outlier. It is above the rate after a single
+	// failure.
 	outlierFailureRate = 0.11
-	// recoveredFailureRate is that of an outlier that serves again.
+	// recoveredFailureRate is the failure rate below which an outlier has recovered.
 	recoveredFailureRate = 0.02
 )
 
-// outliers compares the failure rates of endpoints: what all have in common makes none of them an outlier.
+// outliers holds the mean failure rate of the endpoints. Failures that all endpoints have in common cost none of them
+// anything.
 type outliers struct {
 	meanFailureRate float64
 }
@@ -33,13 +36,13 @@
 
 func (e *endpointState) decayFailureRate() { e.failureRate -= failureRateDecay * e.failureRate }
 
-// failureCostSeconds is the time that an endpoint's failures cost, beyond those that all endpoints have.
+// failureCostSeconds is the cost of an endpoint's failures beyond the mean failure rate of all endpoints.
 func (b *Balancer) failureCostSeconds(e *endpointState) float64 {
 	return max(0, e.failureRate-b.outliers.meanFailureRate) * failureCostObjectives * b.latency.meanObjectiveSeconds
 }
 
-// unresponsiveSeconds is how long an endpoint has owed this node an answer without a sign of life. One that hangs has a
-// bearable queue while it takes everything sent to it.
+// unresponsiveSeconds is how long an endpoint has shown no activity while it has attempts of this node in flight. An
+// endpoint that hangs can have a tolerable queue while it takes every request that is sent to it.
 func (b *Balancer) unresponsiveSeconds(e *endpointState) float64 {
 	if e.inFlight == 0 {
 		return 0
@@ -47,8 +50,9 @@
 	return (b.now - e.lastActivityAt).Seconds()
 }
 
-// recordOutcome keeps an endpoint's failure rate, by this node's own attempts: an endpoint that fails fast looks idle
-// to any health check. Cancelled and unsent attempts are no evidence.
+// recordOutcome updates an endpoint's failure rate and last activity by an outcome of this node's own attempts. Health
+// checks are not enough, because an endpoint that fails fast looks idle to them. Cancelled and unsent attempts tell
+// nothing about the endpoint.
 func (b *Balancer) recordOutcome(e *endpointState, status Status, a *attempt, elapsed time.Duration) {
 	switch status {
 	case StatusSucceeded, StatusRejected:
@@ -62,18 +66,20 @@
 	}
 }
 
-// recordTimeout: an attempt that timed out while others were answered is no failure, unless it must have been lost.
+// recordTimeout updates an endpoint's failure rate after a timeout. A timeout while other attempts were answered is not
+// a failure, unless the attempt must have been lost.
 func (b *Balancer) recordTimeout(e *endpointState, a *attempt, elapsed time.Duration) {
 	switch {
-	case a.lost: // counted by checkLoss
+	case a.lost: // checkLoss has counted it
 	case e.inFlight == 0 && e.lastActivityAt <= a.sentAt:
-		e.failureRate = 1 // nothing came back at all
+		e.failureRate = 1 // the endpoint has answered nothing since the attempt was sent
 	case b.isLost(a, elapsed):
 		e.countFailure()
 	}
 }
 
-// updateOutlier compares an endpoint's failure rate with that of all, and logs when traffic is withheld.
+// updateOutlier updates the mean failure rate by that of an endpoint. It logs when the endpoint becomes an outlier,
+// whose traffic is withheld, and when it has recovered.
 func (b *Balancer) updateOutlier(e *endpointState) {
 	b.outliers.updateMeanFailureRate(e.failureRate, len(b.usable))
 	switch {
--- a/balance/priority.go
+++ b/balance/priority.go
@@ -3,15 +3,16 @@
 import "cmp"
 
 const (
-	// maxPriorityFactor bounds the effect of priority: a request of the lowest priority is still served at low load.
+	// maxPriorityFactor limits the effect of priority, so that a request of the lowest priority is still served at low
+	// load.
 	maxPriorityFactor = 2.0
-	// prioritySampleWeight is the weight of a request in the mean priority.
+	// prioritySampleWeight is the weight of one request in the running mean of the priority.
 	prioritySampleWeight = 0.01
 )
 
-// priorityFactor is how the bound for a request compares with that for an average one: a request of higher priority
-// may join a longer queue, so that it is served where not all can be. A request beyond its tenant's quota earns
-// little, and is among the first to be rejected.
+// priorityFactor is the ratio of a request's maximum wait to that of an average request. A request of higher priority
+// may join a longer queue, so that it is served when not all requests can be. A request beyond its tenant's quota has
+// little value and is among the first to be rejected.
 func (b *Balancer) priorityFactor(r *request) float64 {
 	factor := 1.0
 	if b.meanPriority > 0 {
@@ -23,7 +24,8 @@
 	return factor
 }
 
-// priority is the priority weight of a request for each unit of work, which is that of a mean class.
+// priority is the priority weight of a request for each unit of work. A unit is the work of a mean class. With
+// Config.PriorityPerWork the weights are already for each unit.
 func (b *Balancer) priority(r *request) float64 {
 	work := b.workSeconds(r)
 	if b.cfg.PriorityPerWork || work == 0 {
--- a/balance/probeadmission.go
+++ b/balance/probeadmission.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// maxProbeAdmissionInterval is the number of rejected requests for one probe admission while rejecting is right.
+// maxProbeAdmissionInterval is the number of rejected requests for each probe admission while rejections are right.
 const maxProbeAdmissionInterval = 20.0
 
-// probeAdmission forwards some of the requests that would be rejected: rejecting keeps a node from the answers that
-// would correct its estimates. A node that sees little may take all endpoints for full for seconds, by one report or
-// some answers from an endpoint that is.
+// probeAdmission forwards some of the requests that would be rejected. While a node rejects requests it gets no answers
+// that would correct its estimates. After one load report, or some answers from an endpoint that is full, a node with
+// little traffic may take all endpoints for full for seconds.
 //
 // Invariant: 1 <= interval <= maxProbeAdmissionInterval.
 type probeAdmission struct {
-	rejected float64 // requests since the last probe admission
-	interval float64 // rejected requests for one probe admission
+	rejected float64 // rejected requests since the last probe admission
+	interval float64 // rejected requests for each probe admission
 }
 
-// admit counts a request that would be rejected, and tells whether it is forwarded all the same.
+// admit counts a request that would be rejected, and reports whether to forward it as a probe admission.
 func (p *probeAdmission) admit() bool {
 	p.rejected++
 	if p.rejected < p.interval {
@@ -31,8 +31,8 @@
 	p.interval = min(p.interval*2, maxProbeAdmissionInterval)
 }
 
-// recordProbeAdmission learns from how the first attempt of a probe admission ended. One that waited less than the
-// bound shows that rejecting was wrong; one that waited longer or failed shows that it was right.
+// recordProbeAdmission updates the interval by how the first attempt of a probe admission ended. If the attempt waited
+// less than the bound, rejecting was wrong. If it waited longer or failed, rejecting was right.
 func (b *Balancer) recordProbeAdmission(r *request, ev *AttemptEnded) {
 	switch {
 	case r.probeBoundSeconds == 0 || // no probe admission
@@ -44,7 +44,7 @@
 	}
 }
 
-// waitedLessThanBound reports whether an attempt of a probe admission spent less time in a queue than its bound.
+// waitedLessThanBound reports whether an attempt of a probe admission spent less time in a queue than the bound.
 func (b *Balancer) waitedLessThanBound(elapsed time.Duration, r *request) bool {
 	return elapsed.Seconds()-b.workSeconds(r) < r.probeBoundSeconds
 }
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -3,39 +3,44 @@
 import "math"
 
 const (
-	// unacceptedDecay is the fraction of the unaccepted attempts that is forgotten in each window. A queue turns over
-	// several times in a window; the failure rate, which fades more slowly, goes on telling that the endpoint fails.
+	// unacceptedDecay is the fraction of the unaccepted attempts that is removed from the count in each window. A queue
+	// turns over several times in a window. The failure rate decays more slowly and still shows that the endpoint
+	// fails.
 	unacceptedDecay = 0.6
-	// abandonedDecay is that fraction for abandoned attempts, whose work may still stand in the queue.
+	// abandonedDecay is the same fraction for abandoned attempts, whose work may still be in the queue.
 	abandonedDecay = 0.4
 )
 
-// queueEstimate is the number of requests at an endpoint: other nodes' load, this node's attempts in flight, those
-// that were not accepted, and those that were abandoned and may still stand there.
+// queueEstimate is the estimated number of requests at an endpoint: the load of other nodes, this node's attempts in
+// flight, its unaccepted attempts, and its abandoned attempts, which may still be in the queue.
 func (b *Balancer) queueEstimate(e *endpointState) float64 {
 	return b.otherNodesLoad(e) + e.inFlight + e.unaccepted + e.abandoned
 }
 
-// otherNodesLoad is the load of other nodes by now: what was reported fades into what is expected, as a queue turns
-// over. Taken literally, an old report makes all nodes rush at once to the endpoint that was idle then, and in a large
-// fleet the smallest reported load is the oldest one.
+// otherNodesLoad is the estimated present load of other nodes on an endpoint. It moves from the reported load to the
+// expected load at the pace at which the queue turns over. If nodes took an old report literally, all of them would
+// send at the same time to the endpoint that was idle then. In a large fleet the smallest reported load is also the
+// oldest.
 func (b *Balancer) otherNodesLoad(e *endpointState) float64 {
 	expected := b.expectedLoad(e)
 	return expected + (e.reportedLoad-expected)*b.reportWeight(e, expected)
 }
 
-// expectedLoad is the load of other nodes on an endpoint when no report is fresh: the mean of its zone, with its bias.
+// expectedLoad is the load of other nodes on an endpoint without a fresh report: the mean of its zone plus the
+// endpoint's load bias.
 func (b *Balancer) expectedLoad(e *endpointState) float64 {
 	return max(0, b.loads.zoneMean(e.Zone)+e.loadBias)
 }
 
-// reportWeight is the fraction of the last report that still holds; squared, as other nodes act on the same report.
+// reportWeight is the weight, from 0 to 1, that the last load report still has. It is squared because other nodes act
+// on the same report.
 func (b *Balancer) reportWeight(e *endpointState, expected float64) float64 {
 	turnover := (expected + 1) * b.serviceSeconds(e)
 	return math.Pow(turnover/(turnover+(b.now-e.reportedAt).Seconds()), 2)
 }
 
-// countInFlight counts the last attempt of a request as in flight: its last byte has been sent to the endpoint.
+// countInFlight counts the last attempt of a request as in flight and schedules its loss check. It is called when the
+// last byte has been sent to the endpoint.
 func (b *Balancer) countInFlight(r *request) {
 	a := r.lastAttempt()
 	if a.endpoint.inFlight == 0 {
@@ -45,8 +50,9 @@
 	b.scheduleLossCheck(r)
 }
 
-// countAbandonedOrUnaccepted counts an attempt that has ended where its endpoint may still have it, or has not accepted
-// it, until a report comes or the count fades: else an endpoint that fails fast would look idle.
+// countAbandonedOrUnaccepted counts an attempt that has ended, if its endpoint may still have it (abandoned) or has not
+// accepted it (unaccepted). The count lasts until the next load report, or until it has decayed. Without it an endpoint
+// that fails fast would look idle.
 func (b *Balancer) countAbandonedOrUnaccepted(a *attempt, ev *AttemptEnded) {
 	gaveUp := ev.Status == StatusTimedOut || ev.Status == StatusCancelled
 	switch {
@@ -58,7 +64,7 @@
 	}
 }
 
-// decayAbandonedAndUnaccepted is due once a window: a report may be long in coming, or never come.
+// decayAbandonedAndUnaccepted is called once a window, because a load report may be late or never come.
 func (e *endpointState) decayAbandonedAndUnaccepted() {
 	e.unaccepted -= unacceptedDecay * e.unaccepted
 	e.abandoned -= abandonedDecay * e.abandoned
--- a/balance/retryafter.go
+++ b/balance/retryafter.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// retryAfter is the Retry-After of a rejection: when the shortest queue will have fallen to the length that an average
-// request may join. Where no queue is the reason it is the time of one place in a queue; without a usable endpoint it
-// is the latency objective. Never above Limits.MaxRetryAfter, beyond which clients don't heed it.
+// retryAfter is the Retry-After of a rejection: the time until the shortest queue has fallen to the length that an
+// average request may join. It is at least the mean service time, which applies when no queue is the reason for the
+// rejection. Without a usable endpoint it is the mean latency objective. It never exceeds Limits.MaxRetryAfter, beyond
+// which clients ignore it.
 func (b *Balancer) retryAfter() time.Duration {
 	bound := b.meanMaxWaitSeconds()
 	seconds := math.Inf(1)
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -1,25 +1,26 @@
 package balance
 
 const (
-	// crossZoneCostObjectives is the wait, in mean latency objectives, that costs as much as a request's full priority
-	// weight.
+	// crossZoneCostObjectives is the time, in mean latency objectives, that costs as much as the full priority weight
+	// of a request.
 	crossZoneCostObjectives = 1.5
-	// maxIdleQueue is the largest queue estimate at which an endpoint counts as idle: it makes nobody wait, however
-	// slow it has become.
+	// maxIdleQueue is the largest queue estimate at which an endpoint counts as idle. An idle endpoint makes no request
+	// wait, even if it has become slow.
 	maxIdleQueue = 0.1
-	// toleratedUnresponsiveMultiple: a silence costs what it lasts beyond this multiple of what the queue should take.
+	// toleratedUnresponsiveMultiple is the multiple of the time that an endpoint's queue should take for which the
+	// endpoint may be unresponsive without a cost.
 	toleratedUnresponsiveMultiple = 2
-	// maxUsefulFailureRate is the failure rate from which a rejection does more good than an attempt: an endpoint that
-	// serves about half of what it gets is better than a rejection.
+	// maxUsefulFailureRate is the failure rate from which a rejection does more good than an attempt. An endpoint that
+	// serves about half of its requests is still better than a rejection.
 	maxUsefulFailureRate = 0.6
 )
 
-// selectEndpoint returns the usable endpoint that costs a request least, or nil where none may get it: its wait is
-// above the bound, it had the request before, it might run it twice, or it has no credit left in slow start. Ties are
-// broken at random, all alike.
+// selectEndpoint returns the usable endpoint with the lowest cost for a request, or nil if no endpoint may get it. An
+// endpoint is excluded if it is full for the request, if it had the request before, if the request might run twice, or
+// if it has too little slow start credit. Ties are broken at random, with equal probability.
 //
-// The cost is that of costSeconds, with this node's attempts in flight counted once more: counted once, nothing keeps
-// nodes from settling each on endpoints of its own.
+// The cost is that of costSeconds without the slow start surcharge, with this node's attempts in flight counted a
+// second time. If they were counted once, nothing would keep each node from settling on endpoints of its own.
 func (b *Balancer) selectEndpoint(r *request, maxWaitSeconds float64) *endpointState {
 	var best *endpointState
 	least, ties := 0.0, 0
@@ -41,8 +42,8 @@
 	return best
 }
 
-// isFull reports whether a request would wait too long at an endpoint: longer than the bound, or in slow start too long
-// for its latency objective. An idle warm endpoint is never full.
+// isFull reports whether a request would wait too long at an endpoint. At a warm endpoint the limit is maxWaitSeconds,
+// and an idle warm endpoint is never full. In slow start the limit is a fraction of the request's latency objective.
 func (b *Balancer) isFull(r *request, e *endpointState, maxWaitSeconds float64) bool {
 	if b.slowStartFraction(e) < 1 {
 		return b.slowStartLatencySeconds(r, e) > slowStartObjectiveFraction*r.class.LatencyObjective.Seconds()
@@ -50,16 +51,16 @@
 	return b.queueEstimate(e) > maxIdleQueue && b.expectedWaitSeconds(e) > maxWaitSeconds
 }
 
-// costSeconds is the time in which an endpoint would answer an average request, with what its failures, its silence
-// and crossing zones cost.
+// costSeconds is the time in which an endpoint would answer an average request, plus the costs of its failures, of
+// being unresponsive and of crossing zones.
 func (b *Balancer) costSeconds(e *endpointState) float64 {
 	queue := (b.queueEstimate(e) + 1) * b.serviceSeconds(e)
-	silence := max(0, b.unresponsiveSeconds(e)-toleratedUnresponsiveMultiple*queue)
-	return queue + b.failureCostSeconds(e) + silence + b.crossZoneCostSeconds(e)
+	unresponsive := max(0, b.unresponsiveSeconds(e)-toleratedUnresponsiveMultiple*queue)
+	return queue + b.failureCostSeconds(e) + unresponsive + b.crossZoneCostSeconds(e)
 }
 
-// crossZoneCostSeconds is the time that crossing zones must save to be worth its price. The network time is in the
-// latencies already.
+// crossZoneCostSeconds is the time that crossing zones must save to be worth its price. It leaves out the network time,
+// which the measured latencies contain already.
 func (b *Balancer) crossZoneCostSeconds(e *endpointState) float64 {
 	if e.Zone == b.cfg.Zone {
 		return 0
@@ -67,8 +68,9 @@
 	return b.cfg.Prices.CrossZone * crossZoneCostObjectives * b.latency.meanObjectiveSeconds
 }
 
-// expectedWaitSeconds is the time that an average request would lose at an endpoint, crossing zones aside. Failures
-// lose no time: they send requests elsewhere while another endpoint can take them.
+// expectedWaitSeconds is the time that an average request would lose at an endpoint, without the cost of crossing
+// zones. Failures below maxUsefulFailureRate lose no time: they only send requests elsewhere while another endpoint can
+// take them.
 func (b *Balancer) expectedWaitSeconds(e *endpointState) float64 {
 	wait := b.costSeconds(e) - b.crossZoneCostSeconds(e) - b.latency.meanUnloadedSeconds()
 	if e.failureRate < maxUsefulFailureRate {
--- a/balance/tenantquota.go
+++ b/balance/tenantquota.go
@@ -5,15 +5,16 @@
 const (
 	// quotaBurstSeconds is the time over which a tenant may use its quota unevenly.
 	quotaBurstSeconds = 1.0
-	// minQuotaBurst is the number of requests that may come at once: of a quota spread over hundreds of nodes each
-	// node sees a request now and then, by chance.
+	// minQuotaBurst is the least number of requests that may come at the same time. If a quota is spread over hundreds
+	// of nodes, each node gets its requests rarely and at random.
 	minQuotaBurst = 4.0
 )
 
-// quotaBucket is a token bucket of this node's part of a tenant's quota. Invariant: never below zero, since the quota
-// only decides what is rejected first, and requests beyond it are forwarded while there is capacity.
+// quotaBucket is a token bucket of this node's part of a tenant's quota. It does not limit requests: the quota only
+// decides which requests are rejected first, and requests beyond it are forwarded while there is capacity. Invariant:
+// requests is never below zero.
 type quotaBucket struct {
-	requests  float64 // within the quota now
+	requests  float64 // number of requests that are within the quota now
 	updatedAt time.Duration
 }
 
@@ -27,7 +28,7 @@
 
 func (q *quotaBucket) exhausted() bool { return q.requests < 1 }
 
-// quota returns the bucket of a request's tenant, refilled, or nil for a tenant without a quota.
+// quota returns the refilled bucket of a request's tenant, or nil for a tenant without a quota.
 func (b *Balancer) quota(r *request) *quotaBucket {
 	if r.tenant < 0 || r.tenant >= len(b.quotas) || b.cfg.Tenants[r.tenant].QuotaPerSecond <= 0 {
 		return nil
@@ -42,7 +43,8 @@
 	return b.cfg.Tenants[tenant].QuotaPerSecond / float64(b.cfg.Instances)
 }
 
-// spendQuota counts a forwarded request. Rejected ones don't count: their clients try again, often several times.
+// spendQuota counts a forwarded request. Rejected requests don't count, because their clients try again, often several
+// times.
 func (b *Balancer) spendQuota(r *request) {
 	if q := b.quota(r); q != nil {
 		q.spend()
