--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The number of health checks follows their price, at most maxHealthChecksPerTick of distinct endpoints in a tick.
+// The number of health checks follows their price. A tick has at most maxHealthChecksPerTick checks, of distinct
+// endpoints.
 func TestHealthChecksAreDistinctRandomAndPaidFor(t *testing.T) {
 	for _, price := range []float64{0, 0.001, 0.01, 0.08} {
 		cfg := testConfig()
@@ -24,7 +25,7 @@
 				t.Fatal("two rounds of checks in one tick")
 			}
 		}
-		// Two arrivals in each of 1000 ticks, and at most probesPerTick checks in each.
+		// Two arrivals in each of 1000 ticks, and at most maxHealthChecksPerTick checks in each.
 		want := int(min(1000*maxHealthChecksPerTick, 2000*healthCheckBudgetPerArrival/max(price, 1e-9)))
 		if checks < want*9/10 || checks > want*11/10+1 || len(seen) != 3 {
 			t.Errorf("price %v: %d checks of %d endpoints, want %d", price, checks, len(seen), want)
@@ -32,7 +33,7 @@
 	}
 }
 
-// Without permission nothing is checked, and credit for checks is bounded.
+// Without permission no endpoint is checked. The credit for checks is limited.
 func TestHealthChecksNeedPermissionAndAreNotSavedUp(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
@@ -52,10 +53,11 @@
 	}
 }
 
-// A request that waits for health checks is not forwarded when its client has disconnected, and the next one is.
+// A request that waits for health checks is not forwarded if its client has disconnected. The next waiting request is
+// forwarded.
 func TestWaitingRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
 	cfg := testConfig()
-	cfg.Prices.HealthCheck = 0 // each arrival may check several
+	cfg.Prices.HealthCheck = 0 // each arrival may check several endpoints
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(RequestArrived{Request: "left", Class: idempotent, TimeLeft: time.Second})
 	r.handle(RequestArrived{Request: "stays", Class: idempotent, TimeLeft: time.Second})
@@ -64,15 +66,16 @@
 	}
 	r.handle(ClientDisconnected{Request: "left"})
 	if sent := ofKind(Forward, r.handle(TimerFired{ID: r.b.timers.lastID})); len(sent) != 1 || sent[0].Request != "stays" {
-		t.Errorf("sent %+v", sent)
+		t.Errorf("forwarded %+v, want only the request of the client that stays", sent)
 	}
 	if len(r.b.requests) != 1 {
-		t.Errorf("%d requests are remembered", len(r.b.requests))
+		t.Errorf("%d requests are kept, want 1", len(r.b.requests))
 	}
 }
 
-// A node that starts knows nothing, and in a large fleet all that start together would fill the endpoints before a
-// dear health check is due: until it has checked as many times as it has endpoints, each arrival checks.
+// A node that has just started knows no loads. If all nodes of a large fleet start at the same time, they would fill
+// the endpoints before the first health check is due at a high price. Therefore each arrival sends a check until the
+// node has sent as many checks as it has endpoints.
 func TestNewNodeChecksAtEachArrival(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 1000 * healthCheckBudgetPerArrival
@@ -91,8 +94,8 @@
 	}
 }
 
-// Where health checks are cheap and fresh a request waits for those of its own tick: in a large fleet all older
-// queue estimates are out of date, and the smallest of them is the most outdated one.
+// If health checks are cheap and fresh, a request waits for those of its own tick. In a large fleet all older queue
+// estimates are out of date, and the smallest estimate is the most outdated one.
 func TestArrivalsWaitForTheirHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0
@@ -105,13 +108,13 @@
 	r.advance(ms)
 	for _, id := range []EndpointID{1, 3} {
 		if r.handle(loadReported(id, 4)); len(ofKind(Forward, r.last)) != 0 {
-			t.Fatal("forwarded before all checks were back")
+			t.Fatal("forwarded before all checks had a result")
 		}
 	}
 	if r.handle(loadReported(2, 0)); r.forwardedTo() != 2 {
-		t.Errorf("sent to %d, but 2 is idle", r.forwardedTo())
+		t.Errorf("sent to endpoint %d, but endpoint 2 is idle", r.forwardedTo())
 	}
-	// A check without a result must not delay it for long, nor past its deadline.
+	// A check without a result must not delay a request for long, and not past its deadline.
 	r.advance(time.Second)
 	r.handle(RequestArrived{Request: "y", TimeLeft: time.Second})
 	timers := ofKind(SetTimer, r.last)
@@ -129,16 +132,17 @@
 	}
 }
 
-// A request that is lost at an endpoint with little else to answer must not cost it its traffic while health checks
-// succeed. One that answers nobody, health checks included, loses it.
-func TestHealthChecksAreSignsOfLife(t *testing.T) {
+// A successful health check counts as activity. An endpoint with few other requests to answer must not lose its traffic
+// after one lost request while its health checks succeed. An endpoint that answers neither requests nor health checks
+// loses its traffic.
+func TestHealthChecksCountAsActivity(t *testing.T) {
 	for name, tc := range map[string]struct {
-		check Status
-		fails float64
+		check       Status
+		failureRate float64
 	}{
-		"answered": {StatusSucceeded, 0},
-		"rejected": {StatusRejected, 1},
-		"silent":   {StatusTimedOut, 1},
+		"answered":  {StatusSucceeded, 0},
+		"rejected":  {StatusRejected, 1},
+		"no answer": {StatusTimedOut, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
@@ -150,8 +154,8 @@
 			r.handle(HealthChecked{Endpoint: 1, Status: tc.check, Elapsed: 10 * ms})
 			r.advance(700 * ms)
 			r.endAttempt("lost", 0, 1, StatusTimedOut)
-			if e.failureRate != tc.fails {
-				t.Errorf("failure rate %v, want %v", e.failureRate, tc.fails)
+			if e.failureRate != tc.failureRate {
+				t.Errorf("failure rate %v, want %v", e.failureRate, tc.failureRate)
 			}
 		})
 	}
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Large fleets take seconds to check all endpoints: one without a report has the load of its peers, and one report
-// does not change that, but many do.
+// In a large fleet it takes seconds to check all endpoints. An endpoint without a report is expected to have the mean
+// load. A single report of its own hardly changes this, but many reports do.
 func TestEndpointsWithoutReportsHaveTheMeanLoad(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(loadReported(1, 10))
@@ -18,12 +18,12 @@
 		r.handle(loadReported(2, float64(10+i%2)))
 	}
 	if o := r.b.otherNodesLoad(r.b.endpoints[3]); o < 9 || o > 11 {
-		t.Errorf("load %v at an endpoint without reports, 10 at its peers", o)
+		t.Errorf("load %v at an endpoint without reports, 10 at the others", o)
 	}
 	r.advance(5 * time.Second)
 	r.handle(loadReported(3, 0))
 	if o := r.b.expectedLoad(r.b.endpoints[3]); o < 6 {
-		t.Errorf("expected load %v after a single report: the smallest of many such is chance", o)
+		t.Errorf("expected load %v after a single report of 0, want at least 6", o)
 	}
 	for range 40 {
 		r.advance(5 * time.Second)
@@ -36,17 +36,18 @@
 	}
 }
 
-// The first reports tell of all endpoints that have not reported yet, at once and not by a twentieth each.
-func TestFirstReportsTellOfEndpointsNotSeen(t *testing.T) {
+// The first reports apply to all endpoints that have not reported yet. They count in full and not by sampleWeight each.
+func TestFirstReportsApplyToEndpointsWithoutReports(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.advance(time.Second)
 	r.handle(loadReported(1, 10))
 	if o := r.b.otherNodesLoad(r.b.endpoints[2]); o < 5 {
-		t.Errorf("%v at an endpoint without reports, 10 at the first one with one", o)
+		t.Errorf("load %v at an endpoint without reports, 10 at the first endpoint with a report", o)
 	}
 }
 
-// A zone with more traffic than it can carry must not pass for the entire fleet, or the others stay idle.
+// The mean load of a zone with more traffic than it can handle must not be taken for that of the fleet. Otherwise the
+// other zones stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
@@ -60,9 +61,9 @@
 	}
 }
 
-// A node of a large fleet has a report a second, of one endpoint out of many: that one had three requests is chance,
-// and must not make an entire zone look full.
-func TestOneReportDoesNotMoveTheZone(t *testing.T) {
+// A node of a large fleet gets one load report a second, from one endpoint of many. If this endpoint has three requests
+// more by chance, the entire zone must not look full.
+func TestOneReportHardlyChangesTheZoneMean(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for range 50 {
 		r.advance(time.Second)
@@ -73,6 +74,6 @@
 	r.advance(time.Second)
 	r.handle(loadReported(2, 4))
 	if more := r.b.loads.zoneMean(0) - was; more <= 0 || more > 0.5 {
-		t.Errorf("three requests more at one endpoint make it %.2f at each of its zone", more)
+		t.Errorf("three requests more at one endpoint raise the mean of its zone by %.2f", more)
 	}
 }
--- a/balance/lossdetection_test.go
+++ b/balance/lossdetection_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// An attempt that had many times what its queue takes, at an endpoint that answered others meanwhile, was lost
-// there: that is a failure. One that a client gave up early is none.
+// An attempt that took many times as long as its queue explains was lost, if its endpoint answered other attempts in
+// the meantime. It counts as a failure. An attempt that a client gave up early does not.
 func TestLostAttemptsAreFailures(t *testing.T) {
 	for name, tc := range map[string]struct {
-		spent time.Duration
-		wait  float64 // what the queue should have taken, in seconds
-		fails float64
+		spent       time.Duration
+		wait        float64 // expected time in the queue, in seconds
+		failureRate float64
 	}{
 		"lost":          {time.Second, 0.02, failureWeight},
 		"given up soon": {30 * ms, 0.02, 0},
@@ -22,41 +22,41 @@
 			r.serve(300, idempotent, in20ms)
 			r.arrive("x", idempotent)
 			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
-			r.serve(5, idempotent, in20ms) // signs of life
+			r.serve(5, idempotent, in20ms) // activity of the endpoint
 			r.b.endpoints[1].failureRate = 0
 			r.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: tc.spent})
-			if f := r.b.endpoints[1].failureRate; f != tc.fails {
-				t.Errorf("failure rate %v, want %v", f, tc.fails)
+			if f := r.b.endpoints[1].failureRate; f != tc.failureRate {
+				t.Errorf("failure rate %v, want %v", f, tc.failureRate)
 			}
 		})
 	}
 }
 
-// An attempt that must be lost is no longer in flight, and counts as one failure, once. One at an endpoint that has
-// given no sign of life since stays in flight: there a queue may be all.
+// A lost attempt is no longer in flight and counts as a failure once. An attempt stays in flight if its endpoint has
+// shown no activity since it was sent: the cause may be a queue alone.
 func TestLostAttemptsAreNotInFlight(t *testing.T) {
 	for name, tc := range map[string]struct {
-		signs      int
-		out, fails float64
-	}{"signs": {5, 0, failureWeight}, "none": {0, 1, 0}} {
+		answers               int
+		inFlight, failureRate float64
+	}{"answers": {5, 0, failureWeight}, "no answers": {0, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(300, idempotent, in20ms)
-			var marks []uint64
+			var timerIDs []uint64
 			for _, a := range ofKind(SetTimer, r.arrive("x", idempotent)) {
-				marks = append(marks, a.TimerID)
+				timerIDs = append(timerIDs, a.TimerID)
 			}
-			r.serve(tc.signs, idempotent, in20ms)
+			r.serve(tc.answers, idempotent, in20ms)
 			e := r.b.endpoints[1]
 			e.failureRate = 0
 			r.advance(400 * ms)
-			r.handle(TimerFired{ID: marks[len(marks)-1]})
-			if e.inFlight != tc.out || e.failureRate != tc.fails {
-				t.Errorf("%v in flight and a failure rate of %v, want %v and %v", e.inFlight, e.failureRate, tc.out, tc.fails)
+			r.handle(TimerFired{ID: timerIDs[len(timerIDs)-1]})
+			if e.inFlight != tc.inFlight || e.failureRate != tc.failureRate {
+				t.Errorf("%v in flight and a failure rate of %v, want %v and %v", e.inFlight, e.failureRate, tc.inFlight, tc.failureRate)
 			}
-			if tc.signs > 0 {
+			if tc.answers > 0 {
 				r.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
-				if e.inFlight != 0 || e.failureRate != tc.fails {
+				if e.inFlight != 0 || e.failureRate != tc.failureRate {
 					t.Errorf("counted twice: %v in flight, a failure rate of %v", e.inFlight, e.failureRate)
 				}
 			}
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// An endpoint with nothing but errors gets little, and as much as its peer once it answers.
+// An endpoint that answers only with errors gets few requests. Once it succeeds it gets as many as the other endpoint.
 func TestOutliersAreAvoidedAndRecover(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
-	bad := func(b EndpointID) time.Duration { return time.Duration(2-b) * 20 * ms } // 2 has errors only
-	r.serve(40, idempotent, bad)
-	if n := r.serve(50, idempotent, bad); n[2] > 5 {
-		t.Errorf("%d of 50 went to the failing endpoint", n[2])
+	failing := func(id EndpointID) time.Duration { return time.Duration(2-id) * 20 * ms } // endpoint 2 answers only with errors
+	r.serve(40, idempotent, failing)
+	if n := r.serve(50, idempotent, failing); n[2] > 5 {
+		t.Errorf("%d of 50 requests went to the failing endpoint", n[2])
 	}
 	r.advance(30 * time.Second)
 	for range 20 {
@@ -23,37 +23,38 @@
 	first := r.forwardedTo()
 	r.arrive("b", idempotent)
 	if second := r.forwardedTo(); first+second != 3 {
-		t.Errorf("with %d busy the next went to %d", first, second)
+		t.Errorf("with a request in flight at endpoint %d the next one went to %d", first, second)
 	}
 }
 
-// A failure rate that all endpoints share costs none of them anything.
+// A failure rate that all endpoints have in common adds no cost to any of them.
 func TestSharedFailuresCostNothing(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(400, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	e := r.b.endpoints[1]
 	cost := r.b.costSeconds(e) - (r.b.queueEstimate(e)+1)*r.b.serviceSeconds(e)
-	alone := e.failureRate * failureCostObjectives * r.b.latency.meanObjectiveSeconds // if its peer did not fail
+	alone := e.failureRate * failureCostObjectives * r.b.latency.meanObjectiveSeconds // if the other endpoint did not fail
 	if e.failureRate < 0.3 || cost > alone/2 {
-		t.Errorf("rate %v, of all %v, charged %v", e.failureRate, r.b.outliers.meanFailureRate, cost)
+		t.Errorf("failure rate %v, mean failure rate %v, cost %v s", e.failureRate, r.b.outliers.meanFailureRate, cost)
 	}
 }
 
-// When all fail alike none is an outlier, and requests are still forwarded.
-func TestNoOutlierWhenAllFail(t *testing.T) {
+// When all endpoints fail alike, requests are still forwarded.
+func TestRequestsAreForwardedWhenAllEndpointsFail(t *testing.T) {
 	cfg := testConfig()
-	cfg.Prices.HealthCheck = 0 // reports clear what was not accepted; the failures remain
+	cfg.Prices.HealthCheck = 0 // load reports clear the unaccepted attempts; the failure rates remain
 	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(60, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	if n := r.serve(40, idempotent, in20ms); n[1]+n[2] < 20 {
-		t.Errorf("only %v of 40 were sent", n)
+		t.Errorf("only %v of 40 requests were sent", n)
 	}
 }
 
-// An endpoint that hangs has a bearable queue while it takes everything sent to it.
-func TestSilentEndpointsGetNothing(t *testing.T) {
+// An endpoint that hangs gets no more requests, although its queue is tolerable while it takes every request sent to
+// it.
+func TestUnresponsiveEndpointsGetNoRequests(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	answered := ""
@@ -69,13 +70,13 @@
 	r.endAttempt(answered, 0, 1, StatusSucceeded)
 	r.advance(300 * ms)
 	if n := r.serve(30, idempotent, in20ms); n[2] != 0 {
-		t.Errorf("%d of 30 went to the silent endpoint", n[2])
+		t.Errorf("%d of 30 requests went to the unresponsive endpoint", n[2])
 	}
 }
 
-// With nothing in flight there is no silence: else a sign of life after the last attempt was sent, and then that
-// attempt's time-out, would leave a healthy endpoint without traffic for good.
-func TestSilenceEndsWithTheLastAttempt(t *testing.T) {
+// An endpoint without attempts in flight is not unresponsive. Otherwise a healthy endpoint would get no more requests
+// for good after an attempt times out that was sent before the endpoint's last activity.
+func TestEndpointWithoutAttemptsIsNotUnresponsive(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", idempotent)
@@ -83,36 +84,37 @@
 	r.endAttempt("lost", 0, 1, StatusTimedOut)
 	r.advance(time.Minute)
 	if s := r.b.unresponsiveSeconds(r.b.endpoints[1]); s != 0 {
-		t.Errorf("%v s of silence with nothing out", s)
+		t.Errorf("unresponsive for %v s without an attempt in flight", s)
 	}
 }
 
-// Clients give up attempts early: a time-out among answers says little about the endpoint.
+// Clients give up attempts early. A timeout while the endpoint answers other attempts says little about the endpoint.
 func TestTimeoutsAmongAnswersAreNoFailures(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("slow", idempotent)
 	r.serve(5, idempotent, in20ms)
 	r.endAttempt("slow", 0, 1, StatusTimedOut)
 	if f := r.b.endpoints[1].failureRate; f != 0 {
-		t.Errorf("failure rate %v", f)
+		t.Errorf("failure rate %v, want 0", f)
 	}
 }
 
-// An endpoint that lost everything it was sent looks idle: with nothing in flight and no sign since, that is a
-// failure.
-func TestTimeoutWithoutAnySignIsAFailure(t *testing.T) {
+// An endpoint that has lost every request looks idle. If its last attempt in flight times out and it has shown no
+// activity since that attempt was sent, the timeout counts as a failure.
+func TestTimeoutWithoutAnyActivityIsAFailure(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", nonIdempotent)
 	r.advance(time.Second)
 	r.endAttempt("lost", 0, 1, StatusTimedOut)
 	if f := r.b.endpoints[1].failureRate; f != 1 {
-		t.Errorf("failure rate %v", f)
+		t.Errorf("failure rate %v, want 1", f)
 	}
 }
 
-// Silence counts while something is in flight, beyond what the queue explains.
-func TestSilenceRaisesTheCost(t *testing.T) {
+// The time for which an endpoint with attempts in flight is unresponsive raises its cost, beyond what the queue
+// explains.
+func TestUnresponsiveTimeRaisesTheCost(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
@@ -121,11 +123,11 @@
 	r.advance(10 * ms)
 	r.handle(TimerFired{})
 	if c := r.b.costSeconds(e); c != was {
-		t.Errorf("cost %v after 10 ms, %v at once", c, was)
+		t.Errorf("cost %v s after 10 ms, %v s immediately", c, was)
 	}
 	r.advance(time.Second)
 	r.handle(TimerFired{})
 	if c := r.b.costSeconds(e); c < was+0.9 {
-		t.Errorf("cost %v after a second of silence, %v at once", c, was)
+		t.Errorf("cost %v s after a second without activity, %v s immediately", c, was)
 	}
 }
--- a/balance/probeadmission_test.go
+++ b/balance/probeadmission_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// A node that rejects everything has no answers to correct what it believes: one in maxProbeAdmissionInterval is
-// forwarded all the same. Where they wait long that is all, or overload would get through; where they don't the node
-// stops rejecting.
+// A node that rejects all requests has no answers to correct its estimates, so it forwards one request in
+// maxProbeAdmissionInterval. If these requests wait long, the node forwards no more of them, or overload would get
+// through. If they do not wait, the node stops rejecting.
 func TestRejectionsSendProbeAdmissions(t *testing.T) {
 	for name, c := range map[string]struct {
 		spent       time.Duration
 		st          Status
 		least, most int
 	}{
-		"right to reject": {spent: 800 * ms, least: 10, most: 10},
-		"rejected":        {st: StatusRejected, least: 10, most: 12},
-		"wrong":           {spent: 20 * ms, least: 100, most: 200},
+		"long wait":  {spent: 800 * ms, least: 10, most: 10},
+		"rejected":   {st: StatusRejected, least: 10, most: 12},
+		"short wait": {spent: 20 * ms, least: 100, most: 200},
 	} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		sent, all := 0, int(10*maxProbeAdmissionInterval)
 		for i := range all {
-			r.b.loads.zones[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // whatever answers say
+			r.b.loads.zones[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // keeps the estimate high
 			r.advance(10 * ms)
 			id := fmt.Sprint(i)
 			if r.arrive(id, idempotent); len(ofKind(Forward, r.last)) > 0 {
@@ -32,7 +32,7 @@
 			}
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("%s: %d of %d sent to an endpoint that seems full", name, sent, all)
+			t.Errorf("%s: %d of %d requests sent to an endpoint that seems full", name, sent, all)
 		}
 	}
 }
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Without a report, an answer leaves the queue estimate as it was before its request was forwarded.
-func TestAnswerLeavesTheQueueEstimateAsBefore(t *testing.T) {
+// An answer without a load report returns the queue estimate to its value before the request was forwarded.
+func TestAnswerRestoresTheQueueEstimate(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(5, idempotent, in20ms)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
-		t.Errorf("queue estimate %v after all was answered", e)
+		t.Errorf("queue estimate %v after all requests were answered", e)
 	}
 	r.arrive("x", idempotent)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
@@ -18,13 +18,13 @@
 	}
 }
 
-// An endpoint that fails fast looks idle: what it did not accept stays counted until it reports.
+// An endpoint that fails fast looks idle. The attempts that it did not accept stay counted until it reports its load.
 func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	r.endAttempt("x", 0, 1, StatusRejected)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
-		t.Errorf("queue estimate %v", e)
+		t.Errorf("queue estimate %v after an attempt that was not accepted", e)
 	}
 	r.handle(loadReported(1, 0))
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
@@ -32,7 +32,8 @@
 	}
 }
 
-// Stale reports taken literally send every node to the endpoint that was idle then.
+// An old load report counts only in part. If nodes took it literally, every node would send to the endpoint that was
+// idle then.
 func TestOldReportsCountPartly(t *testing.T) {
 	for _, c := range []struct {
 		gap, serviceTime time.Duration
@@ -41,7 +42,7 @@
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
-		for i := range 300 { // what the time between reports is learned from
+		for i := range 300 { // the interval between reports is learned from these
 			r.advance(c.gap)
 			r.handle(loadReported(1, float64(10+i%2)))
 			r.handle(loadReported(2, 10))
@@ -52,13 +53,13 @@
 		r.handle(loadReported(2, 10))
 		r.handle(loadReported(1, 0))
 		if staysHigh := r.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
-			t.Errorf("reports %v apart, %v a request: queue estimate 10 became %v",
+			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v",
 				c.gap, c.serviceTime, r.b.queueEstimate(e))
 		}
 	}
 }
 
-// A site without health checks has no report to clear what was not accepted.
+// On a site without health checks no report clears the unaccepted attempts, so their count must decay.
 func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
@@ -70,11 +71,11 @@
 		r.handle(ClientDisconnected{})
 	}
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e > 0.1 {
-		t.Errorf("queue estimate %v", e)
+		t.Errorf("queue estimate %v after 20 windows without a report", e)
 	}
 }
 
-// A reported load fades, as the queue turns over, into what is expected at that endpoint.
+// As the queue turns over, the estimate moves from the reported load to the expected load of the endpoint.
 func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
@@ -88,14 +89,14 @@
 	r.advance(10 * time.Second)
 	r.handle(TimerFired{})
 	if estimate := r.b.queueEstimate(e); estimate > 2.2 {
-		t.Errorf("queue estimate %v ten seconds later, 2 is expected", estimate)
+		t.Errorf("queue estimate %v ten seconds after the report, expected load 2", estimate)
 	}
 }
 
-// What was not accepted counts as standing at its endpoint until a report, or until it has faded where none comes:
-// where health checks are few and some are lost, an attempt that nobody has would keep the endpoint idle for good.
-// One that was never sent tells nothing of the endpoint, and is not counted; abandoned ones have a test of their
-// own.
+// An unaccepted attempt counts as queued at its endpoint until the next load report, or until its count has decayed. If
+// health checks are few and some are lost, a count without decay would keep an idle endpoint without requests for good.
+// An attempt that was never sent tells nothing about the endpoint and is not counted. Abandoned attempts have a test of
+// their own.
 func TestUnacceptedAttemptsFade(t *testing.T) {
 	for status, want := range map[Status]float64{
 		StatusNotDelivered:     1,
@@ -111,11 +112,11 @@
 		e.unaccepted = 0
 		r.arrive("x", nonIdempotent)
 		if e.unaccepted = 0; e.inFlight != 1 {
-			t.Fatalf("%d: %v out", status, e.inFlight)
+			t.Fatalf("status %d: %v attempts in flight, want 1", status, e.inFlight)
 		}
 		r.endAttempt("x", 0, 1, status)
 		if e.unaccepted != want {
-			t.Errorf("status %d counts %v attempts, want %v", status, e.unaccepted, want)
+			t.Errorf("status %d: %v attempts are counted, want %v", status, e.unaccepted, want)
 		}
 		for range 4 {
 			r.advance(max(cfg.Rules.OverloadWindow, time.Second))
@@ -127,11 +128,10 @@
 	}
 }
 
-// Seen: under a burst a large fleet served a third less than before unaccepted attempts faded, as queues grew until
-// answers came late. Cause: attempts that had timed out, or whose clients had disconnected, no longer counted at
-// their endpoint soon, or at once, and more was sent there, while their work may still stand in that queue, unlike
-// that of an attempt that was never accepted. Proof: with these attempts counted for longer the days of the burst
-// are as before, and those of failing connections as after.
+// The count of abandoned attempts decays more slowly than that of unaccepted ones. The work of an attempt that timed
+// out, or whose client disconnected, may still be in the endpoint's queue. If its count decayed as fast as that of an
+// attempt that was never accepted, the node would send more requests there. In a large fleet under a burst the queues
+// would then grow until answers are late and a third fewer requests are served.
 func TestAbandonedAttemptsFadeMoreSlowly(t *testing.T) {
 	for _, status := range []Status{StatusTimedOut, StatusCancelled} {
 		cfg := testConfig()
@@ -142,7 +142,7 @@
 		r.arrive("x", nonIdempotent)
 		r.endAttempt("x", 0, 1, status)
 		if counted := r.b.queueEstimate(e) - before; counted < 0.9 {
-			t.Errorf("status %d counts %v attempts, want one", status, counted)
+			t.Errorf("status %d: %v attempts are counted, want 1", status, counted)
 		}
 		for _, want := range []struct{ least, most float64 }{{0.25, 0.45}, {0, 0.15}} {
 			for range 2 {
@@ -157,7 +157,7 @@
 	}
 }
 
-// An attempt that must have been lost was not accepted, whoever ended it.
+// A lost attempt counts as unaccepted, whoever ended it.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
@@ -168,6 +168,6 @@
 	e.inFlight--
 	r.endAttempt("x", 0, 1, StatusCancelled)
 	if e.unaccepted != 1 || e.abandoned != 0 {
-		t.Errorf("%v unaccepted attempts, %v abandoned ones", e.unaccepted, e.abandoned)
+		t.Errorf("%v unaccepted attempts, want 1; %v abandoned attempts, want 0", e.unaccepted, e.abandoned)
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Retries are a tenth of the requests at most, and not much less while attempts are rejected.
+// Retries are at most a tenth of the requests, and not much less while attempts are rejected.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	sends := 0
@@ -26,7 +26,8 @@
 	}
 }
 
-// What fails at the deadline is answered, not retried: the client is gone by the time that a retry is done.
+// A request whose attempt fails at the deadline is answered and not retried, because its client stops waiting before a
+// retry could end.
 func TestNoRetryAtTheDeadline(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
@@ -35,11 +36,11 @@
 	r.advance(time.Second)
 	acts := r.endAttempt("x", 0, to, StatusRejected)
 	if len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("%+v", acts)
+		t.Errorf("actions after a rejection at the deadline: %+v", acts)
 	}
 }
 
-// A retry goes to an endpoint that has not had the request; with none left the request is answered.
+// A retry goes to an endpoint that has not had the request. If no such endpoint is left, the request is answered.
 func TestRetriesGoToOtherEndpoints(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
@@ -49,11 +50,11 @@
 	second := r.forwardedTo()
 	acts := r.endAttempt("x", 1, second, StatusRejected)
 	if second == first || len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("to %d, then %d, then %+v", first, second, acts)
+		t.Errorf("sent to endpoint %d, then to %d, then %+v", first, second, acts)
 	}
 }
 
-// A long calm must not save up retries for an overload.
+// Requests at low load must not save up an unlimited number of retries for an overload.
 func TestRetryBudgetIsCapped(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(1000, idempotent, in20ms)
@@ -62,7 +63,8 @@
 	}
 }
 
-// An attempt that ends after its stream has begun is not retried: the client would get the stream twice.
+// An attempt that fails after its stream has started is not retried. The client would get the start of the stream
+// twice.
 func TestStartedStreamIsNotRetried(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
@@ -70,11 +72,11 @@
 	to := r.forwardedTo()
 	r.handle(StreamStarted{Request: "x", Endpoint: to})
 	if acts := r.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
-		t.Errorf("%+v", acts)
+		t.Errorf("actions after the connection of a started stream was lost: %+v", acts)
 	}
 }
 
-// A request whose body is used up is rejected; one that can be replayed is retried.
+// A request whose body is used up is rejected. A request that can be replayed is retried.
 func TestRequestThatIsNotReplayableIsNotRetried(t *testing.T) {
 	for _, notReplayable := range []bool{false, true} {
 		b, e := withIncompleteRequest(t)
@@ -90,12 +92,12 @@
 			}
 		}
 		if e.inFlight != 0 || (sent == 0) != notReplayable || (rejected == 1) != notReplayable {
-			t.Errorf("not replayable %v: sent %d times, rejected %d, in flight %v", notReplayable, sent, rejected, e.inFlight)
+			t.Errorf("not replayable %v: sent %d times, rejected %d times, %v attempts in flight", notReplayable, sent, rejected, e.inFlight)
 		}
 	}
 }
 
-// Which attempts may be retried, and where, by the repeatability of the class.
+// The repeatability of the class decides which attempts may be retried, and at which endpoints.
 func TestRetriesByRepeatability(t *testing.T) {
 	members := []Endpoint{
 		listedEndpoint(1, 0, 0),
@@ -111,7 +113,7 @@
 		status Status
 		after  time.Duration
 		resend bool
-		final  ActionKind // when nothing is sent
+		final  ActionKind // of the answer if the request is not retried
 	}{
 		{"idempotent after a reset", idempotent, StatusConnectionLost, 0, true, 0},
 		{"idempotent after an error", idempotent, StatusApplicationError, 0, true, 0},
@@ -142,13 +144,13 @@
 			acts := r.endAttempt("x", 0, first, c.status)
 			if !c.resend {
 				if len(ofKind(Forward, acts)) != 0 || len(ofKind(c.final, acts)) != 1 {
-					t.Fatalf("got %+v", acts)
+					t.Fatalf("actions: %+v", acts)
 				}
 				return
 			}
 			again := r.forwardedTo()
 			if again == first {
-				t.Error("the retry went to the endpoint that had failed")
+				t.Error("the retry went to the endpoint of the first attempt")
 			}
 			if c.class == keyedZone && zoneOf[again] != zoneOf[first] {
 				t.Error("the retry left the zone that drops repeats")
@@ -160,18 +162,18 @@
 	}
 }
 
-// No other endpoint is in the cell: the request must fail, since a rejection would promise too much.
+// If no other endpoint is in the cell, the request must fail. A rejection would promise that trying again is harmless.
 func TestCellKeyedRequestFailsOnceItMayHaveRun(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
 	r.arrive("x", keyedCell)
 	acts := r.endAttempt("x", 0, r.forwardedTo(), StatusConnectionLost)
 	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Reject, acts)) != 0 || len(ofKind(Forward, acts)) != 0 {
-		t.Fatalf("got %+v", acts)
+		t.Fatalf("actions: %+v", acts)
 	}
 }
 
-// A retry after an attempt that may have run has to start before the idempotency key expires; others start at any
-// time.
+// A retry after an attempt that may have run has to start before the idempotency key expires. Other attempts may start
+// at any time.
 func TestKeyedRetriesStartWithinTheKeyWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{idempotent: 0, keyedAll: 300 * ms} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
@@ -183,15 +185,15 @@
 		r.advance(200 * ms)
 		r.endAttempt("x", 0, first[0].Endpoint, StatusConnectionLost)
 		if again := ofKind(Forward, r.last); len(again) != 1 || again[0].StartWithin != want {
-			t.Errorf("class %d, the repeat: %+v", class, r.last)
+			t.Errorf("class %d, the retry: %+v", class, r.last)
 		}
 	}
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.b.retryBudget.retries = 5
 	first := ofKind(Forward, r.arrive("x", keyedAll))
 	r.advance(200 * ms)
-	r.endAttempt("x", 0, first[0].Endpoint, StatusRejected) // it never ran: the window has not begun
+	r.endAttempt("x", 0, first[0].Endpoint, StatusRejected) // the attempt never ran, so the key window has not begun
 	if again := ofKind(Forward, r.last); len(again) != 1 || again[0].StartWithin != 0 {
-		t.Errorf("after one that never ran: %+v", r.last)
+		t.Errorf("the retry after an attempt that never ran: %+v", r.last)
 	}
 }
--- a/balance/retryafter.go
+++ b/balance/retryafter.go
@@ -19,8 +19,8 @@
 		seconds = b.latency.meanObjectiveSeconds
 	}
 	seconds = max(seconds, b.latency.meanServiceSeconds)
-	if most := b.cfg.Limits.MaxRetryAfter.Seconds(); most > 0 {
-		seconds = min(seconds, most)
+	if limit := b.cfg.Limits.MaxRetryAfter.Seconds(); limit > 0 {
+		seconds = min(seconds, limit)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/balance/retryafter_test.go
+++ b/balance/retryafter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A rejection says when to try again: later behind longer queues, and never beyond what clients heed.
+// A rejection says when to try again. The time is longer behind longer queues, and never longer than clients accept.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	advice := func(others float64, members ...Endpoint) time.Duration {
 		cfg := testConfig()
@@ -20,9 +20,9 @@
 	free := advice(0, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	full := advice(500, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	if free <= 0 || full <= free || full > 2*time.Second {
-		t.Errorf("behind no queue %v, behind a long one %v", free, full)
+		t.Errorf("Retry-After %v without a queue, %v behind a long queue", free, full)
 	}
 	if none := advice(0, Endpoint{ID: 1, Phase: Draining}); none <= 0 || none > 2*time.Second {
-		t.Errorf("without an endpoint: %v", none)
+		t.Errorf("Retry-After without a usable endpoint: %v", none)
 	}
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 // An endpoint that has just started has only a fraction of its capacity. A load of more than OverloadMultiple times
-// that fraction for an OverloadWindow overloads it. This file bounds what all nodes together send to it: in each window
-// a node grants it
+// that fraction for an OverloadWindow brings it down. This file bounds what all nodes together send to it: in each
+// window a node grants it
 //
 //	slowStartMargin * OverloadMultiple * slow start fraction * warm throughput of this node * OverloadWindow
 //
@@ -79,8 +79,8 @@
 
 // grantSlowStartCredit sets the work that an endpoint in slow start may get in the window that begins: this node's part
 // of what a warm endpoint does, or of one request at a time if that is more. In a large fleet this part is less than
-// one request, and one request from each node would overload the endpoint. The number of requests is therefore rounded
-// at random.
+// one request, and one request from each node would bring the endpoint down. The number of requests is therefore
+// rounded at random.
 func (b *Balancer) grantSlowStartCredit(e *endpointState) {
 	if b.isWarm(e) {
 		return
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Within any OverloadWindow an endpoint in slow start gets less than this node's part of what it can do, counted as
-// work: one heavy request weighs as much as many light ones.
+// In any OverloadWindow an endpoint in slow start gets less than this node's part of what it can do. The load is
+// counted as work, so a heavy request counts as much as many light ones.
 func TestEndpointsInSlowStartAreNotOverloaded(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		cfg := testConfig()
@@ -23,7 +23,7 @@
 				return 0
 			}
 			if busy && s[0].Endpoint == 1 {
-				r.handle(AttemptEnded{Request: id, Endpoint: 1, Status: StatusRejected}) // it is as full as it seems
+				r.handle(AttemptEnded{Request: id, Endpoint: 1, Status: StatusRejected}) // endpoint 1 is as full as estimated
 				return 1
 			}
 			r.handle(AttemptEnded{Request: id, Endpoint: s[0].Endpoint, Elapsed: spent[s[0].Endpoint], Final: true})
@@ -33,14 +33,14 @@
 			send(fmt.Sprint("warm", i))
 		}
 		busy = true
-		r.b.endpoints[1].loadBias = 500 // so that it would all go to the starting one
+		r.b.endpoints[1].loadBias = 500 // so that all requests would go to the starting endpoint
 		starting := listedEndpoint(2, 0, 0)
 		starting.StartedAt = r.now
 		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
 		if heavy {
 			hint = 200 * ms
 		}
-		rate := 0.5 * 20.0 / 10.0 // work a second that each warm endpoint was seen to do
+		rate := 0.5 * 20.0 / 10.0 // work a second that each warm endpoint did
 		var at []time.Duration
 		for i := range 1500 {
 			if send(fmt.Sprint("cold", i)) == 2 {
@@ -54,10 +54,10 @@
 			}
 			end := min((at[i]+cfg.Rules.OverloadWindow-starting.StartedAt).Seconds()/cfg.Rules.SlowStartDuration.Seconds(), 1)
 			fraction := cfg.Rules.SlowStartFraction + (1-cfg.Rules.SlowStartFraction)*end
-			can := fraction * rate * cfg.Rules.OverloadWindow.Seconds()
+			capacity := fraction * rate * cfg.Rules.OverloadWindow.Seconds()
 			lastStart := starting.StartedAt + cfg.Rules.SlowStartDuration - cfg.Rules.OverloadWindow
-			if at[i] < lastStart && work > 0.5*cfg.Rules.OverloadMultiple*can {
-				t.Fatalf("heavy %v: %.2f s of work within a window of %.2f s", heavy, work, can)
+			if at[i] < lastStart && work > 0.5*cfg.Rules.OverloadMultiple*capacity {
+				t.Fatalf("heavy %v: %.2f s of work in a window, in which the endpoint can do %.2f s", heavy, work, capacity)
 			}
 		}
 		if len(at) < 10 {
@@ -66,39 +66,40 @@
 	}
 }
 
-// The warm throughput is that of endpoints that were warm and known for the entire window, and fades in a lull.
+// The warm throughput counts only endpoints that were warm and known for the entire window. It decays while there is
+// little work.
 func TestWarmThroughput(t *testing.T) {
 	starting := listedEndpoint(1, 0, 0)
 	starting.StartedAt = time.Hour
 	r := newRig(t, testConfig(), starting, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
-	roll := func(work float64) float64 {
+	endWindow := func(work float64) float64 {
 		for _, s := range r.b.endpoints {
 			s.servedWorkSeconds = work
 		}
 		r.b.endpoints[1].servedWorkSeconds = 1000 * work
-		r.b.endpoints[3].servedWorkSeconds, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // came just now
+		r.b.endpoints[3].servedWorkSeconds, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // listed during the window
 		r.advance(1500 * ms)
 		r.handle(TimerFired{})
 		return r.b.slowStart.warmThroughput
 	}
 	r.advance(1500 * ms)
 	r.handle(TimerFired{})
-	high := roll(3)
+	high := endWindow(3)
 	if math.Abs(high-2) > 0.01 {
-		t.Errorf("rate %v, want 3 in 1.5 s", high)
+		t.Errorf("warm throughput %v, want 3 s of work in 1.5 s", high)
 	}
-	if low := roll(0); low != warmThroughputDecay*high {
-		t.Errorf("rate %v after a lull, %v before", low, high)
+	if low := endWindow(0); low != warmThroughputDecay*high {
+		t.Errorf("warm throughput %v after a window without work, %v before", low, high)
 	}
 }
 
-// A fleet of nodes that each send just one request to an endpoint in slow start can overload it: in any window all
-// of them together stay within its budget, and still some of them send.
+// A fleet can overload an endpoint in slow start even if each node sends only one request. In any window all nodes
+// together must stay within the endpoint's budget, and some of them must still send requests.
 func TestManyNodesShareTheSlowStartBudget(t *testing.T) {
 	for _, known := range []bool{false, true} { // before and after the first answers
 		cfg := testConfig()
 		cfg.Instances = 200
-		cfg.Rules.SlowStartFraction = 0.9 // what it can do is then known
+		cfg.Rules.SlowStartFraction = 0.9 // so that its capacity is almost constant
 		got := make([]int, 4)
 		for node := range cfg.Instances {
 			b, _ := New(cfg, uint64(node))
@@ -107,7 +108,7 @@
 			if known {
 				r.serve(20, idempotent, in20ms)
 			}
-			b.slowStart.warmThroughput = 0 // it does little for each of so many nodes
+			b.slowStart.warmThroughput = 0 // a warm endpoint does little work for each of so many nodes
 			starting := listedEndpoint(1, 0, 0)
 			starting.StartedAt = r.now
 			r.handle(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{starting}})
@@ -119,7 +120,8 @@
 				r.advance(1500 * ms / 200)
 			}
 		}
-		// It gets one second of work a second done, a request of 20 ms (30 when not known yet) after another.
+		// The endpoint does one second of work a second, one request at a time. A request takes 20 ms, or is taken to take
+		// 30 ms while no answer is known.
 		for window, n := range got {
 			if n == 0 || float64(n)*0.02 > 0.6*cfg.Rules.OverloadMultiple*1.5 {
 				t.Errorf("window %d, answers known %v: %d requests", window, known, n)
@@ -128,15 +130,15 @@
 	}
 }
 
-// The credit of an endpoint in slow start is used while warm ones have a queue, though it is slower: it would stay
-// cold without. What it would answer too late goes to a warm one.
+// The credit of an endpoint in slow start is used when warm endpoints have a queue, although the endpoint is slower.
+// Without requests it would stay cold. A request that it would answer too late goes to a warm endpoint.
 func TestSlowStartCreditIsUsed(t *testing.T) {
 	for hint, want := range map[time.Duration]EndpointID{10 * ms: 2, 100 * ms: 1} {
 		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		r.advance(3 * time.Second)
 		r.serve(100, idempotent, in20ms)
-		r.setOtherNodesLoad(1, 1) // no more than is usual
+		r.setOtherNodesLoad(1, 1) // the usual load
 		starting := listedEndpoint(2, 0, 0)
 		starting.StartedAt = r.now - r.b.cfg.Rules.SlowStartDuration/4
 		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
@@ -146,7 +148,7 @@
 			r.handle(TimerFired{ID: r.b.timers.lastID})
 		}
 		if to := r.forwardedTo(); to != want {
-			t.Errorf("work of %v went to %d, want %d", hint, to, want)
+			t.Errorf("a request with work of %v went to endpoint %d, want %d", hint, to, want)
 		}
 	}
 }
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -9,45 +9,47 @@
 	"time"
 )
 
-// testFleet is balancers that share nothing but their endpoints, on random arrivals. Each endpoint works through
-// what it gets one request after another, more slowly in slow start.
+// testFleet runs Balancers that share nothing but their endpoints, with random arrivals. Each endpoint works on one
+// request at a time, and more slowly in slow start.
 type testFleet struct {
 	cfg         Config
 	work        time.Duration // of a mean request
 	rng         *rand.Rand
 	now         time.Duration
 	nodes       []*Balancer
-	freeAt      map[EndpointID]time.Duration // when an endpoint has done all its work
+	freeAt      map[EndpointID]time.Duration // when the endpoint will have done all its work
 	queued      map[EndpointID]int
 	endpoints   []Endpoint
-	agenda      agenda
+	events      eventQueue
 	sequence    int
 	forwardedAt map[EndpointID][]time.Duration
 }
 
-type due struct {
+// scheduledEvent is a call at a time of the simulation; seq orders events of the same time.
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type agenda []due
+// eventQueue is a heap of events, the next event first.
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any     { x := (*a)[len(*a)-1]; *a = (*a)[:len(*a)-1]; return x }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
-// warmUp is how long a fleet runs before anything is judged.
+// fleetWarmUp is how long a fleet runs before the endpoint in slow start is added.
 const fleetWarmUp = 6 * time.Second
 
-func newFleet(t *testing.T, cfg Config, work time.Duration, seed uint64, backends int) *testFleet {
+func newFleet(t *testing.T, cfg Config, work time.Duration, seed uint64, endpoints int) *testFleet {
 	f := &testFleet{cfg: cfg, work: work, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
 		freeAt: map[EndpointID]time.Duration{}, queued: map[EndpointID]int{}, forwardedAt: map[EndpointID][]time.Duration{}}
-	for i := range backends {
+	for i := range endpoints {
 		f.endpoints = append(f.endpoints, listedEndpoint(EndpointID(i+1), 0, 0))
 	}
 	for i := range cfg.Instances {
@@ -57,7 +59,7 @@
 	return f
 }
 
-// restart puts a new process in the place of a node. What the old one has in flight goes on at the endpoints.
+// restart replaces a node by a new process. The requests in flight of the old process go on at the endpoints.
 func (f *testFleet) restart(t *testing.T, i int) {
 	cfg := f.cfg
 	cfg.Index = i
@@ -69,16 +71,18 @@
 	f.handle(b, EndpointsListed{Kind: CachedList, Endpoints: f.endpoints})
 }
 
+// after schedules a call for d after the present time.
 func (f *testFleet) after(d time.Duration, do func()) {
 	f.sequence++
-	heap.Push(&f.agenda, due{f.now + d, f.sequence, do})
+	heap.Push(&f.events, scheduledEvent{f.now + d, f.sequence, do})
 }
 
+// run carries out all scheduled events until a time.
 func (f *testFleet) run(until time.Duration) {
-	for len(f.agenda) > 0 && f.agenda[0].at <= until {
-		d := heap.Pop(&f.agenda).(due)
-		f.now = d.at
-		d.do()
+	for len(f.events) > 0 && f.events[0].at <= until {
+		e := heap.Pop(&f.events).(scheduledEvent)
+		f.now = e.at
+		e.do()
 	}
 	f.now = until
 }
@@ -116,7 +120,7 @@
 	}
 }
 
-// traffic has requests arrive at a node at some rate, without end. Their work hints are rough.
+// traffic has requests arrive at node i at a mean rate, without end. Their work hints are inexact.
 func (f *testFleet) traffic(i int, perSecond float64) {
 	f.after(time.Duration(f.rng.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		f.sequence++
@@ -127,26 +131,28 @@
 	})
 }
 
-// An endpoint that has just started bears so many requests from all processes together, and beyond them twice their
-// root and 2 by chance, in any span of the length that the rules name: with one node, some and thirty, of which one
-// sees several times the mean, with light work and heavy, with low load and overload, with load reports and without
-// any, with all nodes notified at once, and with most restarted a moment after. In overload its budget is used.
+// An endpoint in slow start never gets more than it can take from all nodes together, in any OverloadWindow: the number
+// of requests that its budget allows, and beyond that twice the square root of that number and 2 for random arrivals.
+// The test varies the number of nodes, of which one gets several times the mean traffic, the work of a request, and the
+// load. All nodes are notified of the endpoint at almost the same time. The test runs with load reports and without
+// them, and with most nodes restarted a moment after the notification. Under overload a part of the budget must be
+// used.
 //
-// A node knows its part without asking anyone: it grants slowStartMargin of the budget times the work a second that one
-// warm endpoint does for it, of which all nodes together get no more than an endpoint can do, or times one part in
-// Instances where that is more; of less than one request it draws one by chance.
+// A node knows its part without asking other nodes. It grants slowStartMargin of the budget, times the work a second
+// that one warm endpoint does for it or times 1/Instances if that is more. All nodes together get no more work from a
+// warm endpoint than it can do. If a grant is less than one request, the node grants one request at random.
 func TestFleetDoesNotOverloadEndpointsInSlowStart(t *testing.T) {
 	for _, instances := range []int{1, 8, 30} {
 		for _, work := range []time.Duration{16 * ms, 60 * ms} {
 			for _, load := range []float64{0.35, 1.2} {
 				for i := range 4 {
-					blind, restarts := i%2 > 0, i/2 > 0
+					noReports, restarts := i%2 > 0, i/2 > 0
 					for seed := range uint64(2) {
-						over, used := slowStartRun(t, instances, work, load, 6, blind, restarts, seed)
+						over, used := slowStartRun(t, instances, work, load, 6, noReports, restarts, seed)
 						if over > 1 || load > 1 && used < 0.05 {
-							t.Errorf("%d nodes, work of %v, load %v, blind %v, restarts %v, seed %d: "+
-								"%.2f of what it bears in the worst span, %.2f of the budget in all",
-								instances, work, load, blind, restarts, seed, over, used)
+							t.Errorf("%d nodes, work of %v, load %v, without load reports %v, restarts %v, seed %d: "+
+								"%.2f times the allowed load in the worst window, %.2f of the budget used",
+								instances, work, load, noReports, restarts, seed, over, used)
 						}
 					}
 				}
@@ -155,13 +161,13 @@
 	}
 }
 
-// slowStartRun returns the load of the worst span, as a multiple of what an endpoint in slow start bears, and the
+// slowStartRun returns the load of the worst window, as a multiple of what an endpoint in slow start can take, and the
 // fraction of its budget that was used.
-func slowStartRun(t *testing.T, instances int, work time.Duration, load float64, replaced int, blind, restarts bool,
+func slowStartRun(t *testing.T, instances int, work time.Duration, load float64, replaced int, noReports, restarts bool,
 	seed uint64) (worst, used float64) {
 	const warm, starting = 8, EndpointID(9)
 	cfg := testConfig()
-	cfg.Instances, cfg.Tenants, cfg.Limits.HealthChecks = instances, nil, !blind
+	cfg.Instances, cfg.Tenants, cfg.Limits.HealthChecks = instances, nil, !noReports
 	cfg.Rules.SlowStartFraction, cfg.Rules.SlowStartDuration, cfg.Rules.OverloadWindow = 0.14, 23*time.Second, time.Second
 	f := newFleet(t, cfg, work, seed, warm)
 	total, weights := 0.0, make([]float64, instances)
@@ -176,19 +182,19 @@
 		f.traffic(i, load*warm*w/total/f.work.Seconds())
 	}
 	f.run(time.Hour + fleetWarmUp)
-	news := []Endpoint{listedEndpoint(starting, 0, 0)}
+	changes := []Endpoint{listedEndpoint(starting, 0, 0)}
 	for i := range replaced {
 		f.endpoints[i].Phase = Removed
-		news = append(news, listedEndpoint(starting+1+EndpointID(i), 0, 0))
+		changes = append(changes, listedEndpoint(starting+1+EndpointID(i), 0, 0))
 	}
-	for i := range news {
-		news[i].StartedAt = f.now - 300*ms
+	for i := range changes {
+		changes[i].StartedAt = f.now - 300*ms
 	}
-	f.endpoints = append(f.endpoints, news...)
-	news = append(news, f.endpoints[:replaced]...)
+	f.endpoints = append(f.endpoints, changes...)
+	changes = append(changes, f.endpoints[:replaced]...)
 	for i, b := range f.nodes {
 		f.after(time.Duration(f.rng.Int64N(int64(200*ms))), func() {
-			f.handle(b, EndpointsListed{Kind: ListChanges, Endpoints: news})
+			f.handle(b, EndpointsListed{Kind: ListChanges, Endpoints: changes})
 			if restarts && i%4 > 0 {
 				f.after(400*ms, func() { f.restart(t, i) })
 			}
@@ -196,7 +202,7 @@
 	}
 	start := f.now
 	f.run(start + 6*time.Second)
-	// The budget is that of the start of a span, which is the least in it.
+	// The budget of a window is that at its start, which is the least in the window.
 	budget := func(at time.Duration) float64 {
 		g := testFleet{cfg: cfg, now: at, endpoints: f.endpoints}
 		window := cfg.Rules.OverloadWindow.Seconds()
@@ -210,8 +216,8 @@
 				n++
 			}
 		}
-		most := budget(from)
-		worst = max(worst, float64(n)/(most+2*math.Sqrt(most)+2))
+		allowed := budget(from)
+		worst = max(worst, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return worst, float64(len(sent)) / 6 / budget(start+3*time.Second)
 }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A complete list names every endpoint there is, also beyond this node's subset: one that it does not name is
-// removed, and must not come back into the subset.
+// A complete list names every endpoint, in this node's subset or not. An endpoint that it does not name is removed and
+// must not come back into the subset.
 func TestCompleteListRemovesEndpointsOutsideTheSubset(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 100
@@ -17,8 +17,8 @@
 		all[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
 	r := newRig(t, cfg, all...)
-	if len(r.b.usable) != 4 { // of 40, so that each is in the subsets of 8 of 100 nodes
-		t.Fatalf("uses %d endpoints", len(r.b.usable))
+	if len(r.b.usable) != 4 { // of 40, so that at least 8 of 100 nodes use each on average
+		t.Fatalf("the node uses %d endpoints, want 4", len(r.b.usable))
 	}
 	var others []Endpoint
 	for _, m := range all {
@@ -33,14 +33,14 @@
 		r.arrive(fmt.Sprint(i), idempotent)
 		for _, a := range ofKind(Forward, r.last) {
 			if a.Endpoint != others[0].ID {
-				t.Fatalf("sent to %d, which was removed", a.Endpoint)
+				t.Fatalf("sent to endpoint %d, which was removed", a.Endpoint)
 			}
 		}
 	}
 }
 
-// Nodes use different subsets, or some endpoints get all and others none; an outlier does not count as one of the
-// subset, or a zone that fails leaves a node without any endpoint.
+// The nodes use different subsets, so that no endpoint gets all the requests or none. An outlier does not count towards
+// the subset, so that a zone that fails does not leave a node without any endpoint.
 func TestSubsetsDifferAndGrowByOutliers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 100
@@ -66,7 +66,7 @@
 			}
 		}
 		if counted != 4 {
-			t.Errorf("node %d uses %d endpoints that are no outliers", node, counted)
+			t.Errorf("node %d uses %d endpoints that are no outliers, want 4", node, counted)
 		}
 	}
 	for _, m := range members {
@@ -76,9 +76,9 @@
 	}
 }
 
-// A node must meet each endpoint of its subset often: one of a fleet of 80 with 19 requests a second has some two
-// answers a second of each in its own zone, and not one in three seconds.
-func TestEndpointsOfASubsetAreMetOften(t *testing.T) {
+// A node must send requests to each endpoint of its subset often. A node of a fleet of 80 with 19 requests a second
+// gets about two answers a second from each endpoint in its own zone, and not one answer in three seconds.
+func TestEndpointsOfASubsetGetRequestsOften(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
 	var members []Endpoint
@@ -92,11 +92,12 @@
 		r.advance(time.Second)
 	}
 	if n := len(r.b.usable); n < 6 || n > 12 {
-		t.Errorf("19 requests a second go to %d endpoints", n)
+		t.Errorf("the node uses %d endpoints for 19 requests a second, want 6 to 12", n)
 	}
 }
 
-// Under overload many endpoints seem to fail, and clients retry: neither may spread a node over the fleet.
+// Under overload many endpoints seem to fail, and clients retry. Neither may make a node use more and more endpoints of
+// the fleet.
 func TestOverloadDoesNotGrowTheSubset(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
@@ -113,21 +114,22 @@
 		r.handle(EndpointsListed{Kind: ListChanges})
 	}
 	if n := len(r.b.usable); n > 2*size {
-		t.Errorf("%d endpoints beside a subset of %d", n-size, size)
+		t.Errorf("%d endpoints in addition to a subset of %d", n-size, size)
 	}
 	r = newRig(t, cfg, members...)
 	for i := range 1000 {
 		r.advance(5 * ms)
-		r.b.usable = nil // nothing is sent
+		r.b.usable = nil // no request can be forwarded
 		r.arrive(fmt.Sprint(i), idempotent)
 	}
 	if n := len(r.b.usable); n > size {
-		t.Errorf("a subset of %d endpoints for requests that are rejected", n)
+		t.Errorf("the subset has %d endpoints after rejected requests", n)
 	}
 }
 
-// Where no quotas tell the rate, the subset follows what arrives: a node of a large fleet with some requests a
-// second would meet each of all endpoints once in seconds, and know none of them.
+// Without quotas that show the request rate, the size of a subset follows the rate of arrivals. If a node of a large
+// fleet with few requests a second used all endpoints, it would send to each of them once in several seconds, and know
+// none of them.
 func TestSubsetSizeFollowsTheRequestRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
@@ -147,7 +149,7 @@
 			}
 		}
 		if n := len(r.b.usable); n < c.least || n > c.most {
-			t.Errorf("%d requests a second: uses %d endpoints", c.perSecond, n)
+			t.Errorf("%d requests a second: the node uses %d endpoints", c.perSecond, n)
 		}
 	}
 }
