--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -119,9 +119,9 @@
 
 // addAnswer adds an answer to the endpoint's means and returns its weight. An answer after a long queue has a higher
 // weight in the service time, because a short queue is no load to an endpoint with many cores.
-func (e *endpointState) addAnswer(now time.Duration, fleetServiceSeconds, seconds, queue float64) (weight float64) {
+func (e *endpointState) addAnswer(now time.Duration, meanServiceSeconds, seconds, queue float64) (weight float64) {
 	if e.meanLatencySeconds == 0 {
-		e.meanLatencySeconds = fleetServiceSeconds * (queue + 1)
+		e.meanLatencySeconds = meanServiceSeconds * (queue + 1)
 		e.meanQueueAtArrival = queue
 	}
 	weight = min(sampleWeight*(queue+1)/(e.meanQueueAtArrival+1), 1)
@@ -134,12 +134,13 @@
 	return weight
 }
 
-// recoverServiceTime is called once a window. It moves the service time of an endpoint without answers towards that of
-// the fleet. An endpoint that looked slow gets no traffic, so no answer would show that it is fast again.
-func (e *endpointState) recoverServiceTime(windowStart time.Duration, fleetServiceSeconds float64) {
+// recoverServiceTime is called once a window. It moves the service time of an endpoint without answers in the window
+// towards the mean of all endpoints. An endpoint that looked slow gets no traffic, so no answer would show that it is
+// fast again.
+func (e *endpointState) recoverServiceTime(windowStart time.Duration, meanServiceSeconds float64) {
 	if e.lastAnswerAt < windowStart && e.meanLatencySeconds > 0 {
 		e.meanLatencySeconds += serviceTimeRecovery *
-			(fleetServiceSeconds*(e.meanQueueAtArrival+1) - e.meanLatencySeconds)
+			(meanServiceSeconds*(e.meanQueueAtArrival+1) - e.meanLatencySeconds)
 	}
 }
 
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -87,7 +87,7 @@
 // hint instead.
 func TestWorkHintStandsForTheUnloadedLatency(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.b.loads.fleet.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
+	r.b.loads.overall.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
 	r.advance(time.Second)
 	r.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
 	r.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
--- a/balance/loadaverage.go
+++ b/balance/loadaverage.go
@@ -24,30 +24,30 @@
 	a.updatedAt = now
 }
 
-// loadAverages holds the mean loads of the fleet and of each zone, because one zone may have more traffic than it can
-// handle.
+// loadAverages holds the mean loads of all endpoints and of each zone, because one zone may have more traffic than it
+// can handle.
 type loadAverages struct {
-	fleet loadAverage
-	zones map[int]loadAverage
+	overall loadAverage
+	zones   map[int]loadAverage
 }
 
 func (l *loadAverages) add(now time.Duration, zone int, load float64) {
-	l.fleet.add(now, load)
+	l.overall.add(now, load)
 	average := l.zones[zone]
 	average.add(now, load)
 	l.zones[zone] = average
 }
 
-// restore sets the mean of a zone, and of the fleet, to a value that another process has learned.
+// restore sets the mean of a zone, and of all endpoints, to a value that another process has learned.
 func (l *loadAverages) restore(now time.Duration, zone int, mean float64) {
-	l.fleet = loadAverage{mean: mean, reports: 1 / sampleWeight, updatedAt: now}
-	l.zones[zone] = l.fleet
+	l.overall = loadAverage{mean: mean, reports: 1 / sampleWeight, updatedAt: now}
+	l.zones[zone] = l.overall
 }
 
-// zoneMean is the mean load of a zone's endpoints, or of the fleet's if no endpoint of the zone has reported.
+// zoneMean is the mean load of a zone's endpoints, or of all endpoints if no endpoint of the zone has reported.
 func (l *loadAverages) zoneMean(zone int) float64 {
 	if average := l.zones[zone]; average.reports > 0 {
 		return average.mean
 	}
-	return l.fleet.mean
+	return l.overall.mean
 }
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// The mean load of a zone with more traffic than it can handle must not be taken for that of the fleet. Otherwise the
-// other zones stay idle.
+// The mean load of a zone with more traffic than it can handle must not be taken for that of all endpoints. Otherwise
+// the other zones stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
 	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -10,8 +10,8 @@
 //
 // seconds of work. In one window the nodes' warm throughputs add up to at most what one warm endpoint can do, whatever
 // part of the traffic each node has. The sum may exceed what the endpoint did in the last window, for two reasons: each
-// node counts at least 1/Instances, which is one second of work a second over all nodes, and each node counts a recent
-// peak that decays by warmThroughputDecay a window. slowStartMargin has to cover both.
+// node counts at least 1/Instances, which is one second of work per second over all nodes, and each node counts a
+// recent peak that decays by warmThroughputDecay a window. slowStartMargin has to cover both.
 //
 // A grant is a number of requests of the mean unloaded latency, rounded up or down at random. An endpoint gets a grant
 // immediately when it starts or is uncordoned, and the next one at the end of the window.
@@ -34,14 +34,15 @@
 
 // slowStart is what a node needs to know to grant credit to endpoints in slow start.
 type slowStart struct {
-	// warmThroughput is the work, in seconds a second, that one warm endpoint does for this node. It is the highest
-	// value of the last windows, after decay.
+	// warmThroughput is the work that one warm endpoint does for this node, in seconds of work per second. It is the
+	// highest value of the last windows, after decay.
 	warmThroughput float64
 	// handedOver is set while another process of this node takes new requests. This process then grants no credit.
 	handedOver bool
 }
 
-// endWindow updates the warm throughput by the mean work that warm endpoints did in a window, in seconds a second.
+// endWindow updates the warm throughput by the mean work that warm endpoints did in a window, in seconds of work per
+// second.
 func (s *slowStart) endWindow(throughput mean) {
 	if throughput.count > 0 {
 		s.warmThroughput = max(s.warmThroughput*warmThroughputDecay, throughput.value())
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -40,7 +40,7 @@
 		if heavy {
 			hint = 200 * ms
 		}
-		rate := 0.5 * 20.0 / 10.0 // work a second that each warm endpoint did
+		rate := 0.5 * 20.0 / 10.0 // work per second that each warm endpoint did
 		var at []time.Duration
 		for i := range 1500 {
 			if send(fmt.Sprint("cold", i)) == 2 {
@@ -120,7 +120,7 @@
 				r.advance(1500 * ms / 200)
 			}
 		}
-		// The endpoint does one second of work a second, one request at a time. A request takes 20 ms, or is taken to take
+		// The endpoint does one second of work per second, one request at a time. A request takes 20 ms, or is taken to take
 		// 30 ms while no answer is known.
 		for window, n := range got {
 			if n == 0 || float64(n)*0.02 > 0.6*cfg.Rules.OverloadMultiple*1.5 {
