--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -119,7 +119,7 @@
 		{"idempotent after an error", idempotent, StatusApplicationError, 0, true, 0},
 		{"non-idempotent after a reset", nonIdempotent, StatusConnectionLost, 0, false, Fail},
 		{"non-idempotent after an error", nonIdempotent, StatusApplicationError, 0, false, Fail},
-		{"non-idempotent after a time-out", nonIdempotent, StatusTimedOut, 0, false, Fail},
+		{"non-idempotent after a timeout", nonIdempotent, StatusTimedOut, 0, false, Fail},
 		{"non-idempotent after a cancel", nonIdempotent, StatusCancelled, 0, false, Fail},
 		{"non-idempotent, rejected", nonIdempotent, StatusRejected, 0, true, 0},
 		{"non-idempotent without a connection", nonIdempotent, StatusNotDelivered, 0, true, 0},
