--- a/balance/admission.go
+++ b/balance/admission.go
@@ -65,7 +65,7 @@
 // showsQueueing reports whether the end of an attempt may adjust the queue budget. A time-out at an endpoint that
 // gave no sign of life in the meantime is that endpoint's fault and not overload, and so is one that no queue explains.
 func (b *Balancer) showsQueueing(a *attempt, ev *AttemptEnded) bool {
-	return ev.Status != StatusTimedOut || a.endpoint.lastSignOfLife > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
+	return ev.Status != StatusTimedOut || a.endpoint.lastActivityAt > a.sentAt && !b.isLost(a, ev.Elapsed) && !a.lost
 }
 
 // slackSeconds is the longest wait that still lets an average request be answered within its latency objective.
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -9,7 +9,7 @@
 
 // Full queues serve everybody late; only rejecting clears them.
 func TestLongQueuesAreRejected(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	sent, rejected := 0, 0
 	for i := range 200 {
@@ -24,7 +24,7 @@
 
 // No setting says how much load is too much: the bound on the wait follows measured lateness.
 func TestLatenessLowersTheQueueBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(1000, idempotent, in20ms)
 	if r.b.queueBudget.fraction < 2*initialQueueBudget || r.b.queueBudget.fraction > maxQueueBudget {
 		t.Fatalf("queue budget %v while all is in time", r.b.queueBudget.fraction)
@@ -41,7 +41,7 @@
 
 // Time-outs of an endpoint that hangs are no sign of overload, and must not make the node reject for the others.
 func TestTimeoutsOfSilentEndpointsLeaveTheQueueBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(300, idempotent, in20ms)
 	was := r.b.queueBudget.fraction
 	for i := range 5 {
@@ -62,7 +62,7 @@
 		cfg := testConfig()
 		cfg.PriorityPerWork = byWork
 		cfg.Classes[idempotent].PriorityWeight, cfg.Classes[nonIdempotent].PriorityWeight = 4, 1
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		r.serve(100, nonIdempotent, in20ms)
 		dear := r.b.maxWaitSeconds(r.request(idempotent, -1))
@@ -83,7 +83,7 @@
 func TestPriorityFactorIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotent].PriorityWeight, cfg.Classes[nonIdempotent].PriorityWeight = 1000, 0.001
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(50, nonIdempotent, in20ms)
 	usual := r.b.queueBudget.fraction * max(r.b.slackSeconds(), r.b.latency.meanUnloadedSeconds())
@@ -98,7 +98,7 @@
 
 // With all endpoints slower than the latency objective there is no slack, and rejecting all would leave them idle.
 func TestSlowEndpointsStillGetAQueue(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, func(EndpointID) time.Duration { return 600 * ms })
 	got := r.b.maxWaitSeconds(r.request(idempotent, -1))
 	if r.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
@@ -109,7 +109,7 @@
 // A heavy request is late whatever the queue: only what the queue made late lowers the queue budget.
 func TestOnlyLatenessByTheQueueLowersTheQueueBudget(t *testing.T) {
 	for met, tightens := range map[float64]bool{0: false, 12: true} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		e.meanLatencySeconds, e.meanQueueAtArrival = 0.02*(met+1), met
@@ -127,7 +127,7 @@
 
 // A node without answers bounds waits too, or all nodes that start together fill every endpoint.
 func TestNewNodeBoundsWaits(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	if s := r.b.slackSeconds(); math.IsInf(s, 1) {
 		t.Errorf("slack %v without an answer", s)
 	}
@@ -136,7 +136,7 @@
 // A node of a large fleet sees few answers a second, and must notice overload in as many seconds as a busy one.
 func TestQueueBudgetFollowsTimeNotTheNumberOfAnswers(t *testing.T) {
 	after := func(gap time.Duration) float64 {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.b.queueBudget.answerGapSeconds = gap.Seconds()
 		for range int(time.Second / gap) {
 			r.advance(gap)
@@ -154,7 +154,7 @@
 func TestOneTightClassDoesNotRejectAll(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[nonIdempotent].LatencyObjective = 20 * ms
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(50, nonIdempotent, func(EndpointID) time.Duration { return 30 * ms })
 	if s := r.b.slackSeconds(); s < 0.1 {
@@ -164,7 +164,7 @@
 
 // The clock may start anywhere: the time before the first answer is no gap between answers.
 func TestClockStartIsNoAnswerGap(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(20, idempotent, in20ms)
 	if r.b.queueBudget.answerGapSeconds > 0.5 {
 		t.Errorf("gap %v s after answers 10 ms apart", r.b.queueBudget.answerGapSeconds)
@@ -182,7 +182,7 @@
 		"queued": {0.9, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(300, idempotent, in20ms)
 			r.arrive("x", idempotent)
 			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
@@ -200,7 +200,7 @@
 // However long answers have come in time, a request does not join a queue that takes more than the slack: it would
 // be late, and so would all behind it.
 func TestMaxWaitNeverExceedsTheSlack(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(20000, idempotent, in20ms)
 	if r.b.queueBudget.fraction <= initialQueueBudget {
 		t.Fatalf("the queue budget is %v after a long calm", r.b.queueBudget.fraction)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -18,7 +18,7 @@
 	}
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, idempotent, in20ms)
 	for range 80 {
 		r.advance(200 * ms)
@@ -30,9 +30,9 @@
 	}
 	r.answerLate(200)
 	r.serve(3000, idempotent, in20ms)
-	r.keepLogs(r.handle(DiscoveryFailed{}))
-	r.keepLogs(r.handle(DiscoveryFailed{}))
-	r.keepLogs(r.handle(EndpointsListed{Kind: CompleteList}))
+	r.recordLogs(r.handle(DiscoveryFailed{}))
+	r.recordLogs(r.handle(DiscoveryFailed{}))
+	r.recordLogs(r.handle(EndpointsListed{Kind: CompleteList}))
 	for _, text := range []string{
 		"endpoint N is an outlier: traffic withheld",
 		"endpoint N has recovered",
@@ -56,7 +56,7 @@
 // A caller whose clock goes back, or that reports an outcome twice, must not make the module panic, forward twice or
 // count below zero.
 func TestMisuseIsHarmless(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", nonIdempotent)
 	to := r.forwardedTo()
@@ -88,7 +88,7 @@
 
 // Events that name what the module does not know do nothing.
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	for _, ev := range []Event{
 		AttemptEnded{Request: "nobody"},
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -15,7 +15,7 @@
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, i/5)
 	}
-	r := newRig(b, cfg, members...)
+	r := newHarness(b, cfg, members...)
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
 		r.advance(200 * time.Millisecond)
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -10,9 +10,9 @@
 func TestFailedDiscoveryIsLoggedOnce(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	for range 10 {
-		r.keepLogs(r.handle(DiscoveryFailed{}))
+		r.recordLogs(r.handle(DiscoveryFailed{}))
 	}
 	if len(r.logs) != 1 {
 		t.Errorf("%q", r.logs)
@@ -23,7 +23,7 @@
 func TestFailedDiscoveryIsPolledAgain(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	first := ofKind(SetTimer, r.last)
 	if len(first) != 1 || first[0].Delay > 100*ms ||
 		len(ofKind(WatchEndpoints, r.handle(TimerFired{ID: first[0].TimerID}))) != 1 {
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -31,7 +31,7 @@
 
 	failureRate    float64
 	outlier        bool          // traffic is withheld, as logged
-	lastSignOfLife time.Duration // its last sign of life, or the send since when something is in flight
+	lastActivityAt time.Duration // its last sign of life, or the send since when something is in flight
 
 	knownSince             time.Duration // when this node learned of its process
 	slowStartCreditSeconds float64       // work that may be sent to it in this window of slow start
@@ -51,7 +51,7 @@
 	e.meanLatencySeconds = 0
 	e.failureRate = 0
 	e.outlier = false
-	e.lastSignOfLife = now
+	e.lastActivityAt = now
 }
 
 // inService reports whether an endpoint may get requests: it is listed as ready, and not cordoned.
@@ -59,9 +59,9 @@
 	return e.Phase == Ready && !b.cordons[e.ID].active
 }
 
-// startedAt is when an endpoint's process started; 0: long ago. One that was uncordoned has been restarted while it was
-// cordoned, whether or not a list shows it yet.
-func (b *Balancer) startedAt(e *endpointState) time.Duration {
+// effectiveStartTime returns when an endpoint's process started; 0 means long ago. An endpoint that was uncordoned has
+// been restarted while it was cordoned, even if no list shows the restart yet.
+func (b *Balancer) effectiveStartTime(e *endpointState) time.Duration {
 	if c := b.cordons[e.ID]; c.uncordonedAt > 0 && e.StartedAt < c.cordonedAt {
 		return c.uncordonedAt
 	}
--- a/balance/endpointstate_test.go
+++ b/balance/endpointstate_test.go
@@ -11,7 +11,7 @@
 func TestRestartResetsTheEndpointState(t *testing.T) {
 	old := listedEndpoint(1, 0, 0)
 	old.StartedAt = time.Hour
-	r := newRig(t, testConfig(), old, listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), old, listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	e.slowStartCreditSeconds, e.servedWorkSeconds, e.meanLatencySeconds = -9, 9, 9
@@ -25,7 +25,7 @@
 // An endpoint that drains, is removed, or is missing in a complete list gets no requests.
 func TestDrainingAndRemovedEndpointsGetNothing(t *testing.T) {
 	for _, phase := range []Phase{Draining, Removed} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		drained := listedEndpoint(1, 0, 0)
 		drained.Phase = phase
 		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{drained}})
--- a/balance/extremeconfig_test.go
+++ b/balance/extremeconfig_test.go
@@ -30,7 +30,7 @@
 			change(&cfg)
 			starting := listedEndpoint(2, 0, 0)
 			starting.StartedAt = time.Hour
-			r := newRig(t, cfg, listedEndpoint(1, 0, 0), starting)
+			r := newHarness(t, cfg, listedEndpoint(1, 0, 0), starting)
 			check := func(acts []Action) (ended bool) {
 				for _, a := range acts {
 					if a.Delay < 0 || a.Delay > 80*time.Minute || a.RetryAfter < 0 || a.RetryAfter > 80*time.Minute {
--- a/balance/rig_test.go
+++ b/balance/harness_test.go
@@ -50,8 +50,8 @@
 	keyedCell
 )
 
-// rig drives a Balancer and records what it did.
-type rig struct {
+// harness drives a Balancer and records what it did.
+type harness struct {
 	t    testing.TB
 	b    *Balancer
 	now  time.Duration
@@ -59,26 +59,26 @@
 	logs []string
 }
 
-func newRig(t testing.TB, cfg Config, members ...Endpoint) *rig {
+func newHarness(t testing.TB, cfg Config, members ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Hour}
+	r := &harness{t: t, b: b, now: time.Hour}
 	r.handle(EndpointsListed{Kind: CachedList, Endpoints: members})
 	return r
 }
 
-func (r *rig) handle(ev Event) []Action {
+func (r *harness) handle(ev Event) []Action {
 	r.last = r.b.Handle(r.now, ev, nil)
 	return r.last
 }
 
-func (r *rig) advance(d time.Duration) { r.now += d }
+func (r *harness) advance(d time.Duration) { r.now += d }
 
 // arrive takes a request to its final answer or its first attempt; health checks that it waits for have no result.
-func (r *rig) arrive(id string, class int) []Action {
+func (r *harness) arrive(id string, class int) []Action {
 	acts := r.handle(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
 	if len(r.b.awaitingChecks) > 0 {
 		r.last = append(acts, r.handle(TimerFired{ID: r.b.timers.lastID})...)
@@ -86,13 +86,13 @@
 	return r.last
 }
 
-func (r *rig) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
+func (r *harness) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
 	return r.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
 		Elapsed: 20 * ms, Final: st == StatusSucceeded})
 }
 
 // request returns a request that the Balancer does not know, for rules that judge one; tenant -1 has no quota.
-func (r *rig) request(class, tenant int) *request {
+func (r *harness) request(class, tenant int) *request {
 	return &request{class: &r.b.cfg.Classes[class], stats: &r.b.latency.classes[class], tenant: tenant}
 }
 
@@ -107,7 +107,7 @@
 }
 
 // forwardedTo returns the endpoint of the only Forward.
-func (r *rig) forwardedTo() EndpointID {
+func (r *harness) forwardedTo() EndpointID {
 	r.t.Helper()
 	s := ofKind(Forward, r.last)
 	if len(s) != 1 {
@@ -139,7 +139,7 @@
 
 // serve sends n requests of a class one after the other and answers each after what took says; it
 // returns how many went to each endpoint. A took of 0 means an error, below 0 no answer at all.
-func (r *rig) serve(n, class int, took func(EndpointID) time.Duration) map[EndpointID]int {
+func (r *harness) serve(n, class int, took func(EndpointID) time.Duration) map[EndpointID]int {
 	r.t.Helper()
 	count := map[EndpointID]int{}
 	for i := range n {
@@ -160,7 +160,7 @@
 				r.advance(500 * ms)
 				ev.Status = StatusTimedOut
 			}
-			r.keepLogs(r.handle(ev))
+			r.recordLogs(r.handle(ev))
 			sends = ofKind(Forward, r.last)
 		}
 		for _, a := range checks {
@@ -170,13 +170,13 @@
 	return count
 }
 
-func (r *rig) keepLogs(acts []Action) {
+func (r *harness) recordLogs(acts []Action) {
 	for _, a := range ofKind(Log, acts) {
 		r.logs = append(r.logs, a.Text)
 	}
 }
 
-func (r *rig) logged(text string) bool {
+func (r *harness) logged(text string) bool {
 	for _, l := range r.logs {
 		if strings.Contains(l, text) {
 			return true
@@ -186,7 +186,7 @@
 }
 
 // setOtherNodesLoad makes the node believe that other nodes have so much at an endpoint, now and usually.
-func (r *rig) setOtherNodesLoad(id EndpointID, queue float64) {
+func (r *harness) setOtherNodesLoad(id EndpointID, queue float64) {
 	e := r.b.endpoints[id]
 	e.reportedLoad, e.loadBias = queue, 0
 	r.b.loads.zones[e.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
@@ -199,7 +199,7 @@
 }
 
 // answerLate plays answers that all come after their latency objective.
-func (r *rig) answerLate(n int) {
+func (r *harness) answerLate(n int) {
 	for i := range n {
 		id := fmt.Sprint("late", r.now, i)
 		r.arrive(id, idempotent)
@@ -209,12 +209,12 @@
 		to := r.forwardedTo()
 		r.b.requests[id].attempts[0].waitAtSendSeconds = 0.4 // what made it late
 		r.advance(400 * ms)
-		r.keepLogs(r.handle(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
+		r.recordLogs(r.handle(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
 	}
 }
 
 // timerID returns the id of the first timer that the last actions set.
-func (r *rig) timerID() uint64 {
+func (r *harness) timerID() uint64 {
 	r.t.Helper()
 	s := ofKind(SetTimer, r.last)
 	if len(s) == 0 {
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -96,7 +96,7 @@
 	if e := b.endpoints[ev.Endpoint]; e != nil {
 		b.handleLoadReport(e, ev.Load)
 		if ev.Status == StatusSucceeded {
-			e.lastSignOfLife = b.now
+			e.lastActivityAt = b.now
 		}
 		b.repeatHealthCheck(e)
 	}
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -11,7 +11,7 @@
 	for _, price := range []float64{0, 0.001, 0.01, 0.08} {
 		cfg := testConfig()
 		cfg.Prices.HealthCheck = price
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 		seen, checks := map[EndpointID]bool{}, 0
 		for i := range 1000 {
 			r.advance(2 * ms)
@@ -36,14 +36,14 @@
 func TestHealthChecksNeedPermissionAndAreNotSavedUp(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for i := range 50 {
 		r.advance(time.Second)
 		if p := ofKind(HealthCheck, r.arrive(fmt.Sprint(i), idempotent)); len(p) != 0 {
 			t.Fatalf("checked without permission: %+v", p)
 		}
 	}
-	r = newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r = newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for i := range 100 { // one tick
 		r.arrive(fmt.Sprint("burst", i), nonIdempotent)
 	}
@@ -56,7 +56,7 @@
 func TestWaitingRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0 // each arrival may check several
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(RequestArrived{Request: "left", Class: idempotent, TimeLeft: time.Second})
 	r.handle(RequestArrived{Request: "stays", Class: idempotent, TimeLeft: time.Second})
 	if len(r.b.awaitingChecks) != 2 {
@@ -80,7 +80,7 @@
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newRig(t, cfg, members...)
+	r := newHarness(t, cfg, members...)
 	checks := 0
 	for i := range 100 {
 		r.advance(10 * ms)
@@ -96,7 +96,7 @@
 func TestArrivalsWaitForTheirHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(RequestArrived{Request: "x", TimeLeft: time.Second})
 	checks := ofKind(HealthCheck, r.last)
 	if len(checks) != maxHealthChecksPerTick || len(ofKind(Forward, r.last)) != 0 {
@@ -141,7 +141,7 @@
 		"silent":   {StatusTimedOut, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(50, idempotent, in20ms)
 			e := r.b.endpoints[1]
 			e.failureRate = 0
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -9,7 +9,7 @@
 
 // Slow answers of an endpoint in slow start must not keep it idle once it is warm.
 func TestAnswersInSlowStartCountAsWarm(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
 	r.serve(100, idempotent, in20ms)
 	e := r.b.endpoints[2]
 	for range 50 { // a fifth of its capacity is there: 100 ms for what takes 20
@@ -26,7 +26,7 @@
 
 // An endpoint that was slow for a while must be tried again though it has no answers to show.
 func TestServiceTimeRecoversWithoutAnswers(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[2]
 	e.meanLatencySeconds, e.meanQueueAtArrival = 1, 0 // a service time of one second, fifty times that of its peer
@@ -41,7 +41,7 @@
 
 // Answers out of a queue do not raise the unloaded latency: overload must not pass for slow endpoints.
 func TestUnloadedLatencyIgnoresQueues(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	was := r.b.latency.classes[idempotent].unloadedSeconds
 	for i := range 20 {
@@ -60,7 +60,7 @@
 
 // One unlucky first answer must not pass for the unloaded latency of its class.
 func TestFirstAnswersCountByTheirMean(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
 	r.serve(9, idempotent, in20ms)
 	if base := r.b.latency.classes[idempotent].unloadedSeconds; math.Abs(base-0.046) > 0.001 {
@@ -75,7 +75,7 @@
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newRig(t, testConfig(), members...)
+	r := newHarness(t, testConfig(), members...)
 	r.serve(40, idempotent, func(EndpointID) time.Duration { return 100 * ms })
 	if r.b.latency.meanServiceSeconds < 0.08 {
 		t.Errorf("service time %v after 40 answers of 100 ms", r.b.latency.meanServiceSeconds)
@@ -84,7 +84,7 @@
 
 // A node that starts among queues must not take its first answers for the unloaded latency.
 func TestWorkHintStandsForTheUnloadedLatency(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.b.loads.fleet.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
 	r.advance(time.Second)
 	r.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
@@ -108,7 +108,7 @@
 		"slow, without hint": {spent: 150 * ms, want: 0.150},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			for i := range 200 {
 				r.advance(time.Second)
 				id := fmt.Sprint(i)
@@ -125,7 +125,7 @@
 // An endpoint of many cores answers as fast behind ten others as behind none: a node that met only short queues must
 // learn that from the few answers that it gets out of a long one.
 func TestAnswersOutOfLongQueuesTellTheServiceTime(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	was := r.b.warmServiceSeconds(e)
@@ -141,7 +141,7 @@
 // A node of a large fleet has an answer of an endpoint now and then: what it learned of it must not be ten seconds
 // old.
 func TestRareAnswersCountMore(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	was, req := e.meanLatencySeconds, r.request(idempotent, 0)
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -8,7 +8,7 @@
 // Large fleets take seconds to check all endpoints: one without a report has the load of its peers, and one report
 // does not change that, but many do.
 func TestEndpointsWithoutReportsHaveTheMeanLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(loadReported(1, 10))
 	if o := r.b.otherNodesLoad(r.b.endpoints[1]); o != 10 {
 		t.Errorf("load %v after a first report of 10", o)
@@ -38,7 +38,7 @@
 
 // The first reports tell of all endpoints that have not reported yet, at once and not by a twentieth each.
 func TestFirstReportsTellOfEndpointsNotSeen(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.advance(time.Second)
 	r.handle(loadReported(1, 10))
 	if o := r.b.otherNodesLoad(r.b.endpoints[2]); o < 5 {
@@ -48,7 +48,7 @@
 
 // A zone with more traffic than it can carry must not pass for the entire fleet, or the others stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
 	for range 20 {
 		r.advance(200 * ms)
@@ -63,7 +63,7 @@
 // A node of a large fleet has a report a second, of one endpoint out of many: that one had three requests is chance,
 // and must not make an entire zone look full.
 func TestOneReportDoesNotMoveTheZone(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for range 50 {
 		r.advance(time.Second)
 		r.handle(loadReported(1, 1))
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -12,7 +12,7 @@
 		wait   time.Duration
 		report float64
 	}{{0, 0}, {5 * time.Second, 3}} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		for i := range 3 {
 			r.arrive(fmt.Sprint(i), idempotent)
 		}
@@ -26,7 +26,7 @@
 
 // An idle endpoint reports 0 again and again; taken for a repeat, that would keep its queue estimate high for good.
 func TestEqualReportsPastTheIntervalAreNews(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(5, idempotent, in20ms)
 	// So slow that its reports still hold when they come.
 	r.b.endpoints[1].meanLatencySeconds, r.b.endpoints[1].meanQueueAtArrival = 1, 0
@@ -47,7 +47,7 @@
 
 // A report that is repeated within the interval tells nothing new, and must not weigh again.
 func TestRepeatedReportsAreNotNews(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	for i := range 20 {
 		r.advance(500 * ms)
 		r.handle(loadReported(1, float64(i%2)))
@@ -66,7 +66,7 @@
 // Health checks a few seconds apart can't tell how often an endpoint reports: the same one is checked again at once,
 // or every report passes for seconds old and counts for little.
 func TestReportIntervalIsLearnedByRepeatedChecks(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	next := 0.0
 	for i := range 60 {
 		r.advance(3 * time.Second)
--- a/balance/lossdetection.go
+++ b/balance/lossdetection.go
@@ -12,7 +12,7 @@
 
 // isLost reports whether an attempt without an answer must have been lost, at an endpoint that answered others.
 func (b *Balancer) isLost(a *attempt, elapsed time.Duration) bool {
-	return a.endpoint.lastSignOfLife > a.sentAt && elapsed.Seconds() > b.lossSeconds(a)
+	return a.endpoint.lastActivityAt > a.sentAt && elapsed.Seconds() > b.lossSeconds(a)
 }
 
 // scheduleLossCheck has the last attempt of a request checked when it should have been answered long ago, unless that
--- a/balance/lossdetection_test.go
+++ b/balance/lossdetection_test.go
@@ -18,7 +18,7 @@
 		"queued":        {time.Second, 0.5, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(300, idempotent, in20ms)
 			r.arrive("x", idempotent)
 			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
@@ -40,7 +40,7 @@
 		out, fails float64
 	}{"signs": {5, 0, failureWeight}, "none": {0, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(300, idempotent, in20ms)
 			var marks []uint64
 			for _, a := range ofKind(SetTimer, r.arrive("x", idempotent)) {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -44,7 +44,7 @@
 	if e.inFlight == 0 {
 		return 0
 	}
-	return (b.now - e.lastSignOfLife).Seconds()
+	return (b.now - e.lastActivityAt).Seconds()
 }
 
 // recordOutcome keeps an endpoint's failure rate, by this node's own attempts: an endpoint that fails fast looks idle
@@ -53,11 +53,11 @@
 	switch status {
 	case StatusSucceeded, StatusRejected:
 		e.countSuccess()
-		e.lastSignOfLife = b.now
+		e.lastActivityAt = b.now
 	case StatusTimedOut:
 		b.recordTimeout(e, a, elapsed)
 	case StatusApplicationError, StatusConnectionLost, StatusNotDelivered:
-		e.lastSignOfLife = b.now
+		e.lastActivityAt = b.now
 		e.countFailure()
 	}
 }
@@ -66,7 +66,7 @@
 func (b *Balancer) recordTimeout(e *endpointState, a *attempt, elapsed time.Duration) {
 	switch {
 	case a.lost: // counted by checkLoss
-	case e.inFlight == 0 && e.lastSignOfLife <= a.sentAt:
+	case e.inFlight == 0 && e.lastActivityAt <= a.sentAt:
 		e.failureRate = 1 // nothing came back at all
 	case b.isLost(a, elapsed):
 		e.countFailure()
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -7,7 +7,7 @@
 
 // An endpoint with nothing but errors gets little, and as much as its peer once it answers.
 func TestOutliersAreAvoidedAndRecover(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	bad := func(b EndpointID) time.Duration { return time.Duration(2-b) * 20 * ms } // 2 has errors only
 	r.serve(40, idempotent, bad)
@@ -29,7 +29,7 @@
 
 // A failure rate that all endpoints share costs none of them anything.
 func TestSharedFailuresCostNothing(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(400, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	e := r.b.endpoints[1]
@@ -44,7 +44,7 @@
 func TestNoOutlierWhenAllFail(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0 // reports clear what was not accepted; the failures remain
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(60, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	if n := r.serve(40, idempotent, in20ms); n[1]+n[2] < 20 {
@@ -54,7 +54,7 @@
 
 // An endpoint that hangs has a bearable queue while it takes everything sent to it.
 func TestSilentEndpointsGetNothing(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	answered := ""
 	for _, id := range []string{"one", "two"} { // one at each endpoint; only endpoint 1 answers
@@ -76,7 +76,7 @@
 // With nothing in flight there is no silence: else a sign of life after the last attempt was sent, and then that
 // attempt's time-out, would leave a healthy endpoint without traffic for good.
 func TestSilenceEndsWithTheLastAttempt(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", idempotent)
 	r.serve(1, idempotent, in20ms)
@@ -89,7 +89,7 @@
 
 // Clients give up attempts early: a time-out among answers says little about the endpoint.
 func TestTimeoutsAmongAnswersAreNoFailures(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("slow", idempotent)
 	r.serve(5, idempotent, in20ms)
 	r.endAttempt("slow", 0, 1, StatusTimedOut)
@@ -101,7 +101,7 @@
 // An endpoint that lost everything it was sent looks idle: with nothing in flight and no sign since, that is a
 // failure.
 func TestTimeoutWithoutAnySignIsAFailure(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", nonIdempotent)
 	r.advance(time.Second)
@@ -113,7 +113,7 @@
 
 // Silence counts while something is in flight, beyond what the queue explains.
 func TestSilenceRaisesTheCost(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	e := r.b.endpoints[1]
--- a/balance/probeadmission_test.go
+++ b/balance/probeadmission_test.go
@@ -19,7 +19,7 @@
 		"rejected":        {st: StatusRejected, least: 10, most: 12},
 		"wrong":           {spent: 20 * ms, least: 100, most: 200},
 	} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		sent, all := 0, int(10*maxProbeAdmissionInterval)
 		for i := range all {
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -39,7 +39,7 @@
 func (b *Balancer) countInFlight(r *request) {
 	a := r.lastAttempt()
 	if a.endpoint.inFlight == 0 {
-		a.endpoint.lastSignOfLife = b.now
+		a.endpoint.lastActivityAt = b.now
 	}
 	a.endpoint.inFlight++
 	b.scheduleLossCheck(r)
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -7,7 +7,7 @@
 
 // Without a report, an answer leaves the queue estimate as it was before its request was forwarded.
 func TestAnswerLeavesTheQueueEstimateAsBefore(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(5, idempotent, in20ms)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
 		t.Errorf("queue estimate %v after all was answered", e)
@@ -20,7 +20,7 @@
 
 // An endpoint that fails fast looks idle: what it did not accept stays counted until it reports.
 func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	r.endAttempt("x", 0, 1, StatusRejected)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
@@ -38,7 +38,7 @@
 		gap, serviceTime time.Duration
 		staysHigh        bool
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		for i := range 300 { // what the time between reports is learned from
@@ -62,7 +62,7 @@
 func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	r.endAttempt("x", 0, 1, StatusRejected)
 	for range 20 {
@@ -76,7 +76,7 @@
 
 // A reported load fades, as the queue turns over, into what is expected at that endpoint.
 func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	r.setOtherNodesLoad(1, 2)
@@ -105,7 +105,7 @@
 		StatusNotSent:          0,
 	} {
 		cfg := testConfig()
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		e.unaccepted = 0
@@ -135,7 +135,7 @@
 func TestAbandonedAttemptsFadeMoreSlowly(t *testing.T) {
 	for _, status := range []Status{StatusTimedOut, StatusCancelled} {
 		cfg := testConfig()
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		before := r.b.queueEstimate(e)
@@ -159,7 +159,7 @@
 
 // An attempt that must have been lost was not accepted, whoever ended it.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	e.unaccepted, e.abandoned = 0, 0
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -10,7 +10,7 @@
 
 // world plays random events, odd orders included, and asserts the rules at every action.
 type world struct {
-	*rig
+	*harness
 	rng      *rand.Rand
 	cfg      Config
 	list     map[EndpointID]Endpoint
@@ -192,7 +192,7 @@
 	for id := range EndpointID(6) {
 		members = append(members, listedEndpoint(id+1, int(id)%2, int(id)%3))
 	}
-	w := &world{rig: newRig(t, cfg, members...), rng: rng, cfg: cfg, list: map[EndpointID]Endpoint{},
+	w := &world{harness: newHarness(t, cfg, members...), rng: rng, cfg: cfg, list: map[EndpointID]Endpoint{},
 		requests: map[string]*trackedRequest{}}
 	for _, m := range members {
 		w.list[m.ID] = m
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -8,7 +8,7 @@
 
 // Requests are forgotten once they are over, or a node's memory grows without a bound.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(20, idempotent, in20ms)
 	r.arrive("gone", idempotent)
 	to := r.forwardedTo()
@@ -54,7 +54,7 @@
 // Every request has its final answer at its deadline, exactly once.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
 	for class, want := range map[int]ActionKind{idempotent: Reject, nonIdempotent: Fail, keyedZone: Fail} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		var mark uint64
 		for _, a := range ofKind(SetTimer, r.arrive("x", class)) {
 			if a.Delay == time.Second {
@@ -78,7 +78,7 @@
 
 // An attempt that times out at the deadline leaves the final answer to the node.
 func TestTimeoutAtTheDeadlineIsAnswered(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.arrive("x", nonIdempotent)
 	to := r.forwardedTo()
 	r.advance(time.Second)
@@ -89,7 +89,7 @@
 
 // With no endpoint in the list every request is rejected at once.
 func TestWithoutEndpointsRequestsAreRejected(t *testing.T) {
-	r := newRig(t, testConfig())
+	r := newHarness(t, testConfig())
 	for class := range testConfig().Classes {
 		if acts := r.arrive(fmt.Sprint(class), class); len(ofKind(Reject, acts)) != 1 {
 			t.Errorf("class %d: %+v", class, acts)
@@ -101,7 +101,7 @@
 func TestStreamHasNoDeadlineOnceStarted(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotent].Stream = true
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	timers := ofKind(SetTimer, r.arrive("x", idempotent))
 	to := r.forwardedTo()
 	r.handle(StreamStarted{Request: "x", Endpoint: to})
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -8,7 +8,7 @@
 
 // Retries are a tenth of the requests at most, and not much less while attempts are rejected.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	sends := 0
 	for i := range 400 {
 		id := fmt.Sprint("r", i)
@@ -28,7 +28,7 @@
 
 // What fails at the deadline is answered, not retried: the client is gone by the time that a retry is done.
 func TestNoRetryAtTheDeadline(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	to := r.forwardedTo()
@@ -41,7 +41,7 @@
 
 // A retry goes to an endpoint that has not had the request; with none left the request is answered.
 func TestRetriesGoToOtherEndpoints(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	first := r.forwardedTo()
@@ -55,7 +55,7 @@
 
 // A long calm must not save up retries for an overload.
 func TestRetryBudgetIsCapped(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(1000, idempotent, in20ms)
 	if r.b.retryBudget.retries != maxRetryBudget {
 		t.Errorf("%v retries saved up", r.b.retryBudget.retries)
@@ -64,7 +64,7 @@
 
 // An attempt that ends after its stream has begun is not retried: the client would get the stream twice.
 func TestStartedStreamIsNotRetried(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	to := r.forwardedTo()
@@ -129,7 +129,7 @@
 		{"keyed by cell past its window", keyedCell, StatusConnectionLost, 600 * ms, false, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testConfig(), members...)
+			r := newHarness(t, testConfig(), members...)
 			for i := range 40 { // earn a retry budget
 				id := fmt.Sprint("warm", i)
 				r.arrive(id, idempotent)
@@ -162,7 +162,7 @@
 
 // No other endpoint is in the cell: the request must fail, since a rejection would promise too much.
 func TestCellKeyedRequestFailsOnceItMayHaveRun(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
 	r.arrive("x", keyedCell)
 	acts := r.endAttempt("x", 0, r.forwardedTo(), StatusConnectionLost)
 	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Reject, acts)) != 0 || len(ofKind(Forward, acts)) != 0 {
@@ -174,7 +174,7 @@
 // time.
 func TestKeyedRetriesStartWithinTheKeyWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{idempotent: 0, keyedAll: 300 * ms} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.b.retryBudget.retries = 5
 		first := ofKind(Forward, r.arrive("x", class))
 		if len(first) != 1 || first[0].StartWithin != 0 {
@@ -186,7 +186,7 @@
 			t.Errorf("class %d, the repeat: %+v", class, r.last)
 		}
 	}
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.b.retryBudget.retries = 5
 	first := ofKind(Forward, r.arrive("x", keyedAll))
 	r.advance(200 * ms)
--- a/balance/retryafter_test.go
+++ b/balance/retryafter_test.go
@@ -10,7 +10,7 @@
 	advice := func(others float64, members ...Endpoint) time.Duration {
 		cfg := testConfig()
 		cfg.Limits.MaxRetryAfter = 2 * time.Second
-		r := newRig(t, cfg, members...)
+		r := newHarness(t, cfg, members...)
 		r.serve(100, idempotent, in20ms)
 		for _, s := range r.b.endpoints {
 			s.loadBias, s.reportedLoad = others, others
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -45,7 +45,7 @@
 
 // slowStartFraction is the fraction of its capacity that an endpoint surely has by now: 1 once it is warm, and never 0.
 func (b *Balancer) slowStartFraction(e *endpointState) float64 {
-	started, rules := b.startedAt(e), &b.cfg.Rules
+	started, rules := b.effectiveStartTime(e), &b.cfg.Rules
 	age := b.now - started
 	if started == 0 || age >= rules.SlowStartDuration {
 		return 1
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -12,7 +12,7 @@
 func TestEndpointsInSlowStartAreNotOverloaded(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		cfg := testConfig()
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		hint, busy := 20*ms, false
 		spent := map[EndpointID]time.Duration{1: 20 * ms, 2: 20 * ms}
 		send := func(id string) EndpointID {
@@ -70,7 +70,7 @@
 func TestWarmThroughput(t *testing.T) {
 	starting := listedEndpoint(1, 0, 0)
 	starting.StartedAt = time.Hour
-	r := newRig(t, testConfig(), starting, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, testConfig(), starting, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	roll := func(work float64) float64 {
 		for _, s := range r.b.endpoints {
 			s.servedWorkSeconds = work
@@ -102,7 +102,7 @@
 		got := make([]int, 4)
 		for node := range cfg.Instances {
 			b, _ := New(cfg, uint64(node))
-			r := &rig{t: t, b: b, now: time.Hour}
+			r := &harness{t: t, b: b, now: time.Hour}
 			r.handle(EndpointsListed{Kind: CachedList, Endpoints: []Endpoint{listedEndpoint(2, 0, 0)}})
 			if known {
 				r.serve(20, idempotent, in20ms)
@@ -132,7 +132,7 @@
 // cold without. What it would answer too late goes to a warm one.
 func TestSlowStartCreditIsUsed(t *testing.T) {
 	for hint, want := range map[time.Duration]EndpointID{10 * ms: 2, 100 * ms: 1} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		r.advance(3 * time.Second)
 		r.serve(100, idempotent, in20ms)
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -16,7 +16,7 @@
 	for i := range all {
 		all[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newRig(t, cfg, all...)
+	r := newHarness(t, cfg, all...)
 	if len(r.b.usable) != 4 { // of 40, so that each is in the subsets of 8 of 100 nodes
 		t.Fatalf("uses %d endpoints", len(r.b.usable))
 	}
@@ -51,7 +51,7 @@
 	users := map[EndpointID]int{}
 	for node := range cfg.Instances {
 		cfg.Index = node
-		r := newRig(t, cfg, members...)
+		r := newHarness(t, cfg, members...)
 		for _, e := range r.b.usable {
 			users[e.ID]++
 		}
@@ -85,7 +85,7 @@
 	for i := range 60 {
 		members = append(members, listedEndpoint(EndpointID(i+1), i%3, 0))
 	}
-	r := newRig(t, cfg, members...)
+	r := newHarness(t, cfg, members...)
 	r.b.slowStart.warmThroughput = 1
 	for range 3 {
 		r.serve(19, idempotent, in20ms)
@@ -104,7 +104,7 @@
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newRig(t, cfg, members...)
+	r := newHarness(t, cfg, members...)
 	size := len(r.b.usable)
 	for range 5 {
 		for _, e := range r.b.usable {
@@ -115,7 +115,7 @@
 	if n := len(r.b.usable); n > 2*size {
 		t.Errorf("%d endpoints beside a subset of %d", n-size, size)
 	}
-	r = newRig(t, cfg, members...)
+	r = newHarness(t, cfg, members...)
 	for i := range 1000 {
 		r.advance(5 * ms)
 		r.b.usable = nil // nothing is sent
@@ -138,7 +138,7 @@
 	for _, c := range []struct{ perSecond, least, most int }{
 		{4, 4, 4}, {60, 7, 10}, {300, 40, 40},
 	} {
-		r := newRig(t, cfg, members...)
+		r := newHarness(t, cfg, members...)
 		for i := range 10 * c.perSecond {
 			r.advance(time.Second / time.Duration(c.perSecond))
 			r.arrive(fmt.Sprint(i), idempotent)
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -10,7 +10,7 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 4, Share: 0.5}, {QuotaPerSecond: 4000, Share: 0.5}}
 	cfg.OverQuotaValue = 0.1
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	bound := func(tenant int) float64 {
 		return r.b.maxWaitSeconds(r.request(idempotent, tenant))
@@ -24,7 +24,7 @@
 func TestSmallQuotaAllowsABurst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.OverQuotaValue = 500, 0.05
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	req := r.request(idempotent, 0)
 	r.serve(3, idempotent, in20ms)
 	if l := r.b.priorityFactor(req); l != 1 {
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Instances, cfg.Tenants[0].QuotaPerSecond = c.instances, c.quotaPerSecond
-			r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+			r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 			r.advance(time.Hour)
 			r.handle(TimerFired{})
 			available := &r.b.quota(&request{}).requests
