--- a/balance/action.go
+++ b/balance/action.go
@@ -2,70 +2,71 @@
 
 import "time"
 
-// ActionKind is what to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of actions, with the fields of Action that each one uses. The Balancer emits neither CancelAttempt,
-// UnwatchEndpoints, FetchEndpoints, SendToPeer and CloseIdle nor a Timeout yet; the simulator's protocol has them, and
-// every host carries them out.
+// Kinds of actions, with the fields of Action that each kind uses. The Balancer does not emit CancelAttempt,
+// UnwatchEndpoints, FetchEndpoints, SendToPeer or CloseIdle yet, and sets no Timeout. The simulator's protocol has
+// them, and every host carries them out.
 const (
-	Forward          ActionKind = iota // Request, Endpoint, Attempt, Timeout, StartWithin: launch the next attempt
+	Forward          ActionKind = iota // Request, Endpoint, Attempt, Timeout, StartWithin: start the next attempt
 	CancelAttempt                      // Request, Attempt: stop waiting for an attempt
-	Reject                             // Request, RetryAfter: the final answer; trying again is harmless
-	Fail                               // Request: the final answer; it promises nothing
-	HealthCheck                        // Endpoint
-	SetTimer                           // Delay, TimerID
+	Reject                             // Request, RetryAfter: the final answer; it tells the client that a retry is safe
+	Fail                               // Request: the final answer; a retry may not be safe
+	HealthCheck                        // Endpoint: send a health check
+	SetTimer                           // Delay, TimerID: pass a TimerFired after the delay
 	WatchEndpoints                     // subscribe to changes of the endpoint list
 	UnwatchEndpoints                   // end the subscription
 	FetchEndpoints                     // read the complete list once
 	SendToPeer                         // Peer, Payload
-	CloseIdle                          // Endpoint: close idle connections to it
-	Log                                // Text
+	CloseIdle                          // Endpoint: close the idle connections to it
+	Log                                // Text: write a log line for the operator
 )
 
-// AllPeers as Action.Peer addresses every peer.
+// AllPeers is the value of Action.Peer that addresses every peer.
 const AllPeers = -1
 
-// Action is one thing for the node to carry out. Attempts of a request are numbered 0, 1, 2 ... in the order of its
-// Forward actions.
+// Action is an instruction that the node carries out. The attempts of a request are numbered 0, 1, 2 ... in the order
+// of its Forward actions.
 type Action struct {
 	Kind        ActionKind
 	Request     string
 	Endpoint    EndpointID
 	Attempt     int
-	Timeout     time.Duration // of the attempt; 0: until the client gives up
-	StartWithin time.Duration // the attempt's first byte has to go within this time, or not at all; 0: any time
-	RetryAfter  time.Duration // advice to the client; 0: none
-	Delay       time.Duration // until the timer fires
+	Timeout     time.Duration // of the attempt; 0: the attempt may last until the client gives up
+	StartWithin time.Duration // the attempt is sent only if its first byte leaves within this time; 0: no limit
+	RetryAfter  time.Duration // the Retry-After for the client; 0: none
+	Delay       time.Duration // time until the timer fires
 	TimerID     uint64
-	Peer        int // index of an instance, or AllPeers
+	Peer        int // index of the instance, or AllPeers
 	Payload     []byte
 	Text        string
 }
 
-// forward launches an attempt of a request at an endpoint. Its first byte has to go within startWithin; 0: any time.
+// forward returns the action that sends an attempt of a request to an endpoint. The attempt is sent only if its first
+// byte leaves within startWithin; 0 means no limit.
 func forward(request string, endpoint EndpointID, attempt int, startWithin time.Duration) Action {
 	return Action{Kind: Forward, Request: request, Endpoint: endpoint, Attempt: attempt, StartWithin: startWithin}
 }
 
-// reject is the final answer that promises the client that trying again is harmless, after retryAfter.
+// reject returns the final answer that tells the client that a retry after retryAfter is safe.
 func reject(request string, retryAfter time.Duration) Action {
 	return Action{Kind: Reject, Request: request, RetryAfter: retryAfter}
 }
 
-// fail is the final answer that promises nothing.
+// fail returns the final answer that does not tell the client whether a retry is safe.
 func fail(request string) Action { return Action{Kind: Fail, Request: request} }
 
-// checkHealth sends a health check to an endpoint.
+// checkHealth returns the action that sends a health check to an endpoint.
 func checkHealth(endpoint EndpointID) Action { return Action{Kind: HealthCheck, Endpoint: endpoint} }
 
-// startTimer has a TimerFired with an ID come after a delay.
+// startTimer returns the action after which the node passes a TimerFired with the id once the delay is over.
 func startTimer(delay time.Duration, id uint64) Action {
 	return Action{Kind: SetTimer, Delay: delay, TimerID: id}
 }
 
-// watchEndpoints subscribes to changes of the endpoint list.
+// watchEndpoints returns the action that subscribes to changes of the endpoint list.
 func watchEndpoints() Action { return Action{Kind: WatchEndpoints} }
 
-// logText writes a line of the log.
+// logText returns the action that writes a log line.
 func logText(text string) Action { return Action{Kind: Log, Text: text} }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -3,25 +3,27 @@
 import (
 	"cmp"
 	"errors"
+	"fmt"
 	"math/rand/v2"
 	"time"
 )
 
-// Balancer decides for one node. It holds the state of the rules, each of a type of its own in a file of
-// its own, and routes events to them.
+// Balancer makes the decisions of one node. It holds the state of each rule and dispatches events to the
+// rules. Each rule has its own state type and its own file. A Balancer must not be used from two goroutines
+// at once.
 type Balancer struct {
 	cfg     Config
 	rng     *rand.Rand
-	now     time.Duration // time of the event in hand
-	actions []Action      // that answer it, so far
+	now     time.Duration // time of the event that is handled now
+	actions []Action      // the actions of this event so far
 
 	endpoints      map[EndpointID]*endpointState
-	usable         []*endpointState // endpoints that may get requests, by id; see chooseSubset
+	usable         []*endpointState // endpoints that may get requests, ordered by id; see chooseSubset
 	cordons        map[EndpointID]cordon
 	requests       map[string]*request
-	awaitingChecks []*request // arrivals that wait for the health checks of their tick
+	awaitingChecks []*request // new requests that wait for the health checks of their tick
 	timers         timerSet
-	windowStart    time.Duration // see endWindow
+	windowStart    time.Duration // start of the current window; see endWindow
 
 	latency        latencyStats
 	loads          loadAverages
@@ -32,16 +34,16 @@
 	subset         subsetSize
 	slowStart      slowStart
 	queueBudget    queueBudget
-	meanPriority   float64 // of the requests, a running mean
+	meanPriority   float64 // running mean of the requests' priorities
 	quotas         []quotaBucket
 	probeAdmission probeAdmission
 	retryBudget    retryBudget
 }
 
-// New returns a Balancer for one node. The seed is the instance's own; the same seed and events give the
-// same actions. Negative counts and times in cfg are errors.
+// New returns a Balancer for one node. Each instance should have a seed of its own; the same seed and events
+// give the same actions. New returns an error if cfg has a negative count or time.
 func New(cfg Config, seed uint64) (*Balancer, error) {
-	if err := check(&cfg); err != nil {
+	if err := validate(&cfg); err != nil {
 		return nil, err
 	}
 	interval := cmp.Or(cfg.Rules.PollInterval, defaultPollInterval)
@@ -74,21 +76,22 @@
 	return b, nil
 }
 
-// check returns an error for a negative count or time.
-func check(cfg *Config) error {
+// validate returns an error for a negative count or time.
+func validate(cfg *Config) error {
 	if cfg.Instances < 0 || cfg.Index < 0 || cfg.Limits.MaxAttempts < 0 {
-		return errors.New("balance: negative count in Config")
+		return errors.New("balance: Instances, Index or Limits.MaxAttempts is negative; it must be 0 or more")
 	}
-	for _, c := range cfg.Classes {
+	for i, c := range cfg.Classes {
 		if c.Deadline < 0 || c.LatencyObjective < 0 || c.KeyWindow < 0 {
-			return errors.New("balance: negative time in a Class")
+			return fmt.Errorf("balance: Classes[%d]: Deadline, LatencyObjective or KeyWindow is negative; "+
+				"it must be 0 or more", i)
 		}
 	}
 	return nil
 }
 
-// Handle takes one event and appends the actions that answer it to actions. A time before that of the last
-// event counts as that one.
+// Handle processes one event, appends the actions that the node must carry out to actions and returns the
+// extended slice. If now is before the time of the last event, the time of the last event is used instead.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now = max(b.now, now)
 	b.actions = actions
--- a/balance/config.go
+++ b/balance/config.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Repeatability is what happens when a request of a class runs twice.
+// Repeatability says whether a request of a class may run twice.
 type Repeatability uint8
 
 // Repeatabilities of a class. The zero value is the strictest.
 const (
 	NonIdempotent  Repeatability = iota // must never run twice
-	IdempotencyKey                      // a group of endpoints drops repeats for a while
+	IdempotencyKey                      // a group of endpoints drops repeats for the class's KeyWindow
 	Idempotent                          // may be repeated freely
 )
 
-// KeyScope is the group of endpoints that drops the repeats of a request with an idempotency key.
+// KeyScope is the group of endpoints that drop the repeats of a request with an idempotency key.
 type KeyScope uint8
 
 // Scopes of an idempotency key. The zero value is the narrowest.
@@ -24,9 +24,9 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer within this earns the full priority weight
-	ObjectiveStretch float64       // the objective grows by this multiple of the request's own work
-	Deadline         time.Duration // what the client waits in total, over all its own attempts
+	LatencyObjective time.Duration // an answer within this time earns the full priority weight
+	ObjectiveStretch float64       // the objective grows by this multiple of the request's work
+	Deadline         time.Duration // total time that the client waits, over all its own attempts
 	Repeatability    Repeatability
 	KeyScope         KeyScope      // for IdempotencyKey
 	KeyWindow        time.Duration // for IdempotencyKey: how long repeats are dropped
@@ -37,32 +37,32 @@
 
 // Tenant describes one tenant and its quota.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second, over all nodes together, that lie within its quota; 0: no quota
-	Share          float64 // its fraction of the service
+	QuotaPerSecond float64 // requests a second within the quota, over all nodes together; 0: no quota
+	Share          float64 // the tenant's fraction of the service
 }
 
-// Limits is what the site permits.
+// Limits holds what the site permits, and its limits.
 type Limits struct {
 	Cancellation   bool          // CancelAttempt is permitted
 	HealthChecks   bool          // HealthCheck is permitted
 	Gossip         bool          // SendToPeer is permitted
-	HedgedRequests bool          // two attempts of one request may be pending at once
+	HedgedRequests bool          // two attempts of one request may be pending at the same time
 	RetryAfter     bool          // clients receive the RetryAfter of a Reject
 	MaxAttempts    int           // attempts per request; 0 means 1
-	MaxRetryAfter  time.Duration // the longest RetryAfter that a client heeds; 0: unknown
-	ConnectTimeout time.Duration // a connection that is not up by then counts as failed
+	MaxRetryAfter  time.Duration // the longest RetryAfter that a client obeys; 0: unknown
+	ConnectTimeout time.Duration // a connection that is not established within this time has failed
 	IdleClose      time.Duration // endpoints close a connection that has been idle for this long
 	StreamsPerConn int           // attempts that one connection carries at the same time
-	MaxOpen        int           // requests open at once; more never reach the node
-	CPUPerSecond   time.Duration // CPU that the node may use in a second; 0: unknown
-	CPUPerRequest  time.Duration // CPU for a request with its outcomes; 0: no such limit
+	MaxOpen        int           // requests open at the same time; requests beyond it never reach the node
+	CPUPerSecond   time.Duration // CPU time that the node may use in a second; 0: unknown
+	CPUPerRequest  time.Duration // CPU time for a request and its outcomes; 0: no limit
 }
 
-// Prices are points that the site takes off its result, each for one full unit.
+// Prices are the points that the site deducts from its result, each for one unit.
 type Prices struct {
-	CrossZone   float64 // an attempt that crosses zones, per request
-	Waste       float64 // endpoint work without an answer, per work offered
-	LateFail    float64 // value left unserved after its latency objective, per value offered
+	CrossZone   float64 // one attempt in another zone, per request
+	Waste       float64 // endpoint work that produces no answer, per work offered
+	LateFail    float64 // value not served within its latency objective, per value offered
 	HealthCheck float64 // one health check per request
 	Peer        float64 // one full message to a peer per request
 	Handshake   float64 // one new connection per request
@@ -70,15 +70,15 @@
 	Discovery   float64 // list entries sent over 100 x requests
 }
 
-// Rules holds the figures of the rules that a node keeps on its own.
+// Rules holds the parameters of the rules that a node keeps on its own.
 type Rules struct {
-	AnswerGrace       time.Duration // final answers are valid for this long past the deadline
-	DrainGrace        time.Duration // nothing new goes to an endpoint this long after the list has it draining
-	PollInterval      time.Duration // how long a list may be used without a subscription
+	AnswerGrace       time.Duration // a final answer is valid for this long after the deadline
+	DrainGrace        time.Duration // an endpoint gets nothing new this long after a list shows it as draining
+	PollInterval      time.Duration // how long a list may be used without a subscription; 0: defaultPollInterval
 	SlowStartFraction float64       // an endpoint starts with at least this fraction of its capacity
-	SlowStartDuration time.Duration // and has all of it after this time at the latest
-	OverloadMultiple  float64       // more than this multiple of its present capacity,
-	OverloadWindow    time.Duration // for this time, brings an endpoint in slow start down
+	SlowStartDuration time.Duration // an endpoint has its full capacity after this time at the latest
+	OverloadMultiple  float64       // load above this multiple of its present capacity brings an endpoint in slow start
+	OverloadWindow    time.Duration // down, if it lasts for this time
 }
 
 // LoadReportSource is where endpoints report their load.
@@ -87,8 +87,8 @@
 // Sources of load reports.
 const (
 	NoLoadReports          LoadReportSource = iota
-	HealthCheckLoadReports                  // in results of health checks only
-	InlineLoadReports                       // in outcomes of attempts too
+	HealthCheckLoadReports                  // only in the results of health checks
+	InlineLoadReports                       // also in the outcomes of attempts
 )
 
 // WeightKind is the meaning of Endpoint.Weight.
@@ -97,45 +97,45 @@
 // Kinds of weight.
 const (
 	NoWeights      WeightKind = iota
-	NominalWeights            // registered size
-	RoughWeights              // approximate size
-	LiveWeights               // size over load, somewhat stale
+	NominalWeights            // the registered size
+	RoughWeights              // the approximate size
+	LiveWeights               // the size divided by the load, somewhat stale
 )
 
-// Goal holds the weights of the parts of the site's result.
+// Goal holds the weights of the parts that make up the site's result.
 type Goal struct {
 	EntireDay   float64 // the entire day
-	WorstClass  float64 // the class served least
-	WorstTenant float64 // the tenant served least
-	WorstWindow float64 // the worst stretch of time
+	WorstClass  float64 // the class with the worst service
+	WorstTenant float64 // the tenant with the worst service
+	WorstWindow float64 // the period with the worst service
 }
 
-// Config is what a node knows at its start. Zero values are safe defaults: no permission is assumed, and every class is
-// taken as NonIdempotent.
+// Config holds the settings that a node has at its start. Zero values are safe defaults: they permit nothing that needs
+// a permission, and a class is NonIdempotent.
 //
-// It has all settings that a site gives. No rule reads these yet: Class.ObjectiveStretch, LateValue and Stream;
-// Tenant.Share; Limits.Cancellation, Gossip, HedgedRequests, StreamsPerConn, MaxOpen, CPUPerSecond and CPUPerRequest;
-// all Prices but CrossZone and HealthCheck; Rules.AnswerGrace; WarmKeys, ClientsMarkRetries, Weights, Goal, LoadFields,
-// PassesDeadline and Stage.
+// Config has all settings that a site gives. No rule reads these settings yet: Class.ObjectiveStretch, LateValue and
+// Stream; Tenant.Share; Limits.Cancellation, Gossip, HedgedRequests, StreamsPerConn, MaxOpen, CPUPerSecond and
+// CPUPerRequest; all Prices except CrossZone and HealthCheck; Rules.AnswerGrace; WarmKeys, ClientsMarkRetries, Weights,
+// Goal, LoadFields, PassesDeadline and Stage.
 type Config struct {
-	Index              int // index of this instance among its peers
-	Instances          int // how many instances there are; 0 means 1
+	Index              int // index of this instance among all instances
+	Instances          int // number of instances; 0 means 1
 	Zone               int // zone of this instance
 	Classes            []Class
 	Tenants            []Tenant
-	OverQuotaValue     float64 // value of a request beyond its tenant's quota, as a fraction of its class's
-	PriorityPerWork    bool    // priority weights count for each unit of work, not for each request
-	WarmKeys           bool    // an endpoint that has lately served a routing key needs less work for it
+	OverQuotaValue     float64 // value of a request beyond its tenant's quota, as a fraction of its usual value
+	PriorityPerWork    bool    // priority weights count per unit of work, not per request
+	WarmKeys           bool    // an endpoint that has recently served a routing key needs less work for it
 	ClientsMarkRetries bool    // clients mark their retries
-	PollDiscovery      bool    // the list comes only after WatchEndpoints or FetchEndpoints
+	PollDiscovery      bool    // the list arrives only after WatchEndpoints or FetchEndpoints
 	LoadReports        LoadReportSource
 	Weights            WeightKind
 	Limits             Limits
 	Prices             Prices
 	Rules              Rules
 	Goal               Goal
-	LoadFields         LoadField     // values that load reports carry
+	LoadFields         LoadField     // the values that load reports carry
 	PassesDeadline     bool          // endpoints pass on the time left when they call the next tier
-	Stage              int           // the tier that this node sends to
-	Tick               time.Duration // least gap between two rounds of events
+	Stage              int           // the tier to which this node sends requests
+	Tick               time.Duration // minimum time between two rounds of events
 }
--- a/balance/cordon.go
+++ b/balance/cordon.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// cordon is whether an operator has taken an endpoint out of service. Invariant: an active one has cordonedAt; one that
-// is not active has uncordonedAt too, unless the endpoint was never cordoned.
+// cordon says whether an operator has taken an endpoint out of service. Invariant: an active cordon has cordonedAt. An
+// inactive cordon has cordonedAt and uncordonedAt, unless the endpoint was never cordoned.
 type cordon struct {
 	active       bool
-	cordonedAt   time.Duration // the last time
-	uncordonedAt time.Duration // the last time
+	cordonedAt   time.Duration // last time that the endpoint was cordoned
+	uncordonedAt time.Duration // last time that the endpoint was uncordoned
 }
 
-// onCordonChanged takes an endpoint out of service, or puts it back; to repeat either changes nothing. While it is
-// cordoned it gets no requests, whatever the lists say. Uncordoned it is another process, in slow start.
+// onCordonChanged takes an endpoint out of service, or puts it back into service. An event that repeats the present
+// state changes nothing. A cordoned endpoint gets no requests, even if a list shows it as ready. An uncordoned endpoint
+// counts as a new process, in slow start.
 func (b *Balancer) onCordonChanged(ev *CordonChanged) {
 	c := b.cordons[ev.Endpoint]
 	if c.active == ev.Cordoned {
@@ -31,12 +32,12 @@
 	b.chooseSubset()
 }
 
-// resetAtUncordon reports whether a start in a list came while the endpoint was cordoned: its state was reset when it
-// was uncordoned.
+// resetAtUncordon reports whether the start time in a list lies within the endpoint's last cordon. The endpoint's state
+// was then reset already when it was uncordoned.
 func (b *Balancer) resetAtUncordon(listed Endpoint) bool {
 	c := b.cordons[listed.ID]
 	return !c.active && c.uncordonedAt > 0 && c.cordonedAt <= listed.StartedAt && listed.StartedAt <= c.uncordonedAt
 }
 
-// UncordonedAt is when an endpoint was last put back into service by an operator, on the Balancer's clock; 0: never.
+// UncordonedAt returns when an operator last uncordoned an endpoint, on the Balancer's clock; 0 means never.
 func (b *Balancer) UncordonedAt(id EndpointID) time.Duration { return b.cordons[id].uncordonedAt }
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// All nodes share one discovery service, and a fleet that starts or fails together calls it together. So each node
-// draws the time of its call from a span.
+// All nodes share one discovery service, and nodes that start or fail at the same time would call it at the same time.
+// Therefore each node delays its call by a random time within a span.
 const (
-	// pollSpreadDivisor: the calls of n nodes are spread over n times the poll interval divided by this.
+	// pollSpreadDivisor sets the span of calls: n nodes spread their calls over n/pollSpreadDivisor poll intervals.
 	pollSpreadDivisor = 200
-	// failedPollDivisor: calls after a failure are spread over at least the poll interval divided by this.
+	// failedPollDivisor sets the least span after a failure: 1/failedPollDivisor of a poll interval.
 	failedPollDivisor = 20
-	// maxPollDelay is the longest delay of a call: a change must be known 6 s after discovery could be reached.
+	// maxPollDelay is the longest delay of a call: a node must know a change within 6 s after discovery is reachable.
 	maxPollDelay = 3750 * time.Millisecond
-	// maxPollDoublings bounds the doublings of the span by failures in a row.
+	// maxPollDoublings bounds how often consecutive failures double the span.
 	maxPollDoublings = 10
-	// defaultPollInterval stands where the site has no Rules.PollInterval; the bounds hold for any.
+	// defaultPollInterval is used if the site sets no Rules.PollInterval. The bounds below hold for every interval.
 	defaultPollInterval = 10 * time.Second
 	minPollInterval     = time.Second
 	maxPollInterval     = time.Hour
 )
 
-// discoveryState is how the last calls to discovery went.
+// discoveryState is the state of the calls to discovery.
 type discoveryState struct {
-	failures int // in a row
+	failures int // consecutive failures
 }
 
 func (d *discoveryState) succeeded() { d.failures = 0 }
 
-// onDiscoveryFailed polls again after a while: without a subscription the node learns of no drain.
+// onDiscoveryFailed schedules another call: without a subscription the node does not learn that an endpoint drains.
 func (b *Balancer) onDiscoveryFailed() {
 	if !b.cfg.PollDiscovery {
 		return
@@ -38,18 +38,18 @@
 	b.pollWithin(b.pollBackoff())
 }
 
-// pollSpread is the span over which the nodes of the fleet spread their calls.
+// pollSpread returns the span over which the nodes of the fleet spread their calls.
 func (b *Balancer) pollSpread() time.Duration {
 	return min(b.cfg.Rules.PollInterval/pollSpreadDivisor*time.Duration(b.cfg.Instances), maxPollDelay)
 }
 
-// pollBackoff is the span of the call after a failure: it doubles with each failure in a row.
+// pollBackoff returns the span of the call after a failure. It doubles with each consecutive failure.
 func (b *Balancer) pollBackoff() time.Duration {
 	base := max(b.cfg.Rules.PollInterval/failedPollDivisor, b.pollSpread())
 	return min(base<<min(b.discovery.failures, maxPollDoublings+1), maxPollDelay)
 }
 
-// pollWithin calls discovery at a random time within a span.
+// pollWithin schedules a call to discovery at a random time within a span.
 func (b *Balancer) pollWithin(span time.Duration) {
 	b.setTimer(time.Duration(b.rng.Float64()*float64(span)), timer{kind: discoveryPoll})
 }
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EndpointID names an endpoint. It is opaque: zone and age do not follow from it.
+// EndpointID identifies an endpoint. It is opaque: neither the zone nor the age can be derived from it.
 type EndpointID uint32
 
 // Phase is the state of an endpoint in the list.
@@ -11,7 +11,7 @@
 // Phases of an endpoint.
 const (
 	Ready    Phase = iota
-	Draining       // finishes what it has, and must get nothing new
+	Draining       // finishes its requests and must get no new ones
 	Removed
 )
 
@@ -21,8 +21,8 @@
 	Zone        int
 	Cell        int
 	MachineKind int
-	Weight      float64       // meaning by Config.Weights
-	StartedAt   time.Duration // clock time of its process's last start; 0: long ago
+	Weight      float64       // Config.Weights gives its meaning
+	StartedAt   time.Duration // last start of its process, on the Balancer's clock; 0: long ago
 	Phase       Phase
 }
 
@@ -32,13 +32,13 @@
 // Statuses of attempts and health checks.
 const (
 	StatusSucceeded        Status = iota
-	StatusApplicationError        // answered with an error; it may have run
-	StatusRejected                // sent back unseen: the queue is full, or the endpoint drains
-	StatusTimedOut                // no answer in time; it may have run, or may yet
-	StatusNotDelivered            // no connection came up, or it broke before the last byte of the request
-	StatusConnectionLost          // the connection broke with the attempt in flight; it may have run
-	StatusCancelled               // given up by this node; it may have run
-	StatusNotSent
+	StatusApplicationError        // the endpoint answered with an error; the attempt may have run
+	StatusRejected                // refused without being read: the queue is full, or the endpoint is draining
+	StatusTimedOut                // no answer in time; the attempt may have run, or may still run
+	StatusNotDelivered            // no connection was established, or it broke before the last byte of the request
+	StatusConnectionLost          // the connection broke with the attempt in flight; the attempt may have run
+	StatusCancelled               // this node gave the attempt up; it may have run
+	StatusNotSent                 // this node did not send the attempt
 )
 
 // NeverRan reports whether the status proves that the attempt never ran.
@@ -46,21 +46,21 @@
 	return s == StatusRejected || s == StatusNotDelivered || s == StatusNotSent
 }
 
-// Load is a load report.
+// Load is the load report of an endpoint.
 type Load struct {
-	Has     LoadField // the values that it carries
-	Active  float64   // requests held
-	Waiting float64   // requests queued
+	Has     LoadField // the values that the report carries
+	Active  float64   // requests that the endpoint holds
+	Waiting float64   // requests in its queue
 	CPU     float64   // fraction of CPU in use
 	AvgMs   float64   // recent service time in milliseconds
 	RPS     float64   // requests served a second
 	ErrRPS  float64   // errors a second
 }
 
-// LoadField is a set of the values in a Load.
+// LoadField is a set of values of a Load.
 type LoadField uint8
 
-// Values of a load report.
+// The values of a load report.
 const (
 	HasActive LoadField = 1 << iota
 	HasWaiting
@@ -70,10 +70,10 @@
 	HasErrRPS
 )
 
-// EndpointLoad is what a node has found of one endpoint.
+// EndpointLoad is a node's view of the load of one endpoint.
 type EndpointLoad struct {
 	ID            EndpointID
-	QueueEstimate float64 // requests of all nodes there
-	InFlight      float64 // this node's attempts there
+	QueueEstimate float64 // estimated number of requests of all nodes at the endpoint
+	InFlight      float64 // this node's attempts in flight
 	FailureRate   float64 // 0 to 1
 }
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -1,11 +1,11 @@
 package balance
 
-// onEndpointsListed applies a list of endpoints.
+// onEndpointsListed applies a list of endpoints from discovery.
 func (b *Balancer) onEndpointsListed(ev *EndpointsListed) {
 	b.discovery.succeeded()
 	if ev.Kind != ListChanges {
 		for _, e := range b.endpoints {
-			e.Phase = Removed // unless the complete list names it
+			e.Phase = Removed // unless the list names it
 		}
 	}
 	for _, listed := range ev.Endpoints {
@@ -20,7 +20,8 @@
 	}
 }
 
-// updateEndpoint applies one entry of a list. A changed start time is a new process with a new queue.
+// updateEndpoint applies one entry of a list. A changed start time means that the endpoint has a new process with a new
+// queue.
 func (b *Balancer) updateEndpoint(listed Endpoint) {
 	e := b.endpoints[listed.ID]
 	started := e == nil || e.StartedAt != listed.StartedAt && !b.resetAtUncordon(listed)
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -4,42 +4,42 @@
 
 // endpointState is what a node knows of one listed endpoint.
 //
-// Invariants: inFlight counts the attempts at the endpoint that are pending, whose last byte has been sent and that are
-// not taken for lost; unaccepted and abandoned are never below zero; 0 <= failureRate <= 1.
+// Invariants: inFlight counts the pending attempts at the endpoint whose last byte has been sent and that are not
+// counted as lost; unaccepted and abandoned are never below zero; 0 <= failureRate <= 1.
 type endpointState struct {
 	Endpoint
-	subsetRank uint64 // place in this node's own order of the endpoints
+	subsetRank uint64 // position in this node's own order of the endpoints; see subsetRank
 
 	// The load of other nodes, in requests.
-	reportedLoad float64       // by the last load report
+	reportedLoad float64       // according to the last load report
 	reportedAt   time.Duration // when the endpoint had that load
-	loadBias     float64       // how it usually differs from the mean of the zone
+	loadBias     float64       // the usual difference between the endpoint's load and the mean of its zone
 
-	// The last load report as it came, this node's own requests included.
+	// The last load report as received. It includes this node's own requests.
 	reportedQueue      float64
-	reportedQueueSince time.Duration // when it was first seen
+	reportedQueueSince time.Duration // when this value was first reported
 
 	// The load of this node, in requests.
 	inFlight   float64
-	unaccepted float64 // attempts since the last report that the endpoint did not accept
-	abandoned  float64 // attempts given up since then whose work may still stand in the queue
+	unaccepted float64 // attempts that the endpoint did not accept since the last report
+	abandoned  float64 // attempts given up since the last report whose work may still be in the queue
 
-	// Running means over the answers.
+	// Running means over the endpoint's answers.
 	meanLatencySeconds float64 // 0: no answer yet
-	meanQueueAtArrival float64 // queue estimate that the answered requests met
+	meanQueueAtArrival float64 // queue estimate when the answered requests were sent
 	lastAnswerAt       time.Duration
 
 	failureRate    float64
-	outlier        bool          // traffic is withheld, as logged
-	lastActivityAt time.Duration // its last sign of life, or the send since when something is in flight
+	outlier        bool          // marked as an outlier; each change is logged
+	lastActivityAt time.Duration // last outcome or successful health check, or a send when nothing was in flight
 
-	knownSince             time.Duration // when this node learned of its process
-	slowStartCreditSeconds float64       // work that may be sent to it in this window of slow start
-	servedWorkSeconds      float64       // work answered in this window
+	knownSince             time.Duration // when this node learned of the endpoint's current process
+	slowStartCreditSeconds float64       // work that may still be sent in this window of slow start
+	servedWorkSeconds      float64       // work that the endpoint answered in this window
 }
 
-// resetProcess forgets what was known of the endpoint's old process. Its attempts in flight are lost with it, and their
-// outcomes are still to come.
+// resetProcess discards what was known of the endpoint's old process. The attempts in flight are lost with that
+// process, but inFlight still counts them because their outcomes are still to come.
 func (e *endpointState) resetProcess(now time.Duration) {
 	e.loadBias = 0
 	e.reportedLoad = 0
@@ -54,7 +54,7 @@
 	e.lastActivityAt = now
 }
 
-// inService reports whether an endpoint may get requests: it is listed as ready, and not cordoned.
+// inService reports whether an endpoint is listed as ready and is not cordoned, so that it may get requests.
 func (b *Balancer) inService(e *endpointState) bool {
 	return e.Phase == Ready && !b.cordons[e.ID].active
 }
--- a/balance/event.go
+++ b/balance/event.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Event is one thing that a node saw: one of the types below. The Balancer does not retain slices in it.
+// Event is something that a node observed. It is one of the types below. The Balancer does not retain their slices.
 type Event interface{ isEvent() }
 
-// ListKind is what a list of endpoints contains.
+// ListKind says which endpoints a list contains.
 type ListKind uint8
 
 // Kinds of lists.
 const (
-	CachedList   ListKind = iota // the complete list as it was known last, maybe stale
-	CompleteList                 // the complete list: what it does not name has been removed
-	ListChanges                  // changed entries only
+	CachedList   ListKind = iota // the complete list as it was last known; it may be stale
+	CompleteList                 // the complete list: endpoints that it does not name have been removed
+	ListChanges                  // only the entries that have changed
 )
 
-// EndpointsListed is a list of endpoints from discovery.
+// EndpointsListed is sent when discovery has delivered a list of endpoints.
 type EndpointsListed struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// DiscoveryFailed is a WatchEndpoints or FetchEndpoints that failed, or a subscription that broke.
+// DiscoveryFailed is sent when a WatchEndpoints or FetchEndpoints has failed, or the subscription has broken.
 type DiscoveryFailed struct{}
 
-// RequestArrived is a request that the node has taken. A client's retry comes under a new id.
+// RequestArrived is sent when the node has accepted a request. A client's retry arrives as a request with a new id.
 type RequestArrived struct {
 	Request       string
 	Class         int
 	Tenant        int
 	RoutingKey    uint64
 	HasRoutingKey bool
-	TimeLeft      time.Duration // until the client abandons this attempt of its own
+	TimeLeft      time.Duration // time until the client gives up this request
 	ExpectedWork  time.Duration // 0: unknown
 	ClientRetry   bool          // the client marked it as a retry
 	Mutates       bool
-	// Incomplete is set while the request's body is still coming in: its deadline and TimeLeft begin with
+	// Incomplete is set while the request's body is still being received: the deadline and the time left start with
 	// RequestWritten.
 	Incomplete bool
 }
 
-// RequestWritten is sent when the last byte of an incomplete request has gone to its endpoint.
+// RequestWritten is sent when the last byte of an incomplete request has been sent to its endpoint.
 type RequestWritten struct {
 	Request  string
 	Attempt  int
 	TimeLeft time.Duration
 }
 
-// StreamStarted is sent when the answer has begun to reach the client: the request has no deadline any more.
+// StreamStarted is sent when the first part of the answer has reached the client. The request then has no deadline.
 type StreamStarted struct {
 	Request  string
 	Attempt  int
@@ -55,13 +55,13 @@
 	Elapsed  time.Duration // since the attempt was sent
 }
 
-// ClientDisconnected is sent when the client has disconnected before its answer.
+// ClientDisconnected is sent when the client has disconnected before it had its answer.
 type ClientDisconnected struct{ Request string }
 
 // TimerFired is sent when a timer set by SetTimer is due.
 type TimerFired struct{ ID uint64 }
 
-// HealthChecked is the result of one HealthCheck.
+// HealthChecked is sent with the result of a HealthCheck.
 type HealthChecked struct {
 	Endpoint EndpointID
 	Elapsed  time.Duration // since the check was sent
@@ -69,37 +69,39 @@
 	Load     Load
 }
 
-// AttemptEnded is how an attempt ended. Each Forward is answered by exactly one.
+// AttemptEnded is sent when an attempt has ended. The node sends exactly one for each Forward.
 type AttemptEnded struct {
 	Request       string
 	Attempt       int
 	Endpoint      EndpointID
 	Elapsed       time.Duration // since the attempt was sent
 	Status        Status
-	Final         bool // the request is over, by this outcome or before it
+	Final         bool // the request has its final answer, by this outcome or an earlier one
 	Load          Load
-	NotReplayable bool // what had come of an incomplete request is used up: it can't be sent again
+	NotReplayable bool // part of an incomplete request has been consumed, so it cannot be sent again
 }
 
-// PeerMessage is a message from another instance. Hosts deliver it, as the protocol has it; no rule uses it yet.
+// PeerMessage is a message from another instance. The simulator's protocol has it and hosts deliver it; no rule uses it
+// yet.
 type PeerMessage struct {
 	Peer    int
 	Payload []byte
 }
 
-// HandoverChanged is sent when another process of this node takes new requests from now on, or no longer does.
+// HandoverChanged is sent when another process of this node takes the new requests from now on (HandedOver), or when
+// that process no longer takes them.
 type HandoverChanged struct{ HandedOver bool }
 
-// TookOver is sent when this process takes the requests that came to another process of this node until now.
+// TookOver is sent when this process begins to take the requests that went to another process of this node before.
 type TookOver struct {
-	State *HandoverState // what the other process has learned; nil: unknown
+	State *HandoverState // the state that the other process has learned; nil: unknown
 }
 
-// CordonChanged is sent when an operator has taken an endpoint out of service, or put it back.
+// CordonChanged is sent when an operator has cordoned an endpoint, which takes it out of service, or uncordoned it.
 type CordonChanged struct {
 	Endpoint EndpointID
 	Cordoned bool
-	At       time.Duration // when the operator did, on the Balancer's clock
+	At       time.Duration // time of the change, on the Balancer's clock
 }
 
 func (EndpointsListed) isEvent()    {}
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// HandoverState is what a process has learned, for the one that takes its place. The tags are the form in which
-// processes of different versions pass it on; they never change: a value under another name would be 0 in the other
-// version, without an error. Times are on the Balancers' common clock.
+// HandoverState is the state that a process has learned and hands over to its successor. Processes of different
+// versions exchange it under the names in the tags, so a tag must never change: a version that has another name for a
+// value would read it as 0, without an error. Times are on the clock that both Balancers share.
 type HandoverState struct {
 	QueueBudget        float64                 `json:"Part"`
 	WarmThroughput     float64                 `json:"WarmRate"` // seconds of work a second
@@ -23,14 +23,14 @@
 	Endpoints          []EndpointHandoverState `json:"Servers"`
 }
 
-// ClassHandoverState is what is known of a class.
+// ClassHandoverState is the learned state of a class.
 type ClassHandoverState struct {
 	UnloadedLatency float64 `json:"Base"` // seconds
 	Samples         float64 `json:"Seen"`
 	UnqueuedSamples float64 `json:"Free"`
 }
 
-// EndpointHandoverState is what is known of the process of an endpoint that started at StartedAt.
+// EndpointHandoverState is the learned state of an endpoint, for its process that started at StartedAt.
 type EndpointHandoverState struct {
 	ID                 EndpointID    `json:"Backend"`
 	StartedAt          time.Duration `json:"Launched"`
@@ -42,11 +42,11 @@
 	MeanLatency        float64       `json:"Time"` // seconds
 	MeanQueueAtArrival float64       `json:"Depth"`
 	FailureRate        float64       `json:"Fail"`
-	SlowStartCredit    float64       `json:"Credit"` // unused, seconds of work
+	SlowStartCredit    float64       `json:"Credit"` // unused credit in seconds of work
 }
 
-// HandoverState returns what this process has learned, for the one that takes over. The unused slow start credit goes
-// with it, and half of the retry budget.
+// HandoverState returns the state that this process has learned, for its successor. The state includes the unused slow
+// start credit and half of the retry budget.
 func (b *Balancer) HandoverState() HandoverState {
 	state := HandoverState{
 		QueueBudget:        b.queueBudget.fraction,
@@ -94,7 +94,7 @@
 	}
 }
 
-// onHandoverChanged handles that another process of this node takes new requests from now on, or no longer does.
+// onHandoverChanged handles that another process of this node starts or stops taking the new requests.
 func (b *Balancer) onHandoverChanged(ev *HandoverChanged) {
 	b.slowStart.handedOver = ev.HandedOver
 	b.restartSlowStartWindow()
@@ -103,16 +103,17 @@
 	}
 }
 
-// onTookOver handles that this process takes the requests that came to another one of this node until now.
+// onTookOver handles that this process takes over the new requests from another process of this node.
 func (b *Balancer) onTookOver(ev *TookOver) {
 	b.slowStart.handedOver = false
 	b.restartSlowStartWindow()
 	b.restore(ev.State)
 }
 
-// restartSlowStartWindow drops this process's slow start credit and begins a window. Two processes are one node to an
-// endpoint in slow start: the new one has what the old one did not use, or, without the old one's state, nothing while
-// the window of its last credit lasts; the old one gets nothing more.
+// restartSlowStartWindow drops this process's slow start credit and begins a new window. Together, both processes of a
+// node may send an endpoint in slow start only the credit of one node. The successor therefore gets the predecessor's
+// unused credit. Without the predecessor's state it gets no credit until this window ends, when the window of the
+// predecessor's last credit has ended too. The predecessor gets no more credit.
 func (b *Balancer) restartSlowStartWindow() {
 	b.windowStart = b.now
 	for _, e := range b.endpoints {
@@ -120,9 +121,10 @@
 	}
 }
 
-// restore applies what another process of this node has learned. A state without an answer, or of other classes, is not
-// used. There is no version in it: a field that the other process does not have reads as zero, so that a renamed tag
-// loses its figure without an error, and a queue budget of zero rejects almost everything until answers raise it.
+// restore applies the state that another process of this node has learned. It ignores a state that has no answers or
+// has a different number of classes. The state has no version: a field that the other process does not write reads as
+// zero. A renamed tag would therefore lose its value without an error, and a queue budget of zero rejects almost all
+// requests until answers raise it.
 func (b *Balancer) restore(state *HandoverState) {
 	if state == nil || state.Answers == 0 || len(state.Classes) != len(b.latency.classes) {
 		return
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// shorterIntervalWeight draws the interval between reports to a shorter one seen.
+	// shorterIntervalWeight is the weight of a shorter interval in the learned interval between load reports.
 	shorterIntervalWeight = 0.3
-	// longerIntervalWeight draws it to a longer one: an endpoint may report the same number twice by chance.
+	// longerIntervalWeight is the weight of a longer interval: an endpoint may report the same number twice by chance.
 	longerIntervalWeight = 0.01
-	// loadBiasSeconds is the time over which the load bias of an endpoint is learned.
+	// loadBiasSeconds is the time over which an endpoint's load bias is learned.
 	loadBiasSeconds = 15.0
-	// loadBiasMaxWeight is the most that one report weighs in it: a single report is chance.
+	// loadBiasMaxWeight is the largest weight of one report in the load bias: a single report may differ by chance.
 	loadBiasMaxWeight = 0.1
 )
 
-// reportInterval is the time between two reports of an endpoint that differ: the age that a report may have. It is
-// learned, since no setting has it.
+// reportInterval is the time between two different load reports of an endpoint, which is the age that a report may
+// have. The interval is learned because no setting gives it.
 type reportInterval struct {
-	seconds float64 // 0: not known yet
+	seconds float64 // 0: unknown
 }
 
 // isNew reports whether a load report is new, and learns the interval from it. ageSeconds is the time since the last
-// queue was first reported. The same queue within the interval is the same report again. Past the interval it is new:
-// an idle endpoint reports an empty queue again and again.
+// queue length was first reported. The same length within the interval is a repeat of the last report. After the
+// interval it is a new report: an idle endpoint reports an empty queue each time.
 func (i *reportInterval) isNew(changed, busy bool, ageSeconds float64) bool {
 	switch {
 	case changed && (i.seconds == 0 || ageSeconds < 2*i.seconds):
@@ -38,8 +38,8 @@
 	return true
 }
 
-// handleLoadReport applies a load report. It is old and counts this node's own requests too: these are taken off, and
-// what is in flight now stays counted.
+// handleLoadReport applies a load report. A report is old and includes this node's own requests. They are subtracted,
+// and the attempts in flight stay counted in inFlight.
 func (b *Balancer) handleLoadReport(e *endpointState, l Load) {
 	queue := l.Active
 	switch {
@@ -60,7 +60,7 @@
 	b.recordLoad(e, max(0, queue-e.inFlight), b.reportInterval.seconds)
 }
 
-// recordLoad records the load of other nodes that an endpoint had some seconds ago.
+// recordLoad records the load of other nodes that an endpoint had secondsAgo seconds ago.
 func (b *Balancer) recordLoad(e *endpointState, load, secondsAgo float64) {
 	at := b.now - time.Duration(secondsAgo*float64(time.Second))
 	weight := min(loadBiasMaxWeight, max(0, at-e.reportedAt).Seconds()/loadBiasSeconds)
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// request is one client request that this node has taken. Its life: it arrives, may wait for health checks, is placed
-// (forwarded, rejected or failed), and after each attempt that fails is placed again. It is finished with its final
-// answer, and forgotten once its last attempt has ended too.
+// request is one client request that this node has accepted. After its arrival it may wait for health checks. Then it
+// is placed: forwarded, rejected or failed. After each failed attempt it is placed again. It is finished when it has
+// its final answer, and it is forgotten when its last attempt has ended too.
 //
 // Invariants: pendingAttempts counts the pending attempts; Balancer.requests has each request that is not finished or
 // has a pending attempt.
@@ -16,33 +16,33 @@
 	class             *Class
 	stats             *classStats
 	tenant            int
-	workHint          time.Duration // 0: none
+	workHint          time.Duration // expected work; 0: unknown
 	arrived           time.Duration
 	deadline          time.Duration
 	attempts          []attempt
 	pendingAttempts   int
-	probeBoundSeconds float64 // the bound on its wait when it was a probe admission; 0 for others
-	incomplete        bool    // its body is still coming in
-	notReplayable     bool    // what came of its body is used up
-	finished          bool    // the final answer is out, or the client has disconnected
-	streamStarted     bool    // the answer has begun to reach the client
+	probeBoundSeconds float64 // of a probe admission: the bound on its wait; 0 for other requests
+	incomplete        bool    // its body is still being received
+	notReplayable     bool    // the received part of its body has been consumed
+	finished          bool    // it has its final answer, or the client has disconnected
+	streamStarted     bool    // the first part of the answer has reached the client
 }
 
 // attempt is one forwarding of a request to an endpoint.
 type attempt struct {
 	endpoint          *endpointState
-	sentAt            time.Duration // for an incomplete request: when its last byte had been sent
-	queueAtSend       float64       // the endpoint's queue estimate then
-	waitAtSendSeconds float64       // and the time that it took to clear
+	sentAt            time.Duration // for an incomplete request: when its last byte was sent
+	queueAtSend       float64       // the endpoint's queue estimate at sentAt
+	waitAtSendSeconds float64       // the time that the endpoint needs to clear that queue
 	pending           bool
-	mayHaveRun        bool // it may have run, or may still run
-	lost              bool // it must be lost, and does not count as in flight
-	incomplete        bool // its last byte has not been sent, and it does not count as in flight yet
+	mayHaveRun        bool // it may have run or may still run
+	lost              bool // it counts as lost, and no longer as in flight
+	incomplete        bool // its last byte has not been sent, so it does not count as in flight yet
 }
 
 func (r *request) lastAttempt() *attempt { return &r.attempts[len(r.attempts)-1] }
 
-// pendingAttempt returns attempt n, or nil where there is none or it has ended.
+// pendingAttempt returns attempt n, or nil if the request has no attempt n or that attempt has ended.
 func (r *request) pendingAttempt(n int) *attempt {
 	if n < 0 || n >= len(r.attempts) || !r.attempts[n].pending {
 		return nil
@@ -68,7 +68,7 @@
 	if r.incomplete {
 		r.deadline = math.MaxInt64
 	} else {
-		// Every request is answered by its deadline, whatever becomes of its attempts.
+		// Every request gets its final answer by its deadline, however its attempts end.
 		b.setTimer(ev.TimeLeft, timer{kind: requestDeadline, request: r})
 	}
 	b.sendHealthChecks()
@@ -78,7 +78,7 @@
 	}
 }
 
-// place forwards a request, or gives its final answer where no attempt is possible.
+// place forwards a request, or gives its final answer if no attempt is possible.
 func (b *Balancer) place(r *request) {
 	e := b.nextEndpoint(r)
 	if e == nil {
@@ -95,8 +95,8 @@
 	b.forward(r, e)
 }
 
-// nextEndpoint returns the endpoint for the next attempt of a request, or nil. A first attempt that no endpoint is good
-// enough for may be a probe admission, with no bound on its wait.
+// nextEndpoint returns the endpoint for the next attempt of a request, or nil if no attempt is possible. If no endpoint
+// can take the first attempt, the request may become a probe admission, which has no bound on its wait.
 func (b *Balancer) nextEndpoint(r *request) *endpointState {
 	if !b.attemptAllowed(r) {
 		return nil
@@ -129,9 +129,9 @@
 	}
 }
 
-// onRequestWritten starts the time of an incomplete request: its last byte has been sent. Endpoints start a request
-// when its last byte has come. Before that it takes no place in the queue, and how long its client takes says nothing
-// about the endpoint.
+// onRequestWritten handles that the last byte of an incomplete request has been sent, and starts its deadline. An
+// endpoint starts a request when it has received the last byte. Until then the request takes no place in the
+// endpoint's queue, and the time that the client needs to send it says nothing about the endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// onAttemptEnded handles the end of an attempt, and places its request again where the client still waits.
+// onAttemptEnded handles the end of an attempt, and places its request again if the client still waits.
 func (b *Balancer) onAttemptEnded(ev *AttemptEnded) {
 	r := b.requests[ev.Request]
 	if r == nil {
@@ -184,13 +184,13 @@
 	switch {
 	case r.finished:
 		b.finish(r)
-	case r.streamStarted: // the client has the stream, and nothing more is owed
+	case r.streamStarted: // the client has the stream, so no final answer is due
 	case r.pendingAttempts == 0:
 		b.place(r)
 	}
 }
 
-// learnFrom updates the state of the attempt's endpoint, and the estimates, by how the attempt ended.
+// learnFrom updates the state of the attempt's endpoint and the node's estimates from the outcome of the attempt.
 func (b *Balancer) learnFrom(r *request, a *attempt, ev *AttemptEnded) {
 	e := a.endpoint
 	b.keepQueuePlace(a, ev)
@@ -208,7 +208,7 @@
 	}
 }
 
-// endRequest gives the final answer that the rules allow: a rejection where trying again is harmless, else a failure.
+// endRequest gives a request its final answer: a rejection if a retry by the client is safe, a failure otherwise.
 func (b *Balancer) endRequest(r *request) {
 	if r.finished {
 		return
@@ -221,7 +221,7 @@
 	b.finish(r)
 }
 
-// finish marks a request as over, and forgets it once its last attempt has ended.
+// finish marks a request as finished, and forgets it if none of its attempts is pending.
 func (b *Balancer) finish(r *request) {
 	r.finished = true
 	if r.pendingAttempts == 0 {
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -1,14 +1,14 @@
 package balance
 
-// Stats is what a node may log of its Balancer.
+// Stats holds figures of a Balancer for a node's log.
 type Stats struct {
 	UsableEndpoints int     // endpoints that may get requests
-	QueueBudget     float64 // fraction of the latency slack that queues may take up
-	UnloadedLatency float64 // mean latency of an answer that met no queue, seconds
-	ShortestWait    float64 // the shortest expected wait at an endpoint, seconds; 0 without one
+	QueueBudget     float64 // fraction of the latency slack that queues may use
+	UnloadedLatency float64 // mean latency in seconds of an answer to a request that met no queue
+	ShortestWait    float64 // shortest expected wait in seconds at a usable endpoint; 0 if there is none
 }
 
-// Stats returns the present figures.
+// Stats returns the current figures.
 func (b *Balancer) Stats() Stats {
 	stats := Stats{
 		UsableEndpoints: len(b.usable),
@@ -23,7 +23,7 @@
 	return stats
 }
 
-// EndpointLoads returns what the node has found of the endpoints that it uses, by id.
+// EndpointLoads returns the node's view of the endpoints that it uses, ordered by id.
 func (b *Balancer) EndpointLoads() (loads []EndpointLoad) {
 	for _, e := range b.usable {
 		loads = append(loads, EndpointLoad{
@@ -36,7 +36,7 @@
 	return loads
 }
 
-// UnavailableEndpoints counts the listed endpoints that are draining, cordoned, or outliers.
+// UnavailableEndpoints returns the number of listed endpoints that are draining, cordoned or outliers.
 func (b *Balancer) UnavailableEndpoints() int {
 	n := 0
 	for _, e := range b.endpoints {
--- a/balance/timer.go
+++ b/balance/timer.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// timerKind is what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
-// Kinds of timers, with the fields of timer that each one uses.
+// Kinds of timers, with the fields of timer that each kind uses.
 const (
-	requestDeadline     timerKind = iota // request: its client stops waiting
-	healthCheckWait                      // request: it no longer waits for the health checks of its tick
+	requestDeadline     timerKind = iota // request: the client stops waiting
+	healthCheckWait                      // request: it stops waiting for the health checks of its tick
 	lossCheck                            // request, attempt: see scheduleLossCheck
 	repeatedHealthCheck                  // endpoint: see repeatHealthCheck
 	discoveryPoll
 )
 
-// timer is what the module has to do at some time.
+// timer is work that the Balancer does when a timer fires.
 type timer struct {
 	kind     timerKind
 	request  *request
@@ -22,7 +22,7 @@
 	endpoint *endpointState
 }
 
-// timerSet holds the timers that have not fired, by id. Invariant: ids are never used twice, and never 0.
+// timerSet holds the timers that have not fired, by id. Invariant: an id is never 0 and is never reused.
 type timerSet struct {
 	pending map[uint64]timer
 	lastID  uint64
@@ -44,7 +44,7 @@
 	b.emit(startTimer(delay, b.timers.add(t)))
 }
 
-// onTimerFired does what a timer is for. A timer that is not known, or has fired before, does nothing.
+// onTimerFired does the work of a timer. An unknown timer, or one that has fired before, is ignored.
 func (b *Balancer) onTimerFired(id uint64) {
 	t, ok := b.timers.take(id)
 	if !ok {
--- a/balance/window.go
+++ b/balance/window.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// minWindow is the least length of a window.
+// minWindow is the minimum length of a window.
 const minWindow = time.Second
 
-// endWindow begins a new window when the last one is over: the time in which the site says that an endpoint in slow
-// start can be brought down. What is counted or granted by the window is settled here, in this order.
+// endWindow begins a new window if the current window is over. A window lasts for Rules.OverloadWindow, the time within
+// which overload can bring down an endpoint in slow start, but at least minWindow. All counts and credits that hold for
+// a window are updated here, in this order.
 func (b *Balancer) endWindow() {
 	length := b.now - b.windowStart
 	if length < max(b.cfg.Rules.OverloadWindow, minWindow) {
@@ -24,8 +25,8 @@
 	b.chooseSubset()
 }
 
-// warmThroughput is the work that the endpoints which were warm and known for the entire window did in it, in seconds a
-// second. It begins the next count.
+// warmThroughput returns the work, in seconds a second, that endpoints did in the window. It has one sample for each
+// endpoint that is warm and was known during the entire window. It also resets the count of each endpoint's work.
 func (b *Balancer) warmThroughput(windowSeconds float64) (throughput mean) {
 	for _, e := range b.usable {
 		if b.isWarm(e) && e.knownSince <= b.windowStart {
