--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// The log lines that the README names are the lines that exist, and they are few.
+// The README lists the log lines of the Balancer. Each listed line is logged, and the log stays short.
 func TestLogLines(t *testing.T) {
 	page, err := os.ReadFile("../README.md")
 	if err != nil {
@@ -18,21 +18,21 @@
 	}
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(100, idempotent, in20ms)
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(100, idempotent, in20ms)
 	for range 80 {
-		r.advance(200 * ms)
-		r.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(2-b) * 150 * ms })
+		h.advance(200 * ms)
+		h.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(2-b) * 150 * ms })
 	}
 	for range 40 {
-		r.advance(1500 * ms)
-		r.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(3-b) * 15 * ms })
-	}
-	r.answerLate(200)
-	r.serve(3000, idempotent, in20ms)
-	r.recordLogs(r.handle(DiscoveryFailed{}))
-	r.recordLogs(r.handle(DiscoveryFailed{}))
-	r.recordLogs(r.handle(EndpointsListed{Kind: CompleteList}))
+		h.advance(1500 * ms)
+		h.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(3-b) * 15 * ms })
+	}
+	h.answerLate(200)
+	h.serve(3000, idempotent, in20ms)
+	h.recordLogs(h.handle(DiscoveryFailed{}))
+	h.recordLogs(h.handle(DiscoveryFailed{}))
+	h.recordLogs(h.handle(EndpointsListed{Kind: CompleteList}))
 	for _, text := range []string{
 		"endpoint N is an outlier: traffic withheld",
 		"endpoint N has recovered",
@@ -42,54 +42,54 @@
 		"discovery unavailable: polling again",
 	} {
 		if !strings.Contains(string(page), "`"+text+"`") {
-			t.Errorf("the page lacks %q", text)
+			t.Errorf("README.md does not contain %q", text)
 		}
-		if !r.logged(strings.ReplaceAll(text, "N", "2")) {
-			t.Errorf("not logged: %q, only %q", text, r.logs)
+		if !h.logged(strings.ReplaceAll(text, "N", "2")) {
+			t.Errorf("not logged: %q, only %q", text, h.logs)
 		}
 	}
-	if len(r.logs) > 12 {
-		t.Errorf("%d log lines: %q", len(r.logs), r.logs)
+	if len(h.logs) > 12 {
+		t.Errorf("%d log lines: %q", len(h.logs), h.logs)
 	}
 }
 
-// A caller whose clock goes back, or that reports an outcome twice, must not make the module panic, forward twice or
-// count below zero.
-func TestMisuseIsHarmless(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	r.arrive("x", nonIdempotent)
-	to := r.forwardedTo()
-	r.advance(-30 * time.Minute)
-	r.endAttempt("x", 0, to, StatusSucceeded)
+// A caller whose clock goes back, or that reports an outcome twice, must not make the Balancer panic, forward a request
+// twice or count below zero.
+func TestRepeatedOutcomesAndPastTimesAreIgnored(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	h.arrive("x", nonIdempotent)
+	to := h.forwardedTo()
+	h.advance(-30 * time.Minute)
+	h.endAttempt("x", 0, to, StatusSucceeded)
 	for _, acts := range [][]Action{
-		r.endAttempt("x", 0, to, StatusNotDelivered),
-		r.endAttempt("x", 5, to, StatusSucceeded),
-		r.endAttempt("x", -1, to, StatusSucceeded),
-		r.handle(TimerFired{ID: 1 << 40}),
-		r.handle(nil),
+		h.endAttempt("x", 0, to, StatusNotDelivered),
+		h.endAttempt("x", 5, to, StatusSucceeded),
+		h.endAttempt("x", -1, to, StatusSucceeded),
+		h.handle(TimerFired{ID: 1 << 40}),
+		h.handle(nil),
 	} {
 		if len(acts) != 0 {
-			t.Errorf("%+v", acts)
+			t.Errorf("actions for an unknown or repeated event: %+v", acts)
 		}
 	}
 	for range 50 {
-		r.serve(1, idempotent, in20ms)
+		h.serve(1, idempotent, in20ms)
 	}
-	if r.b.now < time.Hour {
-		t.Errorf("the clock went back to %v", r.b.now)
+	if h.b.now < time.Hour {
+		t.Errorf("the clock went back to %v", h.b.now)
 	}
-	for id, s := range r.b.endpoints {
-		if s.inFlight != 0 || math.IsNaN(r.b.costSeconds(s)) {
+	for id, s := range h.b.endpoints {
+		if s.inFlight != 0 || math.IsNaN(h.b.costSeconds(s)) {
 			t.Errorf("endpoint %d: %+v", id, *s)
 		}
 	}
 }
 
-// Events that name what the module does not know do nothing.
-func TestUnknownNamesAreIgnored(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.arrive("x", idempotent)
+// Events that name an unknown request, attempt, endpoint, class or timer forward nothing.
+func TestEventsWithUnknownNamesAreIgnored(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.arrive("x", idempotent)
 	for _, ev := range []Event{
 		AttemptEnded{Request: "nobody"},
 		AttemptEnded{Request: "x", Attempt: 5},
@@ -103,16 +103,16 @@
 		RequestArrived{Request: "x", Class: idempotent},
 		PeerMessage{Peer: 1, Payload: []byte{1, 2}},
 	} {
-		if acts := ofKind(Forward, r.handle(ev)); len(acts) != 0 {
+		if acts := ofKind(Forward, h.handle(ev)); len(acts) != 0 {
 			t.Errorf("%+v: %+v", ev, acts)
 		}
 	}
-	if r.handle(ClientDisconnected{Request: "x"}); len(r.last) != 0 {
-		t.Errorf("an answer after the client has disconnected: %+v", r.last)
+	if h.handle(ClientDisconnected{Request: "x"}); len(h.last) != 0 {
+		t.Errorf("actions after the client has disconnected: %+v", h.last)
 	}
 }
 
-// A Config with negative counts or times is an error; an empty one is not.
+// New rejects a Config with negative counts or times and accepts an empty Config.
 func TestNewRejectsNegativeCounts(t *testing.T) {
 	for _, cfg := range []Config{{Instances: -1}, {Index: -1}, {Limits: Limits{MaxAttempts: -1}},
 		{Classes: []Class{{Deadline: -1}}}} {
@@ -125,8 +125,8 @@
 	}
 }
 
-// New staff read the module's main file first: its size is part of the contract.
-func TestModuleStaysPrintable(t *testing.T) {
+// balance.go is the file that a newcomer reads first, so its length and its lines stay printable.
+func TestMainFileStaysPrintable(t *testing.T) {
 	f, err := os.Open("balance.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A cordoned endpoint gets nothing, whatever the lists say, and starts slowly once it is uncordoned.
+// A cordoned endpoint gets no requests, even if a list shows it as ready. Once uncordoned it is in slow start.
 func TestCordonedEndpointGetsNothingUntilUncordoned(t *testing.T) {
 	cfg := slowStartConfig()
 	b, err := New(cfg, 1)
@@ -21,33 +21,33 @@
 		b.Handle(now, CordonChanged{Endpoint: 1, Cordoned: true, At: now}, nil)
 	}
 	if got := countForwarded(b, now, 100); got[1] != 0 || got[2] == 0 {
-		t.Errorf("out: %v", got)
+		t.Errorf("cordoned: forwarded %v", got)
 	}
 	now += time.Second
-	// A list that names it, even as another process, does not bring it back.
+	// A list that shows the endpoint as ready, even with a new process, does not end the cordon.
 	list[0].StartedAt = now
 	b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: list}, nil)
 	if got := countForwarded(b, now, 100); got[1] != 0 {
-		t.Errorf("out, and listed: %v", got)
+		t.Errorf("cordoned and listed: forwarded %v", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 1 {
-		t.Errorf("%d avoided, want 1", n)
+		t.Errorf("%d endpoints unavailable, want 1", n)
 	}
 	now += time.Second
 	b.Handle(now, CordonChanged{Endpoint: 1, At: now}, nil)
 	if w := b.slowStartFraction(b.endpoints[1]); w >= 0.5 {
-		t.Errorf("warmth %v at once", w)
+		t.Errorf("slow start fraction %v when uncordoned, want less than 0.5", w)
 	}
 	if got := countForwarded(b, now, 900); got[1] == 0 || got[1] > got[2]/2 {
-		t.Errorf("in slow start: %v", got)
+		t.Errorf("in slow start: forwarded %v", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 0 {
-		t.Errorf("%d avoided, want none", n)
+		t.Errorf("%d endpoints unavailable, want 0", n)
 	}
 }
 
-// An endpoint that was uncordoned is in slow start from then on where no list has told of its restart, and a list
-// that tells of it later changes nothing.
+// An uncordoned endpoint is in slow start even if no list has shown its restart yet. A later list that shows a restart
+// within the cordon grants no second credit.
 func TestUncordonedEndpointIsInSlowStart(t *testing.T) {
 	b, err := New(slowStartConfig(), 1)
 	if err != nil {
@@ -59,18 +59,18 @@
 	b.Handle(at(120), CordonChanged{Endpoint: 1, At: at(120)}, nil)
 	e := b.endpoints[1]
 	if w := b.slowStartFraction(e); w != 0.2 {
-		t.Errorf("warmth %v, want 0.2", w)
+		t.Errorf("slow start fraction %v, want 0.2", w)
 	}
 	e.slowStartCreditSeconds = 0.125
 	b.Handle(at(120.5), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(112)}}}, nil)
 	if e.slowStartCreditSeconds != 0.125 {
-		t.Errorf("credit %v: it was granted twice", e.slowStartCreditSeconds)
+		t.Errorf("slow start credit %v, want 0.125: it was granted again", e.slowStartCreditSeconds)
 	}
 	if w := b.slowStartFraction(e); w <= 0.8 {
-		t.Errorf("warmth %v by the list's start", w)
+		t.Errorf("slow start fraction %v with the start time of the list, want more than 0.8", w)
 	}
 	b.Handle(at(121), EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{{ID: 1, StartedAt: at(121)}}}, nil)
 	if w := b.slowStartFraction(e); w != 0.2 {
-		t.Errorf("warmth %v after another restart, want 0.2", w)
+		t.Errorf("slow start fraction %v after another restart, want 0.2", w)
 	}
 }
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// Discovery may fail for minutes: one line says so.
+// Discovery may fail for minutes. Only the first failure is logged.
 func TestFailedDiscoveryIsLoggedOnce(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	for range 10 {
-		r.recordLogs(r.handle(DiscoveryFailed{}))
+		h.recordLogs(h.handle(DiscoveryFailed{}))
 	}
-	if len(r.logs) != 1 {
-		t.Errorf("%q", r.logs)
+	if len(h.logs) != 1 {
+		t.Errorf("log lines %q, want one", h.logs)
 	}
 }
 
-// Discovery is watched soon after the start, and again after a failure; meanwhile the old list serves.
+// The node subscribes to discovery soon after its start, and again after a failure. Meanwhile it uses the old list.
 func TestFailedDiscoveryIsPolledAgain(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery = true
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-	first := ofKind(SetTimer, r.last)
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+	first := ofKind(SetTimer, h.last)
 	if len(first) != 1 || first[0].Delay > 100*ms ||
-		len(ofKind(WatchEndpoints, r.handle(TimerFired{ID: first[0].TimerID}))) != 1 {
-		t.Fatal("no watch at the start of one node of two")
+		len(ofKind(WatchEndpoints, h.handle(TimerFired{ID: first[0].TimerID}))) != 1 {
+		t.Fatal("no subscription within 100 ms of the start, in a fleet of two nodes")
 	}
-	timers := ofKind(SetTimer, r.handle(DiscoveryFailed{}))
+	timers := ofKind(SetTimer, h.handle(DiscoveryFailed{}))
 	if len(timers) != 1 || timers[0].Delay <= 0 || timers[0].Delay >= cfg.Rules.PollInterval {
-		t.Fatalf("got %+v", r.last)
+		t.Fatalf("actions after a failure: %+v, want one timer within the poll interval", h.last)
 	}
-	if len(ofKind(WatchEndpoints, r.handle(TimerFired{ID: timers[0].TimerID}))) != 1 {
-		t.Fatal("not repeated")
+	if len(ofKind(WatchEndpoints, h.handle(TimerFired{ID: timers[0].TimerID}))) != 1 {
+		t.Fatal("no subscription when the timer fired")
 	}
-	r.arrive("x", idempotent)
-	r.forwardedTo() // the old list still serves
+	h.arrive("x", idempotent)
+	h.forwardedTo() // the old list is still used
 }
 
-// A fleet that starts at once, or whose calls fail at once, must not call discovery at once: failed calls have cost
-// it their work, and those behind them fail too.
+// Nodes that start at the same time, or whose calls fail at the same time, must not call discovery at the same time.
+// Calls that fail still cost the discovery service work, and then the calls queued behind them fail too.
 func TestFleetSpreadsItsPolls(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollDiscovery, cfg.Instances = true, 80
-	perSecond := make([][]int, 4) // calls by second: at the start, and after each failure in a row
+	perSecond := make([][]int, 4) // calls in each second: at the start, and after each consecutive failure
 	for i := range perSecond {
 		perSecond[i] = make([]int, 16)
 	}
@@ -62,26 +62,26 @@
 			}
 			perSecond[i][int(timers[0].Delay/time.Second)]++
 			if len(ofKind(WatchEndpoints, b.Handle(time.Hour, TimerFired{ID: timers[0].TimerID}, nil))) != 1 {
-				t.Fatal("no call when it is due")
+				t.Fatal("no subscription when the timer fired")
 			}
 			ev = DiscoveryFailed{}
 		}
 	}
 	for i, calls := range perSecond {
 		if most := slices.Max(calls); most > 32 {
-			t.Errorf("after %d failures %d of 80 nodes call in one second: %v", i, most, calls)
+			t.Errorf("after %d failures %d of 80 nodes call in the same second, want at most 32: %v", i, most, calls)
 		}
 	}
 }
 
-// Calls to discovery are drawn evenly from a span: that of the fleet's calls after a list, a twentieth of the poll
-// interval or the fleet's span where that is longer, doubled with each failure in a row, and never over 3.75 s. A site
-// that tells no poll interval has one of 10 s.
+// The delay of a call to discovery is uniformly distributed over a span. After a list the span follows from the size of
+// the fleet. After a failure it is a twentieth of the poll interval, or the span of the fleet if that is longer, and it
+// doubles with each consecutive failure. It is never longer than 3.75 s. The default poll interval is 10 s.
 func TestSpansOfCallsToDiscovery(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval  time.Duration
 		instances int
-		failures  int // in a row before the call; 0: after a list
+		failures  int // consecutive failures before the call; 0: after a list
 		span      time.Duration
 	}{
 		"after a list":                       {10 * time.Second, 2, 0, 100 * ms},
@@ -119,10 +119,10 @@
 				sum += timers[0].Delay
 			}
 			if longest > c.span || longest < c.span*98/100 {
-				t.Errorf("the longest of %d delays is %v, want just under %v", nodes, longest, c.span)
+				t.Errorf("the longest of %d delays is %v, want between 98 %% and 100 %% of %v", nodes, longest, c.span)
 			}
 			if mean := sum / nodes; mean < c.span*46/100 || mean > c.span*54/100 {
-				t.Errorf("mean delay %v, want half of %v", mean, c.span)
+				t.Errorf("mean delay %v, want between 46 %% and 54 %% of %v", mean, c.span)
 			}
 		})
 	}
--- a/balance/endpointstate_test.go
+++ b/balance/endpointstate_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// A restarted endpoint is a new process: what the old one was sent in slow start is not the new one's, nor its
-// speed.
+// A restarted endpoint has a new process. Neither the old process's slow start credit nor its speed applies to the new
+// process.
 func TestRestartResetsTheEndpointState(t *testing.T) {
 	old := listedEndpoint(1, 0, 0)
 	old.StartedAt = time.Hour
-	r := newHarness(t, testConfig(), old, listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	e := r.b.endpoints[1]
+	h := newHarness(t, testConfig(), old, listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	e := h.b.endpoints[1]
 	e.slowStartCreditSeconds, e.servedWorkSeconds, e.meanLatencySeconds = -9, 9, 9
-	old.StartedAt = r.now
-	r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
-	if e.slowStartCreditSeconds < 0 || e.servedWorkSeconds != 0 || e.meanLatencySeconds != 0 || e.knownSince != r.now {
-		t.Errorf("%+v", *e)
+	old.StartedAt = h.now
+	h.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
+	if e.slowStartCreditSeconds < 0 || e.servedWorkSeconds != 0 || e.meanLatencySeconds != 0 || e.knownSince != h.now {
+		t.Errorf("state after the restart: %+v", *e)
 	}
 }
 
-// An endpoint that drains, is removed, or is missing in a complete list gets no requests.
+// An endpoint that is draining, is removed, or is missing from a complete list gets no requests.
 func TestDrainingAndRemovedEndpointsGetNothing(t *testing.T) {
 	for _, phase := range []Phase{Draining, Removed} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		drained := listedEndpoint(1, 0, 0)
 		drained.Phase = phase
-		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{drained}})
+		h.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{drained}})
 		for i := range 20 {
-			r.arrive(fmt.Sprint(i), idempotent)
-			for _, a := range r.last {
+			h.arrive(fmt.Sprint(i), idempotent)
+			for _, a := range h.last {
 				if a.Kind == Forward && a.Endpoint == 1 {
-					t.Fatalf("phase %d: sent to it", phase)
+					t.Fatalf("phase %d: a request was forwarded to the endpoint", phase)
 				}
 			}
 		}
-		r.handle(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{listedEndpoint(3, 0, 0)}})
-		r.advance(10 * time.Second)
-		r.arrive("last", idempotent)
-		if to := r.forwardedTo(); to != 3 {
-			t.Fatalf("sent to %d, which the full list does not name", to)
+		h.handle(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{listedEndpoint(3, 0, 0)}})
+		h.advance(10 * time.Second)
+		h.arrive("last", idempotent)
+		if to := h.forwardedTo(); to != 3 {
+			t.Fatalf("forwarded to %d, want 3, the only endpoint of the complete list", to)
 		}
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -8,26 +8,28 @@
 	"hitchvale/balance"
 )
 
-// A node keeps what is due in order of time; here a heap stands for its clock and its network.
-type due struct {
+// scheduledEvent is an event and the time at which it happens.
+type scheduledEvent struct {
 	at time.Duration
 	ev balance.Event
 }
 
-type queue []due
+// eventQueue is a heap of events ordered by time. It stands for the clock and the network of a node.
+type eventQueue []scheduledEvent
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(due)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// A small node: one class of requests, two endpoints of which the second has an error for everything.
+// This example is a small node with one class of requests and two endpoints. The second endpoint answers every request
+// with an error.
 func Example() {
 	cfg := balance.Config{
 		Classes: []balance.Class{{
@@ -49,18 +51,18 @@
 		fmt.Println(err)
 		return
 	}
-	var todo queue
-	heap.Push(&todo, due{0, balance.EndpointsListed{Kind: balance.CachedList, Endpoints: []balance.Endpoint{
+	var events eventQueue
+	heap.Push(&events, scheduledEvent{0, balance.EndpointsListed{Kind: balance.CachedList, Endpoints: []balance.Endpoint{
 		{ID: 1, Weight: 1}, {ID: 2, Weight: 1}}}})
 	for i := range 200 {
-		heap.Push(&todo, due{time.Duration(i+1) * 10 * time.Millisecond, balance.RequestArrived{
+		heap.Push(&events, scheduledEvent{time.Duration(i+1) * 10 * time.Millisecond, balance.RequestArrived{
 			Request: fmt.Sprint("request ", i), TimeLeft: time.Second}})
 	}
 	answered, attempts := 0, map[balance.EndpointID]int{}
 	finished := map[string]bool{}
 	var actions []balance.Action
-	for todo.Len() > 0 {
-		next := heap.Pop(&todo).(due)
+	for events.Len() > 0 {
+		next := heap.Pop(&events).(scheduledEvent)
 		now := next.at
 		if ended, ok := next.ev.(balance.AttemptEnded); ok {
 			if ended.Status == balance.StatusSucceeded {
@@ -80,9 +82,9 @@
 				if a.Endpoint == 2 {
 					out.Status = balance.StatusApplicationError
 				}
-				heap.Push(&todo, due{now + out.Elapsed, out})
+				heap.Push(&events, scheduledEvent{now + out.Elapsed, out})
 			case balance.SetTimer:
-				heap.Push(&todo, due{now + a.Delay, balance.TimerFired{ID: a.TimerID}})
+				heap.Push(&events, scheduledEvent{now + a.Delay, balance.TimerFired{ID: a.TimerID}})
 			case balance.Reject, balance.Fail:
 				finished[a.Request] = true // the node answers its client
 			}
--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, keeps its form.
-func TestGoldenForms(t *testing.T) {
+// The encoded HandoverState stays the same, because processes of other versions read it.
+func TestHandoverStateKeepsItsEncoding(t *testing.T) {
 	goldenfile.RoundTrip[HandoverState](t, "memory")
 }
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// The process that takes over knows what the old one has learned, and the two have one slow start credit and one
+// The successor has the state that its predecessor has learned. Both processes share one slow start credit and one
 // retry budget.
 func TestStateIsHandedOver(t *testing.T) {
 	cfg := slowStartConfig()
 	now := 100 * time.Second
 	list := []Endpoint{{ID: 1}, {ID: 2}, {ID: 3, StartedAt: now}, {ID: 4}}
-	start := func(members []Endpoint) *Balancer {
+	start := func(endpoints []Endpoint) *Balancer {
 		b, err := New(cfg, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: members}, nil)
+		b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: endpoints}, nil)
 		return b
 	}
 	old := start(list)
@@ -34,7 +34,7 @@
 	}
 	retries := old.retryBudget.retries
 	old.Handle(now, HandoverChanged{HandedOver: true}, nil)
-	list[3].StartedAt = now // it has been restarted since
+	list[3].StartedAt = now // this endpoint has restarted since the state was handed over
 	next := start(list)
 	next.Handle(now, TookOver{State: &m}, nil)
 	for id := EndpointID(1); id <= 2; id++ {
@@ -44,7 +44,7 @@
 		}
 	}
 	if next.endpoints[4].meanLatencySeconds != 0 {
-		t.Error("what was known of the old start is taken for the new one")
+		t.Error("the state of the old process was restored for the new process")
 	}
 	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() ||
 		next.queueBudget.fraction != old.queueBudget.fraction ||
@@ -53,27 +53,28 @@
 			next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
 	}
 	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
-		t.Errorf("credits %v and %v", old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
+		t.Errorf("slow start credits %v and %v, want 0 and 0.125",
+			old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
 	}
 	if sum := old.retryBudget.retries + next.retryBudget.retries; retries == 0 || sum != retries {
-		t.Errorf("retry budget %v, was %v", sum, retries)
+		t.Errorf("retry budget of both processes %v, want %v", sum, retries)
 	}
 	now += 2 * time.Second
 	old.Handle(now, TimerFired{}, nil)
 	if c := old.endpoints[3].slowStartCreditSeconds; c > 0 {
-		t.Errorf("the old process is granted %v more", c)
+		t.Errorf("the old process has a credit of %v, want none", c)
 	}
-	// A process that gets the node back is granted as before.
+	// A process that takes the new requests again gets credit again.
 	old.Handle(now, HandoverChanged{}, nil)
 	now += 2 * time.Second
 	old.Handle(now, TimerFired{}, nil)
 	if c := old.endpoints[3].slowStartCreditSeconds; c <= 0 {
-		t.Errorf("credit %v after the node came back", c)
+		t.Errorf("credit %v after the process takes new requests again", c)
 	}
 }
 
-// A process that takes over without a state gives no endpoint in slow start anything in the window of the old one's
-// last credit.
+// A process that takes over without its predecessor's state sends nothing to an endpoint in slow start while the window
+// of the predecessor's last credit lasts.
 func TestTakeoverWithoutState(t *testing.T) {
 	b, err := New(slowStartConfig(), 1)
 	if err != nil {
@@ -90,6 +91,6 @@
 	}
 	b.Handle(now+1100*time.Millisecond, TimerFired{}, nil)
 	if c := b.endpoints[1].slowStartCreditSeconds; c <= 0 {
-		t.Errorf("credit %v once the window has passed", c)
+		t.Errorf("credit %v after the window, want more than 0", c)
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -50,52 +50,55 @@
 	keyedCell
 )
 
-// harness drives a Balancer and records what it did.
+// harness passes events to a Balancer and records its actions.
 type harness struct {
 	t    testing.TB
 	b    *Balancer
 	now  time.Duration
-	last []Action // of the last event
-	logs []string
+	last []Action // the actions of the last event
+	logs []string // the log lines of recordLogs
 }
 
-func newHarness(t testing.TB, cfg Config, members ...Endpoint) *harness {
+// newHarness returns a harness whose Balancer has a list of the endpoints, on a clock that starts at one hour.
+func newHarness(t testing.TB, cfg Config, endpoints ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, b: b, now: time.Hour}
-	r.handle(EndpointsListed{Kind: CachedList, Endpoints: members})
-	return r
+	h := &harness{t: t, b: b, now: time.Hour}
+	h.handle(EndpointsListed{Kind: CachedList, Endpoints: endpoints})
+	return h
 }
 
-func (r *harness) handle(ev Event) []Action {
-	r.last = r.b.Handle(r.now, ev, nil)
-	return r.last
+func (h *harness) handle(ev Event) []Action {
+	h.last = h.b.Handle(h.now, ev, nil)
+	return h.last
 }
 
-func (r *harness) advance(d time.Duration) { r.now += d }
+func (h *harness) advance(d time.Duration) { h.now += d }
 
-// arrive takes a request to its final answer or its first attempt; health checks that it waits for have no result.
-func (r *harness) arrive(id string, class int) []Action {
-	acts := r.handle(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
-	if len(r.b.awaitingChecks) > 0 {
-		r.last = append(acts, r.handle(TimerFired{ID: r.b.timers.lastID})...)
+// arrive passes a new request and returns the actions up to its final answer or its first attempt. If the request waits
+// for health checks, no result arrives and the wait times out.
+func (h *harness) arrive(id string, class int) []Action {
+	acts := h.handle(RequestArrived{Request: id, Class: class, TimeLeft: time.Second})
+	if len(h.b.awaitingChecks) > 0 {
+		h.last = append(acts, h.handle(TimerFired{ID: h.b.timers.lastID})...)
 	}
-	return r.last
+	return h.last
 }
 
-func (r *harness) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
-	return r.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
+func (h *harness) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
+	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
 		Elapsed: 20 * ms, Final: st == StatusSucceeded})
 }
 
-// request returns a request that the Balancer does not know, for rules that judge one; tenant -1 has no quota.
-func (r *harness) request(class, tenant int) *request {
-	return &request{class: &r.b.cfg.Classes[class], stats: &r.b.latency.classes[class], tenant: tenant}
+// request returns a request that is not registered in the Balancer, for calls to single rules. Tenant -1 has no quota.
+func (h *harness) request(class, tenant int) *request {
+	return &request{class: &h.b.cfg.Classes[class], stats: &h.b.latency.classes[class], tenant: tenant}
 }
 
+// ofKind returns the actions of one kind.
 func ofKind(kind ActionKind, acts []Action) []Action {
 	var out []Action
 	for _, a := range acts {
@@ -106,12 +109,12 @@
 	return out
 }
 
-// forwardedTo returns the endpoint of the only Forward.
-func (r *harness) forwardedTo() EndpointID {
-	r.t.Helper()
-	s := ofKind(Forward, r.last)
+// forwardedTo returns the endpoint of the only Forward among the last actions.
+func (h *harness) forwardedTo() EndpointID {
+	h.t.Helper()
+	s := ofKind(Forward, h.last)
 	if len(s) != 1 {
-		r.t.Fatalf("%d forwards, want 1: %+v", len(s), r.last)
+		h.t.Fatalf("%d forwards, want 1: %+v", len(s), h.last)
 	}
 	return s[0].Endpoint
 }
@@ -120,7 +123,8 @@
 	return Endpoint{ID: id, Zone: zone, Cell: cell, Weight: 1}
 }
 
-// countForwarded counts what each endpoint gets of n requests, each answered at once.
+// countForwarded passes n requests, one a millisecond, each answered before the next request. It returns the number of
+// attempts at each endpoint.
 func countForwarded(b *Balancer, from time.Duration, n int) map[EndpointID]int {
 	got := map[EndpointID]int{}
 	for i := range n {
@@ -137,16 +141,16 @@
 	return got
 }
 
-// serve sends n requests of a class one after the other and answers each after what took says; it
-// returns how many went to each endpoint. A took of 0 means an error, below 0 no answer at all.
-func (r *harness) serve(n, class int, took func(EndpointID) time.Duration) map[EndpointID]int {
-	r.t.Helper()
+// serve passes n requests of a class one after the other and returns the number of attempts at each endpoint. Each
+// attempt has the latency that took returns for its endpoint: 0 means an error, and a negative value means no answer.
+func (h *harness) serve(n, class int, took func(EndpointID) time.Duration) map[EndpointID]int {
+	h.t.Helper()
 	count := map[EndpointID]int{}
 	for i := range n {
-		id := fmt.Sprint("serve", r.now, i)
-		r.arrive(id, class)
-		sends, checks := ofKind(Forward, r.last), ofKind(HealthCheck, r.last)
-		r.advance(10 * ms)
+		id := fmt.Sprint("serve", h.now, i)
+		h.arrive(id, class)
+		sends, checks := ofKind(Forward, h.last), ofKind(HealthCheck, h.last)
+		h.advance(10 * ms)
 		for len(sends) > 0 {
 			a := sends[0]
 			count[a.Endpoint]++
@@ -157,27 +161,29 @@
 			case d == 0:
 				ev.Status = StatusApplicationError
 			default:
-				r.advance(500 * ms)
+				h.advance(500 * ms)
 				ev.Status = StatusTimedOut
 			}
-			r.recordLogs(r.handle(ev))
-			sends = ofKind(Forward, r.last)
+			h.recordLogs(h.handle(ev))
+			sends = ofKind(Forward, h.last)
 		}
 		for _, a := range checks {
-			r.handle(loadReported(a.Endpoint, r.b.endpoints[a.Endpoint].inFlight))
+			h.handle(loadReported(a.Endpoint, h.b.endpoints[a.Endpoint].inFlight))
 		}
 	}
 	return count
 }
 
-func (r *harness) recordLogs(acts []Action) {
+// recordLogs adds the log lines among the actions to h.logs.
+func (h *harness) recordLogs(acts []Action) {
 	for _, a := range ofKind(Log, acts) {
-		r.logs = append(r.logs, a.Text)
+		h.logs = append(h.logs, a.Text)
 	}
 }
 
-func (r *harness) logged(text string) bool {
-	for _, l := range r.logs {
+// logged reports whether a recorded log line contains the text.
+func (h *harness) logged(text string) bool {
+	for _, l := range h.logs {
 		if strings.Contains(l, text) {
 			return true
 		}
@@ -185,45 +191,46 @@
 	return false
 }
 
-// setOtherNodesLoad makes the node believe that other nodes have so much at an endpoint, now and usually.
-func (r *harness) setOtherNodesLoad(id EndpointID, queue float64) {
-	e := r.b.endpoints[id]
+// setOtherNodesLoad sets the load of other nodes at an endpoint, both as reported and as expected.
+func (h *harness) setOtherNodesLoad(id EndpointID, queue float64) {
+	e := h.b.endpoints[id]
 	e.reportedLoad, e.loadBias = queue, 0
-	r.b.loads.zones[e.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: r.now}
+	h.b.loads.zones[e.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: h.now}
 }
 
 func in20ms(EndpointID) time.Duration { return 20 * ms }
 
+// loadReported returns the event of a health check that reports the number of active requests.
 func loadReported(endpoint EndpointID, active float64) Event {
 	return HealthChecked{Endpoint: endpoint, Load: Load{Has: HasActive, Active: active}}
 }
 
-// answerLate plays answers that all come after their latency objective.
-func (r *harness) answerLate(n int) {
+// answerLate passes n requests whose answers all come after their latency objective.
+func (h *harness) answerLate(n int) {
 	for i := range n {
-		id := fmt.Sprint("late", r.now, i)
-		r.arrive(id, idempotent)
-		if len(ofKind(Forward, r.last)) == 0 {
+		id := fmt.Sprint("late", h.now, i)
+		h.arrive(id, idempotent)
+		if len(ofKind(Forward, h.last)) == 0 {
 			continue
 		}
-		to := r.forwardedTo()
-		r.b.requests[id].attempts[0].waitAtSendSeconds = 0.4 // what made it late
-		r.advance(400 * ms)
-		r.recordLogs(r.handle(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
+		to := h.forwardedTo()
+		h.b.requests[id].attempts[0].waitAtSendSeconds = 0.4 // the wait that made the answer late
+		h.advance(400 * ms)
+		h.recordLogs(h.handle(AttemptEnded{Request: id, Endpoint: to, Elapsed: 400 * ms, Final: true}))
 	}
 }
 
-// timerID returns the id of the first timer that the last actions set.
-func (r *harness) timerID() uint64 {
-	r.t.Helper()
-	s := ofKind(SetTimer, r.last)
+// timerID returns the id of the first timer among the last actions.
+func (h *harness) timerID() uint64 {
+	h.t.Helper()
+	s := ofKind(SetTimer, h.last)
 	if len(s) == 0 {
-		r.t.Fatalf("no timer in %+v", r.last)
+		h.t.Fatalf("no timer in %+v", h.last)
 	}
 	return s[0].TimerID
 }
 
-// withIncompleteRequest returns a Balancer with an incomplete request, and the endpoint that has it.
+// withIncompleteRequest returns a Balancer with an incomplete request and the endpoint to which it was forwarded.
 func withIncompleteRequest(t *testing.T) (*Balancer, *endpointState) {
 	t.Helper()
 	b, err := New(Config{
@@ -240,11 +247,11 @@
 			return b, b.endpoints[a.Endpoint]
 		}
 	}
-	t.Fatal("not sent")
+	t.Fatal("the incomplete request was not forwarded")
 	return nil, nil
 }
 
-// slowStartConfig has one class, and a slow start of ten seconds from a fifth of the capacity.
+// slowStartConfig has one class, and a slow start that begins at a fifth of the capacity and takes ten seconds.
 func slowStartConfig() Config {
 	return Config{
 		Instances: 1,
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -6,81 +6,81 @@
 	"time"
 )
 
-// A report is old: it must not wipe out what was sent since, nor count this node's own requests twice.
+// A load report is old. It must not hide the requests sent since then, nor count this node's own requests twice.
 func TestReportsKeepAttemptsInFlight(t *testing.T) {
 	for _, c := range []struct {
 		wait   time.Duration
 		report float64
 	}{{0, 0}, {5 * time.Second, 3}} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		for i := range 3 {
-			r.arrive(fmt.Sprint(i), idempotent)
+			h.arrive(fmt.Sprint(i), idempotent)
 		}
-		r.advance(c.wait)
-		r.handle(loadReported(1, c.report))
-		if e := r.b.queueEstimate(r.b.endpoints[1]); e < 3 || e > 3.1 {
+		h.advance(c.wait)
+		h.handle(loadReported(1, c.report))
+		if e := h.b.queueEstimate(h.b.endpoints[1]); e < 3 || e > 3.1 {
 			t.Errorf("queue estimate %v with three in flight since %v and a report of %v", e, c.wait, c.report)
 		}
 	}
 }
 
-// An idle endpoint reports 0 again and again; taken for a repeat, that would keep its queue estimate high for good.
-func TestEqualReportsPastTheIntervalAreNews(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(5, idempotent, in20ms)
-	// So slow that its reports still hold when they come.
-	r.b.endpoints[1].meanLatencySeconds, r.b.endpoints[1].meanQueueAtArrival = 1, 0
+// An idle endpoint reports 0 each time. If these reports counted as repeats, its queue estimate would stay high.
+func TestEqualReportsAfterTheIntervalAreNew(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(5, idempotent, in20ms)
+	// The endpoint is so slow that its reports are still valid when they arrive.
+	h.b.endpoints[1].meanLatencySeconds, h.b.endpoints[1].meanQueueAtArrival = 1, 0
 	for _, q := range []float64{5, 9, 0} {
-		r.advance(200 * ms)
-		r.handle(loadReported(1, q))
+		h.advance(200 * ms)
+		h.handle(loadReported(1, q))
 	}
 	was := 4.0
-	r.setOtherNodesLoad(1, was)
+	h.setOtherNodesLoad(1, was)
 	for range 20 {
-		r.advance(time.Second)
-		r.handle(loadReported(1, 0))
+		h.advance(time.Second)
+		h.handle(loadReported(1, 0))
 	}
-	if is := r.b.queueEstimate(r.b.endpoints[1]); is > was/4 {
-		t.Errorf("queue estimate %v, then %v after many reports of 0", was, is)
+	if is := h.b.queueEstimate(h.b.endpoints[1]); is > was/4 {
+		t.Errorf("queue estimate %v, then %v after 20 reports of 0; want at most a quarter", was, is)
 	}
 }
 
-// A report that is repeated within the interval tells nothing new, and must not weigh again.
-func TestRepeatedReportsAreNotNews(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+// A report that is repeated within the interval has no new information and must not change the expected load.
+func TestRepeatedReportsDoNotCountAgain(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	for i := range 20 {
-		r.advance(500 * ms)
-		r.handle(loadReported(1, float64(i%2)))
+		h.advance(500 * ms)
+		h.handle(loadReported(1, float64(i%2)))
 	}
-	r.handle(loadReported(1, 9))
-	was := r.b.expectedLoad(r.b.endpoints[1])
+	h.handle(loadReported(1, 9))
+	was := h.b.expectedLoad(h.b.endpoints[1])
 	for range 20 {
-		r.advance(ms)
-		r.handle(loadReported(1, 9))
+		h.advance(ms)
+		h.handle(loadReported(1, 9))
 	}
-	if o := r.b.expectedLoad(r.b.endpoints[1]); o != was {
-		t.Errorf("usual went from %v to %v by repeats", was, o)
+	if o := h.b.expectedLoad(h.b.endpoints[1]); o != was {
+		t.Errorf("the expected load went from %v to %v by repeated reports", was, o)
 	}
 }
 
-// Health checks a few seconds apart can't tell how often an endpoint reports: the same one is checked again at once,
-// or every report passes for seconds old and counts for little.
+// Health checks that are seconds apart cannot show how often an endpoint reports, and each report would count as
+// seconds old. Therefore the same endpoint is checked again soon after a check.
 func TestReportIntervalIsLearnedByRepeatedChecks(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	next := 0.0
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	repeats := 0.0
 	for i := range 60 {
-		r.advance(3 * time.Second)
-		r.handle(loadReported(1, 3+float64(i%2)))
-		for marks := ofKind(SetTimer, r.last); len(marks) > 0; marks = ofKind(SetTimer, r.last) {
-			r.advance(marks[0].Delay)
-			if r.handle(TimerFired{ID: marks[0].TimerID}); len(ofKind(HealthCheck, r.last)) != 1 {
-				t.Fatal("not repeated")
+		h.advance(3 * time.Second)
+		h.handle(loadReported(1, 3+float64(i%2)))
+		for timers := ofKind(SetTimer, h.last); len(timers) > 0; timers = ofKind(SetTimer, h.last) {
+			h.advance(timers[0].Delay)
+			if h.handle(TimerFired{ID: timers[0].TimerID}); len(ofKind(HealthCheck, h.last)) != 1 {
+				t.Fatal("the health check was not repeated")
 			}
-			next++
-			r.handle(loadReported(1, 3+float64(int(next)%2)))
+			repeats++
+			h.handle(loadReported(1, 3+float64(int(repeats)%2)))
 		}
 	}
-	if next == 0 || next > maxRepeatChecks || r.b.reportInterval.seconds > 0.1 {
-		t.Errorf("checked again %v times, reports taken to be %v s apart", next, r.b.reportInterval.seconds)
+	if repeats == 0 || repeats > maxRepeatChecks || h.b.reportInterval.seconds > 0.1 {
+		t.Errorf("%v repeated checks, learned report interval %v s", repeats, h.b.reportInterval.seconds)
 	}
 }
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// world plays random events, odd orders included, and asserts the rules at every action.
-type world struct {
+// eventPlayer passes random events to a Balancer, unusual orders included, and checks the rules at every action.
+type eventPlayer struct {
 	*harness
-	rng      *rand.Rand
-	cfg      Config
-	list     map[EndpointID]Endpoint
-	requests map[string]*trackedRequest
-	pending  []trackedAttempt
-	timers   []Action
-	due      []time.Duration
-	all      []Action
+	rng       *rand.Rand
+	cfg       Config
+	list      map[EndpointID]Endpoint
+	requests  map[string]*trackedRequest
+	pending   []trackedAttempt
+	timers    []Action
+	timersDue []time.Duration
+	actions   []Action
 }
 
 type trackedRequest struct {
@@ -37,201 +37,203 @@
 	pending    bool
 }
 
-func (w *world) step(ev Event) {
-	w.handle(ev)
-	for _, a := range w.last {
-		w.all = append(w.all, a)
-		w.check(a)
+func (p *eventPlayer) step(ev Event) {
+	p.handle(ev)
+	for _, a := range p.last {
+		p.actions = append(p.actions, a)
+		p.check(a)
 	}
 }
 
-// check asserts the rules on one action, and notes what it begins or ends.
-func (w *world) check(a Action) {
-	w.t.Helper()
+// check checks the rules for one action, and records the timer, attempt or final answer that it stands for.
+func (p *eventPlayer) check(a Action) {
+	p.t.Helper()
 	switch a.Kind {
 	case SetTimer:
-		w.timers, w.due = append(w.timers, a), append(w.due, w.now+a.Delay)
+		p.timers, p.timersDue = append(p.timers, a), append(p.timersDue, p.now+a.Delay)
 	case Forward:
-		w.checkForward(a)
+		p.checkForward(a)
 	case Reject, Fail:
-		w.checkFinalAnswer(a)
+		p.checkFinalAnswer(a)
 	}
 }
 
-func (w *world) checkForward(a Action) {
-	w.t.Helper()
-	endpoint, known := w.list[a.Endpoint]
+func (p *eventPlayer) checkForward(a Action) {
+	p.t.Helper()
+	endpoint, known := p.list[a.Endpoint]
 	if !known || endpoint.Phase != Ready {
-		w.t.Fatalf("forwarded to %d, which is not ready", a.Endpoint)
+		p.t.Fatalf("forwarded to %d, which is not ready", a.Endpoint)
 	}
-	r := w.requests[a.Request]
+	r := p.requests[a.Request]
 	if r == nil || r.finished {
-		w.t.Fatal("forwarded for a request that is over")
+		p.t.Fatal("forwarded a request that is unknown or finished")
 	}
-	if a.Attempt != len(r.attempts) || a.Attempt >= w.cfg.Limits.MaxAttempts {
-		w.t.Fatalf("attempt %d after %d", a.Attempt, len(r.attempts))
+	if a.Attempt != len(r.attempts) || a.Attempt >= p.cfg.Limits.MaxAttempts {
+		p.t.Fatalf("attempt number %d after %d attempts", a.Attempt, len(r.attempts))
 	}
 	for _, earlier := range r.attempts {
-		if earlier.pending && !w.cfg.Limits.HedgedRequests {
-			w.t.Fatal("two attempts at once")
+		if earlier.pending && !p.cfg.Limits.HedgedRequests {
+			p.t.Fatal("two attempts at the same time without permission for hedged requests")
 		}
 		if earlier.mayHaveRun {
-			w.checkRepeat(r.class, &earlier, endpoint)
+			p.checkRepeat(r.class, &earlier, endpoint)
 		}
 	}
 	next := trackedAttempt{
 		request:    a.Request,
 		attempt:    a.Attempt,
 		endpoint:   endpoint,
-		sentAt:     w.now,
+		sentAt:     p.now,
 		mayHaveRun: true,
 		pending:    true,
 	}
-	r.attempts, w.pending = append(r.attempts, next), append(w.pending, next)
+	r.attempts, p.pending = append(r.attempts, next), append(p.pending, next)
 }
 
-// checkRepeat asserts that a request may go to an endpoint after an attempt that may have run.
-func (w *world) checkRepeat(class *Class, earlier *trackedAttempt, endpoint Endpoint) {
-	w.t.Helper()
+// checkRepeat checks that a request may be forwarded to an endpoint after an earlier attempt that may have run.
+func (p *eventPlayer) checkRepeat(class *Class, earlier *trackedAttempt, endpoint Endpoint) {
+	p.t.Helper()
 	if class.Repeatability == Idempotent {
 		return
 	}
 	if class.Repeatability == NonIdempotent {
-		w.t.Fatal("a non-idempotent request that may have run was forwarded again")
+		p.t.Fatal("a non-idempotent request that may have run was forwarded again")
 	}
-	if w.now-earlier.sentAt >= class.KeyWindow ||
+	if p.now-earlier.sentAt >= class.KeyWindow ||
 		class.KeyScope == KeyScopeZone && endpoint.Zone != earlier.endpoint.Zone ||
 		class.KeyScope == KeyScopeCell && endpoint.Cell != earlier.endpoint.Cell {
-		w.t.Fatal("a keyed request was forwarded outside its window or scope")
+		p.t.Fatal("a keyed request was forwarded outside its window or scope")
 	}
 }
 
-func (w *world) checkFinalAnswer(a Action) {
-	w.t.Helper()
-	r := w.requests[a.Request]
+func (p *eventPlayer) checkFinalAnswer(a Action) {
+	p.t.Helper()
+	r := p.requests[a.Request]
 	if r == nil || r.finished {
-		w.t.Fatal("answered twice")
+		p.t.Fatal("final answer for a request that is unknown or finished")
 	}
 	r.finished = true
 	for _, earlier := range r.attempts {
 		if a.Kind == Reject && earlier.mayHaveRun && r.class.Repeatability != Idempotent &&
 			(r.class.Repeatability == NonIdempotent || r.class.KeyScope != KeyScopeAll) {
-			w.t.Fatal("rejected though it may have run")
+			p.t.Fatal("rejected a request that may have run and that the client may not repeat")
 		}
 	}
 }
 
-func (w *world) fireTimers() {
-	for i := 0; i < len(w.timers); i++ {
-		if w.due[i] <= w.now {
-			a := w.timers[i]
-			w.timers = append(w.timers[:i:i], w.timers[i+1:]...)
-			w.due = append(w.due[:i:i], w.due[i+1:]...)
-			w.step(TimerFired{ID: a.TimerID})
+func (p *eventPlayer) fireTimers() {
+	for i := 0; i < len(p.timers); i++ {
+		if p.timersDue[i] <= p.now {
+			a := p.timers[i]
+			p.timers = append(p.timers[:i:i], p.timers[i+1:]...)
+			p.timersDue = append(p.timersDue[:i:i], p.timersDue[i+1:]...)
+			p.step(TimerFired{ID: a.TimerID})
 			i = -1
 		}
 	}
 }
 
-// finish gives a random open attempt its outcome.
-func (w *world) finish() {
-	if len(w.pending) == 0 {
+// endRandomAttempt passes a random outcome for a random pending attempt.
+func (p *eventPlayer) endRandomAttempt() {
+	if len(p.pending) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.pending))
-	s := w.pending[i]
-	w.pending = append(w.pending[:i:i], w.pending[i+1:]...)
-	st := Status(w.rng.IntN(int(StatusNotSent) + 1))
-	if w.rng.IntN(4) > 0 {
-		st = StatusSucceeded
+	i := p.rng.IntN(len(p.pending))
+	s := p.pending[i]
+	p.pending = append(p.pending[:i:i], p.pending[i+1:]...)
+	status := Status(p.rng.IntN(int(StatusNotSent) + 1))
+	if p.rng.IntN(4) > 0 {
+		status = StatusSucceeded
 	}
-	r := w.requests[s.request]
-	r.attempts[s.attempt].pending, r.attempts[s.attempt].mayHaveRun = false, !st.NeverRan()
-	if st == StatusSucceeded {
+	r := p.requests[s.request]
+	r.attempts[s.attempt].pending, r.attempts[s.attempt].mayHaveRun = false, !status.NeverRan()
+	if status == StatusSucceeded {
 		r.finished = true
 	}
-	w.step(AttemptEnded{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint.ID, Status: st,
-		Elapsed: w.now - s.sentAt, Final: r.finished, Load: w.load()})
+	p.step(AttemptEnded{Request: s.request, Attempt: s.attempt, Endpoint: s.endpoint.ID, Status: status,
+		Elapsed: p.now - s.sentAt, Final: r.finished, Load: p.randomLoad()})
 }
 
-func (w *world) load() Load {
-	return Load{Has: LoadField(w.rng.IntN(64)), Active: w.rng.Float64() * 2, Waiting: w.rng.Float64()}
+func (p *eventPlayer) randomLoad() Load {
+	return Load{Has: LoadField(p.rng.IntN(64)), Active: p.rng.Float64() * 2, Waiting: p.rng.Float64()}
 }
 
-func (w *world) change() {
-	m := listedEndpoint(EndpointID(1+w.rng.IntN(8)), w.rng.IntN(2), w.rng.IntN(3))
-	if old, ok := w.list[m.ID]; ok {
+func (p *eventPlayer) changeEndpoints() {
+	m := listedEndpoint(EndpointID(1+p.rng.IntN(8)), p.rng.IntN(2), p.rng.IntN(3))
+	if old, ok := p.list[m.ID]; ok {
 		m.Zone, m.Cell, m.StartedAt = old.Zone, old.Cell, old.StartedAt
 	}
-	m.Phase = Phase(max(0, w.rng.IntN(6)-3))
-	if w.rng.IntN(3) == 0 {
-		m.StartedAt = w.now
+	m.Phase = Phase(max(0, p.rng.IntN(6)-3))
+	if p.rng.IntN(3) == 0 {
+		m.StartedAt = p.now
 	}
 	kind := ListChanges
-	switch w.rng.IntN(4) {
-	case 2: // all but one, the absent one counting as removed
+	switch p.rng.IntN(4) {
+	case 2: // a complete list without one endpoint, which counts as removed
 		kind = CompleteList
-		delete(w.list, EndpointID(1+w.rng.IntN(8)))
+		delete(p.list, EndpointID(1+p.rng.IntN(8)))
 	case 3:
-		w.step(DiscoveryFailed{})
+		p.step(DiscoveryFailed{})
 		return
 	}
-	w.list[m.ID] = m
-	members := []Endpoint{m}
+	p.list[m.ID] = m
+	endpoints := []Endpoint{m}
 	for id := range EndpointID(9) {
-		if old, ok := w.list[id]; ok && kind == CompleteList && id != m.ID {
-			members = append(members, old)
+		if old, ok := p.list[id]; ok && kind == CompleteList && id != m.ID {
+			endpoints = append(endpoints, old)
 		}
 	}
-	w.step(EndpointsListed{Kind: kind, Endpoints: members})
+	p.step(EndpointsListed{Kind: kind, Endpoints: endpoints})
 }
 
+// playRandomEvents passes random events to a Balancer, checks the rules and returns all actions.
 func playRandomEvents(t testing.TB, seed uint64, cfg Config, steps int) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var members []Endpoint
+	var endpoints []Endpoint
 	for id := range EndpointID(6) {
-		members = append(members, listedEndpoint(id+1, int(id)%2, int(id)%3))
+		endpoints = append(endpoints, listedEndpoint(id+1, int(id)%2, int(id)%3))
 	}
-	w := &world{harness: newHarness(t, cfg, members...), rng: rng, cfg: cfg, list: map[EndpointID]Endpoint{},
+	p := &eventPlayer{harness: newHarness(t, cfg, endpoints...), rng: rng, cfg: cfg, list: map[EndpointID]Endpoint{},
 		requests: map[string]*trackedRequest{}}
-	for _, m := range members {
-		w.list[m.ID] = m
+	for _, m := range endpoints {
+		p.list[m.ID] = m
 	}
 	for i := range steps {
-		w.advance(time.Duration(rng.IntN(8)) * ms)
-		w.fireTimers()
+		p.advance(time.Duration(rng.IntN(8)) * ms)
+		p.fireTimers()
 		switch k := rng.IntN(20); {
 		case k < 7:
 			id := fmt.Sprint("r", i)
 			class := rng.IntN(len(cfg.Classes))
 			budget := time.Duration(50+rng.IntN(1000)) * ms
-			w.requests[id] = &trackedRequest{class: &cfg.Classes[class], deadline: w.now + budget}
-			w.step(RequestArrived{Request: id, Class: class, TimeLeft: budget,
+			p.requests[id] = &trackedRequest{class: &cfg.Classes[class], deadline: p.now + budget}
+			p.step(RequestArrived{Request: id, Class: class, TimeLeft: budget,
 				Tenant: rng.IntN(3) - 1, ExpectedWork: time.Duration(rng.IntN(50)) * ms,
 				RoutingKey: rng.Uint64N(9), HasRoutingKey: true})
 		case k < 17:
-			w.finish()
+			p.endRandomAttempt()
 		case k == 17:
-			w.step(HealthChecked{Endpoint: EndpointID(rng.IntN(9)), Status: Status(rng.IntN(8)), Load: w.load()})
+			p.step(HealthChecked{Endpoint: EndpointID(rng.IntN(9)), Status: Status(rng.IntN(8)), Load: p.randomLoad()})
 		case k == 18 && rng.IntN(4) == 0:
-			w.change()
+			p.changeEndpoints()
 		case k == 19 && rng.IntN(10) == 0:
-			if len(w.pending) == 0 {
+			if len(p.pending) == 0 {
 				continue
 			}
-			id := w.pending[rng.IntN(len(w.pending))].request
-			w.requests[id].finished = true
-			w.step(ClientDisconnected{Request: id})
+			id := p.pending[rng.IntN(len(p.pending))].request
+			p.requests[id].finished = true
+			p.step(ClientDisconnected{Request: id})
 		}
-		for id, r := range w.requests {
-			if !r.finished && w.now > r.deadline+cfg.Rules.AnswerGrace {
-				t.Fatalf("seed %d: %s has no answer", seed, id)
+		for id, r := range p.requests {
+			if !r.finished && p.now > r.deadline+cfg.Rules.AnswerGrace {
+				t.Fatalf("seed %d: %s has no final answer at its deadline", seed, id)
 			}
 		}
 	}
-	return w.all
+	return p.actions
 }
 
+// configVariants returns settings that differ in the permissions and options that the Balancer reads.
 func configVariants() []Config {
 	var out []Config
 	for i := range 8 {
@@ -247,22 +249,22 @@
 	return out
 }
 
-// The rules on forwarding and answering hold over random events.
+// The rules for forwarding and for final answers hold for random events.
 func TestRulesHoldOverRandomEvents(t *testing.T) {
 	for i, cfg := range configVariants() {
 		for seed := range uint64(6) {
 			if acts := playRandomEvents(t, seed*8+uint64(i), cfg, 2000); len(ofKind(Forward, acts)) < 20 {
-				t.Errorf("config %d: only %d sends", i, len(ofKind(Forward, acts)))
+				t.Errorf("config %d: only %d attempts, want at least 20", i, len(ofKind(Forward, acts)))
 			}
 		}
 	}
 }
 
 // The same events with the same seed give the same actions.
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	for i, cfg := range configVariants() {
 		if !reflect.DeepEqual(playRandomEvents(t, uint64(i), cfg, 2000), playRandomEvents(t, uint64(i), cfg, 2000)) {
-			t.Errorf("config %d: two runs differ", i)
+			t.Errorf("config %d: two runs with the same seed differ", i)
 		}
 	}
 }
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -6,113 +6,113 @@
 	"time"
 )
 
-// Requests are forgotten once they are over, or a node's memory grows without a bound.
+// The Balancer forgets finished requests; otherwise the memory of a node would grow without bound.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(20, idempotent, in20ms)
-	r.arrive("gone", idempotent)
-	to := r.forwardedTo()
-	r.handle(ClientDisconnected{Request: "gone"})
-	r.endAttempt("gone", 0, to, StatusTimedOut)
-	r.arrive("late", nonIdempotent)
-	to, mark := r.forwardedTo(), r.timerID()
-	r.advance(time.Second)
-	r.handle(TimerFired{ID: mark})
-	r.endAttempt("late", 0, to, StatusTimedOut)
-	if n := len(r.b.requests); n != 0 {
-		t.Errorf("%d requests are remembered", n)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(20, idempotent, in20ms)
+	h.arrive("gone", idempotent)
+	to := h.forwardedTo()
+	h.handle(ClientDisconnected{Request: "gone"})
+	h.endAttempt("gone", 0, to, StatusTimedOut)
+	h.arrive("late", nonIdempotent)
+	to, deadlineTimer := h.forwardedTo(), h.timerID()
+	h.advance(time.Second)
+	h.handle(TimerFired{ID: deadlineTimer})
+	h.endAttempt("late", 0, to, StatusTimedOut)
+	if n := len(h.b.requests); n != 0 {
+		t.Errorf("%d finished requests are still stored", n)
 	}
 }
 
-// While a request comes in its endpoint has no more to do, and its time has not begun.
+// While a request is being received, it does not count as in flight and its deadline has not started.
 func TestIncompleteRequestCountsFromItsLastByte(t *testing.T) {
 	b, e := withIncompleteRequest(t)
 	if e.inFlight != 0 || b.silenceSeconds(e) != 0 {
-		t.Errorf("in flight %v", e.inFlight)
+		t.Errorf("in flight %v before the last byte, want 0", e.inFlight)
 	}
-	at := 9 * time.Second // far beyond what its client waits
+	at := 9 * time.Second // much longer than the client waits
 	out := b.Handle(at, RequestWritten{Request: "a", TimeLeft: time.Second}, nil)
 	if e.inFlight != 1 {
-		t.Errorf("in flight %v once it is written", e.inFlight)
+		t.Errorf("in flight %v after the last byte, want 1", e.inFlight)
 	}
-	ends := false
+	hasTimer := false
 	for _, a := range out {
-		ends = ends || a.Kind == SetTimer && a.Delay == time.Second
+		hasTimer = hasTimer || a.Kind == SetTimer && a.Delay == time.Second
 	}
-	if !ends {
-		t.Errorf("nothing ends it at its deadline: %+v", out)
+	if !hasTimer {
+		t.Errorf("no timer for the deadline: %+v", out)
 	}
 	budget := b.queueBudget.fraction
 	b.Handle(at+20*time.Millisecond, AttemptEnded{Request: "a", Endpoint: e.ID, Elapsed: 20 * time.Millisecond,
 		Final: true}, nil)
 	if e.inFlight != 0 || b.queueBudget.fraction < budget || e.meanLatencySeconds > 0.2 {
-		t.Errorf("in flight %v, queue budget %v, mean latency %v: its client's time was taken for the endpoint's",
+		t.Errorf("in flight %v, queue budget %v, mean latency %v: the client's time was counted as the endpoint's",
 			e.inFlight, b.queueBudget.fraction, e.meanLatencySeconds)
 	}
 }
 
-// Every request has its final answer at its deadline, exactly once.
+// Every request gets exactly one final answer, at its deadline at the latest.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
 	for class, want := range map[int]ActionKind{idempotent: Reject, nonIdempotent: Fail, keyedZone: Fail} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-		var mark uint64
-		for _, a := range ofKind(SetTimer, r.arrive("x", class)) {
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+		var deadlineTimer uint64
+		for _, a := range ofKind(SetTimer, h.arrive("x", class)) {
 			if a.Delay == time.Second {
-				mark = a.TimerID
+				deadlineTimer = a.TimerID
 			}
 		}
-		to := r.forwardedTo()
-		r.advance(time.Second)
-		acts := r.handle(TimerFired{ID: mark})
+		to := h.forwardedTo()
+		h.advance(time.Second)
+		acts := h.handle(TimerFired{ID: deadlineTimer})
 		if len(ofKind(want, acts)) != 1 {
 			t.Errorf("class %d at its deadline: %+v", class, acts)
 		}
-		if acts = r.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
-			t.Errorf("class %d after its answer: %+v", class, acts)
+		if acts = h.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
+			t.Errorf("class %d: actions after its final answer: %+v", class, acts)
 		}
-		if acts = r.handle(TimerFired{ID: mark}); len(acts) != 0 {
-			t.Errorf("a timer that fired twice: %+v", acts)
+		if acts = h.handle(TimerFired{ID: deadlineTimer}); len(acts) != 0 {
+			t.Errorf("actions for a timer that fired twice: %+v", acts)
 		}
 	}
 }
 
-// An attempt that times out at the deadline leaves the final answer to the node.
+// When an attempt times out at the deadline, the node gives the final answer.
 func TestTimeoutAtTheDeadlineIsAnswered(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.arrive("x", nonIdempotent)
-	to := r.forwardedTo()
-	r.advance(time.Second)
-	if acts := r.endAttempt("x", 0, to, StatusTimedOut); len(ofKind(Fail, acts)) != 1 || len(ofKind(Forward, acts)) != 0 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.arrive("x", nonIdempotent)
+	to := h.forwardedTo()
+	h.advance(time.Second)
+	if acts := h.endAttempt("x", 0, to, StatusTimedOut); len(ofKind(Fail, acts)) != 1 || len(ofKind(Forward, acts)) != 0 {
 		t.Fatalf("got %+v", acts)
 	}
 }
 
-// With no endpoint in the list every request is rejected at once.
+// If the list has no endpoint, every request is rejected immediately.
 func TestWithoutEndpointsRequestsAreRejected(t *testing.T) {
-	r := newHarness(t, testConfig())
+	h := newHarness(t, testConfig())
 	for class := range testConfig().Classes {
-		if acts := r.arrive(fmt.Sprint(class), class); len(ofKind(Reject, acts)) != 1 {
+		if acts := h.arrive(fmt.Sprint(class), class); len(ofKind(Reject, acts)) != 1 {
 			t.Errorf("class %d: %+v", class, acts)
 		}
 	}
 }
 
-// A started stream is not ended by the deadline, nor answered when it breaks.
+// A stream that has started is not ended at the deadline, and gets no final answer when it breaks.
 func TestStreamHasNoDeadlineOnceStarted(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotent].Stream = true
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	timers := ofKind(SetTimer, r.arrive("x", idempotent))
-	to := r.forwardedTo()
-	r.handle(StreamStarted{Request: "x", Endpoint: to})
-	r.advance(time.Second)
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	timers := ofKind(SetTimer, h.arrive("x", idempotent))
+	to := h.forwardedTo()
+	h.handle(StreamStarted{Request: "x", Endpoint: to})
+	h.advance(time.Second)
 	for _, a := range timers {
-		if acts := r.handle(TimerFired{ID: a.TimerID}); len(acts) != 0 {
+		if acts := h.handle(TimerFired{ID: a.TimerID}); len(acts) != 0 {
 			t.Fatalf("got %+v", acts)
 		}
 	}
-	acts := r.handle(AttemptEnded{Request: "x", Endpoint: to, Status: StatusConnectionLost, Final: true})
+	acts := h.handle(AttemptEnded{Request: "x", Endpoint: to, Status: StatusConnectionLost, Final: true})
 	if len(acts) != 0 {
-		t.Fatalf("a broken stream was answered: %+v", acts)
+		t.Fatalf("actions for a broken stream: %+v, want none", acts)
 	}
 }
