--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost is the adapter between the simulator and the decision module: it hosts many instances of the module
-// and speaks the simulator's protocol on standard input and output. Notes on skipped messages go to standard error.
+// Command simhost is the adapter between the simulator and package balance. It runs one balance.Balancer for each
+// simulated node and speaks the simulator's protocol on standard input and output. It reports skipped messages on
+// standard error.
 package main
 
 import (
@@ -21,16 +22,16 @@
 	}
 }
 
-// outputBufferSize, in bytes: most replies to a batch fit.
+// outputBufferSize is the size of the output buffer in bytes. Most replies to a batch fit.
 const outputBufferSize = 1 << 16
 
-// run answers batches until the input ends. On an error the reply in the making is dropped, so that only complete
-// replies are ever written.
-func run(stdin io.Reader, stdout, notes io.Writer) error {
+// run answers batches until the input ends. On an error it discards the unfinished reply, so that it writes only
+// complete replies. It writes a line to warnings for each message that it skips.
+func run(stdin io.Reader, stdout, warnings io.Writer) error {
 	h := host{
-		out:   bufio.NewWriterSize(stdout, outputBufferSize),
-		notes: notes,
-		nodes: map[string]*balance.Balancer{},
+		out:      bufio.NewWriterSize(stdout, outputBufferSize),
+		warnings: warnings,
+		nodes:    map[string]*balance.Balancer{},
 	}
 	in := simproto.NewReader(stdin)
 	for {
@@ -39,7 +40,7 @@
 			return nil
 		}
 		if err == io.EOF {
-			return errors.New("input ends inside a batch")
+			return errors.New("the input ends within a batch")
 		}
 		if err != nil {
 			return err
@@ -50,22 +51,22 @@
 	}
 }
 
-// host holds the instances, and the batch in hand.
+// host holds the simulated nodes and the state of the current batch.
 type host struct {
-	out     *bufio.Writer
-	notes   io.Writer
-	nodes   map[string]*balance.Balancer
-	lists   [simproto.MaxListNumber + 1][]balance.Endpoint // the last list of each number
-	now     time.Duration
-	inBatch bool
-	reply   []byte // to the batch in hand, so far
-	actions []balance.Action
+	out      *bufio.Writer
+	warnings io.Writer
+	nodes    map[string]*balance.Balancer
+	lists    [simproto.MaxListNumber + 1][]balance.Endpoint // the last list with each number
+	now      time.Duration
+	inBatch  bool
+	reply    []byte // the reply to the current batch so far
+	actions  []balance.Action
 }
 
-// handle takes one message. Its errors name the line and the field.
+// handle processes one message. Its errors name the line and the message or field.
 func (h *host) handle(m *simproto.Message) error {
 	if !h.inBatch && m.Kind != simproto.BatchStarted {
-		return fmt.Errorf("line %d: %s before the clock line of a batch", m.Line, m.Name)
+		return fmt.Errorf("line %d: %s: a batch must begin with clock", m.Line, m.Name)
 	}
 	switch m.Kind {
 	case simproto.BatchStarted:
@@ -81,21 +82,21 @@
 	case simproto.NodeEvent:
 		h.handleEvent(m)
 	default:
-		fmt.Fprintf(h.notes, "line %d: unknown message %s\n", m.Line, m.Name)
+		fmt.Fprintf(h.warnings, "line %d: skipping unknown message %s\n", m.Line, m.Name)
 	}
 	return nil
 }
 
 func (h *host) startBatch(m *simproto.Message) error {
 	if h.inBatch || m.At < h.now {
-		return fmt.Errorf("line %d: clock: field atTime: a batch is open or time goes back", m.Line)
+		return fmt.Errorf("line %d: clock: the last batch has not ended, or field atTime is before the last batch", m.Line)
 	}
 	h.now = m.At
 	h.inBatch = true
 	return nil
 }
 
-// endBatch writes the reply.
+// endBatch writes the reply to the current batch.
 func (h *host) endBatch() error {
 	h.out.Write(simproto.AppendAck(h.reply)) // Flush returns its error
 	if err := h.out.Flush(); err != nil {
@@ -115,12 +116,12 @@
 	return nil
 }
 
-// handleEvent passes an event to its node and adds the actions to the reply. A list that the event refers to is taken
-// as it stands now.
+// handleEvent passes an event to its node and adds the node's actions to the reply. If the event refers to a list, the
+// last list with that number is used.
 func (h *host) handleEvent(m *simproto.Message) {
 	node := h.nodes[m.Node]
 	if node == nil {
-		fmt.Fprintf(h.notes, "line %d: %s for %s, which is not alive\n", m.Line, m.Name, m.Node)
+		fmt.Fprintf(h.warnings, "line %d: skipping %s: node %s is not running\n", m.Line, m.Name, m.Node)
 		return
 	}
 	if m.UsesList {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -11,14 +11,15 @@
 	`"points":5}],"limits":{"maxAttempts":3,"probing":true},"obligations":{"overloadFor":1500000000},` +
 	`"loadReport":{"source":"on_probe"},"prices":{"probe":0.01}}`
 
-func runInput(t *testing.T, input string) (out, notes string, err error) {
+// runInput runs the adapter on an input and returns its output and its warnings.
+func runInput(t *testing.T, input string) (out, warnings string, err error) {
 	t.Helper()
 	var o, n bytes.Buffer
 	err = run(strings.NewReader(input), &o, &n)
 	return o.String(), n.String(), err
 }
 
-// startNodes starts nodes on a list of one endpoint each, by the same list number.
+// startNodes returns a batch that starts nodes. Each node gets a list of one endpoint; all lists have the same number.
 func startNodes(nodes ...int) string {
 	var b strings.Builder
 	b.WriteString("clock atTime=1000000000\n")
@@ -31,10 +32,12 @@
 	return b.String()
 }
 
+// arrival returns the line for a new request at a node.
 func arrival(node int, id string) string {
 	return fmt.Sprintf("work_item node=node_%d requestId=%s band=0 timeBudget=1000000000\n", node, id)
 }
 
+// The reply to an empty batch has no actions.
 func TestEmptyBatches(t *testing.T) {
 	out, _, err := runInput(t, "clock atTime=1\nyour_turn\nclock atTime=1\nyour_turn\n")
 	if err != nil || out != "ack\nack\n" {
@@ -42,7 +45,7 @@
 	}
 }
 
-// A list number used twice in one batch means another list for each node.
+// If a list number is used twice in one batch, an event refers to the last list before it.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
 	out, _, err := runInput(t, startNodes(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
 	if err != nil || !strings.Contains(out, "call_out node=node_1 requestId=a backend=101") ||
@@ -51,6 +54,7 @@
 	}
 }
 
+// lines returns the lines of a reply that belong to a node.
 func lines(text, node string) (out []string) {
 	for _, l := range strings.Split(text, "\n") {
 		if strings.Contains(l, "node="+node+" ") {
@@ -60,7 +64,8 @@
 	return out
 }
 
-func TestNodesActAsTheyWouldAlone(t *testing.T) {
+// A node takes the same actions whether or not another node runs in the same process.
+func TestNodesAreIndependent(t *testing.T) {
 	var both, alone strings.Builder
 	both.WriteString(startNodes(1, 2))
 	alone.WriteString(startNodes(2))
@@ -80,6 +85,7 @@
 	}
 }
 
+// A restarted node ignores the timers of its earlier incarnation.
 func TestRestartedNodeHasNoOldTimers(t *testing.T) {
 	out, _, err := runInput(t, startNodes(1)+"clock atTime=2000000000\n"+arrival(1, "a")+"teardown node=node_1\n"+
 		strings.TrimPrefix(startNodes(1), "clock atTime=1000000000\n")+
@@ -89,14 +95,15 @@
 	}
 }
 
-func TestEventsForStoppedNodesAreNoted(t *testing.T) {
-	out, notes, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
-	if err != nil || out != "ack\n" || !strings.Contains(notes, "node_9") || !strings.Contains(notes, "weather") {
-		t.Fatalf("%q %q %v", out, notes, err)
+// Events for nodes that are not running and unknown messages are skipped with a warning.
+func TestSkippedMessagesAreReported(t *testing.T) {
+	out, warnings, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
+	if err != nil || out != "ack\n" || !strings.Contains(warnings, "node_9") || !strings.Contains(warnings, "weather") {
+		t.Fatalf("%q %q %v", out, warnings, err)
 	}
 }
 
-// Only complete replies are written: of a batch that breaks off there is nothing.
+// Only complete replies are written. A batch that fails or ends early writes nothing.
 func TestBadInputWritesOnlyCompleteReplies(t *testing.T) {
 	for _, bad := range []string{
 		"clock atTime=2000000000\n" + arrival(1, "a") + "bell node=node_1\nyour_turn\n",
--- a/internal/simproto/action.go
+++ b/internal/simproto/action.go
@@ -24,25 +24,27 @@
 	balance.Log:              "say_log",
 }
 
-// oneLine takes the ends of lines out of a text, which runs to the end of its line.
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
+// lineBreakReplacer replaces the line breaks of a text, because a text field ends at the end of its line.
+var lineBreakReplacer = strings.NewReplacer("\n", " ", "\r", " ")
 
-// reply is what is written of a reply.
-type reply []byte
+// replyLine is a line of a reply that is being built.
+type replyLine []byte
 
-func (r *reply) text(key, value string) {
+// text appends a field with a text value.
+func (r *replyLine) text(key, value string) {
 	*r = append(append(*r, ' '), key...)
 	*r = append(append(*r, '='), value...)
 }
 
-func (r *reply) number(key string, value int64) {
+// number appends a field with an integer value.
+func (r *replyLine) number(key string, value int64) {
 	*r = append(append(*r, ' '), key...)
 	*r = strconv.AppendInt(append(*r, '='), value, 10)
 }
 
-// AppendAction appends an action of a node as a line of a reply.
+// AppendAction appends an action of a node to b, as a line of a reply.
 func AppendAction(b []byte, node string, a *balance.Action) []byte {
-	line := reply(append(b, actionNames[a.Kind]...))
+	line := replyLine(append(b, actionNames[a.Kind]...))
 	line.text("node", node)
 	switch a.Kind {
 	case balance.Forward:
@@ -73,12 +75,13 @@
 	case balance.SendToPeer:
 		line.peerMessage(a)
 	case balance.Log:
-		line.text("bodyText", oneLine.Replace(a.Text))
+		line.text("bodyText", lineBreakReplacer.Replace(a.Text))
 	}
 	return append(line, '\n')
 }
 
-func (r *reply) peerMessage(a *balance.Action) {
+// peerMessage appends the fields of a SendToPeer.
+func (r *replyLine) peerMessage(a *balance.Action) {
 	if a.Peer == balance.AllPeers {
 		r.text("target", "all")
 	} else {
@@ -91,5 +94,5 @@
 	}
 }
 
-// AppendAck appends the end of a reply.
+// AppendAck appends the line that ends a reply to b.
 func AppendAck(b []byte) []byte { return append(b, "ack\n"...) }
--- a/internal/simproto/action_test.go
+++ b/internal/simproto/action_test.go
@@ -7,17 +7,19 @@
 	"hitchvale/balance"
 )
 
+// WatchEndpoints and UnwatchEndpoints are written as the same message with another value.
 func TestSubscriptionActions(t *testing.T) {
 	for kind, want := range map[balance.ActionKind]string{
 		balance.WatchEndpoints:   "active=1",
 		balance.UnwatchEndpoints: "active=0",
 	} {
 		if got := string(AppendAction(nil, "n", &balance.Action{Kind: kind})); got != "subscribe node=n "+want+"\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
+// Each action is written as one line of the protocol.
 func TestActions(t *testing.T) {
 	for want, a := range map[string]balance.Action{
 		"call_out node=node_3 requestId=r backend=51530247 limit=80000000": {Kind: balance.Forward, Request: "r",
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -15,19 +15,20 @@
 	statusNames = []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
 )
 
-// listKindNames are the kinds of updates of the endpoint list; listKinds are theirs in package balance.
+// listKindNames are the protocol's names of the kinds of updates of the endpoint list. listKinds are the matching kinds
+// of package balance; "refused" has none.
 var (
 	listKindNames = []string{"changes", "all", "remembered", "refused"}
 	listKinds     = []balance.ListKind{balance.ListChanges, balance.CompleteList, balance.CachedList}
 )
 
-// refusedListKind is the place of "refused" in listKindNames: it comes without a list.
+// refusedListKind is the index of "refused" in listKindNames. Such an update has no list.
 const refusedListKind = 3
 
 // maxRoutingKey is the largest integer that a float64 holds exactly.
 const maxRoutingKey = 1<<53 - 1
 
-// decodeEvent fills in m from the fields of an event, or of a message that is not known.
+// decodeEvent fills in m from the fields of an event. A message with another name becomes Unknown.
 func decodeEvent(m *Message, f *fields) {
 	m.Event = event(m, f)
 	if m.Event == nil {
@@ -38,7 +39,8 @@
 	m.Node = f.text("node")
 }
 
-// event reads the fields of an event; nil where its name is not known. It notes in m the list that the event refers to.
+// event reads the fields of an event; it returns nil if the name is unknown. It sets the list number of m if the event
+// refers to a list.
 func event(m *Message, f *fields) balance.Event {
 	switch f.name {
 	case "backends_changed":
@@ -61,7 +63,7 @@
 	return nil
 }
 
-// endpointsListed reads an update of the endpoint list; the endpoints stand in the numbered list that m names then.
+// endpointsListed reads an update of the endpoint list. The endpoints are those of the list whose number it sets in m.
 func endpointsListed(m *Message, f *fields) balance.Event {
 	kind := f.oneOf("kind", listKindNames)
 	f.unsigned("stamp", math.MaxInt64)
@@ -125,7 +127,7 @@
 
 func status(f *fields) balance.Status { return balance.Status(f.oneOf("status", statusNames)) }
 
-// load reads a load report. Values of other names are skipped.
+// load reads a load report. Values with unknown names are skipped.
 func load(f *fields) balance.Load {
 	var l balance.Load
 	if !f.has("load") {
@@ -135,7 +137,8 @@
 	if s == "" || s == "-" {
 		return l
 	}
-	values := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS} // as in siteconfig.LoadNames
+	// The order is that of siteconfig.LoadFieldNames.
+	values := [...]*float64{&l.Active, &l.Waiting, &l.CPU, &l.AvgMs, &l.RPS, &l.ErrRPS}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
--- a/internal/simproto/event_test.go
+++ b/internal/simproto/event_test.go
@@ -8,6 +8,7 @@
 	"hitchvale/balance"
 )
 
+// Each event of the protocol is read as the matching event of package balance.
 func TestEvents(t *testing.T) {
 	const id = "5d3a91c4-a8f6-4e6c-a7c4-4415b8b3b467"
 	for line, want := range map[string]balance.Event{
@@ -37,13 +38,14 @@
 	}
 }
 
+// Each status name is read as its Status, and only three of them prove that the attempt never ran.
 func TestEveryStatusHasItsName(t *testing.T) {
 	names := []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
 	for i, name := range names {
 		m := readOne(t, "probe_result node=n backend=1 spent=1 status="+name)
 		status := m.Event.(balance.HealthChecked).Status
 		if status != balance.Status(i) {
-			t.Errorf("%s reads as %d", name, status)
+			t.Errorf("%s reads as status %d, want %d", name, status, i)
 		}
 		proves := name == "shed" || name == "dial_failed" || name == "unused"
 		if status.NeverRan() != proves {
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -12,13 +12,13 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// fields are the parts of one line: the message's name, and pairs of key and value. The methods parse values; what they
-// return after a failure has no meaning, and the first failure stays in err.
+// fields holds the parts of one line: the message's name, and pairs of key and value. The methods parse values and keep
+// the first failure in err. After a failure the returned values have no meaning.
 type fields struct {
 	line          int
 	name          string
 	pairs         []field
-	missingIsZero bool // missing fields read as zero; else they are failures
+	missingIsZero bool // a missing field reads as zero; otherwise it is a failure
 	err           error
 }
 
@@ -27,15 +27,15 @@
 	value string
 }
 
-// usualFields is the number of fields that a line may have without another allocation.
-const usualFields = 12
+// typicalFieldCount is the number of fields for which parseLine allocates space in advance.
+const typicalFieldCount = 12
 
-// parseLine cuts a line at its spaces. The value of a text field runs to the end of the line.
+// parseLine splits a line at its spaces. The value of a text field (conf, bodyText) extends to the end of the line.
 func parseLine(s string, line int) (*fields, error) {
 	name, rest, more := strings.Cut(s, " ")
-	f := &fields{line: line, name: name, pairs: make([]field, 0, usualFields)}
+	f := &fields{line: line, name: name, pairs: make([]field, 0, typicalFieldCount)}
 	if name == "" || strings.Contains(name, "=") {
-		return nil, fmt.Errorf("line %d: no message name", line)
+		return nil, fmt.Errorf("line %d: the message name is missing", line)
 	}
 	for more {
 		var part string
@@ -46,17 +46,17 @@
 		}
 		key, value, ok := strings.Cut(part, "=")
 		if !ok || key == "" {
-			return nil, fmt.Errorf("line %d: %s: part %q is not name=value", line, name, part)
+			return nil, fmt.Errorf("line %d: %s: %q is not a field of the form name=value", line, name, part)
 		}
 		if f.has(key) {
-			return nil, fmt.Errorf("line %d: %s: field %s given twice", line, name, key)
+			return nil, fmt.Errorf("line %d: %s: field %s is given twice", line, name, key)
 		}
 		f.pairs = append(f.pairs, field{key: key, value: value})
 	}
 	return f, nil
 }
 
-// fail notes a failure of a field, unless there was one before.
+// fail records the failure of a field, unless a failure is recorded already.
 func (f *fields) fail(key, why string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("line %d: %s: field %s: %s", f.line, f.name, key, why)
@@ -72,14 +72,14 @@
 	return false
 }
 
-// optional runs read with missing fields taken as zero.
+// optional runs read in a mode in which missing fields read as zero.
 func (f *fields) optional(read func()) {
 	f.missingIsZero = true
 	read()
 	f.missingIsZero = false
 }
 
-// get returns the value of a field; ok is false if there is nothing to parse.
+// get returns the value of a field; ok is false if the field is missing.
 func (f *fields) get(key string) (value string, ok bool) {
 	for i := range f.pairs {
 		if f.pairs[i].key == key {
@@ -92,7 +92,7 @@
 	return "", false
 }
 
-// text returns the value of a field that must not be empty.
+// text returns the value of a text field, which must not be empty.
 func (f *fields) text(key string) string {
 	s, ok := f.get(key)
 	if ok && s == "" {
@@ -101,15 +101,15 @@
 	return s
 }
 
-// unsigned returns an integer from 0 to most.
-func (f *fields) unsigned(key string, most uint64) uint64 {
+// unsigned returns the value of a field that is an integer from 0 to maximum.
+func (f *fields) unsigned(key string, maximum uint64) uint64 {
 	s, ok := f.get(key)
 	if !ok {
 		return 0
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
-	if err != nil || v > most {
-		f.fail(key, fmt.Sprintf("%q is not a whole number up to %d", s, most))
+	if err != nil || v > maximum {
+		f.fail(key, fmt.Sprintf("%q is not an integer from 0 to %d", s, maximum))
 		return 0
 	}
 	return v
@@ -117,7 +117,7 @@
 
 func (f *fields) index(key string) int { return int(f.unsigned(key, math.MaxInt32)) }
 
-// duration returns a time in nanoseconds.
+// duration returns the value of a field in nanoseconds.
 func (f *fields) duration(key string) time.Duration {
 	return time.Duration(f.unsigned(key, math.MaxInt64))
 }
@@ -128,10 +128,10 @@
 
 func (f *fields) listNumber() int { return int(f.unsigned("sheet", MaxListNumber)) }
 
-// flag returns a field that is 0 or 1.
+// flag returns the value of a field that is 0 or 1.
 func (f *fields) flag(key string) bool { return f.unsigned(key, 1) == 1 }
 
-// number returns a finite number.
+// number returns the value of a field that is a finite number.
 func (f *fields) number(key string) float64 {
 	s, _ := f.get(key)
 	return f.parseNumber(key, s)
@@ -140,13 +140,13 @@
 func (f *fields) parseNumber(key, s string) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(key, fmt.Sprintf("%q is not a number", s))
+		f.fail(key, fmt.Sprintf("%q is not a finite number", s))
 		return 0
 	}
 	return v
 }
 
-// oneOf returns the place of a field's value in names.
+// oneOf returns the index of a field's value in names.
 func (f *fields) oneOf(key string, names []string) int {
 	s, ok := f.get(key)
 	if !ok {
@@ -161,7 +161,7 @@
 	return 0
 }
 
-// bytes returns a field in base64; "-" is none.
+// bytes returns the decoded value of a field in base64; "-" stands for no bytes.
 func (f *fields) bytes(key string) []byte {
 	s, ok := f.get(key)
 	if !ok || s == "-" {
@@ -169,12 +169,12 @@
 	}
 	b, err := base64.StdEncoding.Strict().DecodeString(s)
 	if err != nil {
-		f.fail(key, "not base64")
+		f.fail(key, "the value is not valid base64")
 	}
 	return b
 }
 
-// settings reads the settings object.
+// settings returns the Balancer's configuration from a field with the settings object.
 func (f *fields) settings(key string) balance.Config {
 	s, ok := f.get(key)
 	if !ok {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -9,23 +9,23 @@
 	"hitchvale/balance"
 )
 
-// Reader reads messages. It must not be used from two goroutines at once.
+// Reader reads messages from the simulator. It must not be used from two goroutines at once.
 type Reader struct {
 	in   *bufio.Reader
 	line int
 }
 
-// bufferSize of a Reader, in bytes: a batch of some hundred messages.
+// bufferSize is the size of a Reader's buffer in bytes. A batch of several hundred messages fits.
 const bufferSize = 1 << 16
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, bufferSize)} }
 
-// readLine returns the next line without its end; io.EOF only at a clean end.
+// readLine returns the next line without its line end. It returns io.EOF only if the input ends after a complete line.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if err == io.EOF && text != "" {
-		return "", fmt.Errorf("line %d: cut short", r.line+1)
+		return "", fmt.Errorf("line %d: the input ends before the line does", r.line+1)
 	}
 	if err != nil {
 		return "", err
@@ -34,7 +34,7 @@
 	return text[:len(text)-1], nil
 }
 
-// Next returns the next message; io.EOF at the end of input.
+// Next returns the next message, or io.EOF at the end of the input.
 func (r *Reader) Next() (Message, error) {
 	text, err := r.readLine()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return m, f.err
 }
 
-// decode fills in m from its fields; errors stay in f.
+// decode fills in m from the fields of its line. Errors stay in f.err.
 func (r *Reader) decode(m *Message, f *fields) {
 	switch f.name {
 	case "clock":
@@ -74,10 +74,10 @@
 	}
 }
 
-// maxPreallocated bounds what an announced number of lines allocates before the lines have come.
+// maxPreallocated is the largest number of endpoints for which a list allocates space before its lines are read.
 const maxPreallocated = 1 << 12
 
-// endpoints reads the lines of a list.
+// endpoints reads the entries of a list, one a line.
 func (r *Reader) endpoints(f *fields) []balance.Endpoint {
 	n := f.index("elements")
 	if f.err != nil {
@@ -87,7 +87,7 @@
 	for range n {
 		text, err := r.readLine()
 		if err != nil {
-			f.fail("elements", fmt.Sprintf("%d announced, %d found", n, len(list)))
+			f.fail("elements", fmt.Sprintf("%d entries announced, but only %d found", n, len(list)))
 			return nil
 		}
 		endpoint, err := parseEndpoint(text, r.line)
@@ -106,7 +106,7 @@
 		return balance.Endpoint{}, err
 	}
 	if f.name != "entry" {
-		return balance.Endpoint{}, fmt.Errorf("line %d: %q where an entry is due", line, f.name)
+		return balance.Endpoint{}, fmt.Errorf("line %d: got message %q, want an entry of the list", line, f.name)
 	}
 	endpoint := balance.Endpoint{ID: f.endpointID(), Weight: 1}
 	endpoint.Phase = balance.Phase(f.oneOf("phase", phaseNames))
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -12,7 +12,7 @@
 	"hitchvale/balance"
 )
 
-// readAll reads a text to its end or its first error.
+// readAll reads all messages of a text, up to its end or its first error.
 func readAll(t testing.TB, text string) ([]Message, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
@@ -29,7 +29,7 @@
 	}
 }
 
-// readOne reads a text of one line.
+// readOne reads the message of a single line.
 func readOne(t testing.TB, line string) Message {
 	t.Helper()
 	ms, err := readAll(t, line+"\n")
@@ -39,6 +39,7 @@
 	return ms[0]
 }
 
+// The endpoints of a list and the events that refer to it are read.
 func TestListsOfEndpoints(t *testing.T) {
 	ms, err := readAll(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
@@ -64,6 +65,7 @@
 	}
 }
 
+// The settings of a new node are mapped to its Config.
 func TestSettings(t *testing.T) {
 	m := readOne(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1,`+
 		` "new": [1], "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
@@ -79,8 +81,8 @@
 	}
 }
 
-// Every setting that the module can use reaches it, and those it cannot are still checked.
-func TestEverySettingIsRead(t *testing.T) {
+// Every setting of balance.Config is read, and the other settings are still checked.
+func TestEverySettingIsReadOrChecked(t *testing.T) {
 	m := readOne(t, `spawn node=n salt=1 conf={"nInstances": 2, "limits": {"cpuUsPerS": 364369, "cpuUsPerRequest": 10.5,`+
 		` "maxOpen": 910922}, "loadReport": {"source": "on_probe", "columns": ["active", "err_rps", "novel"]},`+
 		` "prices": {"connection": 0.5, "membershipMode": 0.25, "moves": 1, "origin": 1, "fleet": 1},`+
@@ -99,10 +101,10 @@
 		`{"nInstances": -1}`:                                             "nInstances",
 		`{"zone": 2, "zones": ["a", "b"]}`:                               "zone",
 		`{"stage": 1, "tiers": ["a"]}`:                                   "stage",
-		`{"limits": {"maxOpen": -1}}`:                                    "limits",
-		`{"limits": {"cpuUsPerS": -1}}`:                                  "CPU",
-		`{"limits": {"maxRetryAfter": -1}}`:                              "time",
-		`{"prices": {"moves": -0.1}}`:                                    "price",
+		`{"limits": {"maxOpen": -1}}`:                                    "limits.maxOpen",
+		`{"limits": {"cpuUsPerS": -1}}`:                                  "limits.cpuUsPerS",
+		`{"limits": {"maxRetryAfter": -1}}`:                              "limits.maxRetryAfter",
+		`{"prices": {"moves": -0.1}}`:                                    "prices.moves",
 		`{"loadReport": {"columns": ["a", "b", "c", "d", "e"]}}`:         "columns",
 		`{"limits": {"cpuUsPerRequest": "much"}}`:                        "cpuUsPerRequest",
 		`{"domain": {"passesDeadline": 1}}`:                              "passesDeadline",
@@ -116,7 +118,7 @@
 	}
 }
 
-// No name reaches the decisions: renaming everything leaves the same Config, and so the same actions.
+// The names in the settings do not influence the decisions: with other names the Config is the same.
 func TestNamesDoNotReachTheConfig(t *testing.T) {
 	conf := func(n string) string {
 		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + n + `1"}], "skus": ["` + n + `2"],` +
@@ -127,6 +129,7 @@
 	}
 }
 
+// The error for a malformed line names the line and the field.
 func TestMalformedLinesNameLineAndField(t *testing.T) {
 	for line, want := range map[string]string{
 		"work_item node=n requestId=r band=0":                                        "timeBudget",
@@ -135,7 +138,7 @@
 		"work_item node=n requestId=r band=0 timeBudget=1 routeKey=9007199254740992": "routeKey",
 		"work_item node=n requestId= band=0 timeBudget=1":                            "requestId",
 		"work_item node=n  requestId=r band=0 timeBudget=1":                          "name=value",
-		"work_item node=n node=m requestId=r band=0 timeBudget=1":                    "node given twice",
+		"work_item node=n node=m requestId=r band=0 timeBudget=1":                    "node is given twice",
 		"bell mark=1":       "node",
 		"bell node=n":       "mark",
 		"clock atTime=soon": "atTime",
@@ -166,7 +169,7 @@
 		}
 	}
 	if _, err := readAll(t, "clock atTime=1"); err == nil {
-		t.Error("a line cut short was taken")
+		t.Error("no error for a line without a line end")
 	}
 }
 
@@ -176,7 +179,7 @@
 	}
 }
 
-// What is written as an action reads back as a line of the same shape, whatever the text holds.
+// FuzzReader checks that errors name their line, that events have a node, and that an action is written as one line.
 func FuzzReader(f *testing.F) {
 	f.Add("clock atTime=8412250000\nyour_turn\n")
 	f.Add("list sheet=0 elements=1\nentry backend=1 phase=ready\n")
@@ -185,7 +188,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		ms, err := readAll(t, text)
 		if err != nil && !strings.Contains(err.Error(), "line ") {
-			t.Fatalf("an error without a line: %v", err)
+			t.Fatalf("an error without a line number: %v", err)
 		}
 		for _, m := range ms {
 			if m.Kind == NodeEvent && m.Node == "" {
--- a/internal/siteconfig/checks.go
+++ b/internal/siteconfig/checks.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxInstances is more than any fleet has.
+	// maxInstances is more instances than any fleet has.
 	maxInstances = 1_000_000
-	// maxLoadReportColumns is as many as the wire allows.
+	// maxLoadReportColumns is the largest number of columns that the protocol allows.
 	maxLoadReportColumns = 4
 )
 
 // check returns an error for values that no setting can have, whether or not the Balancer uses them.
 func (m *settingsMessage) check() error {
-	for _, check := range []func() error{m.checkPlace, m.Limits.check, m.Prices.check, m.checkSizes} {
+	for _, check := range []func() error{m.checkIndexes, m.Limits.check, m.Prices.check, m.checkSizes} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -23,83 +23,102 @@
 	return errors.Join(m.Obligations.check(), cmp.Or(m.checkClasses(), m.checkTenants()))
 }
 
-// checkPlace checks the node's place among the others.
-func (m *settingsMessage) checkPlace() error {
+// checkNotNegative returns an error for a negative value of a key.
+func checkNotNegative[T int | int64 | float64](key string, value T) error {
+	if value < 0 {
+		return fmt.Errorf("%s: %v is negative; it must be 0 or more", key, value)
+	}
+	return nil
+}
+
+// checkIndexes checks the number of instances and the indexes of this node among instances, zones and tiers.
+func (m *settingsMessage) checkIndexes() error {
 	switch {
 	case m.NInstances < 0:
-		return errors.New("nInstances: negative")
+		return checkNotNegative("nInstances", m.NInstances)
 	case m.Index < 0 || m.Index >= max(m.NInstances, 1):
-		return errors.New("index: not below nInstances")
+		return fmt.Errorf("index: %d is out of range; it must be from 0 to %d", m.Index, max(m.NInstances, 1)-1)
 	case m.Zone < 0 || len(m.Zones) > 0 && m.Zone >= len(m.Zones):
-		return errors.New("zone: not one of zones")
+		return indexError("zone", m.Zone, "zones", len(m.Zones))
 	case m.Stage < 0 || len(m.Tiers) > 0 && m.Stage >= len(m.Tiers):
-		return errors.New("stage: not one of tiers")
+		return indexError("stage", m.Stage, "tiers", len(m.Tiers))
 	}
 	return nil
 }
 
+// indexError returns the error for an index that does not fit its list of names. The list may be missing.
+func indexError(key string, index int, listKey string, length int) error {
+	return fmt.Errorf("%s: %d is out of range; it must be 0 or more, and below %d if %s has %d names",
+		key, index, length, listKey, length)
+}
+
 func (l *limitsMessage) check() error {
-	switch {
-	case min(l.MaxAttempts, l.MaxOpen, l.StreamsPerConn) < 0:
-		return errors.New("limits: a negative count")
-	case min(l.CPUUsPerS, l.CPUUsPerRequest) < 0:
-		return errors.New("limits: a negative CPU limit")
-	case min(l.MaxRetryAfter, l.ConnectTimeout, l.IdleClose) < 0:
-		return errors.New("limits: a negative time")
-	}
-	return nil
+	return cmp.Or(
+		checkNotNegative("limits.maxAttempts", l.MaxAttempts),
+		checkNotNegative("limits.maxOpen", l.MaxOpen),
+		checkNotNegative("limits.streamsPerConn", l.StreamsPerConn),
+		checkNotNegative("limits.cpuUsPerS", l.CPUUsPerS),
+		checkNotNegative("limits.cpuUsPerRequest", l.CPUUsPerRequest),
+		checkNotNegative("limits.maxRetryAfter", l.MaxRetryAfter),
+		checkNotNegative("limits.connectTimeout", l.ConnectTimeout),
+		checkNotNegative("limits.idleClose", l.IdleClose),
+	)
 }
 
 func (p *pricesMessage) check() error {
-	lowest := min(p.CrossZone, p.Waste, p.LateFail, p.Probe, p.Peer, p.Handshake, p.Connection, p.Membership,
-		p.Moves, p.Origin, p.Fleet)
-	if lowest < 0 {
-		return errors.New("prices: a negative price")
-	}
-	return nil
+	return cmp.Or(
+		checkNotNegative("prices.crossZone", p.CrossZone),
+		checkNotNegative("prices.waste", p.Waste),
+		checkNotNegative("prices.lateFail", p.LateFail),
+		checkNotNegative("prices.probe", p.Probe),
+		checkNotNegative("prices.peer", p.Peer),
+		checkNotNegative("prices.handshake", p.Handshake),
+		checkNotNegative("prices.connection", p.Connection),
+		checkNotNegative("prices.membershipMode", p.Membership),
+		checkNotNegative("prices.moves", p.Moves),
+		checkNotNegative("prices.origin", p.Origin),
+		checkNotNegative("prices.fleet", p.Fleet),
+	)
 }
 
-// checkSizes checks what else must be within bounds.
+// checkSizes checks the remaining values that have bounds.
 func (m *settingsMessage) checkSizes() error {
 	switch {
 	case len(m.LoadReport.Columns) > maxLoadReportColumns:
-		return errors.New("loadReport.columns: more than four")
+		return fmt.Errorf("loadReport.columns: %d columns; at most %d are allowed",
+			len(m.LoadReport.Columns), maxLoadReportColumns)
 	case m.NInstances > maxInstances:
-		return fmt.Errorf("nInstances: more than %d", maxInstances)
-	case m.Tick < 0:
-		return errors.New("tick: negative")
+		return fmt.Errorf("nInstances: %d is too large; at most %d is allowed", m.NInstances, maxInstances)
 	}
-	return nil
+	return checkNotNegative("tick", m.Tick)
 }
 
 func (o *obligationsMessage) check() error {
-	for _, duration := range []struct {
-		key   string
-		nanos int64
-	}{
-		{key: "graceToAnswer", nanos: o.GraceToAnswer},
-		{key: "drainGrace", nanos: o.DrainGrace},
-		{key: "askEvery", nanos: o.AskEvery},
-		{key: "warmWithin", nanos: o.WarmWithin},
-		{key: "overloadFor", nanos: o.OverloadFor},
-	} {
-		if duration.nanos < 0 {
-			return fmt.Errorf("obligations.%s: negative", duration.key)
-		}
-	}
+	err := cmp.Or(
+		checkNotNegative("obligations.graceToAnswer", o.GraceToAnswer),
+		checkNotNegative("obligations.drainGrace", o.DrainGrace),
+		checkNotNegative("obligations.askEvery", o.AskEvery),
+		checkNotNegative("obligations.warmWithin", o.WarmWithin),
+		checkNotNegative("obligations.overloadFor", o.OverloadFor),
+	)
 	switch {
+	case err != nil:
+		return err
 	case o.ColdShare < 0 || o.ColdShare > 1:
-		return errors.New("obligations.coldShare: not a part of 1")
-	case o.FallMultiple < 0:
-		return errors.New("obligations.fallMultiple: negative")
+		return fmt.Errorf("obligations.coldShare: %v is out of range; it must be from 0 to 1", o.ColdShare)
 	}
-	return nil
+	return checkNotNegative("obligations.fallMultiple", o.FallMultiple)
 }
 
 func (m *settingsMessage) checkClasses() error {
 	for i, class := range m.Classes {
-		if min(class.Aim, class.Deadline, class.Window) < 0 {
-			return fmt.Errorf("classes[%d]: a negative aim, deadline or window", i)
+		key := fmt.Sprintf("classes[%d]", i)
+		if err := cmp.Or(
+			checkNotNegative(key+".aim", class.Aim),
+			checkNotNegative(key+".deadline", class.Deadline),
+			checkNotNegative(key+".window", class.Window),
+		); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -107,8 +126,12 @@
 
 func (m *settingsMessage) checkTenants() error {
 	for i, tenant := range m.Tenants {
-		if min(tenant.QuotaPerS, tenant.Share) < 0 {
-			return fmt.Errorf("tenants[%d]: a negative quotaPerS or share", i)
+		key := fmt.Sprintf("tenants[%d]", i)
+		if err := cmp.Or(
+			checkNotNegative(key+".quotaPerS", tenant.QuotaPerS),
+			checkNotNegative(key+".share", tenant.Share),
+		); err != nil {
+			return err
 		}
 	}
 	return nil
--- a/internal/siteconfig/mapping.go
+++ b/internal/siteconfig/mapping.go
@@ -11,7 +11,8 @@
 	"hitchvale/balance"
 )
 
-// The wire's names of values, in the order of the constants that they stand for. A key that is missing has the first.
+// The names of values in the settings object, in the order of their constants in package balance. A missing key means
+// the first name.
 var (
 	priorityUnits = []string{"request", "work"}
 	listModes     = []string{"push", "ask"}
@@ -21,13 +22,13 @@
 	keyScopes     = []string{"cell", "zone", "all"}
 )
 
-// defaultLatencyObjective is that of a class with neither an objective nor a deadline.
+// defaultLatencyObjective is the objective of a class that has neither an objective nor a deadline.
 const defaultLatencyObjective = time.Second
 
-// nameMapper maps names to their indexes, and collects an error for each name that is unknown.
+// nameMapper maps names to their indexes, and collects an error for each unknown name.
 type nameMapper struct{ errs []error }
 
-// index returns the index of the key's value in names; 0 for "" and for a value that is unknown.
+// index returns the index of the key's value in names, or 0 if the value is empty or unknown.
 func (n *nameMapper) index(key, value string, names []string) int {
 	if i := slices.Index(names, value); i >= 0 {
 		return i
@@ -38,7 +39,7 @@
 	return 0
 }
 
-// config maps the settings to the Balancer's configuration. The error names each value that is unknown.
+// config maps the settings to the Balancer's configuration. The error names each unknown value.
 func (m *settingsMessage) config() (balance.Config, error) {
 	var names nameMapper
 	priorityUnit := names.index("worthBy", m.WorthBy, priorityUnits)
@@ -74,7 +75,8 @@
 	return config, errors.Join(names.errs...)
 }
 
-// class maps a class. Without a latency objective every answer before the deadline has the same value.
+// class maps a class. Without a latency objective the deadline is the objective, so that every answer before the
+// deadline has the same value.
 func (c *classMessage) class(names *nameMapper) balance.Class {
 	return balance.Class{
 		LatencyObjective: time.Duration(cmp.Or(c.Aim, c.Deadline, int64(defaultLatencyObjective))),
@@ -118,7 +120,7 @@
 	}
 }
 
-// prices maps the prices that the Balancer weighs; the others are for the site.
+// prices maps the prices that the Balancer uses. The other prices are only for the site.
 func (p *pricesMessage) prices() balance.Prices {
 	return balance.Prices{
 		CrossZone:   p.CrossZone,
--- a/internal/siteconfig/message.go
+++ b/internal/siteconfig/message.go
@@ -1,7 +1,6 @@
 package siteconfig
 
-// settingsMessage is the settings object with the keys of the wire. Times are in nanoseconds unless the key says
-// otherwise.
+// settingsMessage is the settings object with its JSON keys. Times are in nanoseconds unless the key says otherwise.
 type settingsMessage struct {
 	NInstances     int                `json:"nInstances"`
 	Index          int                `json:"index"`
--- a/internal/siteconfig/siteconfig_test.go
+++ b/internal/siteconfig/siteconfig_test.go
@@ -9,6 +9,7 @@
 	"hitchvale/balance"
 )
 
+// Parse maps the keys to the Balancer's configuration, keeps the names and skips unknown keys.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(`{"nInstances":3,"index":2,"zone":1,"zones":["a","b"],"skus":["m1","m2"],
 		"classes":[{"name":"read","aim":750000000,"effect":"pure"},{"name":"order"}],
@@ -22,7 +23,7 @@
 		c.LoadReports != balance.HealthCheckLoadReports ||
 		c.LoadFields != balance.HasActive|balance.HasCPU || c.Classes[0].LatencyObjective != 750*time.Millisecond ||
 		c.Classes[0].Repeatability != balance.Idempotent || c.Classes[1].Repeatability != balance.NonIdempotent {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration: %+v", c)
 	}
 	if !slices.Equal(s.Classes, []string{"read", "order"}) || !slices.Equal(s.Tenants, []string{"acme"}) ||
 		!slices.Equal(s.Zones, []string{"a", "b"}) || !slices.Equal(s.MachineKinds, []string{"m1", "m2"}) {
@@ -30,6 +31,7 @@
 	}
 }
 
+// An error of Parse names the key whose value is not allowed.
 func TestParseErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                                "JSON",
@@ -41,16 +43,16 @@
 		`{"nInstances":-1}`:                                "nInstances",
 		`{"nInstances":4000000000}`:                        "nInstances",
 		`{"tick":-1}`:                                      "tick",
-		`{"classes":[{"name":"a","deadline":-1}]}`:         "classes[0]",
-		`{"tenants":[{"name":"t","quotaPerS":-2}]}`:        "tenants[0]",
+		`{"classes":[{"name":"a","deadline":-1}]}`:         "classes[0].deadline",
+		`{"tenants":[{"name":"t","quotaPerS":-2}]}`:        "tenants[0].quotaPerS",
 		`{"obligations":{"coldShare":1.5}}`:                "coldShare",
 		`{"obligations":{"drainGrace":-5}}`:                "drainGrace",
 		`{"obligations":{"fallMultiple":-1}}`:              "fallMultiple",
-		`{"limits":{"connectTimeout":-1}}`:                 "limits",
+		`{"limits":{"connectTimeout":-1}}`:                 "limits.connectTimeout",
 		`{"loadReport":{"columns":["a","b","c","d","e"]}}`: "columns",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want a word of %s", text, err, want)
+			t.Errorf("%s: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
