--- a/balance/action.go
+++ b/balance/action.go
@@ -15,10 +15,10 @@
 	Fail                               // Request: the final answer; a retry may not be safe
 	HealthCheck                        // Endpoint: send a health check
 	SetTimer                           // Delay, TimerID: pass a TimerFired after the delay
-	WatchEndpoints                     // subscribe to changes of the endpoint list
-	UnwatchEndpoints                   // end the subscription
-	FetchEndpoints                     // read the complete list once
-	SendToPeer                         // Peer, Payload
+	WatchEndpoints                     // no fields: subscribe to changes of the endpoint list
+	UnwatchEndpoints                   // no fields: end the subscription
+	FetchEndpoints                     // no fields: read the complete list once
+	SendToPeer                         // Peer, Payload: send a message to another instance
 	CloseIdle                          // Endpoint: close the idle connections to it
 	Log                                // Text: write a log line for the operator
 )
@@ -33,7 +33,7 @@
 	Request     string
 	Endpoint    EndpointID
 	Attempt     int
-	Timeout     time.Duration // of the attempt; 0: the attempt may last until the client gives up
+	Timeout     time.Duration // longest duration of the attempt; 0: until the client gives up
 	StartWithin time.Duration // the attempt is sent only if its first byte leaves within this time; 0: no limit
 	RetryAfter  time.Duration // the Retry-After for the client; 0: none
 	Delay       time.Duration // time until the timer fires
@@ -60,7 +60,7 @@
 // checkHealth returns the action that sends a health check to an endpoint.
 func checkHealth(endpoint EndpointID) Action { return Action{Kind: HealthCheck, Endpoint: endpoint} }
 
-// startTimer returns the action after which the node passes a TimerFired with the id once the delay is over.
+// startTimer returns the action that makes the node pass a TimerFired with the id after the delay.
 func startTimer(delay time.Duration, id uint64) Action {
 	return Action{Kind: SetTimer, Delay: delay, TimerID: id}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -104,7 +104,7 @@
 		PeerMessage{Peer: 1, Payload: []byte{1, 2}},
 	} {
 		if acts := ofKind(Forward, h.handle(ev)); len(acts) != 0 {
-			t.Errorf("%+v: %+v", ev, acts)
+			t.Errorf("%+v: forwarded: %+v", ev, acts)
 		}
 	}
 	if h.handle(ClientDisconnected{Request: "x"}); len(h.last) != 0 {
@@ -121,7 +121,7 @@
 		}
 	}
 	if _, err := New(Config{}, 1); err != nil {
-		t.Errorf("an empty Config: %v", err)
+		t.Errorf("rejected an empty Config: %v", err)
 	}
 }
 
--- a/balance/config.go
+++ b/balance/config.go
@@ -41,7 +41,7 @@
 	Share          float64 // the tenant's fraction of the service
 }
 
-// Limits holds what the site permits, and its limits.
+// Limits holds the permissions and the limits that a site sets.
 type Limits struct {
 	Cancellation   bool          // CancelAttempt is permitted
 	HealthChecks   bool          // HealthCheck is permitted
@@ -77,11 +77,11 @@
 	PollInterval      time.Duration // how long a list may be used without a subscription; 0: defaultPollInterval
 	SlowStartFraction float64       // an endpoint starts with at least this fraction of its capacity
 	SlowStartDuration time.Duration // an endpoint has its full capacity after this time at the latest
-	OverloadMultiple  float64       // load above this multiple of its present capacity brings an endpoint in slow start
-	OverloadWindow    time.Duration // down, if it lasts for this time
+	OverloadMultiple  float64       // load above this multiple of its present capacity is an overload
+	OverloadWindow    time.Duration // an overload of this duration brings down an endpoint in slow start
 }
 
-// LoadReportSource is where endpoints report their load.
+// LoadReportSource says in which results endpoints report their load.
 type LoadReportSource uint8
 
 // Sources of load reports.
--- a/balance/event.go
+++ b/balance/event.go
@@ -61,7 +61,7 @@
 // TimerFired is sent when a timer set by SetTimer is due.
 type TimerFired struct{ ID uint64 }
 
-// HealthChecked is sent with the result of a HealthCheck.
+// HealthChecked is sent when a HealthCheck has a result.
 type HealthChecked struct {
 	Endpoint EndpointID
 	Elapsed  time.Duration // since the check was sent
@@ -81,8 +81,8 @@
 	NotReplayable bool // part of an incomplete request has been consumed, so it cannot be sent again
 }
 
-// PeerMessage is a message from another instance. The simulator's protocol has it and hosts deliver it; no rule uses it
-// yet.
+// PeerMessage is sent when a message from another instance has arrived. The simulator's protocol has it and hosts
+// deliver it, but no rule uses it yet.
 type PeerMessage struct {
 	Peer    int
 	Payload []byte
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -20,55 +20,56 @@
 		b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: endpoints}, nil)
 		return b
 	}
-	old := start(list)
-	countForwarded(old, now, 2500)
+	predecessor := start(list)
+	countForwarded(predecessor, now, 2500)
 	now += 2600 * time.Millisecond
-	old.endpoints[3].slowStartCreditSeconds = 0.125
-	text, err := json.Marshal(old.HandoverState())
+	predecessor.endpoints[3].slowStartCreditSeconds = 0.125
+	text, err := json.Marshal(predecessor.HandoverState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m HandoverState
-	if err := json.Unmarshal(text, &m); err != nil {
+	var state HandoverState
+	if err := json.Unmarshal(text, &state); err != nil {
 		t.Fatal(err)
 	}
-	retries := old.retryBudget.retries
-	old.Handle(now, HandoverChanged{HandedOver: true}, nil)
+	retries := predecessor.retryBudget.retries
+	predecessor.Handle(now, HandoverChanged{HandedOver: true}, nil)
 	list[3].StartedAt = now // this endpoint has restarted since the state was handed over
-	next := start(list)
-	next.Handle(now, TookOver{State: &m}, nil)
+	successor := start(list)
+	successor.Handle(now, TookOver{State: &state}, nil)
 	for id := EndpointID(1); id <= 2; id++ {
-		got, want := next.serviceSeconds(next.endpoints[id]), old.serviceSeconds(old.endpoints[id])
+		got, want := successor.serviceSeconds(successor.endpoints[id]), predecessor.serviceSeconds(predecessor.endpoints[id])
 		if got != want || want == 0 {
 			t.Errorf("endpoint %d: service time %v, want %v", id, got, want)
 		}
 	}
-	if next.endpoints[4].meanLatencySeconds != 0 {
+	if successor.endpoints[4].meanLatencySeconds != 0 {
 		t.Error("the state of the old process was restored for the new process")
 	}
-	if next.latency.meanUnloadedSeconds() != old.latency.meanUnloadedSeconds() ||
-		next.queueBudget.fraction != old.queueBudget.fraction ||
-		next.slowStart.warmThroughput != old.slowStart.warmThroughput || next.windowStart != m.WindowStart {
+	if successor.latency.meanUnloadedSeconds() != predecessor.latency.meanUnloadedSeconds() ||
+		successor.queueBudget.fraction != predecessor.queueBudget.fraction ||
+		successor.slowStart.warmThroughput != predecessor.slowStart.warmThroughput ||
+		successor.windowStart != state.WindowStart {
 		t.Errorf("unloaded latency %v, queue budget %v, warm throughput %v",
-			next.latency.meanUnloadedSeconds(), next.queueBudget.fraction, next.slowStart.warmThroughput)
+			successor.latency.meanUnloadedSeconds(), successor.queueBudget.fraction, successor.slowStart.warmThroughput)
 	}
-	if old.endpoints[3].slowStartCreditSeconds != 0 || next.endpoints[3].slowStartCreditSeconds != 0.125 {
+	if predecessor.endpoints[3].slowStartCreditSeconds != 0 || successor.endpoints[3].slowStartCreditSeconds != 0.125 {
 		t.Errorf("slow start credits %v and %v, want 0 and 0.125",
-			old.endpoints[3].slowStartCreditSeconds, next.endpoints[3].slowStartCreditSeconds)
+			predecessor.endpoints[3].slowStartCreditSeconds, successor.endpoints[3].slowStartCreditSeconds)
 	}
-	if sum := old.retryBudget.retries + next.retryBudget.retries; retries == 0 || sum != retries {
+	if sum := predecessor.retryBudget.retries + successor.retryBudget.retries; retries == 0 || sum != retries {
 		t.Errorf("retry budget of both processes %v, want %v", sum, retries)
 	}
 	now += 2 * time.Second
-	old.Handle(now, TimerFired{}, nil)
-	if c := old.endpoints[3].slowStartCreditSeconds; c > 0 {
-		t.Errorf("the old process has a credit of %v, want none", c)
+	predecessor.Handle(now, TimerFired{}, nil)
+	if c := predecessor.endpoints[3].slowStartCreditSeconds; c > 0 {
+		t.Errorf("the predecessor has a credit of %v, want none", c)
 	}
 	// A process that takes the new requests again gets credit again.
-	old.Handle(now, HandoverChanged{}, nil)
+	predecessor.Handle(now, HandoverChanged{}, nil)
 	now += 2 * time.Second
-	old.Handle(now, TimerFired{}, nil)
-	if c := old.endpoints[3].slowStartCreditSeconds; c <= 0 {
+	predecessor.Handle(now, TimerFired{}, nil)
+	if c := predecessor.endpoints[3].slowStartCreditSeconds; c <= 0 {
 		t.Errorf("credit %v after the process takes new requests again", c)
 	}
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -71,6 +71,7 @@
 	return h
 }
 
+// handle passes an event at the current time.
 func (h *harness) handle(ev Event) []Action {
 	h.last = h.b.Handle(h.now, ev, nil)
 	return h.last
@@ -88,9 +89,10 @@
 	return h.last
 }
 
-func (h *harness) endAttempt(id string, attempt int, endpoint EndpointID, st Status) []Action {
-	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: st,
-		Elapsed: 20 * ms, Final: st == StatusSucceeded})
+// endAttempt ends an attempt after 20 ms; its request is final if the attempt succeeded.
+func (h *harness) endAttempt(id string, attempt int, endpoint EndpointID, status Status) []Action {
+	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: status,
+		Elapsed: 20 * ms, Final: status == StatusSucceeded})
 }
 
 // request returns a request that is not registered in the Balancer, for calls to single rules. Tenant -1 has no quota.
@@ -112,11 +114,11 @@
 // forwardedTo returns the endpoint of the only Forward among the last actions.
 func (h *harness) forwardedTo() EndpointID {
 	h.t.Helper()
-	s := ofKind(Forward, h.last)
-	if len(s) != 1 {
-		h.t.Fatalf("%d forwards, want 1: %+v", len(s), h.last)
+	forwards := ofKind(Forward, h.last)
+	if len(forwards) != 1 {
+		h.t.Fatalf("%d forwards, want 1: %+v", len(forwards), h.last)
 	}
-	return s[0].Endpoint
+	return forwards[0].Endpoint
 }
 
 func listedEndpoint(id EndpointID, zone, cell int) Endpoint {
@@ -142,20 +144,20 @@
 }
 
 // serve passes n requests of a class one after the other and returns the number of attempts at each endpoint. Each
-// attempt has the latency that took returns for its endpoint: 0 means an error, and a negative value means no answer.
-func (h *harness) serve(n, class int, took func(EndpointID) time.Duration) map[EndpointID]int {
+// attempt ends after the latency of its endpoint: 0 means an error, and a negative value means no answer.
+func (h *harness) serve(n, class int, latency func(EndpointID) time.Duration) map[EndpointID]int {
 	h.t.Helper()
 	count := map[EndpointID]int{}
 	for i := range n {
 		id := fmt.Sprint("serve", h.now, i)
 		h.arrive(id, class)
-		sends, checks := ofKind(Forward, h.last), ofKind(HealthCheck, h.last)
+		forwards, checks := ofKind(Forward, h.last), ofKind(HealthCheck, h.last)
 		h.advance(10 * ms)
-		for len(sends) > 0 {
-			a := sends[0]
+		for len(forwards) > 0 {
+			a := forwards[0]
 			count[a.Endpoint]++
 			ev := AttemptEnded{Request: id, Attempt: a.Attempt, Endpoint: a.Endpoint}
-			switch d := took(a.Endpoint); {
+			switch d := latency(a.Endpoint); {
 			case d > 0:
 				ev.Elapsed, ev.Final = d, true
 			case d == 0:
@@ -165,7 +167,7 @@
 				ev.Status = StatusTimedOut
 			}
 			h.recordLogs(h.handle(ev))
-			sends = ofKind(Forward, h.last)
+			forwards = ofKind(Forward, h.last)
 		}
 		for _, a := range checks {
 			h.handle(loadReported(a.Endpoint, h.b.endpoints[a.Endpoint].inFlight))
@@ -198,6 +200,7 @@
 	h.b.loads.zones[e.Zone] = loadAverage{mean: queue, reports: 1e9, updatedAt: h.now}
 }
 
+// in20ms is the latency of an endpoint that always answers in 20 ms.
 func in20ms(EndpointID) time.Duration { return 20 * ms }
 
 // loadReported returns the event of a health check that reports the number of active requests.
@@ -223,11 +226,11 @@
 // timerID returns the id of the first timer among the last actions.
 func (h *harness) timerID() uint64 {
 	h.t.Helper()
-	s := ofKind(SetTimer, h.last)
-	if len(s) == 0 {
+	timers := ofKind(SetTimer, h.last)
+	if len(timers) == 0 {
 		h.t.Fatalf("no timer in %+v", h.last)
 	}
-	return s[0].TimerID
+	return timers[0].TimerID
 }
 
 // withIncompleteRequest returns a Balancer with an incomplete request and the endpoint to which it was forwarded.
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -34,14 +34,14 @@
 		h.advance(200 * ms)
 		h.handle(loadReported(1, q))
 	}
-	was := 4.0
-	h.setOtherNodesLoad(1, was)
+	before := 4.0
+	h.setOtherNodesLoad(1, before)
 	for range 20 {
 		h.advance(time.Second)
 		h.handle(loadReported(1, 0))
 	}
-	if is := h.b.queueEstimate(h.b.endpoints[1]); is > was/4 {
-		t.Errorf("queue estimate %v, then %v after 20 reports of 0; want at most a quarter", was, is)
+	if after := h.b.queueEstimate(h.b.endpoints[1]); after > before/4 {
+		t.Errorf("queue estimate %v, then %v after 20 reports of 0; want at most a quarter", before, after)
 	}
 }
 
@@ -53,13 +53,13 @@
 		h.handle(loadReported(1, float64(i%2)))
 	}
 	h.handle(loadReported(1, 9))
-	was := h.b.expectedLoad(h.b.endpoints[1])
+	before := h.b.expectedLoad(h.b.endpoints[1])
 	for range 20 {
 		h.advance(ms)
 		h.handle(loadReported(1, 9))
 	}
-	if o := h.b.expectedLoad(h.b.endpoints[1]); o != was {
-		t.Errorf("the expected load went from %v to %v by repeated reports", was, o)
+	if after := h.b.expectedLoad(h.b.endpoints[1]); after != before {
+		t.Errorf("the expected load went from %v to %v by repeated reports", before, after)
 	}
 }
 
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -21,6 +21,7 @@
 	actions   []Action
 }
 
+// trackedRequest is the test's own record of a request.
 type trackedRequest struct {
 	class    *Class
 	deadline time.Duration
@@ -28,6 +29,7 @@
 	finished bool
 }
 
+// trackedAttempt is the test's own record of an attempt.
 type trackedAttempt struct {
 	request    string
 	attempt    int
@@ -37,6 +39,7 @@
 	pending    bool
 }
 
+// step passes an event to the Balancer and checks each action.
 func (p *eventPlayer) step(ev Event) {
 	p.handle(ev)
 	for _, a := range p.last {
@@ -121,6 +124,7 @@
 	}
 }
 
+// fireTimers fires all timers that are due, also those that a fired timer sets.
 func (p *eventPlayer) fireTimers() {
 	for i := 0; i < len(p.timers); i++ {
 		if p.timersDue[i] <= p.now {
@@ -158,6 +162,7 @@
 	return Load{Has: LoadField(p.rng.IntN(64)), Active: p.rng.Float64() * 2, Waiting: p.rng.Float64()}
 }
 
+// changeEndpoints changes a random endpoint by a new list, or lets a call to discovery fail.
 func (p *eventPlayer) changeEndpoints() {
 	m := listedEndpoint(EndpointID(1+p.rng.IntN(8)), p.rng.IntN(2), p.rng.IntN(3))
 	if old, ok := p.list[m.ID]; ok {
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Every request gets exactly one final answer, at its deadline at the latest.
+// A request without an answer gets its final answer at its deadline, and only one final answer.
 func TestDeadlineEndsEveryRequest(t *testing.T) {
 	for class, want := range map[int]ActionKind{idempotent: Reject, nonIdempotent: Fail, keyedZone: Fail} {
 		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
@@ -83,7 +83,7 @@
 	to := h.forwardedTo()
 	h.advance(time.Second)
 	if acts := h.endAttempt("x", 0, to, StatusTimedOut); len(ofKind(Fail, acts)) != 1 || len(ofKind(Forward, acts)) != 0 {
-		t.Fatalf("got %+v", acts)
+		t.Fatalf("actions %+v, want one Fail and no Forward", acts)
 	}
 }
 
@@ -108,7 +108,7 @@
 	h.advance(time.Second)
 	for _, a := range timers {
 		if acts := h.handle(TimerFired{ID: a.TimerID}); len(acts) != 0 {
-			t.Fatalf("got %+v", acts)
+			t.Fatalf("actions for a timer after the stream has started: %+v, want none", acts)
 		}
 	}
 	acts := h.handle(AttemptEnded{Request: "x", Endpoint: to, Status: StatusConnectionLost, Final: true})
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -1,6 +1,6 @@
-// Package simproto reads and writes the line protocol between the simulator and its adapter, Command simhost, and maps
-// the protocol's names to the types of package balance. It makes no decisions. A malformed line is an error that names
-// the line and the field. Unknown fields and settings are skipped; an unknown message is returned as Unknown.
+// Package simproto reads and writes the line protocol between the simulator and its adapter, the command simhost, and
+// maps the protocol's names to the types of package balance. It makes no decisions. A malformed line is an error that
+// names the line and the field. Unknown fields and settings are skipped; an unknown message is returned as Unknown.
 package simproto
 
 import (
--- a/internal/siteconfig/message.go
+++ b/internal/siteconfig/message.go
@@ -26,6 +26,7 @@
 	ServiceType    string             `json:"serviceType"`
 }
 
+// classMessage becomes a balance.Class.
 type classMessage struct {
 	Name       string  `json:"name"`
 	Aim        int64   `json:"aim"`
@@ -39,26 +40,31 @@
 	Stream     bool    `json:"stream"`
 }
 
+// tenantMessage becomes a balance.Tenant.
 type tenantMessage struct {
 	Name      string  `json:"name"`
 	QuotaPerS float64 `json:"quotaPerS"`
 	Share     float64 `json:"share"`
 }
 
+// domainMessage holds settings about the endpoints; see balance.Config.WarmKeys and PassesDeadline.
 type domainMessage struct {
 	WarmKeys       bool `json:"warmKeys"`
 	PassesDeadline bool `json:"passesDeadline"`
 }
 
+// callersMessage holds settings about the clients; see balance.Config.ClientsMarkRetries.
 type callersMessage struct {
 	MarksRetry bool `json:"marksRetry"`
 }
 
+// loadReportMessage holds the source and the values of load reports.
 type loadReportMessage struct {
 	Source  string   `json:"source"`
 	Columns []string `json:"columns"`
 }
 
+// limitsMessage becomes balance.Limits.
 type limitsMessage struct {
 	Cancelling      bool    `json:"cancelling"`
 	Probing         bool    `json:"probing"`
@@ -75,6 +81,7 @@
 	CPUUsPerRequest float64 `json:"cpuUsPerRequest"`
 }
 
+// pricesMessage becomes balance.Prices.
 type pricesMessage struct {
 	CrossZone  float64 `json:"crossZone"`
 	Waste      float64 `json:"waste"`
@@ -89,6 +96,7 @@
 	Fleet      float64 `json:"fleet"`
 }
 
+// obligationsMessage becomes balance.Rules.
 type obligationsMessage struct {
 	GraceToAnswer int64   `json:"graceToAnswer"`
 	DrainGrace    int64   `json:"drainGrace"`
@@ -99,6 +107,7 @@
 	OverloadFor   int64   `json:"overloadFor"`
 }
 
+// goalMessage becomes balance.Goal.
 type goalMessage struct {
 	Whole       float64 `json:"whole"`
 	WorstClass  float64 `json:"worstClass"`
