--- a/balance/golden_test.go
+++ b/balance/golden_test.go
@@ -7,6 +7,6 @@
 )
 
 // The encoded HandoverState stays the same, because processes of other versions read it.
-func TestHandoverStateKeepsItsEncoding(t *testing.T) {
+func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[HandoverState](t, "memory")
 }
--- a/internal/siteconfig/checks.go
+++ b/internal/siteconfig/checks.go
@@ -46,10 +46,13 @@
 	return nil
 }
 
-// indexError returns the error for an index that does not fit its list of names. The list may be missing.
+// indexError returns the error for an index that is not in its list of names. Without a list, the index is negative.
 func indexError(key string, index int, listKey string, length int) error {
-	return fmt.Errorf("%s: %d is out of range; it must be 0 or more, and below %d if %s has %d names",
-		key, index, length, listKey, length)
+	if length == 0 {
+		return checkNotNegative(key, index)
+	}
+	return fmt.Errorf("%s: %d is out of range; it must be from 0 to %d, because %s has %d names",
+		key, index, length-1, listKey, length)
 }
 
 func (l *limitsMessage) check() error {
