--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -9,7 +9,7 @@
 
 // Requests are rejected when queues are long: in a full queue every answer is late, and only rejecting shortens it.
 func TestRequestsAreRejectedWhenQueuesAreLong(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	sent, rejected := 0, 0
 	for i := range 200 {
@@ -24,7 +24,7 @@
 
 // No setting says how much load is too much. The limit on the wait follows the measured lateness of answers.
 func TestLateAnswersLowerTheQueueBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(1000, idempotent, in20ms)
 	if r.b.queueBudget.fraction < 2*initialQueueBudget || r.b.queueBudget.fraction > maxQueueBudget {
 		t.Fatalf("queue budget %v while all answers are in time", r.b.queueBudget.fraction)
@@ -42,7 +42,7 @@
 // Timeouts at an endpoint that hangs are no sign of overload. They must not make the node reject requests for the other
 // endpoints.
 func TestTimeoutsAtUnresponsiveEndpointsLeaveTheQueueBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(300, idempotent, in20ms)
 	was := r.b.queueBudget.fraction
 	for i := range 5 {
@@ -63,7 +63,7 @@
 		cfg := testConfig()
 		cfg.PriorityPerWork = byWork
 		cfg.Classes[idempotent].PriorityWeight, cfg.Classes[nonIdempotent].PriorityWeight = 4, 1
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		r.serve(100, nonIdempotent, in20ms)
 		high := r.b.maxWaitSeconds(r.request(idempotent, -1))
@@ -85,7 +85,7 @@
 func TestPriorityFactorIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[idempotent].PriorityWeight, cfg.Classes[nonIdempotent].PriorityWeight = 1000, 0.001
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(50, nonIdempotent, in20ms)
 	usual := r.b.queueBudget.fraction * max(r.b.slackSeconds(), r.b.latency.meanUnloadedSeconds())
@@ -101,7 +101,7 @@
 // With all endpoints slower than the latency objective there is no slack. The maximum wait stays above zero, because
 // rejecting all requests would leave the endpoints idle.
 func TestSlowEndpointsStillGetRequests(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, func(EndpointID) time.Duration { return 600 * ms })
 	got := r.b.maxWaitSeconds(r.request(idempotent, -1))
 	if r.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
@@ -112,7 +112,7 @@
 // A heavy request is late behind any queue. A late answer lowers the queue budget only if its queue made it late.
 func TestOnlyLatenessByTheQueueLowersTheQueueBudget(t *testing.T) {
 	for queue, lowers := range map[float64]bool{0: false, 12: true} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.serve(100, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		e.meanLatencySeconds, e.meanQueueAtArrival = 0.02*(queue+1), queue
@@ -131,7 +131,7 @@
 // A node that has no answers yet limits waits too. Otherwise all nodes that start at the same time would fill every
 // endpoint.
 func TestNewNodeBoundsWaits(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	if s := r.b.slackSeconds(); math.IsInf(s, 1) {
 		t.Errorf("slack %v without an answer", s)
 	}
@@ -140,7 +140,7 @@
 // A node of a large fleet gets few answers a second, and must notice overload in as many seconds as a busy node.
 func TestQueueBudgetFollowsTimeNotTheNumberOfAnswers(t *testing.T) {
 	after := func(gap time.Duration) float64 {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 		r.b.queueBudget.answerGapSeconds = gap.Seconds()
 		for range int(time.Second / gap) {
 			r.advance(gap)
@@ -159,7 +159,7 @@
 func TestOneTightClassDoesNotRejectAll(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[nonIdempotent].LatencyObjective = 20 * ms
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(50, nonIdempotent, func(EndpointID) time.Duration { return 30 * ms })
 	if s := r.b.slackSeconds(); s < 0.1 {
@@ -169,7 +169,7 @@
 
 // The clock may start at any value. The time before the first answer is no gap between answers.
 func TestFirstAnswerHasNoGap(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(20, idempotent, in20ms)
 	if r.b.queueBudget.answerGapSeconds > 0.5 {
 		t.Errorf("mean gap of %v s after answers every 10 ms", r.b.queueBudget.answerGapSeconds)
@@ -187,7 +187,7 @@
 		"queued": {0.9, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			r.serve(300, idempotent, in20ms)
 			r.arrive("x", idempotent)
 			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
@@ -205,7 +205,7 @@
 // A request does not join a queue that takes longer than the slack, however long answers have been in time. It would be
 // late, and so would all requests behind it.
 func TestMaxWaitNeverExceedsTheSlack(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(20000, idempotent, in20ms)
 	if r.b.queueBudget.fraction <= initialQueueBudget {
 		t.Fatalf("the queue budget is %v after many answers in time", r.b.queueBudget.fraction)
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -9,7 +9,7 @@
 
 // Slow answers of an endpoint in slow start must not keep it idle once it is warm.
 func TestAnswersInSlowStartCountAsWarm(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
 	r.serve(100, idempotent, in20ms)
 	e := r.b.endpoints[2]
 	for range 50 { // with a fifth of its capacity, a request of 20 ms takes 100 ms
@@ -26,7 +26,7 @@
 
 // An endpoint that was slow for a while must be tried again, although it has no new answers.
 func TestServiceTimeRecoversWithoutAnswers(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[2]
 	e.meanLatencySeconds, e.meanQueueAtArrival = 1, 0 // a service time of one second, fifty times that of the other endpoint
@@ -41,7 +41,7 @@
 
 // Answers that met a queue do not raise the unloaded latency. Otherwise overload would look like slow endpoints.
 func TestUnloadedLatencyIgnoresQueues(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	was := r.b.latency.classes[idempotent].unloadedSeconds
 	for i := range 20 {
@@ -61,7 +61,7 @@
 // A single slow first answer must not be taken for the unloaded latency of its class: the first answers count by their
 // mean.
 func TestFirstAnswersAreAveraged(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
 	r.serve(9, idempotent, in20ms)
 	if unloaded := r.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-0.046) > 0.001 {
@@ -76,7 +76,7 @@
 	for i := range members {
 		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newRig(t, testConfig(), members...)
+	r := newHarness(t, testConfig(), members...)
 	r.serve(40, idempotent, func(EndpointID) time.Duration { return 100 * ms })
 	if r.b.latency.meanServiceSeconds < 0.08 {
 		t.Errorf("service time %v after 40 answers of 100 ms", r.b.latency.meanServiceSeconds)
@@ -86,7 +86,7 @@
 // A node that starts when queues are long must not take its first answers for the unloaded latency. It uses the work
 // hint instead.
 func TestWorkHintStandsForTheUnloadedLatency(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.b.loads.overall.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
 	r.advance(time.Second)
 	r.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
@@ -111,7 +111,7 @@
 		"slow, without a hint": {spent: 150 * ms, want: 0.150},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			for i := range 200 {
 				r.advance(time.Second)
 				id := fmt.Sprint(i)
@@ -128,7 +128,7 @@
 // An endpoint with many cores answers as fast behind ten requests as behind none. A node that has met only short queues
 // must learn this from the few answers that it gets after a long queue.
 func TestAnswersAfterLongQueuesUpdateTheServiceTime(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(200, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	was := r.b.warmServiceSeconds(e)
@@ -144,7 +144,7 @@
 // A node of a large fleet gets an answer from an endpoint rarely. Its estimate for the endpoint must not be ten seconds
 // old.
 func TestRareAnswersCountMore(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(100, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	was, req := e.meanLatencySeconds, r.request(idempotent, 0)
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -8,7 +8,7 @@
 // In a large fleet it takes seconds to check all endpoints. An endpoint without a report is expected to have the mean
 // load. A single report of its own hardly changes this, but many reports do.
 func TestEndpointsWithoutReportsHaveTheMeanLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	r.handle(loadReported(1, 10))
 	if o := r.b.otherNodesLoad(r.b.endpoints[1]); o != 10 {
 		t.Errorf("load %v after a first report of 10", o)
@@ -38,7 +38,7 @@
 
 // The first reports apply to all endpoints that have not reported yet. They count in full and not by sampleWeight each.
 func TestFirstReportsApplyToEndpointsWithoutReports(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.advance(time.Second)
 	r.handle(loadReported(1, 10))
 	if o := r.b.otherNodesLoad(r.b.endpoints[2]); o < 5 {
@@ -49,7 +49,7 @@
 // The mean load of a zone with more traffic than it can handle must not be taken for that of all endpoints. Otherwise
 // the other zones stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
 	for range 20 {
 		r.advance(200 * ms)
@@ -64,7 +64,7 @@
 // A node of a large fleet gets one load report a second, from one endpoint of many. If this endpoint has three requests
 // more by chance, the entire zone must not look full.
 func TestOneReportHardlyChangesTheZoneMean(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for range 50 {
 		r.advance(time.Second)
 		r.handle(loadReported(1, 1))
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -7,7 +7,7 @@
 
 // An endpoint that answers only with errors gets few requests. Once it succeeds it gets as many as the other endpoint.
 func TestOutliersAreAvoidedAndRecover(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	failing := func(id EndpointID) time.Duration { return time.Duration(2-id) * 20 * ms } // endpoint 2 answers only with errors
 	r.serve(40, idempotent, failing)
@@ -29,7 +29,7 @@
 
 // A failure rate that all endpoints have in common adds no cost to any of them.
 func TestSharedFailuresCostNothing(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(400, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	e := r.b.endpoints[1]
@@ -44,7 +44,7 @@
 func TestRequestsAreForwardedWhenAllEndpointsFail(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0 // load reports clear the unaccepted attempts; the failure rates remain
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.serve(60, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	if n := r.serve(40, idempotent, in20ms); n[1]+n[2] < 20 {
@@ -55,7 +55,7 @@
 // An endpoint that hangs gets no more requests, although its queue is tolerable while it takes every request sent to
 // it.
 func TestUnresponsiveEndpointsGetNoRequests(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	answered := ""
 	for _, id := range []string{"one", "two"} { // one at each endpoint; only endpoint 1 answers
@@ -77,7 +77,7 @@
 // An endpoint without attempts in flight is not unresponsive. Otherwise a healthy endpoint would get no more requests
 // for good after an attempt times out that was sent before the endpoint's last activity.
 func TestEndpointWithoutAttemptsIsNotUnresponsive(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", idempotent)
 	r.serve(1, idempotent, in20ms)
@@ -90,7 +90,7 @@
 
 // Clients give up attempts early. A timeout while the endpoint answers other attempts says little about the endpoint.
 func TestTimeoutsAmongAnswersAreNoFailures(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("slow", idempotent)
 	r.serve(5, idempotent, in20ms)
 	r.endAttempt("slow", 0, 1, StatusTimedOut)
@@ -102,7 +102,7 @@
 // An endpoint that has lost every request looks idle. If its last attempt in flight times out and it has shown no
 // activity since that attempt was sent, the timeout counts as a failure.
 func TestTimeoutWithoutAnyActivityIsAFailure(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("lost", nonIdempotent)
 	r.advance(time.Second)
@@ -115,7 +115,7 @@
 // The time for which an endpoint with attempts in flight is unresponsive raises its cost, beyond what the queue
 // explains.
 func TestUnresponsiveTimeRaisesTheCost(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	e := r.b.endpoints[1]
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -7,7 +7,7 @@
 
 // An answer without a load report returns the queue estimate to its value before the request was forwarded.
 func TestAnswerRestoresTheQueueEstimate(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(5, idempotent, in20ms)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
 		t.Errorf("queue estimate %v after all requests were answered", e)
@@ -20,7 +20,7 @@
 
 // An endpoint that fails fast looks idle. The attempts that it did not accept stay counted until it reports its load.
 func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	r.endAttempt("x", 0, 1, StatusRejected)
 	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
@@ -39,7 +39,7 @@
 		gap, serviceTime time.Duration
 		staysHigh        bool
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		for i := range 300 { // the interval between reports is learned from these
@@ -63,7 +63,7 @@
 func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 	r.arrive("x", idempotent)
 	r.endAttempt("x", 0, 1, StatusRejected)
 	for range 20 {
@@ -77,7 +77,7 @@
 
 // As the queue turns over, the estimate moves from the reported load to the expected load of the endpoint.
 func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	r.setOtherNodesLoad(1, 2)
@@ -106,7 +106,7 @@
 		StatusNotSent:          0,
 	} {
 		cfg := testConfig()
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		e.unaccepted = 0
@@ -135,7 +135,7 @@
 func TestAbandonedAttemptsFadeMoreSlowly(t *testing.T) {
 	for _, status := range []Status{StatusTimedOut, StatusCancelled} {
 		cfg := testConfig()
-		r := newRig(t, cfg, listedEndpoint(1, 0, 0))
+		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
 		r.serve(50, idempotent, in20ms)
 		e := r.b.endpoints[1]
 		before := r.b.queueEstimate(e)
@@ -159,7 +159,7 @@
 
 // A lost attempt counts as unaccepted, whoever ended it.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	e := r.b.endpoints[1]
 	e.unaccepted, e.abandoned = 0, 0
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -8,7 +8,7 @@
 
 // Retries are at most a tenth of the requests, and not much less while attempts are rejected.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	sends := 0
 	for i := range 400 {
 		id := fmt.Sprint("r", i)
@@ -29,7 +29,7 @@
 // A request whose attempt fails at the deadline is answered and not retried, because its client stops waiting before a
 // retry could end.
 func TestNoRetryAtTheDeadline(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	to := r.forwardedTo()
@@ -42,7 +42,7 @@
 
 // A retry goes to an endpoint that has not had the request. If no such endpoint is left, the request is answered.
 func TestRetriesGoToOtherEndpoints(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	first := r.forwardedTo()
@@ -56,7 +56,7 @@
 
 // Requests at low load must not save up an unlimited number of retries for an overload.
 func TestRetryBudgetIsCapped(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	r.serve(1000, idempotent, in20ms)
 	if r.b.retryBudget.retries != maxRetryBudget {
 		t.Errorf("%v retries saved up", r.b.retryBudget.retries)
@@ -66,7 +66,7 @@
 // An attempt that fails after its stream has started is not retried. The client would get the start of the stream
 // twice.
 func TestStartedStreamIsNotRetried(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	r.arrive("x", idempotent)
 	to := r.forwardedTo()
@@ -131,7 +131,7 @@
 		{"keyed by cell past its window", keyedCell, StatusConnectionLost, 600 * ms, false, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testConfig(), members...)
+			r := newHarness(t, testConfig(), members...)
 			for i := range 40 { // earn a retry budget
 				id := fmt.Sprint("warm", i)
 				r.arrive(id, idempotent)
@@ -164,7 +164,7 @@
 
 // If no other endpoint is in the cell, the request must fail. A rejection would promise that trying again is harmless.
 func TestCellKeyedRequestFailsOnceItMayHaveRun(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
 	r.arrive("x", keyedCell)
 	acts := r.endAttempt("x", 0, r.forwardedTo(), StatusConnectionLost)
 	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Reject, acts)) != 0 || len(ofKind(Forward, acts)) != 0 {
@@ -176,7 +176,7 @@
 // at any time.
 func TestKeyedRetriesStartWithinTheKeyWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{idempotent: 0, keyedAll: 300 * ms} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.b.retryBudget.retries = 5
 		first := ofKind(Forward, r.arrive("x", class))
 		if len(first) != 1 || first[0].StartWithin != 0 {
@@ -188,7 +188,7 @@
 			t.Errorf("class %d, the retry: %+v", class, r.last)
 		}
 	}
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.b.retryBudget.retries = 5
 	first := ofKind(Forward, r.arrive("x", keyedAll))
 	r.advance(200 * ms)
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -7,7 +7,7 @@
 
 // An endpoint that is four times as slow gets at most a quarter of the requests of the other one.
 func TestSlowEndpointsGetFewerRequests(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	n := r.serve(200, idempotent, func(id EndpointID) time.Duration { return time.Duration(id*id) * 20 * ms })
 	if n[2]*4 > n[1] {
@@ -18,7 +18,7 @@
 // A node must not settle on endpoints of its own. Of an endpoint with this node's attempts and an endpoint with as many
 // attempts of other nodes, it chooses the latter.
 func TestOwnAttemptsCountTwice(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	own, other := r.b.endpoints[1], r.b.endpoints[2]
 	own.inFlight, other.reportedLoad = 2, 2.5
 	other.loadBias, other.reportedAt = 2.5, r.now
@@ -31,7 +31,7 @@
 
 // Idle endpoints still get requests when all endpoints become slow at the same time.
 func TestIdleEndpointsAreNeverFull(t *testing.T) {
-	r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	r.serve(50, idempotent, in20ms)
 	if n := r.serve(100, idempotent, func(EndpointID) time.Duration { return 500 * ms }); n[1]+n[2] < 100 {
 		t.Errorf("only %v of 100 requests were sent to idle endpoints", n)
@@ -42,7 +42,7 @@
 func TestRequestsCrossZonesOnlyToFasterEndpoints(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.12
-	r := newRig(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 1, 1))
+	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 1, 1))
 	r.serve(50, idempotent, in20ms)
 	if n := r.serve(100, idempotent, in20ms); n[2] > 5 {
 		t.Errorf("%d of 100 requests crossed zones to an equally fast endpoint", n[2])
@@ -60,7 +60,7 @@
 		failureRate float64
 		want        ActionKind
 	}{"some": {0.5, Forward}, "most": {0.9, Reject}} {
-		r := newRig(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		r.serve(300, idempotent, in20ms)
 		full, failing := r.b.endpoints[1], r.b.endpoints[2]
 		r.setOtherNodesLoad(1, 3*r.b.slackSeconds()/r.b.serviceSeconds(full))
