--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -62,7 +62,7 @@
 
 // A node whose calls of accept fail for a moment, with any error that passes, serves every request.
 func TestServesWhileAcceptFails(t *testing.T) {
-	s := startFlaky(t, echo(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
+	s := startFlaky(t, newEchoBackend(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
 	began := time.Now()
 	for range 2 * len(passingErrors) {
 		if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
@@ -83,7 +83,7 @@
 // closed.
 func TestShutdownServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
 	var failing atomic.Bool
-	s := startFlaky(t, echo(t).Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
+	s := startFlaky(t, newEchoBackend(t).Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
 	s.dialed(t, "").Close() // ends the call of accept that waits already
 	s.stop()
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -17,7 +17,7 @@
 // However many connections are idle or within a head, requests on new ones are served, and so are those of clients
 // that use theirs.
 func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
 	cfg.Admin, cfg.StateDir, cfg.Limits.Sockets = "127.0.0.1:0", t.TempDir(), 128
 	n := start(t, cfg)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -28,7 +28,7 @@
 		if f.shutdown.responsesDue() {
 			f.conns.rejectIncomplete()
 		}
-		if f.shutdown.expired() && f.inFlight.Load() == 0 {
+		if f.shutdown.exitDue() && f.inFlight.Load() == 0 {
 			return
 		}
 		pause(ctx, shutdownPollInterval)
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -90,10 +90,10 @@
 
 // A backend that a complete list does not name is removed, though it still answers: requests go to those named.
 func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
-	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
+	before := listText(1, true, listed{"old", newEchoBackend(t).Addr().String(), "ready", 0})
 	reg := newRegistry(t, before)
 	n := start(t, testConfig(t, reg.addr, before))
-	reg.next <- listText(2, true, listed{"new", echo(t).Addr().String(), "ready", 0})
+	reg.next <- listText(2, true, listed{"new", newEchoBackend(t).Addr().String(), "ready", 0})
 	eventually(t, "the end of what is left out", func() (gone bool) {
 		n.onLoop(t, func() {
 			old, fresh := n.loop.backendsByID["old"], n.loop.backendsByID["new"]
@@ -125,7 +125,7 @@
 	receive(t, "the request at the backend", held)
 	reg.next <- listText(2, false,
 		listed{"old", old.Addr().String(), "draining", 0},
-		listed{"new", echo(t).Addr().String(), "ready", 0})
+		listed{"new", newEchoBackend(t).Addr().String(), "ready", 0})
 	eventually(t, "the drain", func() (heard bool) {
 		n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 		return heard
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -100,16 +100,16 @@
 	for ctx.Err() == nil {
 		n.loop.post(finalResponsesDue{})
 		pause(ctx, shutdownPollInterval)
-		if !checked && schedule.expired() {
+		if !checked && schedule.exitDue() {
 			checked = true
 			n.loop.post(shutdownCheckDue{})
 		}
 	}
 }
 
-// failAllOpen fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
+// failOpenRequests fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
 // with a later deadline of their own. Responses that are being streamed go on.
-func (l *eventLoop) failAllOpen() {
+func (l *eventLoop) failOpenRequests() {
 	var open []*request
 	for _, r := range l.requests {
 		if r.isOpen() {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -17,8 +17,8 @@
 	"hitchvale/balance"
 )
 
-// process starts a process of the node whose files are in dir; another one may run already.
-func process(t *testing.T, dir, listen, list string, change ...string) *started {
+// startProcess starts a startProcess of the node whose files are in dir; another one may run already.
+func startProcess(t *testing.T, dir, listen, list string, change ...string) *started {
 	t.Helper()
 	cfg := testConfig(t, newRegistry(t, list).addr, list, change...)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
@@ -28,12 +28,12 @@
 	return start(t, cfg)
 }
 
-func healthy(t *testing.T, n *started) bool {
+func isHealthy(t *testing.T, n *started) bool {
 	resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
-func echo(t *testing.T) *rawBackend {
+func newEchoBackend(t *testing.T) *rawBackend {
 	return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/stats" {
 			return ok200("TEXT inflight=0")
@@ -81,15 +81,15 @@
 // One process replaces another while clients go on asking: nothing is lost, and the old one ends.
 func TestReplacedWithoutLoss(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(7, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	predecessor := process(t, dir, "", list)
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
+	list := listText(7, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	predecessor := startProcess(t, dir, "", list)
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	var sent, unanswered atomic.Int64
 	stop := sendUntilStopped(t, predecessor.url, &sent, &unanswered)
 	eventually(t, "the predecessor has estimates", func() bool { return stats(t, predecessor)["completed.read"] > 50 })
 	// The configuration of the successor has an old list; it uses the predecessor's.
-	successor := process(t, dir, predecessor.Addr().String(), listText(1, true))
-	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
+	successor := startProcess(t, dir, predecessor.Addr().String(), listText(1, true))
+	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	var meanLatency float64
 	successor.onLoop(t, func() {
 		for _, s := range successor.loop.balancer.HandoverState().Endpoints {
@@ -120,9 +120,9 @@
 // What waits in the queue of the predecessor's listener is served by the new one.
 func TestBacklogOutlivesThePredecessor(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	predecessor := process(t, dir, "", list)
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
+	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	predecessor := startProcess(t, dir, "", list)
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	predecessor.setHandedOver(true) // it accepts nothing
 	c, err := net.Dial("tcp", predecessor.Addr().String())
 	if err != nil {
@@ -131,8 +131,8 @@
 	defer c.Close()
 	io.WriteString(c, "GET /x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: queued\r\n"+
 		"X-Qos: read\r\nX-Customer: acme\r\nConnection: close\r\n\r\n")
-	successor := process(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
+	successor := startProcess(t, dir, predecessor.Addr().String(), list)
+	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	predecessor.stop()
 	c.SetReadDeadline(time.Now().Add(patience))
 	text := make([]byte, 1<<10)
@@ -146,9 +146,9 @@
 func startHandover(t *testing.T) (predecessor *started, h *handover) {
 	t.Helper()
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	predecessor = process(t, dir, "", list)
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
+	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	predecessor = startProcess(t, dir, "", list)
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	cfg := predecessor.cfg
 	cfg.Listen = predecessor.Addr().String()
 	h = newHandover(cfg, quiet())
@@ -224,10 +224,10 @@
 		return ok200("done")
 	}))
 	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
-	predecessor := process(t, dir, "", list)
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
-	successor := process(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
+	predecessor := startProcess(t, dir, "", list)
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
+	successor := startProcess(t, dir, predecessor.Addr().String(), list)
+	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	answered := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, successor.url+"/slow", "order"))
@@ -252,7 +252,7 @@
 
 // A predecessor that does not run, or does not answer, keeps no process from serving.
 func TestStartsWithoutAnswerOfPredecessor(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	for name, prepare := range map[string]func(path string){
 		"nobody": func(string) {},
 		"a file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
@@ -277,13 +277,13 @@
 				t.Fatal(err)
 			}
 			prepare(filepath.Join(dir, "glencart-n1.sock"))
-			n := process(t, dir, "", list)
-			eventually(t, "the process is ready", func() bool { return healthy(t, n) })
+			n := startProcess(t, dir, "", list)
+			eventually(t, "the process is ready", func() bool { return isHealthy(t, n) })
 			if resp, _ := do(t, ask(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
-			successor := process(t, dir, n.Addr().String(), list)
-			eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
+			successor := startProcess(t, dir, n.Addr().String(), list)
+			eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 		})
 	}
 }
@@ -326,8 +326,8 @@
 // While a successor accepts, this process sends nothing to endpoints in slow start.
 func TestHandoverSharesOneSlowStartBudget(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
-		listed{id: "s-b", addr: echo(t).Addr().String(), phase: "ready"})
-	n := process(t, t.TempDir(), "", list)
+		listed{id: "s-b", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	n := startProcess(t, t.TempDir(), "", list)
 	n.onLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
 	for range 20 {
 		if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
@@ -350,14 +350,14 @@
 	})
 	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	const deadline = 200 * time.Millisecond
-	predecessor := process(t, dir, "", list, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline))
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
+	predecessor := startProcess(t, dir, "", list, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline))
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	resp, err := http.DefaultTransport.RoundTrip(ask(t, predecessor.url+"/x", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	successor := process(t, dir, predecessor.Addr().String(), list)
+	successor := startProcess(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "it is handed over", func() bool { return predecessor.server.handedOver.Load() })
 	if successor.handover.serving.Load() && time.Since(successor.handover.startedAt) < predecessorSettleTimeout {
 		t.Error("the successor reports ready while the predecessor has a request in flight")
@@ -373,16 +373,16 @@
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
 	receive(t, "the end of the predecessor", predecessor.err)
-	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
+	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 }
 
 // The predecessor closes connections that keep it waiting, so that the successor has descriptors for clients with
 // requests.
 func TestPredecessorShedsConnections(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	predecessor := process(t, dir, "", list)
-	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
+	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	predecessor := startProcess(t, dir, "", list)
+	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	for range predecessor.maxClientConns / 2 {
 		c, err := net.Dial("tcp", predecessor.Addr().String())
 		if err != nil {
@@ -393,7 +393,7 @@
 	eventually(t, "the idle clients are accepted", func() bool {
 		return predecessor.listener.openConns() >= predecessor.maxClientConns/2
 	})
-	successor := process(t, dir, predecessor.Addr().String(), list)
+	successor := startProcess(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the idle clients are closed", func() bool {
 		return predecessor.server.handedOver.Load() && predecessor.listener.openConns() <= predecessor.maxClientConns/4
 	})
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -27,14 +27,14 @@
 const (
 	// finalResponseGiven: the client side has been given the one final response.
 	finalResponseGiven requestEvent = iota
-	// clientLeft: the client's connection was closed.
-	clientLeft
-	// noneInFlight: no attempt of the request is in flight now.
-	noneInFlight
+	// clientClosed: the client's connection was closed.
+	clientClosed
+	// noAttemptInFlight: no attempt of the request is in flight now.
+	noAttemptInFlight
 	requestEvents
 )
 
-var requestEventNames = [requestEvents]string{"final response given", "client left", "none in flight"}
+var requestEventNames = [requestEvents]string{"final response given", "client closed", "no attempt in flight"}
 
 func (e requestEvent) String() string { return requestEventNames[e] }
 
@@ -44,9 +44,9 @@
 	switch {
 	case s == requestOpen && event == finalResponseGiven:
 		return requestResponded, true
-	case s == requestOpen && event == clientLeft:
+	case s == requestOpen && event == clientClosed:
 		return requestDisconnected, true
-	case (s == requestResponded || s == requestDisconnected) && event == noneInFlight:
+	case (s == requestResponded || s == requestDisconnected) && event == noAttemptInFlight:
 		return requestReleased, true
 	}
 	return s, false
@@ -75,26 +75,26 @@
 type attemptEvent uint8
 
 const (
-	// firstByteDue: the attempt has a connection and is about to write.
-	firstByteDue attemptEvent = iota
-	// cancelledUnsent: the event loop cancels the attempt if nothing of it has been written.
-	cancelledUnsent
+	// writeStarting: the attempt has a connection and is about to write.
+	writeStarting attemptEvent = iota
+	// cancelledBeforeWrite: the event loop cancels the attempt if nothing of it has been written.
+	cancelledBeforeWrite
 	// resultRecorded: the event loop has the result of the attempt.
 	resultRecorded
 	attemptEvents
 )
 
-var attemptEventNames = [attemptEvents]string{"first byte due", "cancelled unsent", "result recorded"}
+var attemptEventNames = [attemptEvents]string{"write starting", "cancelled before write", "result recorded"}
 
 func (e attemptEvent) String() string { return attemptEventNames[e] }
 
 // next returns the state that follows from an event. It returns false where the event must not happen any more: a
-// cancelled attempt never writes, one that writes can't be cancelled unsent, and a result is recorded once.
+// cancelled attempt never writes, one that writes can't be cancelled, and a result is recorded once.
 func (s attemptState) next(event attemptEvent) (attemptState, bool) {
 	switch {
-	case s == attemptQueued && event == firstByteDue:
+	case s == attemptQueued && event == writeStarting:
 		return attemptWriting, true
-	case s == attemptQueued && event == cancelledUnsent:
+	case s == attemptQueued && event == cancelledBeforeWrite:
 		return attemptCancelled, true
 	case s != attemptEnded && event == resultRecorded:
 		return attemptEnded, true
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -14,9 +14,9 @@
 	}
 	allowed := map[transition]requestState{
 		{requestOpen, finalResponseGiven}:   requestResponded,
-		{requestOpen, clientLeft}:           requestDisconnected,
-		{requestResponded, noneInFlight}:    requestReleased,
-		{requestDisconnected, noneInFlight}: requestReleased,
+		{requestOpen, clientClosed}:           requestDisconnected,
+		{requestResponded, noAttemptInFlight}:    requestReleased,
+		{requestDisconnected, noAttemptInFlight}: requestReleased,
 	}
 	for from := range requestStates {
 		for event := range requestEvents {
@@ -38,8 +38,8 @@
 		event attemptEvent
 	}
 	allowed := map[transition]attemptState{
-		{attemptQueued, firstByteDue}:      attemptWriting,
-		{attemptQueued, cancelledUnsent}:   attemptCancelled,
+		{attemptQueued, writeStarting}:      attemptWriting,
+		{attemptQueued, cancelledBeforeWrite}:   attemptCancelled,
 		{attemptQueued, resultRecorded}:    attemptEnded,
 		{attemptWriting, resultRecorded}:   attemptEnded,
 		{attemptCancelled, resultRecorded}: attemptEnded,
@@ -68,7 +68,7 @@
 		var lifecycle attemptLifecycle
 		var won atomic.Int32
 		var wg sync.WaitGroup
-		for _, event := range []attemptEvent{firstByteDue, cancelledUnsent} {
+		for _, event := range []attemptEvent{writeStarting, cancelledBeforeWrite} {
 			wg.Go(func() {
 				if lifecycle.apply(event) {
 					won.Add(1)
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -141,7 +141,7 @@
 // finalResponsesDue says that, in a shutdown, every request has to have its final response now.
 type finalResponsesDue struct{}
 
-func (finalResponsesDue) handle(l *eventLoop) { l.failAllOpen() }
+func (finalResponsesDue) handle(l *eventLoop) { l.failOpenRequests() }
 
 // shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
 type shutdownCheckDue struct{}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -111,7 +111,7 @@
 		}
 	default:
 	}
-	if l.requests[r.id] != r || !r.apply(clientLeft) {
+	if l.requests[r.id] != r || !r.apply(clientClosed) {
 		return
 	}
 	r.disconnectedAt = l.now()
@@ -143,7 +143,7 @@
 
 // releaseRequest removes a request from the table once it is over and none of its attempts is in flight.
 func (l *eventLoop) releaseRequest(r *request) {
-	if !r.inFlight() && r.apply(noneInFlight) {
+	if !r.inFlight() && r.apply(noAttemptInFlight) {
 		delete(l.requests, r.id)
 	}
 }
--- a/internal/node/shutdown_schedule.go
+++ b/internal/node/shutdown_schedule.go
@@ -34,7 +34,7 @@
 //	acceptUntil       connections are accepted at least until then, and further while some wait in the backlog
 //	admitUntil        requests are admitted until then; later ones are rejected with 503
 //	responseDeadline  every admitted request has its final response, every incomplete one is rejected
-//	expired           the process exits, unless responses are still being streamed; closing its session (one fleet
+//	exitDue           the process exits, unless responses are still being streamed; closing its session (one fleet
 //	                  interval) and flushing its log (0.5 s) come behind that, and are not counted in the schedule
 //	earliestKill      SIGKILL may come
 //
@@ -84,8 +84,8 @@
 	return s.started() && monotime.Now() >= s.responseDeadline()
 }
 
-// expired reports whether it is time to exit, but for responses that are still being streamed.
-func (s *shutdownSchedule) expired() bool {
+// exitDue reports whether it is time to exit, but for responses that are still being streamed.
+func (s *shutdownSchedule) exitDue() bool {
 	return s.started() && monotime.Now() >= s.earliestKill().Add(-exitMargin)
 }
 
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -13,7 +13,7 @@
 func TestStartWaitsForItsAddress(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
-			text := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
+			text := listText(1, true, listed{"s", newEchoBackend(t).Addr().String(), "ready", 0})
 			cfg := testConfig(t, newRegistry(t, text).addr, text)
 			cfg.StateDir = t.TempDir()
 			var held interface{ Close() error }
@@ -54,7 +54,7 @@
 		t.Errorf("a pushed list is waited for for %v", firstListTimeout)
 	}
 	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
-	known := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
+	known := listText(1, true, listed{"s", newEchoBackend(t).Addr().String(), "ready", 0})
 	n := start(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
 	eventually(t, "readiness", n.loop.ready.Load)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -73,12 +73,12 @@
 
 // cancelUnsent cancels the call if its first byte has not been written, and returns whether that came in time. A
 // drain counts a request as sent from its first byte, and a dial may outlast the drain's grace.
-func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledUnsent) }
+func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledBeforeWrite) }
 
 // beginWrite says whether the first byte may be written now, and counts it as written from here on.
 func (c *upstreamCall) beginWrite() bool {
 	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
-	if late || !c.lifecycle.apply(firstByteDue) {
+	if late || !c.lifecycle.apply(writeStarting) {
 		return false
 	}
 	c.startedAt.Store(monotime.Now())
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -244,7 +244,7 @@
 
 // An attempt that fails for want of this machine's resources says nothing of its backend; an unreachable network does.
 func TestShortageIsNoFailureOfABackend(t *testing.T) {
-	b := echo(t)
+	b := newEchoBackend(t)
 	for errno, want := range map[syscall.Errno]balance.Status{
 		syscall.EADDRNOTAVAIL: balance.StatusNotSent,
 		syscall.ENFILE:        balance.StatusNotSent,
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -10,7 +10,7 @@
 
 // The deadline of a request during a shutdown is on the monotonic clock: a step of the wall clock does not change it.
 func TestDrainDeadlineIsMonotonic(t *testing.T) {
-	n := startOn(t, echo(t).Addr().String())
+	n := startOn(t, newEchoBackend(t).Addr().String())
 	eventually(t, "readiness", n.loop.ready.Load)
 	deadlines := make(chan time.Time, 1)
 	n.onLoop(t, func() {
@@ -50,7 +50,7 @@
 		"a minute back": -time.Minute,
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := echo(t).Addr().String()
+			addr := newEchoBackend(t).Addr().String()
 			list := listText(1, true, listed{"old", addr, "ready", 0}, listed{"again", addr, "ready", 1000})
 			reg := newRegistry(t, list)
 			n := start(t, testConfig(t, reg.addr, list))
@@ -82,7 +82,7 @@
 func testUncordoned(t *testing.T) {
 	for name, shift := range map[string]time.Duration{"an hour back": -time.Hour, "an hour ahead": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			n := startOn(t, echo(t).Addr().String())
+			n := startOn(t, newEchoBackend(t).Addr().String())
 			eventually(t, "readiness", n.loop.ready.Load)
 			stamp := time.Now().Add(shift).UnixNano()
 			var at []time.Duration
