--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -1,8 +1,8 @@
 // Command hitchvale-node runs one load-balancing node. It reads its configuration from the file that BALANCER_CONFIG
-// names; BALANCER_ADMIN, where set, replaces the address of the admin server that the file gives.
+// names. If BALANCER_ADMIN is set, it replaces the address of the admin server in the file.
 //
-// SIGHUP has it read the configuration again, SIGTERM shuts it down gracefully. It exits with status 1 and one line on
-// standard error where it can't start or its listener fails.
+// On SIGHUP the node reads the configuration again, on SIGTERM it shuts down gracefully. It exits with status 1 and one
+// line on standard error if it can't start or its listener fails.
 package main
 
 import (
@@ -23,11 +23,11 @@
 	"hitchvale/internal/node"
 )
 
-// logFlushTimeout is how long the exit waits for the log's reader.
+// logFlushTimeout bounds how long the exit waits until the log is written.
 const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
-	// The log's reader may exit or stall: neither may end the node or hold it up.
+	// The reader of the log may exit or stall. Neither may end or block the node.
 	signal.Ignore(syscall.SIGPIPE)
 	logWriter := asynclog.New(os.Stderr)
 	err := run(logWriter)
@@ -40,10 +40,10 @@
 	}
 }
 
-// run runs the node until SIGTERM, and logs to logWriter.
+// run runs the node until it has shut down, and logs to logWriter.
 func run(logWriter io.Writer) error {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // before all else, and never stopped: unhandled, it ends the process
+	signal.Notify(hangups, syscall.SIGHUP) // first and for good, as an unhandled SIGHUP ends the process
 	path := os.Getenv("BALANCER_CONFIG")
 	config, err := loadConfig(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	// A draining node still forwards requests, so it follows a discovery that moves until it exits.
+	// A draining node still forwards requests, so it follows discovery to a new address until it exits.
 	reloading, stopReloading := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -66,14 +66,14 @@
 	return n.Run(ctx)
 }
 
-// loadConfig reads the configuration and the environment.
+// loadConfig reads the configuration file and applies the environment to it.
 func loadConfig(path string) (node.Config, error) {
 	config, err := node.LoadConfig(path)
 	if err != nil {
 		return config, err
 	}
 	if admin := os.Getenv("BALANCER_ADMIN"); admin != "" {
-		// Two processes of a node may share a configuration file, but not this address.
+		// Two processes of a node may share a configuration file, but not the admin address.
 		if err := config.SetAdmin(admin); err != nil {
 			return config, err
 		}
@@ -82,15 +82,16 @@
 }
 
 const (
-	// reloadRetryPeriod is how long a configuration that can't be read is tried again after SIGHUP: it may be half
-	// written, or the process short of descriptors, and nobody sends the signal twice.
+	// reloadRetryPeriod is how long after SIGHUP a configuration that can't be read is retried. The file may be half
+	// written or the process short of descriptors, and nobody sends the signal twice.
 	reloadRetryPeriod = time.Minute
-	// The wait between the tries doubles from reloadMinBackoff to reloadMaxBackoff.
+	// The wait between two tries doubles from reloadMinBackoff to reloadMaxBackoff.
 	reloadMinBackoff = 50 * time.Millisecond
 	reloadMaxBackoff = time.Second
 )
 
-// reloadOn reads the configuration again at each signal, until ctx ends. One that can't be read changes nothing.
+// reloadOn reads the configuration again on each signal and applies it to the node, until ctx ends. A configuration
+// that can't be read changes nothing and is retried for reloadRetryPeriod.
 func reloadOn(ctx context.Context, hangups <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
 	var retry <-chan time.Time // nil: no retry is due
 	var backoff time.Duration
@@ -120,26 +121,26 @@
 }
 
 const (
-	// memoryShare is the tenth parts of the memory limit that the Go heap may take, and sharedMemoryShare those of a
-	// node whose successor may run at the same time.
-	memoryShare       = 7
-	sharedMemoryShare = 4
-	// gcPercent has the collector run seldom; near the memory limit it runs more often by itself.
+	// memoryTenths is the part of the memory limit, in tenths, that the Go runtime may use.
+	memoryTenths = 7
+	// sharedMemoryTenths is that part for a node with an admin address, whose successor may run at the same time.
+	sharedMemoryTenths = 4
+	// gcPercent makes the garbage collector run seldom. Near the memory limit it runs more often by itself.
 	gcPercent = 200
 )
 
-// setRuntimeLimits fits the Go runtime into the machine's share that the configuration gives.
+// setRuntimeLimits sets the limits of the Go runtime to the part of the machine that the configuration gives the node.
 func setRuntimeLimits(config node.Config) {
 	limits := config.Limits
-	share := int64(memoryShare)
+	tenths := int64(memoryTenths)
 	if config.Admin != "" {
-		share = sharedMemoryShare
+		tenths = sharedMemoryTenths
 	}
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Round(limits.Cores))))
 	}
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(limits.MemoryMB << 20 / 10 * share)
+		debug.SetMemoryLimit(limits.MemoryMB << 20 / 10 * tenths)
 		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/internal/node/cordon_file.go
+++ b/internal/node/cordon_file.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// cordonPollInterval is how often the file is checked for changes: far more often than a drain's grace.
+	// cordonPollInterval is how often the file is checked for changes. It is far shorter than the grace of a drain.
 	cordonPollInterval = 50 * time.Millisecond
-	// startReadTimeout is for how long a transient error of the first read is retried.
+	// startReadTimeout bounds how long the first read is retried after transient errors.
 	startReadTimeout = 2 * time.Second
-	// lockRetryInterval is the time between two attempts to lock the file.
+	// lockRetryInterval is the time between two tries to lock the file.
 	lockRetryInterval = 5 * time.Millisecond
 )
 
-// cordonFile stores the cordonRecord of a node. All processes of the node watch the file, so that a call at one of them
-// binds all, and those that start later.
+// cordonFile stores the cordonRecord of a node. All processes of the node watch the file, so that a change by one
+// process also applies to the others and to processes that start later.
 type cordonFile struct {
 	path     string
 	log      *slog.Logger
-	lastRead os.FileInfo // the file as it was read last; nil: it was not
+	lastRead os.FileInfo // the file when it was last read; nil before that
 	readFile func(path string) ([]byte, error)
 }
 
@@ -43,7 +43,8 @@
 	}
 }
 
-// fileNamePart returns a node's name with all but letters, digits, "-" and "_" replaced.
+// fileNamePart returns a node's name for use in a file name: all characters except ASCII letters, digits, "-" and "_"
+// are replaced by "_".
 func fileNamePart(nodeName string) string {
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '_' || r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' {
@@ -53,7 +54,7 @@
 	}, cmp.Or(nodeName, "node"))
 }
 
-// load reads the record. One whose file is missing is empty.
+// load reads the record. It returns an empty record if the file is missing.
 func (f *cordonFile) load() (cordonRecord, error) {
 	text, err := f.readFile(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -69,7 +70,7 @@
 	return record, nil
 }
 
-// loadAtStart reads the record when the node starts. One that can't be read keeps no node from starting.
+// loadAtStart reads the record when the node starts. If it can't be read, the node starts without cordons.
 func (f *cordonFile) loadAtStart() cordonRecord {
 	info, _ := os.Stat(f.path) // nil: the file is missing
 	record, err := f.load()
@@ -89,8 +90,8 @@
 	return record
 }
 
-// update cordons or uncordons a backend in the file, and returns the record. known is the record as the process has it;
-// it takes the place of a file that was lost or damaged since.
+// update cordons or uncordons a backend in the file, and returns the new record. now is the wall clock. known is the
+// record that this process has; it replaces the content of a file that has been lost or damaged since.
 func (f *cordonFile) update(
 	ctx context.Context, known cordonRecord, backendID string, cordoned bool, now time.Duration,
 ) (cordonRecord, error) {
@@ -109,14 +110,14 @@
 	if record.Version < known.Version {
 		record = known
 	}
-	record, isNew := record.with(backendID, cordoned, now)
-	if !isNew {
+	record, changed := record.withCordon(backendID, cordoned, now)
+	if !changed {
 		return record, nil
 	}
 	return record, f.write(record)
 }
 
-// lock keeps other processes from updating the file until unlock is called.
+// lock keeps other processes from updating the file until unlock is called. It waits for the lock until ctx ends.
 func (f *cordonFile) lock(ctx context.Context) (unlock func(), err error) {
 	lockFile, err := os.OpenFile(f.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -136,7 +137,8 @@
 	}
 }
 
-// write replaces the file. It is on the disk when write returns, as the caller's answer holds over a power loss.
+// write replaces the file. The record is on disk when write returns, since a cordon that was confirmed to the operator
+// must survive a power loss.
 func (f *cordonFile) write(record cordonRecord) error {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -159,10 +161,10 @@
 	return err
 }
 
-// watch calls onChange with each record that another process of the node writes, until ctx ends. A file that is removed
-// changes nothing.
+// watch polls the file and calls onChange with each record that another process of the node writes, until ctx ends. The
+// removal of the file changes nothing.
 func (f *cordonFile) watch(ctx context.Context, onChange func(cordonRecord)) {
-	complaints := &lograte.Limited{Log: f.log}
+	warnings := &lograte.Limited{Log: f.log}
 	ticker := time.NewTicker(cordonPollInterval)
 	defer ticker.Stop()
 	for {
@@ -177,17 +179,17 @@
 		}
 		record, err := f.load()
 		if !isTransient(err) {
-			f.lastRead = info // otherwise it is read again
+			f.lastRead = info // after a transient error the file is read again
 		}
 		if err != nil {
-			complaints.Warn("cordon record not readable, keeping the known cordons", "error", err)
+			warnings.Warn("cordon record not readable, keeping the known cordons", "error", err)
 			continue
 		}
 		onChange(record)
 	}
 }
 
-// isUnchanged reports whether the file is still the one that was read last.
+// isUnchanged reports whether the file is the same, with the same modification time, as when it was last read.
 func (f *cordonFile) isUnchanged(info os.FileInfo) bool {
 	return f.lastRead != nil && os.SameFile(info, f.lastRead) && info.ModTime().Equal(f.lastRead.ModTime())
 }
--- a/internal/node/cordon_record.go
+++ b/internal/node/cordon_record.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// cordonRecord has the cordons of a node, by discovery's id of the backend, as its file stores them. A record contains
-// all changes of those with a lower version.
+// cordonRecord has the cordons of a node, by discovery's id of the backend, as the cordon file stores them. A record
+// contains all changes of every record with a lower version.
 type cordonRecord struct {
 	Version  int64             `json:"version"`
 	Backends map[string]cordon `json:"backends"`
 }
 
-// cordon is the state of a backend that an operator has taken out of service at least once. Times are Unix times in
-// nanoseconds, which all processes of the node read alike; cordonTimes has them on the event loop's clock.
+// cordon is the state of a backend that an operator has cordoned at least once. Times are Unix times in nanoseconds,
+// which have the same meaning in all processes of the node; cordonTimes has them on the event loop's clock.
 type cordon struct {
 	Cordoned     bool  `json:"out"`
-	CordonedAt   int64 `json:"since"`          // the last time that it was taken out
-	UncordonedAt int64 `json:"back,omitempty"` // the last time that it was put back
+	CordonedAt   int64 `json:"since"`          // when the backend was last cordoned
+	UncordonedAt int64 `json:"back,omitempty"` // when the backend was last uncordoned; 0: never
 }
 
-// errMalformedRecord is the error of a record that was read and can't be decoded. No later read succeeds; any other
-// error of reading may be transient.
+// errMalformedRecord is the error of a record that was read but can't be decoded. Reading it again would fail too. Any
+// other read error may be transient.
 var errMalformedRecord = errors.New("malformed cordon record")
 
-// isTransient reports whether reading the record failed in a way in which a later read may not.
+// isTransient reports whether reading the record failed and a later read may succeed.
 func isTransient(err error) bool { return err != nil && !errors.Is(err, errMalformedRecord) }
 
-// decodeCordonRecord decodes the text of a file.
+// decodeCordonRecord decodes the content of a cordon file.
 func decodeCordonRecord(text []byte) (cordonRecord, error) {
 	var record cordonRecord
 	if err := json.Unmarshal(text, &record); err != nil {
@@ -39,9 +39,11 @@
 	return record, nil
 }
 
-// with returns a record in which a backend is cordoned or not; it is the same record if that holds already. now is the
-// wall clock.
-func (r cordonRecord) with(backendID string, cordoned bool, now time.Duration) (changed cordonRecord, isNew bool) {
+// withCordon returns a record in which a backend is cordoned or not, and whether it differs from r. now is the wall
+// clock.
+func (r cordonRecord) withCordon(
+	backendID string, cordoned bool, now time.Duration,
+) (updated cordonRecord, changed bool) {
 	state := r.Backends[backendID]
 	if state.Cordoned == cordoned {
 		return r, false
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -1,22 +1,23 @@
 package node
 
 const (
-	// minDescriptors is the smallest limit on descriptors that a node starts with.
+	// minDescriptors is the smallest limit on descriptors with which a node starts.
 	minDescriptors = 64
-	// reservedDescriptors are reserved for all but clients and backends: listeners, discovery, standard streams, the
-	// runtime.
+	// reservedDescriptors are reserved for everything except connections of clients and to backends: listeners, discovery,
+	// standard streams, the runtime.
 	reservedDescriptors = 32
-	// adminDescriptors are reserved for the second address, and for what a second process of the node opens.
+	// adminDescriptors are reserved for the admin server and for the descriptors that a second process of the node opens.
 	adminDescriptors = 16
-	// defaultDescriptors is the limit where the configuration has none.
+	// defaultDescriptors is the limit if the configuration has none.
 	defaultDescriptors = 1024
-	// clientEighths is the clients' part of the descriptors, in eighths, with a second address: many of their connections
-	// may be idle, and those need none at a backend.
+	// clientEighths is the part of the descriptors, in eighths, for connections of clients if the node has an admin
+	// address. Many of these connections may be idle, and an idle connection needs none to a backend.
 	clientEighths = 5
 )
 
 // divideDescriptors divides the descriptors between connections of clients and connections to backends. A request in
-// flight has one of each; backends need more for idle connections and health checks.
+// flight uses one of each kind. Idle connections to backends and health checks need further descriptors. admin says
+// whether the node has an admin address.
 func (l Limits) divideDescriptors(admin bool) (clients, backends int) {
 	n := l.Sockets
 	if n == 0 {
--- a/internal/node/fault_injection.go
+++ b/internal/node/fault_injection.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Faults that the lab's tests inject, to prove that its checks find them. The linker sets the variables (-X); they are
-// empty in every other build.
+// These variables select faults that the lab's tests inject to verify that the lab's checks find them. The linker sets
+// them (-X); they are empty in every other build.
 var (
-	// faultDropInDrain, where not empty, has a draining node close the connection of the first request that it admits,
+	// faultDropInDrain, if not empty, makes a draining node close the connection of the first request that it admits,
 	// without a response.
 	faultDropInDrain string
-	// faultShutdown names the part of the shutdown that is left out: one of the constants below.
+	// faultShutdown selects a fault of the shutdown or the hand-over: it is one of the constants below.
 	faultShutdown string
 )
 
 const (
 	// faultUpgrade lengthens the shutdown schedule of a process that has handed over.
 	faultUpgrade = "upgrade"
-	// faultRestart lengthens the shutdown schedule of a process that has not.
+	// faultRestart lengthens the shutdown schedule of a process that has not handed over.
 	faultRestart = "restart"
-	// faultSuccessor has a process whose successor has ended not serve again.
+	// faultSuccessor keeps a process whose successor has ended from serving again.
 	faultSuccessor = "successor"
 )
 
-// faultDeadline puts the times of a lengthened schedule far behind the kill.
+// faultDeadline is the longest deadline of a lengthened schedule. It moves the instants of the schedule far behind
+// SIGKILL.
 const faultDeadline = 10 * time.Second
 
 // dropInjected is set once faultDropInDrain has had its effect.
 var dropInjected atomic.Bool
 
-// injectDropInDrain closes a request's connection where faultDropInDrain says so.
+// injectDropInDrain aborts the request that faultDropInDrain selects, which closes its connection.
 func (f *clientServer) injectDropInDrain() {
 	if faultDropInDrain != "" && f.shutdown.started() && dropInjected.CompareAndSwap(false, true) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// injectShutdownFault lengthens the schedule of a process that is shutting down where faultShutdown says so.
+// injectShutdownFault lengthens the shutdown schedule if faultShutdown selects this process.
 func (f *clientServer) injectShutdownFault() {
 	handedOver := f.handedOver.Load()
 	if handedOver && faultShutdown == faultUpgrade || !handedOver && faultShutdown == faultRestart {
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -15,35 +15,37 @@
 )
 
 const (
-	// maxReportedTenants is how many heavy tenants a report names.
+	// maxReportedTenants is how many tenants with the highest load a report names.
 	maxReportedTenants = 8
-	// fleetDialTimeout bounds connecting to a replica of the registry.
+	// fleetDialTimeout bounds how long connecting to a replica of the registry may take.
 	fleetDialTimeout = time.Second
-	// fleetIdleConnTimeout is how long a connection to a replica stays open unused.
+	// fleetIdleConnTimeout is how long an idle connection to a replica is kept open.
 	fleetIdleConnTimeout = 10 * time.Second
-	// maxFleetConnections bounds the connections to a replica.
+	// maxFleetConnections bounds the number of connections to each replica.
 	maxFleetConnections = 2
-	// loadQueryTimeout bounds how long a report waits for the event loop.
+	// loadQueryTimeout bounds how long a report waits for an answer of the event loop.
 	loadQueryTimeout = 500 * time.Millisecond
-	// minReportSpanSeconds keeps the rates of a report finite.
+	// minReportSpanSeconds is the least time between two reports that rates are computed with. It avoids a division by
+	// zero.
 	minReportSpanSeconds = 1e-3
 )
 
-// fleetMember is the node's membership of a fleet, where its configuration has one. It gathers what the node reports to
-// the registry.
+// fleetMember is the membership of the node in the fleet of its configuration. It collects the data that the node
+// reports to the registry. Its methods are safe for concurrent use, except for report and run, which belong to one
+// goroutine.
 type fleetMember struct {
 	node       *Node
 	agent      *fleet.Agent
 	httpClient *http.Client
 
 	mu           sync.Mutex
-	tenantByConn map[net.Conn]string // the tenant of the last request on each client's connection
-	workByTenant *fleet.Sketch       // seconds of backends, since the last report
+	tenantByConn map[net.Conn]string // tenant of the last request on each client connection
+	workByTenant *fleet.Sketch       // seconds that backends worked since the last report
 
-	last reportBaseline // for the agent's goroutine alone
+	last reportBaseline // only for the agent's goroutine
 }
 
-// reportBaseline has the counts at the last report, from which the next one's rates are computed.
+// reportBaseline has the counts at the last report. The rates of the next report are computed from them.
 type reportBaseline struct {
 	at       time.Time
 	cpuTime  time.Duration
@@ -80,13 +82,13 @@
 	return m
 }
 
-// run reports until ctx ends, or until a newer process has the node's name.
+// run sends reports until ctx ends, or until a newer process of the same name replaces this one in the fleet.
 func (m *fleetMember) run(ctx context.Context) {
 	defer m.httpClient.CloseIdleConnections()
-	m.agent.Run(ctx) // logs why it ends
+	m.agent.Run(ctx) // the agent logs why it ends
 }
 
-// tenant returns the name of a request's tenant, or of its class where the site has no tenants.
+// tenant returns the name of a request's tenant, or the name of its class if the site has no tenants.
 func (m *fleetMember) tenant(r *request) string {
 	settings := m.node.cfg.Settings
 	if len(settings.Tenants) > 0 {
@@ -95,14 +97,14 @@
 	return settings.Classes[r.class]
 }
 
-// requestStarted records whose request came on a connection.
+// requestStarted records the tenant of a request on a connection.
 func (m *fleetMember) requestStarted(conn net.Conn, r *request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.tenantByConn[conn] = m.tenant(r)
 }
 
-// connClosed forgets a client's connection.
+// connClosed removes a client's connection that has been closed.
 func (m *fleetMember) connClosed(conn net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +118,7 @@
 	m.workByTenant.Add(m.tenant(r), spent.Seconds())
 }
 
-// report returns the node's report since the last one.
+// report returns the node's load since the last report.
 func (m *fleetMember) report() fleet.Report {
 	metrics := m.loadMetrics()
 	report := fleet.Report{
@@ -136,7 +138,7 @@
 	return report
 }
 
-// loadMetrics returns the node's load, with rates since the last report, and begins anew.
+// loadMetrics returns the node's load, with rates since the last call.
 func (m *fleetMember) loadMetrics() fleet.LoadMetrics {
 	now := reportBaseline{at: time.Now(), cpuTime: cpuTime()}
 	for i := range m.node.counters.outcomes {
@@ -160,7 +162,8 @@
 	return metrics
 }
 
-// endpointLoads returns the module's estimates of the endpoints; nil where the event loop is too busy to answer.
+// endpointLoads returns the Balancer's estimates of the endpoints. It returns nil if the event loop does not answer
+// within loadQueryTimeout.
 func (m *fleetMember) endpointLoads() []fleet.EndpointLoad {
 	ctx, cancel := context.WithTimeout(context.Background(), loadQueryTimeout)
 	defer cancel()
@@ -172,7 +175,7 @@
 	return loads
 }
 
-// fleetEndpointLoad returns the module's estimate of an endpoint as the registry's protocol has it.
+// fleetEndpointLoad converts the Balancer's estimate of an endpoint to the registry's protocol. id is discovery's id.
 func fleetEndpointLoad(id string, load balance.EndpointLoad) fleet.EndpointLoad {
 	return fleet.EndpointLoad{
 		ID:            id,
@@ -182,7 +185,7 @@
 	}
 }
 
-// cpuTime returns the processor time that this process has used; 0 where that is unknown.
+// cpuTime returns the processor time that this process has used, or 0 if it is unknown.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// backlogEmptyFor is how long no connection must have waited for the backlog to count as empty.
+	// backlogEmptyFor is how long the backlog must show no waiting connection before it counts as empty.
 	backlogEmptyFor = 50 * time.Millisecond
 	// shutdownPollInterval is how often the conditions of a shutdown are checked.
 	shutdownPollInterval = 10 * time.Millisecond
 )
 
-// shutDown ends this process in the order of its schedule (shutdownSchedule): it goes on accepting until clients send
-// nothing new, answers what it has read, and closes each connection after a response or once it is idle. All of that is
-// done before the earliest time at which the process may be killed.
+// shutDown shuts this process down according to its schedule (shutdownSchedule). The process goes on accepting until
+// clients send nothing new, answers every request that it has read, and closes each connection after a response or once
+// it is idle. All of this is done before the earliest time at which the process may be killed.
 func (n *Node) shutDown(server *http.Server) error {
 	n.log.Info("shutting down")
 	schedule := n.server.shutdown
@@ -49,8 +49,9 @@
 	return nil
 }
 
-// drainClients accepts the backlog, closes the listener and waits until the clients' connections have ended. While a
-// successor accepts, the listener stays open: if the successor ends, the backlog is this process's again.
+// drainClients accepts the connections in the backlog, closes the listener and waits until the clients' connections
+// have ended. While a successor accepts, the listener stays open: if the successor ends, this process has to serve the
+// backlog again.
 func (n *Node) drainClients(ctx context.Context) error {
 	for {
 		closed := !n.server.handedOver.Load()
@@ -66,8 +67,8 @@
 	}
 }
 
-// shutdownContext bounds how long a shutdown waits for what it can't end itself: bodies that are being passed on. Where
-// they may have any length they take their time, and whoever can't wait kills the process.
+// shutdownContext bounds how long a shutdown waits for bodies that are being forwarded, which it can't end itself.
+// Where bodies are streamed they may have any length, so there is no bound; SIGKILL ends a process that takes too long.
 func (n *Node) shutdownContext() (context.Context, context.CancelFunc) {
 	if n.server.streaming {
 		return context.WithCancel(context.Background())
@@ -75,8 +76,8 @@
 	return context.WithTimeout(context.Background(), gracePeriodBase+2*longestDeadline(n.cfg.Settings))
 }
 
-// acceptBacklog waits until the backlog of the listener is empty. Connections wait there when the node has no
-// descriptor for them or accept fails; closing the listener would reset them.
+// acceptBacklog waits until the backlog of the listener is empty. Connections wait in the backlog while the node has no
+// descriptor for them or while accept fails. Closing the listener would reset them.
 func (n *Node) acceptBacklog(ctx context.Context) {
 	emptyFor := time.Duration(0)
 	for emptyFor < backlogEmptyFor && ctx.Err() == nil && !n.server.shutdown.responsesDue() {
@@ -91,8 +92,8 @@
 	}
 }
 
-// sendFinalResponses has each request that is still open answered from the time at which that is due, and has the event
-// loop check once, just before the earliest kill, that none is open.
+// sendFinalResponses has the event loop answer each open request from responseDeadline on. Shortly before the earliest
+// SIGKILL it has the event loop check once that no request is open.
 func (n *Node) sendFinalResponses(ctx context.Context) {
 	schedule := n.server.shutdown
 	pause(ctx, time.Until(schedule.responseDeadline().Time()))
@@ -107,8 +108,8 @@
 	}
 }
 
-// failOpenRequests fails every request that has no final response at responseDeadline, also those admitted before SIGTERM
-// with a later deadline of their own. Responses that are being streamed go on.
+// failOpenRequests fails every request that has no final response at responseDeadline, including requests that were
+// admitted before SIGTERM and have a later deadline of their own. Responses that are being streamed continue.
 func (l *eventLoop) failOpenRequests() {
 	var open []*request
 	for _, r := range l.requests {
@@ -117,7 +118,7 @@
 		}
 	}
 	for _, r := range open {
-		l.handle(balance.ClientDisconnected{Request: r.id}) // nothing more is to be done for it
+		l.handle(balance.ClientDisconnected{Request: r.id}) // the Balancer starts no further attempt
 		l.respond(r, finalResponse{kind: responseFailed})
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -12,31 +12,34 @@
 	"hitchvale/internal/accept"
 )
 
-// A hand-over replaces the running process of a node, the predecessor, by a new one, the successor, without a gap: the
-// successor inherits the listener, the endpoint list and the state of the module. Both processes are one node and share
-// its descriptor budget while the predecessor finishes what it has.
+// A hand-over replaces the running process of a node, the predecessor, by a new process, the successor, without
+// interrupting the service. The successor inherits the listener, the endpoint list and the state of the Balancer. While
+// the predecessor finishes its requests, both processes belong to one node and share its descriptor budget.
 
 const (
-	// handoverStepTimeout bounds each step. A process that waits longer goes on alone.
+	// handoverStepTimeout bounds each step of a hand-over. If the other process does not answer in time, this process
+	// continues alone.
 	handoverStepTimeout = time.Second
 	// usageReportInterval is how often the predecessor reports its descriptor usage.
 	usageReportInterval = 20 * time.Millisecond
-	// reservedBackendConns is how many connections to backends a predecessor may always have, to finish its work.
+	// reservedBackendConns is how many connections to backends a predecessor may always have to finish its requests.
 	reservedBackendConns = 8
-	// predecessorSettleTimeout is how long after its start a successor waits for the predecessor to finish its requests
-	// before it reports ready: the predecessor gets SIGTERM then, and is killed soon after.
+	// predecessorSettleTimeout bounds, from the start of the successor, how long the successor waits for the predecessor
+	// to finish its requests before it reports ready. Once it is ready, the predecessor gets SIGTERM, and SIGKILL soon
+	// afterwards.
 	predecessorSettleTimeout = 5 * time.Second
-	// minIdleBeforeClose is how long a client's connection to the predecessor is idle before it is closed. The next
-	// request of a busy client comes sooner.
+	// minIdleBeforeClose is how long a client's connection to the predecessor has to be idle before it is closed. A busy
+	// client sends its next request sooner.
 	minIdleBeforeClose = 50 * time.Millisecond
-	// predecessorLinger is how long an idle predecessor stays, so that its statistics can be read.
+	// predecessorLinger is how long an idle predecessor keeps running, so that its statistics can be read.
 	predecessorLinger = 5 * time.Second
-	// predecessorDivisor divides the node's connections: clients that keep a predecessor waiting are evicted down to
-	// that part, and its reservedBackendConns are no more than that part.
+	// predecessorDivisor divides the node's limits of connections. Above this part of the limit for clients, a predecessor
+	// evicts clients whose requests it waits for; its reservedBackendConns are at most this part of the limit for
+	// backends.
 	predecessorDivisor = 4
 )
 
-// handover is a process's part in the hand-overs of its node.
+// handover is the state of a process in the hand-overs of its node, first as a successor and then as a predecessor.
 type handover struct {
 	socketPath    string
 	listenAddress string
@@ -45,8 +48,8 @@
 
 	serving atomic.Bool // this process accepts, and no predecessor has requests in flight
 
-	predecessor       *net.UnixConn // nil: there is none
-	reader            *bufio.Reader // of predecessor
+	predecessor       *net.UnixConn // nil without a predecessor
+	reader            *bufio.Reader // reads from predecessor
 	inheritedListener net.Listener
 	offer             handoverOffer
 }
@@ -60,15 +63,15 @@
 	}
 }
 
-// returnToPredecessor has a predecessor that still runs serve again, as this process got SIGTERM: the predecessor
-// may outlive it, and does not accept while it believes that this process does.
+// returnToPredecessor closes the connection to the predecessor when this process shuts down. A predecessor that still
+// runs then accepts again; it may outlive this process, and does not accept while the connection is open.
 func (h *handover) returnToPredecessor() {
 	if h.predecessor != nil {
 		h.predecessor.Close()
 	}
 }
 
-// discard ends a hand-over that this process does not complete.
+// discard ends a hand-over that this process does not complete, and closes the inherited listener.
 func (h *handover) discard() {
 	h.returnToPredecessor()
 	if h.inheritedListener != nil {
@@ -76,8 +79,8 @@
 	}
 }
 
-// runHandover takes over from the predecessor, if any, and then hands over to the next successor, until ctx ends. It
-// closes replaced when a successor serves and this process has no work any more.
+// runHandover takes over from the predecessor, if there is one, and then waits for successors until ctx ends. It closes
+// replaced once a successor serves and this process has no work left.
 func (n *Node) runHandover(ctx context.Context, replaced chan<- struct{}) {
 	h := n.handover
 	if h.predecessor == nil {
@@ -92,7 +95,7 @@
 	}
 	listener, err := listenUnix(h.socketPath)
 	if err != nil {
-		n.log.Error("hand-over socket not opened", "error", err)
+		n.log.Error("hand-over socket not opened, no successor can take over", "error", err)
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
@@ -100,13 +103,13 @@
 	n.awaitSuccessors(ctx, accept.NewListener(listener, accept.LogRetries(n.log, "hand-over")), replaced)
 }
 
-// awaitSuccessors hands over to one successor after the other until one of them serves.
+// awaitSuccessors hands over to each successor that connects, until a hand-over is completed or ctx ends.
 func (n *Node) awaitSuccessors(ctx context.Context, successors net.Listener, replaced chan<- struct{}) {
 	for ctx.Err() == nil {
 		accepted, err := successors.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				n.log.Error("hand-over socket lost", "error", err)
+				n.log.Error("hand-over socket lost, no successor can take over", "error", err)
 			}
 			return
 		}
@@ -122,12 +125,12 @@
 			return
 		}
 		if err != nil {
-			n.log.Error("hand-over failed", "error", err)
+			n.log.Error("hand-over failed, waiting for the next successor", "error", err)
 		}
 	}
 }
 
-// shareDescriptors limits this process to the descriptors that the other process of the node does not use.
+// shareDescriptors limits this process to the part of the descriptor budget that the other process does not use.
 func (n *Node) shareDescriptors(other descriptorUsage) {
 	clients := max(n.maxClientConns-other.ClientConns, 1)
 	n.listener.setLimit(clients)
--- a/internal/node/handover_messages.go
+++ b/internal/node/handover_messages.go
@@ -11,20 +11,20 @@
 	"hitchvale/balance"
 )
 
-// This file has the messages on the hand-over socket, which processes of other versions send and read. In order:
+// This file has the messages on the hand-over socket. Processes of other versions send and read them too. In order:
 //
 //	predecessor: one byte that carries the descriptor of the listener, then a handoverOffer
 //	successor:   takeCommand
-//	predecessor: a handoverState, then a descriptorUsage at each change until one of the two ends
+//	predecessor: a handoverState, then a descriptorUsage at each change until one of the processes ends
 //
-// Each message but the first byte is a line; all but takeCommand are JSON.
+// Each message except the first byte is a line of text. Each line except takeCommand is JSON.
 
 const (
-	// listenerByte is the byte that carries the descriptor.
+	// listenerByte is the byte that carries the descriptor of the listener.
 	listenerByte = 'L'
-	// takeCommand has the predecessor stop accepting.
+	// takeCommand makes the predecessor stop accepting.
 	takeCommand = "take\n"
-	// maxHandoverMessageBytes bounds a message.
+	// maxHandoverMessageBytes bounds the length of a message.
 	maxHandoverMessageBytes = 4 << 20
 )
 
@@ -33,27 +33,28 @@
 	errUnexpectedCommand = errors.New("unexpected hand-over command")
 )
 
-// handoverOffer is what the predecessor sends beside the listener.
+// handoverOffer is the message that the predecessor sends after the listener.
 type handoverOffer struct {
-	Discovery string          `json:"discovery"` // the address of discovery that it uses
-	List      json.RawMessage `json:"list"`      // its endpoint list, in discovery's form
+	Discovery string          `json:"discovery"` // the address of discovery that the predecessor uses
+	List      json.RawMessage `json:"list"`      // the predecessor's endpoint list, in discovery's format
 }
 
-// handoverState is the state of the predecessor's module.
+// handoverState is the state of the predecessor's Balancer.
 type handoverState struct {
-	State       balance.HandoverState `json:"memory"` // times are on the predecessor's clock, starts on the wall clock
+	State       balance.HandoverState `json:"memory"` // on the predecessor's clock; start times on the wall clock
 	EndpointIDs []string              `json:"ids"`    // discovery's id of each endpoint in State
-	Now         time.Duration         `json:"now"`    // the predecessor's clock as this was sent; 0: unknown
+	Now         time.Duration         `json:"now"`    // the predecessor's clock at sending; 0 if unknown
 }
 
-// descriptorUsage is what the predecessor still has of the node's descriptor budget, and of work.
+// descriptorUsage is the part of the node's descriptor budget that the predecessor still uses, and its requests in
+// flight.
 type descriptorUsage struct {
 	ClientConns  int `json:"clients"`
-	BackendConns int `json:"backends"` // reserved ones; never rises
-	InFlight     int `json:"busy"`     // requests; may rise
+	BackendConns int `json:"backends"` // reserved connections; never rises
+	InFlight     int `json:"busy"`     // requests in flight; may rise
 }
 
-// readMessage decodes the predecessor's next message.
+// readMessage reads the predecessor's next message and decodes it into the given value.
 func (h *handover) readMessage(into any) error {
 	line, err := readLine(h.reader, maxHandoverMessageBytes)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return json.Unmarshal(line, into)
 }
 
-// encodeMessage encodes a message as a line.
+// encodeMessage encodes a message as a line of JSON.
 func encodeMessage(message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return append(text, '\n'), nil
 }
 
-// readLine reads a line of bounded length.
+// readLine reads a line, including its line break. It returns errMessageTooLong for a line of more than maxBytes.
 func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	var line []byte
 	for {
@@ -89,7 +90,7 @@
 	}
 }
 
-// closeWithContext closes a connection when ctx ends, and returns what ends that watch.
+// closeWithContext closes a connection when ctx ends, until stop is called.
 func closeWithContext(ctx context.Context, c net.Conn) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { c.Close() })
 }
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -13,8 +13,8 @@
 
 // This file is the predecessor's side of a hand-over.
 
-// handOverTo hands the node over to the successor on a connection. It returns true once the successor serves and this
-// process has no work any more, and false once the successor has ended before that.
+// handOverTo hands the node over to the successor at the other end of a connection. It returns true once the successor
+// serves and this process has no work left, and false if the successor ends earlier.
 func (n *Node) handOverTo(ctx context.Context, successor *net.UnixConn) (done bool, err error) {
 	stop := closeWithContext(ctx, successor)
 	defer stop()
@@ -22,7 +22,7 @@
 	if err := n.sendOffer(ctx, successor); err != nil {
 		return false, err
 	}
-	successor.SetDeadline(time.Time{}) // the successor takes its time until it is ready
+	successor.SetDeadline(time.Time{}) // there is no bound on how long the successor needs to become ready
 	if err := awaitTakeCommand(successor); err != nil {
 		return false, err
 	}
@@ -35,7 +35,7 @@
 	n.log.Info("handed over to successor")
 	done, err = n.assistSuccessor(ctx, successor, state)
 	if !done && ctx.Err() == nil && faultShutdown != faultSuccessor {
-		// Also during a shutdown: the backlog of the listener, which both processes have, is nobody else's.
+		// This process accepts again even during its shutdown: no other process has the listener to serve its backlog.
 		n.setHandedOver(false)
 		n.shareDescriptors(descriptorUsage{})
 		n.log.Error("successor ended, serving again", "error", err)
@@ -44,7 +44,7 @@
 	return done, nil
 }
 
-// awaitTakeCommand waits until the successor is ready to accept.
+// awaitTakeCommand waits for the command that the successor sends when it is ready to accept.
 func awaitTakeCommand(successor net.Conn) error {
 	const maxBytes = 16
 	line, err := readLine(bufio.NewReaderSize(successor, maxBytes), maxBytes)
@@ -57,14 +57,14 @@
 	return nil
 }
 
-// setHandedOver has this process stop accepting, or accept again.
+// setHandedOver makes this process stop accepting, or accept again.
 func (n *Node) setHandedOver(handedOver bool) {
 	n.server.handedOver.Store(handedOver)
 	n.listener.setPaused(handedOver)
 	n.loop.post(handoverChanged{handedOver: handedOver})
 }
 
-// sendOffer passes on the listener and the endpoint list.
+// sendOffer sends the listener and the endpoint list to the successor.
 func (n *Node) sendOffer(ctx context.Context, successor *net.UnixConn) error {
 	listener, ok := n.listener.Listener.(syscall.Conn)
 	if !ok {
@@ -96,8 +96,8 @@
 	return err
 }
 
-// assistSuccessor sends the state, and then reports the descriptor usage until this process has no work any more (done)
-// or one of the two ends.
+// assistSuccessor sends the state, and then reports the descriptor usage until this process has no work left (done is
+// true) or one of the processes ends.
 func (n *Node) assistSuccessor(
 	ctx context.Context, successor *net.UnixConn, state handoverState,
 ) (done bool, err error) {
@@ -120,15 +120,15 @@
 	return n.reportUsage(ctx, successor, ended)
 }
 
-// reportUsage writes each change of the descriptor usage until this process has no work any more (done), or until ended
-// is closed or ctx ends.
+// reportUsage writes each change of the descriptor usage until this process has no work left (done is true), ended is
+// closed or ctx ends.
 func (n *Node) reportUsage(ctx context.Context, w io.Writer, ended <-chan struct{}) (done bool, err error) {
 	reported := descriptorUsage{ClientConns: -1, BackendConns: n.maxBackendConns}
 	lastActive := time.Now()
 	for {
 		usage, active := n.releaseDescriptors(reported.BackendConns)
 		if usage != reported {
-			message, _ := encodeMessage(usage) // no error: three numbers
+			message, _ := encodeMessage(usage) // numbers can always be encoded
 			if _, err := w.Write(message); err != nil {
 				return false, err
 			}
@@ -151,12 +151,12 @@
 	}
 }
 
-// releaseDescriptors closes connections that this process does not need to finish its requests. It returns what
-// remains, and whether any of it is in use. reserved is how many connections to backends were reported last: there are
-// never more again, as the successor uses the others.
+// releaseDescriptors closes connections that this process does not need to finish its requests. It returns the
+// remaining usage, and whether any connection is in use. reserved is the last reported number of connections to
+// backends. The number never rises again, since the successor uses the others.
 func (n *Node) releaseDescriptors(reserved int) (usage descriptorUsage, active bool) {
-	// A request that began here now might not end in time. A client whose connection closes sends it again on a new
-	// one.
+	// A request that begins in this process now might not end in time. A client whose connection is closed sends its
+	// request again on a new connection.
 	n.server.conns.closeIdle(minIdleBeforeClose, closedForHandOver)
 	n.server.conns.evictDownTo(n.maxClientConns / predecessorDivisor)
 	open, idle := n.pool.Size()
--- a/internal/node/handover_state.go
+++ b/internal/node/handover_state.go
@@ -8,9 +8,9 @@
 	"hitchvale/internal/discovery"
 )
 
-// This file passes the state of the loop and of its module on in a hand-over.
+// This file exports and imports the state of the event loop and of its Balancer for a hand-over.
 
-// encodeList returns the endpoint list in discovery's form.
+// encodeList returns the endpoint list in discovery's format.
 func (l *eventLoop) encodeList() []byte {
 	var members []json.RawMessage
 	for _, b := range l.backendsByEndpointID {
@@ -21,7 +21,7 @@
 	return discovery.FormatList(l.listRevision, members)
 }
 
-// exportState returns the state of the module, with discovery's ids and start times in place of this process's own.
+// exportState returns the state of the Balancer, with discovery's ids and start times instead of this process's own.
 func (l *eventLoop) exportState() handoverState {
 	state := handoverState{State: l.balancer.HandoverState(), Now: l.now()}
 	for i := range state.State.Endpoints {
@@ -32,13 +32,15 @@
 	return state
 }
 
-// importState returns the state of the predecessor's module, with this process's numbers and times. Endpoints that this
-// process does not know, or that have restarted since, are omitted. The state is nil where it is inconsistent.
+// importState returns the state of the predecessor's Balancer, with the endpoint ids and the clock of this process. It
+// omits endpoints that this process does not know, and endpoints that have restarted since. It returns nil if the state
+// is inconsistent.
 func (l *eventLoop) importState(state handoverState) *balance.HandoverState {
 	if len(state.EndpointIDs) != len(state.State.Endpoints) {
 		return nil
 	}
-	var clockOffset time.Duration // of this clock to the other: the wall clock may have been stepped between the starts
+	// The clocks of the processes differ if the wall clock was stepped between their starts.
+	var clockOffset time.Duration // from the predecessor's clock to this process's
 	if state.Now > 0 {
 		clockOffset = l.now() - state.Now
 	}
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -17,16 +17,16 @@
 // This file is the successor's side of a hand-over.
 
 var (
-	errNoListener         = errors.New("the predecessor passed no listener on")
+	errNoListener         = errors.New("the predecessor sent no listener")
 	errOtherListenAddress = errors.New("the predecessor listens on another address")
 )
 
-// connectToPredecessor inherits the listener of a process that runs already. Without one, or if it does not answer,
-// this process starts on its own.
+// connectToPredecessor inherits the listener and the offer of a running process of the node. If there is no such
+// process, or if it does not answer, this process starts on its own.
 func (h *handover) connectToPredecessor() {
 	predecessor, err := dialUnix(h.socketPath)
 	if err != nil {
-		return // there is none
+		return // no predecessor runs
 	}
 	predecessor.SetDeadline(time.Now().Add(handoverStepTimeout))
 	if err := h.receiveOffer(predecessor); err != nil {
@@ -39,7 +39,7 @@
 	h.log.Info("predecessor found")
 }
 
-// receiveOffer takes the listener and the offer.
+// receiveOffer receives the predecessor's listener and its offer.
 func (h *handover) receiveOffer(predecessor *net.UnixConn) error {
 	listener, err := receiveListener(predecessor)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// receiveListener takes the listener whose descriptor comes with one byte.
+// receiveListener receives a listener: one byte, with the descriptor of the listener as control data.
 func receiveListener(predecessor *net.UnixConn) (net.Listener, error) {
 	const descriptorBytes = 4
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes))
@@ -80,23 +80,24 @@
 	return net.FileListener(file)
 }
 
-// inheritedList returns the endpoint list of the predecessor; the one in this process's configuration may be old.
+// inheritedList returns the endpoint list of the predecessor, since the list in this process's configuration may be
+// old. It returns false if there is no predecessor or its list is empty or malformed.
 func (h *handover) inheritedList(cfg Config) (discovery.List, bool) {
 	if h.predecessor == nil || len(h.offer.List) == 0 {
 		return discovery.List{}, false
 	}
 	list, err := discovery.ParseList(h.offer.List, cfg.Settings)
 	if err != nil {
-		h.log.Error("predecessor's endpoint list is malformed", "error", err)
+		h.log.Error("predecessor's endpoint list is malformed, using the configured list", "error", err)
 		return discovery.List{}, false
 	}
 	if h.offer.Discovery != cfg.Discovery {
-		list.Revision = cfg.Known.Revision // another discovery may number its lists in another way
+		list.Revision = cfg.Known.Revision // another discovery service may number its lists differently
 	}
 	return list, len(list.Members) > 0
 }
 
-// takeOver has the predecessor stop accepting, and returns its state and its descriptor usage.
+// takeOver makes the predecessor stop accepting, and returns its state and its descriptor usage.
 func (h *handover) takeOver() (state handoverState, usage descriptorUsage, err error) {
 	h.predecessor.SetDeadline(time.Now().Add(handoverStepTimeout))
 	defer h.predecessor.SetDeadline(time.Time{})
@@ -110,13 +111,14 @@
 	return state, usage, err
 }
 
-// succeedPredecessor takes over once this process is ready, and follows the predecessor until that has ended.
+// succeedPredecessor takes over once this process is ready. It then adapts this process's limits to the predecessor's
+// descriptor usage until the predecessor has ended.
 func (n *Node) succeedPredecessor(ctx context.Context) {
 	h := n.handover
 	defer h.predecessor.Close()
 	for !n.loop.ready.Load() && ctx.Err() == nil {
 		if n.server.shutdown.started() {
-			return // the predecessor keeps the node: this process could not serve it for long
+			return // this process is shutting down, so the predecessor goes on serving
 		}
 		pause(ctx, shutdownPollInterval)
 	}
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// requestState is where a request stands on the event loop, which alone reads and changes it.
+// requestState is the state of a request. Only the event loop reads and changes it.
 type requestState uint8
 
 const (
@@ -12,8 +12,9 @@
 	requestResponded
 	// requestDisconnected: the client closed its connection before the final response; attempts may still be in flight.
 	requestDisconnected
-	// requestReleased: the request is over, and none of its attempts is in flight; the loop's table no longer has it.
+	// requestReleased: the request is over and none of its attempts is in flight; it is no longer in the loop's table.
 	requestReleased
+	// requestStates is the number of states.
 	requestStates
 )
 
@@ -21,16 +22,17 @@
 
 func (s requestState) String() string { return requestStateNames[s] }
 
-// requestEvent is what changes the state of a request.
+// requestEvent is an event that may change the state of a request.
 type requestEvent uint8
 
 const (
-	// finalResponseGiven: the client side has been given the one final response.
+	// finalResponseGiven: the event loop has passed the final response to the goroutine that serves the client.
 	finalResponseGiven requestEvent = iota
-	// clientClosed: the client's connection was closed.
+	// clientClosed: the client closed its connection.
 	clientClosed
 	// noAttemptInFlight: no attempt of the request is in flight now.
 	noAttemptInFlight
+	// requestEvents is the number of events.
 	requestEvents
 )
 
@@ -38,8 +40,8 @@
 
 func (e requestEvent) String() string { return requestEventNames[e] }
 
-// next returns the state that follows from an event. It returns false where the event changes nothing: a request has
-// one final response, or none if its client left first, and is released once.
+// next returns the state after an event. It returns the same state and false if the event changes nothing: a request
+// gets one final response, or none if its client closed the connection first, and it is released once.
 func (s requestState) next(event requestEvent) (requestState, bool) {
 	switch {
 	case s == requestOpen && event == finalResponseGiven:
@@ -52,18 +54,19 @@
 	return s, false
 }
 
-// attemptState is where an attempt stands.
+// attemptState is the state of an attempt.
 type attemptState uint32
 
 const (
 	// attemptQueued: no byte of the request has been written; the attempt may wait for a connection.
 	attemptQueued attemptState = iota
-	// attemptWriting: bytes of the request may have been written, and from the last one on the backend may run it.
+	// attemptWriting: bytes of the request may have been written; once all are written, the backend may execute it.
 	attemptWriting
-	// attemptCancelled: the attempt was cancelled before its first byte, which will never be written.
+	// attemptCancelled: the attempt was cancelled before its first byte; nothing of it will be written.
 	attemptCancelled
-	// attemptEnded: the event loop has recorded the result; what comes later is dropped.
+	// attemptEnded: the event loop has recorded the result; it ignores any later result.
 	attemptEnded
+	// attemptStates is the number of states.
 	attemptStates
 )
 
@@ -71,16 +74,17 @@
 
 func (s attemptState) String() string { return attemptStateNames[s] }
 
-// attemptEvent is what changes the state of an attempt.
+// attemptEvent is an event that may change the state of an attempt.
 type attemptEvent uint8
 
 const (
-	// writeStarting: the attempt has a connection and is about to write.
+	// writeStarting: the attempt has a connection and is about to write its first byte.
 	writeStarting attemptEvent = iota
-	// cancelledBeforeWrite: the event loop cancels the attempt if nothing of it has been written.
+	// cancelledBeforeWrite: the event loop cancels an attempt of which nothing has been written.
 	cancelledBeforeWrite
 	// resultRecorded: the event loop has the result of the attempt.
 	resultRecorded
+	// attemptEvents is the number of events.
 	attemptEvents
 )
 
@@ -88,8 +92,9 @@
 
 func (e attemptEvent) String() string { return attemptEventNames[e] }
 
-// next returns the state that follows from an event. It returns false where the event must not happen any more: a
-// cancelled attempt never writes, one that writes can't be cancelled, and a result is recorded once.
+// next returns the state after an event. It returns the same state and false if the event is no longer allowed: a
+// cancelled attempt never writes, an attempt that has begun to write is not cancelledBeforeWrite, and a result is
+// recorded once.
 func (s attemptState) next(event attemptEvent) (attemptState, bool) {
 	switch {
 	case s == attemptQueued && event == writeStarting:
@@ -102,13 +107,13 @@
 	return s, false
 }
 
-// attemptLifecycle holds the state of an attempt. The event loop and the goroutine of the attempt change it at the
-// same time; its zero value is attemptQueued.
+// attemptLifecycle holds the state of an attempt. It is safe for concurrent use by the event loop and the goroutine of
+// the attempt. The zero value is attemptQueued.
 type attemptLifecycle struct{ state atomic.Uint32 }
 
 func (a *attemptLifecycle) current() attemptState { return attemptState(a.state.Load()) }
 
-// apply makes the transition of an event, and returns false if there is none from the current state.
+// apply changes the state according to an event. It returns false if the current state has no transition for the event.
 func (a *attemptLifecycle) apply(event attemptEvent) bool {
 	for {
 		from := a.current()
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -13,8 +13,8 @@
 		event requestEvent
 	}
 	allowed := map[transition]requestState{
-		{requestOpen, finalResponseGiven}:   requestResponded,
-		{requestOpen, clientClosed}:           requestDisconnected,
+		{requestOpen, finalResponseGiven}:        requestResponded,
+		{requestOpen, clientClosed}:              requestDisconnected,
 		{requestResponded, noAttemptInFlight}:    requestReleased,
 		{requestDisconnected, noAttemptInFlight}: requestReleased,
 	}
@@ -38,11 +38,11 @@
 		event attemptEvent
 	}
 	allowed := map[transition]attemptState{
-		{attemptQueued, writeStarting}:      attemptWriting,
-		{attemptQueued, cancelledBeforeWrite}:   attemptCancelled,
-		{attemptQueued, resultRecorded}:    attemptEnded,
-		{attemptWriting, resultRecorded}:   attemptEnded,
-		{attemptCancelled, resultRecorded}: attemptEnded,
+		{attemptQueued, writeStarting}:        attemptWriting,
+		{attemptQueued, cancelledBeforeWrite}: attemptCancelled,
+		{attemptQueued, resultRecorded}:       attemptEnded,
+		{attemptWriting, resultRecorded}:      attemptEnded,
+		{attemptCancelled, resultRecorded}:    attemptEnded,
 	}
 	for from := range attemptStates {
 		for event := range attemptEvents {
--- a/internal/node/limit_listener.go
+++ b/internal/node/limit_listener.go
@@ -11,8 +11,9 @@
 	"hitchvale/internal/accept"
 )
 
-// limitListener is a connection limiter: it bounds how many accepted connections are open at once. Further ones wait
-// in the backlog, where accepting them would run the process out of descriptors.
+// limitListener is a listener that bounds how many accepted connections are open at the same time. Further connections
+// wait in the backlog, since accepting them would run the process out of descriptors. Its methods are safe for
+// concurrent use, except that only one goroutine may call Accept.
 //
 // It can be paused during a hand-over, so that the node's other process accepts instead.
 type limitListener struct {
@@ -20,28 +21,29 @@
 
 	mu       sync.Mutex
 	changed  *sync.Cond // signals a change of any field below
-	limit    int        // most connections open at once
-	reserved int        // slots in use: open connections, and one for an Accept in progress
-	open     int        // accepted connections that are not closed
+	limit    int        // most connections open at the same time
+	reserved int        // slots in use: one for each open connection and for an Accept in progress
+	open     int        // accepted connections that are not closed yet
 	paused   bool
 	closed   bool
 
 	retry accept.Retry
 }
 
-// newLimitListener returns a listener that keeps at most limit connections of the given one open.
+// newLimitListener returns a listener that accepts from the given one and has at most limit connections open.
 func newLimitListener(listener net.Listener, limit int) *limitListener {
 	limited := &limitListener{Listener: listener, limit: limit}
 	limited.changed = sync.NewCond(&limited.mu)
 	return limited
 }
 
-// logFailures logs failed calls of accept at a bounded rate. It must be called before the first Accept.
+// logFailures makes the listener log failed calls of accept, at a bounded rate. It must be called before the first
+// Accept.
 func (l *limitListener) logFailures(log *slog.Logger) {
 	l.retry.OnRetry = accept.LogRetries(log, "clients")
 }
 
-// backlogged reports whether connections may be waiting in the backlog: the limit is reached, or accept fails.
+// backlogged reports whether connections may be waiting in the backlog because the limit is reached or accept fails.
 func (l *limitListener) backlogged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +57,7 @@
 	return l.open
 }
 
-// setLimit changes how many connections may be open. Open ones beyond a lower limit stay open.
+// setLimit changes how many connections may be open. Connections that are open beyond a lower limit stay open.
 func (l *limitListener) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +72,7 @@
 	l.paused = paused
 	if d, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		if paused {
-			d.SetDeadline(time.Now()) // interrupts an Accept in progress
+			d.SetDeadline(time.Now()) // interrupts a call of accept in progress
 		} else {
 			d.SetDeadline(time.Time{})
 		}
@@ -78,8 +80,8 @@
 	l.changed.Broadcast()
 }
 
-// Accept waits for a free slot and a connection. It retries errors that may pass, as net/http ends the server at most
-// of them, and returns an error only when no later call could succeed.
+// Accept waits for a free slot and a connection. It retries after transient errors, since net/http would end the server
+// at most of them. It returns an error only if every later call would fail too.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		if err := l.acquireSlot(); err != nil {
@@ -95,7 +97,7 @@
 			return nil, err
 		}
 		if !paused {
-			l.setPaused(false) // paused and resumed meanwhile: clears the deadline of the pause
+			l.setPaused(false) // the pause has ended already: clears the deadline that it set
 		}
 	}
 }
@@ -152,14 +154,15 @@
 	release func() // frees the slot, once
 }
 
-// resetOnClose makes Close reset the connection, so that the client can tell a failure from an orderly end.
+// resetOnClose makes Close reset the connection, so that the client can distinguish a failure from an orderly close.
 func (c *limitedConn) resetOnClose() {
 	if t, ok := c.client.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 }
 
-// Close marks the connection as closed before it closes it: a request read later is not served.
+// Close closes the connection and frees its slot. It first marks the connection as closed, so that a request that is
+// read afterwards is not served.
 func (c *limitedConn) Close() error {
 	c.client.markClosed()
 	err := c.Conn.Close()
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -9,17 +9,18 @@
 	"hitchvale/internal/maintenance"
 )
 
-// turnTimeout bounds what a node does about maintenance turns after one view.
+// turnTimeout bounds how long a node handles maintenance turns after one view of the fleet.
 const turnTimeout = 2 * time.Second
 
-// maintenanceDriver advances the maintenance turns of machines. With each view of the fleet that has turns it reads the
-// plan, confirms the machines at which this node has nothing in flight, and submits what maintenance.Propose returns.
-// It runs on the goroutine of the fleet's agent, between two reports.
+// maintenanceDriver advances the maintenance turns of machines. After each view of the fleet that has turns, it reads
+// the plan and submits the commands that maintenance.Propose returns. They include this node's confirmations for
+// machines at which it has nothing in flight. The driver runs on the goroutine of the fleet's agent, between two
+// reports.
 type maintenanceDriver struct {
 	node           *Node
 	client         *fleet.Client
-	viewsUnchanged map[string]int   // by machine: views for which its turn has not changed
-	revisions      map[string]int64 // by machine: of its turn in the last view
+	viewsUnchanged map[string]int   // by machine: number of views for which its turn has not changed
+	revisions      map[string]int64 // by machine: revision of its turn in the last view
 }
 
 func newMaintenanceDriver(n *Node, client *fleet.Client) *maintenanceDriver {
@@ -31,7 +32,7 @@
 	}
 }
 
-// onView acts on one view.
+// onView handles one view of the fleet. incarnation is that of this node's session.
 func (d *maintenanceDriver) onView(ctx context.Context, view fleet.View, incarnation uint64) {
 	if view.MaintenanceTurns == 0 {
 		clear(d.viewsUnchanged)
@@ -42,13 +43,13 @@
 	defer cancel()
 	var plan maintenance.PlanView
 	if err := d.client.Call(ctx, http.MethodGet, maintenance.PlanPath, nil, &plan); err != nil {
-		d.node.log.Warn("maintenance plan not read", "error", err)
+		d.node.log.Warn("maintenance plan not read, retrying after the next view", "error", err)
 		return
 	}
 	d.countViews(plan)
 	state, err := d.nodeState(ctx, view, incarnation)
 	if err != nil {
-		return // what is in flight is unknown: nothing is confirmed
+		return // nothing is confirmed while it is unknown what is in flight
 	}
 	for _, command := range maintenance.Propose(plan, state) {
 		if err := d.submit(ctx, command); err != nil && command.Op == maintenance.OpAdvanceTurn {
@@ -58,7 +59,7 @@
 	}
 }
 
-// countViews counts for how many views each turn has not changed.
+// countViews updates, for each turn, the number of views for which it has not changed.
 func (d *maintenanceDriver) countViews(plan maintenance.PlanView) {
 	viewsUnchanged := map[string]int{}
 	revisions := map[string]int64{}
@@ -72,8 +73,9 @@
 	d.revisions = revisions
 }
 
-// nodeState returns what this node knows: the view, its endpoint list, and what it has in flight at each endpoint. The
-// error is that of a query that the event loop did not answer in time.
+// nodeState returns the state on which this node bases its proposals: the view, the revision of its endpoint list, and
+// the number of attempts and streamed responses in flight at each endpoint. It returns an error if the event loop does
+// not answer in time.
 func (d *maintenanceDriver) nodeState(
 	ctx context.Context, view fleet.View, incarnation uint64,
 ) (maintenance.NodeState, error) {
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -3,21 +3,22 @@
 import "sync/atomic"
 
 const (
-	// bodyMemoryDivisor: buffered bodies may take this fraction of the memory limit together.
+	// bodyMemoryDivisor divides the memory limit: the result is the budget for all buffered bodies together.
 	bodyMemoryDivisor = 8
-	// requestMemoryDivisor: one request's body may take this fraction of the budget.
+	// requestMemoryDivisor divides the budget: the result is the most that the body of one request may take, unless that
+	// is less than maxBodyBytes.
 	requestMemoryDivisor = 16
-	// defaultMemoryMB stands for a memory limit that the configuration does not give, in MiB.
+	// defaultMemoryMB is the memory limit, in MiB, if the configuration has none.
 	defaultMemoryMB = 192
 )
 
-// memoryBudget bounds the memory, in bytes, of all bodies that are buffered. It is safe for concurrent use.
+// memoryBudget bounds the memory, in bytes, of all buffered bodies together. It is safe for concurrent use.
 type memoryBudget struct {
-	available     atomic.Int64 // negative after acquire took more than there was
+	available     atomic.Int64 // negative after acquire took more than was available
 	maxPerRequest int64
 }
 
-// newMemoryBudget returns the budget for a memory limit in MiB; 0: none is given.
+// newMemoryBudget returns the budget for a memory limit in MiB; 0 stands for defaultMemoryMB.
 func newMemoryBudget(memoryMB int64) *memoryBudget {
 	if memoryMB == 0 {
 		memoryMB = defaultMemoryMB
@@ -28,7 +29,7 @@
 	return b
 }
 
-// tryAcquire takes n bytes, if they are available.
+// tryAcquire takes n bytes if they are available, and reports whether it did.
 func (b *memoryBudget) tryAcquire(n int64) bool {
 	if b.available.Add(-n) < 0 {
 		b.available.Add(n)
@@ -37,8 +38,9 @@
 	return true
 }
 
-// reserve takes n bytes for a request that holds some already, if the request may have them. With guaranteed it may
-// always have maxBodyBytes in all: the limit of connections bounds how many such requests there are.
+// reserve takes n more bytes for a request that holds some bytes already, and reports whether the request may have
+// them. If guaranteed is set, the request may always hold maxBodyBytes in all, even if the budget is exhausted: the
+// limit of connections bounds the number of such requests.
 func (b *memoryBudget) reserve(held, n int64, guaranteed bool) bool {
 	if held+n <= b.maxPerRequest && b.tryAcquire(n) {
 		return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,7 +14,7 @@
 	"hitchvale/internal/discovery"
 )
 
-// Node is one process of a node. New opens its sockets, Run serves.
+// Node is one process of a load-balancing node. New opens its sockets, and Run serves requests.
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
@@ -26,20 +26,21 @@
 	counters  *counters
 	metrics   *metrics
 
-	maxClientConns  int // of all processes of the node together
-	maxBackendConns int // likewise
+	maxClientConns  int // limit for all processes of the node together
+	maxBackendConns int // limit for all processes of the node together
 
-	peers    *peers        // nil: no gossip
-	admin    *admin.Server // nil: no second address
-	cordons  *cordonFile   // nil: no second address
-	handover *handover     // nil: no second address
-	fleet    *fleetMember  // nil: not a member of a fleet
+	peers    *peers        // nil if the node exchanges no gossip
+	admin    *admin.Server // nil without an admin address
+	cordons  *cordonFile   // nil without an admin address
+	handover *handover     // nil without an admin address
+	fleet    *fleetMember  // nil if the node is not a member of a fleet
 
 	firstListTimeout time.Duration
 }
 
-// New opens the sockets of a node. With a second address it takes the listener of a process that runs already. The
-// error names what could not be opened; an address that is in use for a moment is waited for.
+// New opens the sockets of a node. If the configuration has an admin address and another process of the node runs, New
+// inherits the listener of that process. An address that is in use is retried for a short time. The error names the
+// socket that could not be opened.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	balancer, err := balance.New(cfg.Settings.Config, cfg.Seed)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return n, nil
 }
 
-// buildUpstream makes the pool of connections to backends and the event loop.
+// buildUpstream creates the pool of connections to backends and the event loop.
 func (n *Node) buildUpstream(balancer *balance.Balancer) {
 	settings := n.cfg.Settings.Config
 	limits := settings.Limits
@@ -88,7 +89,7 @@
 	n.metrics.guard = n.loop.guard
 }
 
-// buildServer makes the side of the clients.
+// buildServer creates the HTTP server for clients.
 func (n *Node) buildServer() {
 	n.server = newClientServer(n.loop, n.cfg.Settings, n.maxClientConns, n.log)
 	n.server.bodyMemory = newMemoryBudget(n.cfg.Limits.MemoryMB)
@@ -97,7 +98,7 @@
 	n.server.streaming = n.cfg.Admin != ""
 }
 
-// buildDiscovery makes the client of discovery, and connects it with the event loop.
+// buildDiscovery creates the client of discovery and connects it with the event loop.
 func (n *Node) buildDiscovery() {
 	n.discovery = discovery.NewClient(discovery.Config{
 		Address:   n.cfg.Discovery,
@@ -124,7 +125,7 @@
 	n.loop.post(endpointListReceived{kind: kind, list: list})
 }
 
-// openPeers opens the socket for gossip, if there is to be one.
+// openPeers opens the socket for gossip if the configuration has an address for it.
 func (n *Node) openPeers() error {
 	address := n.cfg.PeerListen
 	if address == "" {
@@ -139,7 +140,8 @@
 	return nil
 }
 
-// listen opens the second address and the one for clients, or takes over the predecessor's listener.
+// listen opens the admin address and the address for clients. For clients it uses the listener that was inherited from
+// the predecessor, if there is one.
 func (n *Node) listen() error {
 	if n.cfg.Admin != "" {
 		n.cordons = newCordonFile(n.cfg.StateDir, n.cfg.Name, n.log)
@@ -158,7 +160,7 @@
 	}
 	listenConfig := net.ListenConfig{}
 	if n.handover != nil {
-		listenConfig.Control = sharePort // with a predecessor that does not hand over
+		listenConfig.Control = sharePort // a predecessor that does not hand over may use the same address
 	}
 	listener, err := accept.Open(func() (net.Listener, error) {
 		return listenConfig.Listen(context.Background(), "tcp", n.cfg.Listen)
@@ -177,7 +179,7 @@
 	}
 }
 
-// close closes the sockets of a node that does not run.
+// close closes the sockets of a node whose Run is never called.
 func (n *Node) close() {
 	if n.peers != nil {
 		n.peers.conn.Close()
@@ -190,11 +192,11 @@
 	}
 }
 
-// Addr returns the address for clients.
+// Addr returns the address on which the node accepts clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// Reload applies a configuration that replaces the node's own while it runs: discovery may have moved. All other keys
-// hold from the start of the process.
+// Reload applies a new configuration to the running node. It only takes over the address of discovery; all other keys
+// keep the values that the process started with.
 func (n *Node) Reload(cfg Config) {
 	n.log.Info("configuration replaced", "discovery", cfg.Discovery)
 	n.discovery.SetAddress(cfg.Discovery)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -10,12 +10,13 @@
 	"hitchvale/balance"
 )
 
-// firstListTimeout is how long a process waits for the first pushed list before it reports ready. Discovery answers at
-// once; one that is down must not keep the node from starting, which has 30 s to be ready.
+// firstListTimeout is how long a process waits for the first pushed list before it reports ready without that list. A
+// discovery service that is up answers immediately. If it is down, the node must start nevertheless, and it has to be
+// ready within 30 s.
 const firstListTimeout = 3 * time.Second
 
-// Run serves until ctx ends, a successor has replaced this process or the listener is lost. Then it shuts down
-// gracefully and returns. The error is that of the listener.
+// Run serves until ctx ends, a successor has replaced this process, or the listener can't accept any more. Run then
+// shuts down gracefully and returns. The error is that of the listener.
 func (n *Node) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
@@ -36,7 +37,7 @@
 	go func() { listenerLost <- server.Serve(n.listener) }()
 	n.runAdmin(background, &running)
 	n.logStart()
-	var replaced chan struct{} // nil: no successor can come
+	var replaced chan struct{} // nil: no successor can replace this process
 	if n.handover != nil {
 		replaced = make(chan struct{})
 		running.Go(func() { n.runHandover(background, replaced) })
@@ -45,7 +46,8 @@
 	return errors.Join(listenerErr, n.shutDown(server))
 }
 
-// awaitEnd waits until this process has to end. The error is that of a listener which no later call could accept on.
+// awaitEnd waits until this process has to shut down. It returns an error only if the listener has failed in a way in
+// which every later call of accept would fail too.
 func (n *Node) awaitEnd(ctx context.Context, listenerLost <-chan error, replaced <-chan struct{}) error {
 	select {
 	case err := <-listenerLost:
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// runCordons applies the cordons, and follows those that other processes of the node set.
+// runCordons applies the recorded cordons, and starts to watch for changes that other processes of the node make.
 func (n *Node) runCordons(ctx context.Context, running *sync.WaitGroup) {
 	if n.cordons == nil {
 		return
@@ -69,9 +71,10 @@
 	})
 }
 
-// loadKnownList gives the event loop the endpoint list of the configuration or the predecessor. A pushed list counts as
-// notified from the start of a process, so where lists are pushed the node is not ready on an older one, unless
-// discovery stays silent until the timer that is returned fires.
+// loadKnownList gives the event loop the endpoint list of the configuration or of the predecessor. Where discovery
+// pushes lists, the node counts as notified of the current list from the start of its process. A node with only the
+// list of its configuration is therefore not ready until discovery has pushed a list, or until the returned timer
+// fires.
 func (n *Node) loadKnownList() *time.Timer {
 	inherited := n.handover != nil && n.handover.inheritedListener != nil
 	n.loop.awaitingFirstList = !n.cfg.Settings.Config.PollDiscovery && !inherited
@@ -82,7 +85,7 @@
 	return timer
 }
 
-// runPeers exchanges gossip.
+// runPeers starts the exchange of gossip with other nodes, if it is configured.
 func (n *Node) runPeers(ctx context.Context, running *sync.WaitGroup) {
 	if n.peers == nil {
 		return
@@ -94,7 +97,7 @@
 	})
 }
 
-// runAdmin serves the second address. The node serves requests without it.
+// runAdmin starts the admin server, if it is configured. The node goes on serving requests if that server ends.
 func (n *Node) runAdmin(ctx context.Context, running *sync.WaitGroup) {
 	if n.admin == nil {
 		return
@@ -106,7 +109,7 @@
 	})
 }
 
-// logStart logs the configuration that the node runs with.
+// logStart logs the addresses and settings that the node runs with.
 func (n *Node) logStart() {
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String())
 	settings := n.cfg.Settings.Config
--- a/internal/node/unix_socket.go
+++ b/internal/node/unix_socket.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// This file opens the sockets that the processes of a node share.
+// This file opens the sockets that connect the processes of a node or are shared by them.
 
-// maxSocketPath is a length that the path of a Unix socket may have on every platform.
+// maxSocketPath is a length, in bytes, that every platform allows for the path of a Unix socket.
 const maxSocketPath = 89
 
-// sharePort is a net.ListenConfig.Control that lets two processes of a node listen on one address.
+// sharePort is a net.ListenConfig.Control function that lets two processes of a node listen on the same address.
 func sharePort(_, _ string, conn syscall.RawConn) error {
-	const soReusePort = 15 // package syscall does not name it on every platform
+	const soReusePort = 15 // SO_REUSEPORT, which package syscall does not define on every platform
 	var optionErr error
 	controlErr := conn.Control(func(fd uintptr) {
 		optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
@@ -26,8 +26,8 @@
 	return optionErr
 }
 
-// withShortPath calls use with a path of the same socket that is short enough: a longer one goes by way of the
-// descriptor of its folder.
+// withShortPath calls use with a path of the same socket that is no longer than maxSocketPath. It replaces a longer
+// path by a path through the descriptor of the socket's directory, which is open only during the call.
 func withShortPath(path string, use func(short string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
@@ -40,7 +40,7 @@
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// dialUnix connects to the socket at a path.
+// dialUnix connects to the Unix socket at a path.
 func dialUnix(path string) (conn *net.UnixConn, err error) {
 	err = withShortPath(path, func(short string) (err error) {
 		conn, err = net.DialUnix("unix", nil, &net.UnixAddr{Name: short, Net: "unix"})
@@ -49,7 +49,8 @@
 	return conn, err
 }
 
-// listenUnix listens at a path, and replaces a socket that is there.
+// listenUnix listens on a Unix socket at a path. It replaces a file that exists at the path. Closing the listener does
+// not remove the socket.
 func listenUnix(path string) (listener *net.UnixListener, err error) {
 	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(ownPath)
@@ -60,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // the path may be another process's by then
+	listener.SetUnlinkOnClose(false) // another process may have replaced the socket by then
 	if err := os.Rename(ownPath, path); err != nil {
 		listener.Close()
 		return nil, err
