--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// flakyListener's Accept fails in some calls with errors of the operating system.
+// flakyListener is a listener whose Accept fails in the calls that fails selects, with the errors in errs in turn.
 type flakyListener struct {
 	net.Listener
 	errs  []error
@@ -26,8 +26,9 @@
 	return l.Listener.Accept()
 }
 
-// passingErrors are errors of accept(2) that pass: of a shortage, or of a connection that has broken already.
-var passingErrors = []error{
+// transientErrors are errors of accept(2) after which a later call may succeed: they come from a shortage of resources
+// or from a connection that is broken already.
+var transientErrors = []error{
 	syscall.ECONNABORTED,
 	syscall.ENFILE,
 	syscall.EMFILE,
@@ -46,8 +47,9 @@
 	syscall.EINTR,
 }
 
-// startFlaky starts a node whose calls of accept fail with the given errors, in turn, where fails says so.
-func startFlaky(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
+// startWithFlakyListener starts a node with one backend. Its calls of accept fail if fails returns true, with the given
+// errors in turn.
+func startWithFlakyListener(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
 	t.Helper()
 	text := listText(1, true, listed{"s", backend, "ready", 0})
 	n, err := New(testConfig(t, newRegistry(t, text).addr, text), quiet())
@@ -60,17 +62,18 @@
 	return s
 }
 
-// A node whose calls of accept fail for a moment, with any error that passes, serves every request.
+// A node whose calls of accept fail with transient errors serves every request.
 func TestServesWhileAcceptFails(t *testing.T) {
-	s := startFlaky(t, newEchoBackend(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
+	addr := newEchoBackend(t).Addr().String()
+	s := startWithFlakyListener(t, addr, transientErrors, func(call int64) bool { return call%3 != 1 })
 	began := time.Now()
-	for range 2 * len(passingErrors) {
+	for range 2 * len(transientErrors) {
 		if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-			t.Errorf("answered %d", resp.StatusCode)
+			t.Errorf("got status %d, want 200", resp.StatusCode)
 		}
 	}
 	if spent := time.Since(began); spent > patience/2 {
-		t.Errorf("took %v", spent)
+		t.Errorf("the requests took %v, want at most %v", spent, patience/2)
 	}
 	select {
 	case err := <-s.err:
@@ -79,36 +82,36 @@
 	}
 }
 
-// Connections that wait in the backlog at SIGTERM, since accept fails just then, are served before the listener is
-// closed.
+// Connections that wait in the backlog at SIGTERM because accept fails are served before the listener is closed.
 func TestShutdownServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
 	var failing atomic.Bool
-	s := startFlaky(t, newEchoBackend(t).Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
+	addr := newEchoBackend(t).Addr().String()
+	s := startWithFlakyListener(t, addr, []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that waits already
+	s.dialed(t, "").Close() // ends the call of accept that is waiting
 	s.stop()
 	eventually(t, "the drain", s.server.shutdown.started)
-	answered := make(chan int, 1)
+	statuses := make(chan int, 1)
 	go func() {
 		tr := &http.Transport{DisableKeepAlives: true}
 		resp, err := tr.RoundTrip(ask(t, s.url+"/api/x", "order"))
 		if err != nil {
 			t.Error(err)
-			answered <- 0
+			statuses <- 0
 			return
 		}
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		answered <- resp.StatusCode
+		statuses <- resp.StatusCode
 	}()
 	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	failing.Store(false)
-	if status := receive(t, "the answer", answered); status != http.StatusOK {
-		t.Errorf("answered %d", status)
+	if status := receive(t, "the response", statuses); status != http.StatusOK {
+		t.Errorf("got status %d, want 200", status)
 	}
 }
 
-// A listener that can never accept again ends the node, after every admitted request has been answered.
+// A listener that can never accept again shuts the node down, after every admitted request has been answered.
 func TestLostListenerEndsTheNodeInOrder(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
@@ -117,52 +120,52 @@
 		return ok200("done")
 	}))
 	var lost atomic.Bool
-	s := startFlaky(t, b.Addr().String(), []error{syscall.EBADF}, func(int64) bool { return lost.Load() })
-	answered := make(chan string, 1)
+	s := startWithFlakyListener(t, b.Addr().String(), []error{syscall.EBADF}, func(int64) bool { return lost.Load() })
+	bodies := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, s.url+"/api/x", "order"))
-		answered <- body
+		bodies <- body
 	}()
 	receive(t, "the request at the backend", held)
 	lost.Store(true)
 	s.dialed(t, "").Close()
 	eventually(t, "the drain", s.server.shutdown.started)
 	close(hold)
-	if body := receive(t, "the answer", answered); body != "done" {
-		t.Errorf("answered %q", body)
+	if body := receive(t, "the response", bodies); body != "done" {
+		t.Errorf("got body %q, want \"done\"", body)
 	}
 	if err := receive(t, "the end", s.err); err == nil {
 		t.Error("the node ended without an error")
 	}
 }
 
-// The time that a request waits in the backlog, while accept fails, counts against its deadline and against the time
-// that its backend is given.
+// The time that a request waits in the backlog while accept fails counts against its deadline, and reduces the time
+// that the node sends to the backend in X-Expires-In.
 func TestDeadlineCountsTheWaitInTheBacklog(t *testing.T) {
-	told := make(chan string, 4)
+	expiresIn := make(chan string, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/api/x" {
-			told <- r.Header.Get("X-Expires-In")
+			expiresIn <- r.Header.Get("X-Expires-In")
 		}
 		return ok200("done")
 	}))
 	var failing atomic.Bool
-	s := startFlaky(t, b.Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
+	s := startWithFlakyListener(t, b.Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that waits already
-	const waits, waited = 9500 * time.Millisecond, time.Second
-	time.AfterFunc(waited, func() { failing.Store(false) })
+	s.dialed(t, "").Close() // ends the call of accept that is waiting
+	const deadline, backlogWait = 9500 * time.Millisecond, time.Second
+	time.AfterFunc(backlogWait, func() { failing.Store(false) })
 	began := time.Now()
 	do(t, ask(t, s.url+"/api/x", "order"))
-	if time.Since(began) < waited {
-		t.Fatal("accept did not fail for as long")
+	if time.Since(began) < backlogWait {
+		t.Fatalf("the request was answered within %v, although accept failed for as long", backlogWait)
 	}
-	seconds, err := strconv.ParseFloat(receive(t, "the request", told), 64)
+	seconds, err := strconv.ParseFloat(receive(t, "the request", expiresIn), 64)
 	if err != nil {
 		t.Fatal(err)
 	}
 	left := time.Duration(seconds * float64(time.Second))
-	if left > waits-waited+150*time.Millisecond || left < waits-waited-patience/4 {
-		t.Errorf("told %v of %v after %v in the backlog", left, waits, waited)
+	if left > deadline-backlogWait+150*time.Millisecond || left < deadline-backlogWait-patience/4 {
+		t.Errorf("the backend got %v of %v after %v in the backlog", left, deadline, backlogWait)
 	}
 }
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// startWithRecord starts a node on two backends, with its record in dir. served sends a request and returns the
-// backend.
+// startWithRecord starts a node with two backends, whose cordon file is in dir. served sends a request and returns the
+// id of the backend that answered.
 func startWithRecord(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
 	t.Helper()
 	var members []listed
@@ -37,13 +37,14 @@
 	}
 }
 
+// adminPost sends a POST to the admin address and returns the status.
 func adminPost(t *testing.T, n *started, path string) int {
 	t.Helper()
 	resp, _ := do(t, adminCall(t, n, "POST", path))
 	return resp.StatusCode
 }
 
-// neverServes reports whether a backend gets none of many requests.
+// neverServes sends 20 requests and reports whether the backend gets none of them.
 func neverServes(served func() string, id string) bool {
 	for range 20 {
 		if served() == id {
@@ -53,15 +54,15 @@
 	return true
 }
 
-// A backend is cordoned from the success of the call until it is uncordoned, through lists that name it, at all
-// processes of the node.
-func TestCordonHolds(t *testing.T) {
+// A cordon applies from the success of the call until the backend is uncordoned, in all processes of the node. A list
+// that contains the backend does not end the cordon.
+func TestCordonAppliesUntilUncordoned(t *testing.T) {
 	dir := t.TempDir()
 	n, reg, served := startWithRecord(t, dir)
 	other, _, servedByOther := startWithRecord(t, dir)
-	for range 2 { // cordoned twice is cordoned once
+	for range 2 { // the second cordon changes nothing
 		if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
-			t.Fatalf("answered %d", got)
+			t.Fatalf("got status %d", got)
 		}
 	}
 	if !neverServes(served, "s-a") {
@@ -72,32 +73,34 @@
 	}
 	reg.next <- listText(2, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
 		listed{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
-	eventually(t, "the list is taken in", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
+	eventually(t, "the list is applied", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
 	if !neverServes(served, "s-a") {
-		t.Error("served by a cordoned backend, after a list that names it")
+		t.Error("served by a cordoned backend after a list that contains it")
 	}
-	eventually(t, "the other process follows", func() bool { return stats(t, other)["members_unavailable"] == 1 })
+	eventually(t, "the other process applies the cordon", func() bool {
+		return stats(t, other)["members_unavailable"] == 1
+	})
 	if !neverServes(servedByOther, "s-a") {
 		t.Error("the other process sends to a cordoned backend")
 	}
 	if got := adminPost(t, other, "/admin/uncordon/s-a"); got != http.StatusOK {
-		t.Fatalf("answered %d", got)
+		t.Fatalf("got status %d", got)
 	}
 	eventually(t, "the backend is used again", func() bool { return servedByOther() == "s-a" })
-	eventually(t, "the first process follows", func() bool { return stats(t, n)["members_unavailable"] == 0 })
+	eventually(t, "the first process applies the uncordon", func() bool { return stats(t, n)["members_unavailable"] == 0 })
 	if got := adminPost(t, n, "/admin/cordon/s-none"); got != http.StatusNotFound {
-		t.Errorf("unknown backend: answered %d", got)
+		t.Errorf("unknown backend: got status %d, want 404", got)
 	}
 }
 
-// backendAddr returns the address of a backend as the node has it.
+// backendAddr returns the address that the node has for a backend.
 func (s *started) backendAddr(t *testing.T, id string) (addr string) {
 	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
 	return addr
 }
 
-// A cordon holds in a process that starts later.
-func TestCordonOutlivesTheProcess(t *testing.T) {
+// A cordon also applies in a process that starts later.
+func TestCordonAppliesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	n, _, _ := startWithRecord(t, dir)
 	adminPost(t, n, "/admin/cordon/s-a")
@@ -109,9 +112,9 @@
 	}
 }
 
-// A record that is empty or malformed keeps no node from starting, nor from writing a new one.
+// A node with an empty or malformed record starts, and can write a new record.
 func TestMalformedCordonRecord(t *testing.T) {
-	for name, text := range map[string]string{"empty": "", "damaged": `{"version":1,"back`, "odd": `[1,2]`} {
+	for name, text := range map[string]string{"empty": "", "truncated": `{"version":1,"back`, "wrong type": `[1,2]`} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			if err := os.WriteFile(filepath.Join(dir, "glencart-n1.cordons"), []byte(text), 0o600); err != nil {
@@ -119,28 +122,29 @@
 			}
 			n, _, served := startWithRecord(t, dir)
 			if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
-				t.Errorf("answered %d", got)
+				t.Errorf("got status %d", got)
 			}
 			if !neverServes(served, "s-a") {
 				t.Error("served by a cordoned backend")
 			}
 			c, err := newCordonFile(dir, "n1", quiet()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
-				t.Errorf("the record: %v, %v", c, err)
+				t.Errorf("got record %v, error %v", c, err)
 			}
 		})
 	}
 }
 
-// A call fails where the record can't be written: the next process would not have the cordon.
-func TestCordonFailsWithoutARecord(t *testing.T) {
+// A call to cordon a backend fails if the record can't be written, since the next process would not have the cordon.
+func TestCordonFailsIfRecordCannotBeWritten(t *testing.T) {
 	n, _, _ := startWithRecord(t, filepath.Join(t.TempDir(), "missing"))
 	if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusServiceUnavailable {
-		t.Errorf("answered %d", got)
+		t.Errorf("got status %d", got)
 	}
 }
 
-// The record that a process has outlives its file, and no older one replaces it.
+// If the file is removed, an update starts from the record that the process knows, and writes a higher version even if
+// the wall clock has been set back. An update fails while another process holds the lock.
 func TestUpdateStartsFromTheKnownRecord(t *testing.T) {
 	f := newCordonFile(t.TempDir(), "n/1", quiet())
 	if strings.Contains(filepath.Base(f.path), "/") {
@@ -154,69 +158,70 @@
 	os.Remove(f.path)
 	b, err := f.update(ctx, a, "b", true, 9*time.Second)
 	if err != nil || !b.Backends["a"].Cordoned || !b.Backends["b"].Cordoned || b.Version <= a.Version {
-		t.Errorf("%+v, %v", b, err)
+		t.Errorf("got record %+v, error %v", b, err)
 	}
-	held, err := f.lock(ctx)
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held()
+	defer unlock()
 	short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer cancel()
 	if _, err := f.update(short, b, "a", false, 11*time.Second); err == nil {
-		t.Error("changed under another's lock")
+		t.Error("the update succeeded while another lock was held")
 	}
 }
 
-// failingRead fails a number of reads, as a process does that is short of descriptors, or a disk, and then reads.
-func failingRead(fails int64) func(string) ([]byte, error) {
+// failingRead returns a function that fails the given number of reads with ENFILE, the error of a system that is short
+// of descriptors. Later reads succeed.
+func failingRead(failures int64) func(string) ([]byte, error) {
 	var reads atomic.Int64
 	return func(path string) ([]byte, error) {
-		if reads.Add(1) <= fails {
+		if reads.Add(1) <= failures {
 			return nil, syscall.ENFILE
 		}
 		return os.ReadFile(path)
 	}
 }
 
-// A record with transient read errors still binds: a process that starts then has the cordons, one that watches
-// receives a change, and an update never replaces what could not be read.
+// Transient read errors lose no cordon: a process that starts retries and has the cordons, a process that watches the
+// file receives the change later, and an update fails rather than replace a record that it could not read.
 func TestTransientReadErrorsOfTheRecord(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	dir := t.TempDir()
-	out, err := newCordonFile(dir, "n1", quiet()).update(ctx, cordonRecord{}, "a", true, time.Second)
+	first, err := newCordonFile(dir, "n1", quiet()).update(ctx, cordonRecord{}, "a", true, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	starts := newCordonFile(dir, "n1", quiet())
-	starts.readFile = failingRead(3)
-	if c := starts.loadAtStart(); !c.Backends["a"].Cordoned {
-		t.Errorf("a process that starts has %+v", c)
+	starting := newCordonFile(dir, "n1", quiet())
+	starting.readFile = failingRead(3)
+	if c := starting.loadAtStart(); !c.Backends["a"].Cordoned {
+		t.Errorf("a process that starts has the record %+v", c)
 	}
-	follows := newCordonFile(dir, "n1", quiet())
-	follows.loadAtStart()
-	follows.readFile = failingRead(3)
-	if _, err := newCordonFile(dir, "n1", quiet()).update(ctx, out, "b", true, 2*time.Second); err != nil {
+	watching := newCordonFile(dir, "n1", quiet())
+	watching.loadAtStart()
+	watching.readFile = failingRead(3)
+	if _, err := newCordonFile(dir, "n1", quiet()).update(ctx, first, "b", true, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	records := make(chan cordonRecord, 16)
-	go follows.watch(ctx, func(c cordonRecord) { records <- c })
+	go watching.watch(ctx, func(c cordonRecord) { records <- c })
 	select {
 	case c := <-records:
 		if !c.Backends["b"].Cordoned {
-			t.Errorf("received %+v", c)
+			t.Errorf("a process that watches received the record %+v", c)
 		}
 	case <-time.After(patience):
 		t.Error("a process that watches does not receive the change")
 	}
-	changes := newCordonFile(dir, "n1", quiet())
-	changes.readFile = failingRead(1)
-	if _, err := changes.update(ctx, cordonRecord{}, "c", true, 3*time.Second); err == nil {
-		t.Error("a change took the place of a record that could not be read")
+	updating := newCordonFile(dir, "n1", quiet())
+	updating.readFile = failingRead(1)
+	if _, err := updating.update(ctx, cordonRecord{}, "c", true, 3*time.Second); err == nil {
+		t.Error("an update replaced a record that could not be read")
 	}
 	c, err := newCordonFile(dir, "n1", quiet()).load()
 	if err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
-		t.Errorf("the record has %+v, %v", c, err)
+		t.Errorf("got record %+v, error %v", c, err)
 	}
 }
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -12,26 +12,28 @@
 	"hitchvale/internal/fleet"
 )
 
-// Without the key a node is in no fleet: it has no agent, no hook, no goroutine, no connection, no call.
-func TestNoFleetMemberWithoutTheKey(t *testing.T) {
+// Without the key "fleet" in its configuration a node is not a member of a fleet: it has no agent, sets no hooks, runs
+// no goroutine of the fleet, and has no fleet status on its admin address. It therefore opens no connection to a
+// registry and makes no calls to it.
+func TestNoFleetMemberWithoutFleetKey(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
 	n := startAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
 	do(t, ask(t, n.url+"/api/x", "read"))
 	if n.fleet != nil || n.server.fleet != nil || n.loop.onServed != nil {
-		t.Error("a fleet member without the key")
+		t.Error("the node is a fleet member without the key")
 	}
 	stacks := make([]byte, 4<<20)
 	if stacks = stacks[:runtime.Stack(stacks, true)]; strings.Contains(string(stacks), "hitchvale/internal/fleet.") {
-		t.Error("a goroutine of the fleet runs")
+		t.Error("a goroutine of package fleet runs")
 	}
 	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/fleet")); resp.StatusCode != http.StatusNotFound {
-		t.Errorf("/admin/fleet answers %d", resp.StatusCode)
+		t.Errorf("/admin/fleet: got status %d, want 404", resp.StatusCode)
 	}
 }
 
-// The key is checked, and what is wrong is named.
-func TestFleetKeyIsChecked(t *testing.T) {
+// The key "fleet" is validated: defaults are set, and an error names the setting that is wrong.
+func TestFleetKeyIsValidated(t *testing.T) {
 	for text, want := range map[string]string{
 		`{}`:                    "fleet.registry: no replica",
 		`{"registry":["here"]}`: `fleet.registry: "here"`,
@@ -44,14 +46,15 @@
 			`,"settings":` + testSettings + `}`))
 		switch {
 		case want == "" && (err != nil || cfg.Fleet.IntervalMs != 1000 || cfg.Fleet.Tenants != 64):
-			t.Errorf("%s: %v, %+v", text, err, cfg.Fleet)
+			t.Errorf("%s: got error %v, settings %+v", text, err, cfg.Fleet)
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// A report has the connections and the backends' work by tenant, and the module's estimates of the endpoints.
+// A report has the connections and the working time of backends by tenant, and the Balancer's estimates of the
+// endpoints.
 func TestFleetReport(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		time.Sleep(5 * time.Millisecond)
@@ -75,29 +78,31 @@
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
-	r := n.fleet.report()
-	conns := func(r fleet.Report) float64 {
+	report := n.fleet.report()
+	connsOfAcme := func(r fleet.Report) float64 {
 		isAcme := func(tenant fleet.WeightedKey) bool { return tenant.Key == "acme" }
 		if i := slices.IndexFunc(r.TenantsByConnections, isAcme); i >= 0 {
 			return r.TenantsByConnections[i].Weight
 		}
 		return 0
 	}
-	if conns(r) != 3 || r.Metrics.Connections < 3 || r.Metrics.Descriptors <= r.Metrics.Connections ||
-		r.Metrics.DescriptorLimit == 0 {
-		t.Errorf("%+v", r)
+	metrics := report.Metrics
+	if connsOfAcme(report) != 3 || metrics.Connections < 3 || metrics.Descriptors <= metrics.Connections ||
+		metrics.DescriptorLimit == 0 {
+		t.Errorf("got report %+v", report)
 	}
-	if len(r.TenantsByWork) != 1 || r.TenantsByWork[0].Key != "acme" || r.TenantsByWork[0].Weight < 0.010 {
-		t.Errorf("work %+v", r.TenantsByWork)
+	work := report.TenantsByWork
+	if len(work) != 1 || work[0].Key != "acme" || work[0].Weight < 0.010 {
+		t.Errorf("got work by tenant %+v", report.TenantsByWork)
 	}
-	if len(r.Endpoints) != 1 || r.Endpoints[0].ID != "s-a" {
-		t.Errorf("backends %+v", r.Endpoints)
+	if len(report.Endpoints) != 1 || report.Endpoints[0].ID != "s-a" {
+		t.Errorf("got endpoints %+v", report.Endpoints)
 	}
 	for _, c := range clients {
 		c.CloseIdleConnections()
 	}
-	eventually(t, "the ends of the connections", func() bool { return conns(n.fleet.report()) == 0 })
+	eventually(t, "the connections are closed", func() bool { return connsOfAcme(n.fleet.report()) == 0 })
 	if again := n.fleet.report(); len(again.TenantsByWork) != 0 {
-		t.Errorf("work is reported twice: %+v", again.TenantsByWork)
+		t.Errorf("the same work is reported twice: %+v", again.TenantsByWork)
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, keeps its form.
+// The formats that are stored or sent to processes of other versions do not change.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[handoverOffer](t, "handover_offer")
 	goldenfile.RoundTrip[descriptorUsage](t, "descriptor_usage")
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -28,11 +28,13 @@
 	return start(t, cfg)
 }
 
+// isHealthy reports whether the health check on the admin address succeeds.
 func isHealthy(t *testing.T, n *started) bool {
 	resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
+// newEchoBackend starts a backend that answers each request with its X-Trace-Id.
 func newEchoBackend(t *testing.T) *rawBackend {
 	return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/stats" {
@@ -44,7 +46,7 @@
 }
 
 // sendUntilStopped sends requests from eight clients, half of them on reused connections, until stop is called. It
-// counts those sent and those without a response.
+// counts the requests sent and the requests without a valid response.
 func sendUntilStopped(t *testing.T, url string, sent, unanswered *atomic.Int64) (stop func()) {
 	var wg sync.WaitGroup
 	quit := make(chan struct{})
@@ -66,7 +68,7 @@
 					unanswered.Add(1)
 					continue
 				}
-				// A process without estimates may reject; that is a response.
+				// A process without estimates may reject a request, which is a valid response.
 				if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 					t.Log(resp.Status)
 					unanswered.Add(1)
@@ -78,8 +80,9 @@
 	return func() { close(quit); wg.Wait() }
 }
 
-// One process replaces another while clients go on asking: nothing is lost, and the old one ends.
-func TestReplacedWithoutLoss(t *testing.T) {
+// A successor replaces its predecessor while clients send requests: every request gets a response, and the predecessor
+// ends.
+func TestHandoverLosesNoRequests(t *testing.T) {
 	dir := t.TempDir()
 	list := listText(7, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
@@ -87,7 +90,7 @@
 	var sent, unanswered atomic.Int64
 	stop := sendUntilStopped(t, predecessor.url, &sent, &unanswered)
 	eventually(t, "the predecessor has estimates", func() bool { return stats(t, predecessor)["completed.read"] > 50 })
-	// The configuration of the successor has an old list; it uses the predecessor's.
+	// The configuration of the successor has an old list. The successor uses the predecessor's list instead.
 	successor := startProcess(t, dir, predecessor.Addr().String(), listText(1, true))
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	var meanLatency float64
@@ -117,13 +120,13 @@
 	})
 }
 
-// What waits in the queue of the predecessor's listener is served by the new one.
-func TestBacklogOutlivesThePredecessor(t *testing.T) {
+// The successor serves the connections that wait in the backlog of the predecessor's listener.
+func TestSuccessorServesBacklogOfPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
-	predecessor.setHandedOver(true) // it accepts nothing
+	predecessor.setHandedOver(true) // the predecessor stops accepting
 	c, err := net.Dial("tcp", predecessor.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -138,11 +141,11 @@
 	text := make([]byte, 1<<10)
 	n, err := c.Read(text)
 	if !strings.HasPrefix(string(text[:n]), "HTTP/1.1 200") {
-		t.Errorf("%q, %v", text[:n], err)
+		t.Errorf("got response %q, error %v", text[:n], err)
 	}
 }
 
-// startHandover starts a process with one backend, and inherits its listener as a successor does.
+// startHandover starts a process with one backend, and connects to it as a successor that has inherited its listener.
 func startHandover(t *testing.T) (predecessor *started, h *handover) {
 	t.Helper()
 	dir := t.TempDir()
@@ -159,21 +162,21 @@
 	return predecessor, h
 }
 
-// When a successor ends before the predecessor got SIGTERM, the predecessor serves again.
+// The predecessor serves again if the successor ends before the predecessor gets SIGTERM.
 func TestPredecessorServesAgainAfterSuccessorEnds(t *testing.T) {
 	predecessor, h := startHandover(t)
 	if got, ok := h.inheritedList(predecessor.cfg); !ok || got.Members[0].ID != "s-a" || got.Revision != 1 {
-		t.Errorf("list %+v", got)
+		t.Errorf("inherited list %+v", got)
 	}
 	state, usage, err := h.takeOver()
 	if err != nil || usage.BackendConns < reservedBackendConns ||
 		len(state.EndpointIDs) != 1 || state.EndpointIDs[0] != "s-a" {
 		t.Fatalf("%+v, %+v, %v", state, usage, err)
 	}
-	var handed bool
-	predecessor.onLoop(t, func() { handed = predecessor.server.handedOver.Load() })
-	if !handed {
-		t.Error("the predecessor goes on accepting")
+	var handedOver bool
+	predecessor.onLoop(t, func() { handedOver = predecessor.server.handedOver.Load() })
+	if !handedOver {
+		t.Error("the predecessor still accepts after the hand-over")
 	}
 	h.discard()
 	eventually(t, "the predecessor serves again", func() bool {
@@ -182,8 +185,8 @@
 	})
 }
 
-// A successor ends during the shutdown of the predecessor: the backlog of the listener that both had is served by the
-// predecessor before that closes the listener.
+// If the successor ends during the shutdown of the predecessor, the predecessor serves the backlog of the shared
+// listener before it closes the listener.
 func TestSuccessorEndsDuringPredecessorShutdown(t *testing.T) {
 	predecessor, h := startHandover(t)
 	if _, _, err := h.takeOver(); err != nil {
@@ -191,30 +194,31 @@
 	}
 	predecessor.stop()
 	eventually(t, "the shutdown of the predecessor", predecessor.server.shutdown.started)
-	answered := make(chan int, 1)
+	statuses := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, predecessor.url+"/x", "read"))
 		if err != nil {
 			t.Error(err)
-			answered <- 0
+			statuses <- 0
 			return
 		}
 		resp.Body.Close()
-		answered <- resp.StatusCode
+		statuses <- resp.StatusCode
 	}()
-	time.Sleep(50 * time.Millisecond) // it waits in the backlog
+	time.Sleep(50 * time.Millisecond) // the connection now waits in the backlog
 	h.discard()
-	if status := receive(t, "the answer", answered); status != http.StatusOK {
-		t.Errorf("answered %d", status)
+	if status := receive(t, "the response", statuses); status != http.StatusOK {
+		t.Errorf("got status %d, want 200", status)
 	}
 	if err := receive(t, "the end", predecessor.err); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the predecessor ended with %v", err)
 	}
 }
 
-// A successor that got SIGTERM closes its connection to the predecessor at once, so that the predecessor accepts again
-// although the successor still has a request in flight. (Regression test: for 1.7 s neither of them accepted.)
-func TestTerminatedSuccessorReturnsTheNode(t *testing.T) {
+// A successor that gets SIGTERM closes its connection to the predecessor immediately, even with a request in flight, so
+// that the predecessor accepts again. Otherwise neither process accepts until the successor has ended, which took 1.7 s
+// in one case.
+func TestPredecessorAcceptsAgainWhenSuccessorIsTerminated(t *testing.T) {
 	dir, hold, held := t.TempDir(), make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		if r.URL.Path == "/slow" {
@@ -228,42 +232,42 @@
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	successor := startProcess(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
-	answered := make(chan string, 1)
+	bodies := make(chan string, 1)
 	go func() {
 		_, body := do(t, ask(t, successor.url+"/slow", "order"))
-		answered <- body
+		bodies <- body
 	}()
 	receive(t, "the slow request", held)
 	successor.stop()
 	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	if predecessor.server.handedOver.Load() {
-		t.Error("the predecessor does not serve, though the successor shuts down")
+		t.Error("the predecessor does not serve while the successor shuts down")
 	} else if resp, _ := do(t, ask(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 	close(hold)
-	if body := receive(t, "the slow answer", answered); body != "done" {
-		t.Errorf("answered %q", body)
+	if body := receive(t, "the slow response", bodies); body != "done" {
+		t.Errorf("got body %q, want \"done\"", body)
 	}
 	if err := receive(t, "the end of the successor", successor.err); err != nil {
 		t.Error(err)
 	}
 }
 
-// A predecessor that does not run, or does not answer, keeps no process from serving.
+// A process starts and serves even if no predecessor runs or the predecessor does not answer.
 func TestStartsWithoutAnswerOfPredecessor(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	for name, prepare := range map[string]func(path string){
-		"nobody": func(string) {},
-		"a file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
-		"a dead socket": func(path string) {
+		"no file":        func(string) {},
+		"a regular file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
+		"a closed socket": func(path string) {
 			l, err := listenUnix(path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			l.Close()
 		},
-		"a silent process": func(path string) {
+		"a process that does not answer": func(path string) {
 			l, err := listenUnix(path)
 			if err != nil {
 				t.Fatal(err)
@@ -272,7 +276,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than a socket's path may be
+			dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than the path of a socket may be
 			if err := os.Mkdir(dir, 0o700); err != nil {
 				t.Fatal(err)
 			}
@@ -280,7 +284,7 @@
 			n := startProcess(t, dir, "", list)
 			eventually(t, "the process is ready", func() bool { return isHealthy(t, n) })
 			if resp, _ := do(t, ask(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
-				t.Errorf("answered %d", resp.StatusCode)
+				t.Errorf("got status %d, want 200", resp.StatusCode)
 			}
 			successor := startProcess(t, dir, n.Addr().String(), list)
 			eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
@@ -288,7 +292,7 @@
 	}
 }
 
-// A paused listener leaves connections in its backlog, and accepts them afterwards.
+// A paused listener leaves connections in its backlog, and accepts them when it is resumed.
 func TestPausedListener(t *testing.T) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -320,24 +324,25 @@
 	}
 	l.setPaused(false)
 	receive(t, "the connection", accepted).Close()
-	eventually(t, "it is released", func() bool { return l.openConns() == 0 })
+	eventually(t, "its slot is free again", func() bool { return l.openConns() == 0 })
 }
 
-// While a successor accepts, this process sends nothing to endpoints in slow start.
-func TestHandoverSharesOneSlowStartBudget(t *testing.T) {
+// While a successor accepts, the predecessor sends nothing to endpoints in slow start: the successor alone uses the
+// node's slow-start budget.
+func TestPredecessorSendsNothingToEndpointsInSlowStart(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
 		listed{id: "s-b", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	n := startProcess(t, t.TempDir(), "", list)
 	n.onLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
 	for range 20 {
 		if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
-			t.Fatalf("answered %d", resp.StatusCode)
+			t.Fatalf("got status %d, want 200", resp.StatusCode)
 		}
 	}
 }
 
-// A predecessor that got SIGTERM finishes the answer that it is passing on, however long that takes, and the successor
-// reports ready only then.
+// A predecessor that gets SIGTERM finishes a response that it is streaming, however long that takes. The successor
+// reports ready only after that.
 func TestPredecessorFinishesItsRequests(t *testing.T) {
 	dir := t.TempDir()
 	more := make(chan struct{})
@@ -358,27 +363,27 @@
 	}
 	defer resp.Body.Close()
 	successor := startProcess(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "it is handed over", func() bool { return predecessor.server.handedOver.Load() })
+	eventually(t, "the predecessor has handed over", func() bool { return predecessor.server.handedOver.Load() })
 	if successor.handover.serving.Load() && time.Since(successor.handover.startedAt) < predecessorSettleTimeout {
 		t.Error("the successor reports ready while the predecessor has a request in flight")
 	}
 	predecessor.stop()
 	select {
 	case <-predecessor.err:
-		t.Fatal("the predecessor ended within a response")
+		t.Fatal("the predecessor ended before its response was complete")
 	case <-time.After(acceptPeriod + 2*deadline):
 	}
 	close(more)
 	if body, err := io.ReadAll(resp.Body); err != nil || len(body) != 100000 {
-		t.Errorf("%d bytes, %v", len(body), err)
+		t.Errorf("got %d bytes of the response, want 100000; error %v", len(body), err)
 	}
 	receive(t, "the end of the predecessor", predecessor.err)
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 }
 
-// The predecessor closes connections that keep it waiting, so that the successor has descriptors for clients with
+// The predecessor closes connections without requests, so that the successor gets descriptors for clients that send
 // requests.
-func TestPredecessorShedsConnections(t *testing.T) {
+func TestPredecessorClosesIdleConnections(t *testing.T) {
 	dir := t.TempDir()
 	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
@@ -390,11 +395,11 @@
 		}
 		defer c.Close()
 	}
-	eventually(t, "the idle clients are accepted", func() bool {
+	eventually(t, "the idle connections are accepted", func() bool {
 		return predecessor.listener.openConns() >= predecessor.maxClientConns/2
 	})
 	successor := startProcess(t, dir, predecessor.Addr().String(), list)
-	eventually(t, "the idle clients are closed", func() bool {
+	eventually(t, "the idle connections are closed", func() bool {
 		return predecessor.server.handedOver.Load() && predecessor.listener.openConns() <= predecessor.maxClientConns/4
 	})
 	eventually(t, "the successor has the descriptors", func() bool {
--- a/internal/node/lifecycle_test.go
+++ b/internal/node/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Every state and event of a request has its transition here, or none.
+// For every state and event of a request, only the transitions listed here exist.
 func TestRequestTransitions(t *testing.T) {
 	type transition struct {
 		from  requestState
@@ -25,13 +25,13 @@
 				want = from
 			}
 			if to, ok := from.next(event); to != want || ok != exists {
-				t.Errorf("%v, %v: %v %v, want %v %v", from, event, to, ok, want, exists)
+				t.Errorf("state %v, event %v: got %v %v, want %v %v", from, event, to, ok, want, exists)
 			}
 		}
 	}
 }
 
-// Every state and event of an attempt has its transition here, or none.
+// For every state and event of an attempt, only the transitions listed here exist.
 func TestAttemptTransitions(t *testing.T) {
 	type transition struct {
 		from  attemptState
@@ -51,33 +51,35 @@
 				want = from
 			}
 			if to, ok := from.next(event); to != want || ok != exists {
-				t.Errorf("%v, %v: %v %v, want %v %v", from, event, to, ok, want, exists)
+				t.Errorf("state %v, event %v: got %v %v, want %v %v", from, event, to, ok, want, exists)
 			}
 			var lifecycle attemptLifecycle
 			lifecycle.state.Store(uint32(from))
 			if ok := lifecycle.apply(event); lifecycle.current() != want || ok != exists {
-				t.Errorf("%v, %v applied: %v %v, want %v %v", from, event, lifecycle.current(), ok, want, exists)
+				t.Errorf("apply in state %v, event %v: got %v %v, want %v %v",
+					from, event, lifecycle.current(), ok, want, exists)
 			}
 		}
 	}
 }
 
-// Of the goroutine that is about to write and the event loop that cancels, one wins.
+// If the goroutine of an attempt starts to write while the event loop cancels the attempt, exactly one of them
+// succeeds.
 func TestAttemptIsEitherWrittenOrCancelled(t *testing.T) {
 	for range 1000 {
 		var lifecycle attemptLifecycle
-		var won atomic.Int32
+		var transitions atomic.Int32
 		var wg sync.WaitGroup
 		for _, event := range []attemptEvent{writeStarting, cancelledBeforeWrite} {
 			wg.Go(func() {
 				if lifecycle.apply(event) {
-					won.Add(1)
+					transitions.Add(1)
 				}
 			})
 		}
 		wg.Wait()
-		if won.Load() != 1 {
-			t.Fatalf("%d transitions from queued, want one; now %v", won.Load(), lifecycle.current())
+		if transitions.Load() != 1 {
+			t.Fatalf("%d transitions from queued, want 1; state is now %v", transitions.Load(), lifecycle.current())
 		}
 	}
 }
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -9,8 +9,8 @@
 	"hitchvale/balance"
 )
 
-// A node with 1,024 backends and as many peers loses none of either; the memory that this takes is logged, also for a
-// fleet of 350 nodes and 500 backends.
+// A node with 1,024 backends and 1,024 peers knows every backend and queues a datagram for every peer. The test logs
+// the memory that this takes, and also runs with 350 nodes and 500 backends.
 func TestLargeFleet(t *testing.T) {
 	for _, tc := range []struct{ nodes, backends int }{{350, 500}, {1024, 1024}} {
 		t.Run(fmt.Sprintf("%d nodes, %d backends", tc.nodes, tc.backends), func(t *testing.T) {
@@ -32,11 +32,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range tc.nodes { // before anything goes out
+			for i := range tc.nodes { // before the node runs and sends the datagrams
 				n.peers.enqueue(i, []byte("hello"))
 			}
 			if got := len(n.peers.outgoing); got != tc.nodes {
-				t.Errorf("%d datagrams wait for %d peers", got, tc.nodes)
+				t.Errorf("%d datagrams queued for %d peers", got, tc.nodes)
 			}
 			s := running(t, n)
 			eventually(t, "ready", s.loop.ready.Load)
@@ -52,9 +52,9 @@
 				t.Errorf("%d of %d backends known, %d ready", known, tc.backends, ready)
 			}
 			if resp, body := do(t, ask(t, s.url+"/x", "read")); resp.StatusCode != http.StatusOK || body != "yes" {
-				t.Errorf("%d %q", resp.StatusCode, body)
+				t.Errorf("got status %d, body %q", resp.StatusCode, body)
 			}
-			t.Logf("heap in use: %d KiB more than before, the test's own parts included", (heapInUse()-before)>>10)
+			t.Logf("heap in use: %d KiB more than before, including the test's own data", (heapInUse()-before)>>10)
 		})
 	}
 }
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// A node whose address is still in use for a moment, by a process that is being killed, waits for it and starts.
+// A node whose address is still in use by a process that is being killed waits until the address is free, and starts.
 func TestStartWaitsForItsAddress(t *testing.T) {
-	for _, what := range []string{"listen", "admin", "peer_listen"} {
-		t.Run(what, func(t *testing.T) {
+	for _, socket := range []string{"listen", "admin", "peer_listen"} {
+		t.Run(socket, func(t *testing.T) {
 			text := listText(1, true, listed{"s", newEchoBackend(t).Addr().String(), "ready", 0})
 			cfg := testConfig(t, newRegistry(t, text).addr, text)
 			cfg.StateDir = t.TempDir()
 			var held interface{ Close() error }
-			switch what {
+			switch socket {
 			case "peer_listen":
 				c := udp(t)
 				cfg.PeerListen, held = c.LocalAddr().String(), c
@@ -26,7 +26,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if held = l; what == "listen" {
+				if held = l; socket == "listen" {
 					cfg.Listen = l.Addr().String()
 				} else {
 					cfg.Admin = l.Addr().String()
@@ -36,28 +36,29 @@
 			n, err := New(cfg, quiet())
 			if err != nil {
 				held.Close()
-				t.Fatalf("not started: %v", err)
+				t.Fatalf("the node did not start: %v", err)
 			}
 			s := running(t, n)
 			eventually(t, "readiness", s.loop.ready.Load)
 			if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-				t.Errorf("answered %d", resp.StatusCode)
+				t.Errorf("got status %d, want 200", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// A process whose discovery accepts calls and answers none becomes ready on the list of its configuration: at once
-// where lists are polled, and long before 10 s where they are pushed (firstListTimeout).
-func TestStartsReadyBesideASilentDiscovery(t *testing.T) {
+// A process whose discovery accepts calls but answers none becomes ready with the list of its configuration. Where
+// lists are polled it is ready immediately, and where they are pushed it is ready after firstListTimeout, long before
+// 10 s.
+func TestStartsReadyWithUnresponsiveDiscovery(t *testing.T) {
 	if firstListTimeout > 5*time.Second {
-		t.Errorf("a pushed list is waited for for %v", firstListTimeout)
+		t.Errorf("the node waits %v for a pushed list, want at most 5 s", firstListTimeout)
 	}
 	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
 	known := listText(1, true, listed{"s", newEchoBackend(t).Addr().String(), "ready", 0})
 	n := start(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
 	eventually(t, "readiness", n.loop.ready.Load)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 }
