--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// patience bounds every wait for something that must happen: what it looks for never came before its mend.
+// patience bounds every wait for something that must happen. It may be long: with the faults that the tests guard
+// against, the awaited event never happens.
 const patience = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -27,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// A node without a valid configuration exits with status 1 and one line.
-func TestBadStartIsOneLine(t *testing.T) {
+// A node without a valid configuration exits with status 1 and one line on standard error.
+func TestInvalidConfigPrintsOneLine(t *testing.T) {
 	bad := t.TempDir() + "/config.json"
 	if err := os.WriteFile(bad, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -39,16 +40,16 @@
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("%q: got error %v, want exit status 1", path, err)
 		}
 		if strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "hitchvale-node: ") {
-			t.Errorf("%q: printed %q", path, out)
+			t.Errorf("%q: printed %q, want one line that starts with \"hitchvale-node: \"", path, out)
 		}
 	}
 }
 
-// discovery starts a discovery that lists these members. The channel receives when it is called.
-func discovery(t *testing.T, members ...string) (addr string, asked <-chan struct{}) {
+// startDiscovery starts a discovery service that lists the given members. It sends on called when it is called.
+func startDiscovery(t *testing.T, members ...string) (addr string, called <-chan struct{}) {
 	t.Helper()
 	c := make(chan struct{}, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,7 +58,7 @@
 		default:
 		}
 		if r.URL.RawQuery != "" {
-			<-r.Context().Done() // a watch with no news
+			<-r.Context().Done() // a watch without changes
 		}
 		fmt.Fprintf(w, `{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
 	}))
@@ -65,37 +66,39 @@
 	return s.Listener.Addr().String(), c
 }
 
-// addresses numbers the results of address.
-var addresses atomic.Int64
+// addressCount is the number of addresses that unusedAddress has returned.
+var addressCount atomic.Int64
 
-// address returns one that no other socket of this machine is likely to use: each has a loopback host of its own.
-func address() string {
+// unusedAddress returns an address that no other socket of this machine is likely to use: each has its own loopback
+// host.
+func unusedAddress() string {
 	const port, hosts = 8443, 250
-	n := addresses.Add(1)
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+os.Getpid()&63, n/hosts, 1+n%hosts, port)
 }
 
-// process is a node that runs as a process of its own.
+// process is a node that runs in its own operating system process.
 type process struct {
 	*exec.Cmd
 	t       *testing.T
-	config  string // the file
-	keys    []string
-	admin   string // its second address, of one that replaces another
+	config  string   // path of the configuration file
+	keys    []string // further keys of the configuration
+	admin   string   // admin address of a process that start has started
 	clients []*lateClient
 	listen  string
-	log     *os.File // what it logs
+	log     *os.File // standard error of the process
 	logged  *bufio.Scanner
 }
 
-// startProcess starts a node with a discovery and further keys in its configuration, and waits until it serves.
+// startProcess starts a node with the address of a discovery service and further keys in its configuration, and waits
+// until the node serves.
 func startProcess(t *testing.T, discovery string, keys ...string) *process {
 	t.Helper()
 	p := &process{
 		Cmd:    exec.Command(os.Args[0]),
 		t:      t,
 		config: t.TempDir() + "/config.json",
-		listen: address(),
+		listen: unusedAddress(),
 		keys:   keys,
 	}
 	p.configure(discovery)
@@ -126,7 +129,7 @@
 	}
 }
 
-// configure replaces the configuration file with one that names a discovery.
+// configure writes a configuration file with the address of a discovery service.
 func (p *process) configure(discovery string) {
 	p.t.Helper()
 	const (
@@ -148,42 +151,42 @@
 	p.t.Fatalf("the node ended without logging %q: %v", text, p.Wait())
 }
 
-// awaitEnd waits for the exit of a node that has got SIGTERM.
+// awaitEnd waits until a node that has got SIGTERM exits, and checks that it exits without an error.
 func (p *process) awaitEnd() {
 	p.t.Helper()
 	p.awaitLine("shut down")
 	for p.logged.Scan() {
 	}
 	if err := p.Wait(); err != nil {
-		p.t.Errorf("ended with %v", err)
+		p.t.Errorf("the node exited with %v", err)
 	}
 }
 
-// SIGHUP has the configuration read again and the new discovery called; a file that can't be read changes nothing. The
-// node runs on until SIGTERM.
+// On SIGHUP the node reads its configuration again and calls the new discovery address. A file that can't be read
+// changes nothing. The node runs until SIGTERM.
 func TestHangupReadsTheConfigurationAgain(t *testing.T) {
-	before, askedBefore := discovery(t)
-	after, askedAfter := discovery(t)
+	before, calledBefore := startDiscovery(t)
+	after, calledAfter := startDiscovery(t)
 	p := startProcess(t, before)
-	<-askedBefore
+	<-calledBefore
 	p.write("{")
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration reload failed")
 	p.configure(after)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration replaced")
-	<-askedAfter
+	<-calledAfter
 	p.Process.Signal(syscall.SIGTERM)
 	p.awaitEnd()
 }
 
-// A configuration that can't be read at SIGHUP is read again until it can be: 4 s after the signal the new discovery's
-// list has to be in use.
+// A configuration that can't be read at SIGHUP is retried until it can be read. The node has to use the list of the new
+// discovery address 4 s after the signal.
 func TestHangupBeforeTheFileIsComplete(t *testing.T) {
-	before, askedBefore := discovery(t)
-	after, askedAfter := discovery(t)
+	before, calledBefore := startDiscovery(t)
+	after, calledAfter := startDiscovery(t)
 	p := startProcess(t, before)
-	<-askedBefore
+	<-calledBefore
 	if err := os.Remove(p.config); err != nil {
 		t.Fatal(err)
 	}
@@ -191,30 +194,31 @@
 	p.awaitLine("configuration reload failed")
 	p.configure(after)
 	select {
-	case <-askedAfter:
+	case <-calledAfter:
 	case <-time.After(patience):
-		t.Error("discovery was not asked where it is now")
+		t.Error("discovery was not called at its new address")
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	p.awaitEnd()
 }
 
-// A draining node still forwards requests, so it follows a discovery that moves.
+// A draining node still forwards requests, so it follows discovery to a new address.
 func TestHangupDuringADrain(t *testing.T) {
-	before, askedBefore := discovery(t)
-	after, askedAfter := discovery(t)
+	before, calledBefore := startDiscovery(t)
+	after, calledAfter := startDiscovery(t)
 	p := startProcess(t, before)
-	<-askedBefore
+	<-calledBefore
 	p.Process.Signal(syscall.SIGTERM)
 	p.awaitLine("shutting down")
 	p.configure(after)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLine("configuration replaced")
-	<-askedAfter
+	<-calledAfter
 	p.awaitEnd()
 }
 
-// answers reports whether the node answers a request: it has no backend, so it rejects it.
+// answers reports whether the node answers a request. The node has no backend, so the expected answer is a rejection
+// with status 503.
 func (p *process) answers() bool {
 	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.listen+"/api", nil)
@@ -232,12 +236,12 @@
 	return resp.StatusCode == http.StatusServiceUnavailable
 }
 
-// A log that nobody reads blocks nothing: the node answers, and exits at SIGTERM.
+// A node whose log is not read still answers requests, and exits on SIGTERM.
 func TestUnreadLogBlocksNothing(t *testing.T) {
-	addr, asked := discovery(t)
+	addr, called := startDiscovery(t)
 	p := startProcess(t, addr)
-	<-asked
-	const lines = 3000 // of some hundred characters: several times what a pipe holds
+	<-called
+	const lines = 3000 // at about 100 characters a line, several times the capacity of a pipe
 	for range lines {
 		p.Process.Signal(syscall.SIGHUP)
 		time.Sleep(200 * time.Microsecond)
@@ -251,18 +255,18 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the node exited with %v", err)
 		}
 	case <-time.After(patience):
-		t.Error("the node does not end")
+		t.Error("the node does not exit")
 	}
 }
 
-// A log whose reader has exited ends no process.
+// A node whose log pipe has been closed by its reader still answers requests, and exits on SIGTERM.
 func TestClosedLogPipeEndsNothing(t *testing.T) {
-	addr, asked := discovery(t)
+	addr, called := startDiscovery(t)
 	p := startProcess(t, addr)
-	<-asked
+	<-called
 	p.log.Close()
 	for range 20 {
 		p.Process.Signal(syscall.SIGHUP)
@@ -273,6 +277,6 @@
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the node exited with %v", err)
 	}
 }
--- a/cmd/hitchvale-node/shutdown_test.go
+++ b/cmd/hitchvale-node/shutdown_test.go
@@ -17,81 +17,86 @@
 	"time"
 )
 
-// Regression: at an upgrade while backends hung, clients sent their first requests 1.2 s after the old process got
-// SIGTERM, on connections that they had opened before. The process forwarded them, and SIGKILL found them without a
-// response.
+// A process that shuts down gives every request that it forwards a final response before the earliest SIGKILL, also
+// during an upgrade while backends hang.
 //
-// It kept unused connections for the longest deadline plus 0.6 s, and gave requests on them their whole deadline: the
-// limit by the time of the kill held only where no other process of the node ran (restart). The same clients and
-// signals lost nothing at a restart, and at an upgrade every request that was sent 0.7 s after SIGTERM or later.
+// The failure: during an upgrade, clients sent their first requests 1.2 s after the old process got SIGTERM, on
+// connections that they had opened before. The process kept unused connections for the longest deadline plus 0.6 s and
+// gave requests on them their whole deadline, since it applied the limit by the time of SIGKILL only if no other
+// process of the node ran (restart). Every request sent 0.7 s after SIGTERM or later was then without a response at
+// SIGKILL. At a restart no request was lost.
 func TestEarliestKillFindsNothingUnanswered(t *testing.T) {
-	for way, end := range map[string]func(*shutdownPlay){
-		"restart":                         func(p *shutdownPlay) { p.tell(p.first) },
-		"upgrade":                         func(p *shutdownPlay) { p.first.replace(); p.tell(p.first) },
-		"series of upgrades":              (*shutdownPlay).series,
-		"successor ends before":           (*shutdownPlay).successorEndsBefore,
-		"successor ends after":            (*shutdownPlay).successorEndsAfter,
-		"successor is told to end first":  (*shutdownPlay).successorToldFirst,
-		"both are told to end":            (*shutdownPlay).bothTold,
-		"told twice, and to reload":       (*shutdownPlay).toldTwice,
-		"held up as it is told":           (*shutdownPlay).heldUpAtFirst,
-		"held up as the last are due":     (*shutdownPlay).heldUpAtLast,
-		"a successor starts as it leaves": (*shutdownPlay).successorComesLate,
+	for scenario, terminate := range map[string]func(*shutdownScenario){
+		"restart":                          func(s *shutdownScenario) { s.terminate(s.first) },
+		"upgrade":                          func(s *shutdownScenario) { s.first.replace(); s.terminate(s.first) },
+		"series of upgrades":               (*shutdownScenario).upgradeTwice,
+		"successor ends before":            (*shutdownScenario).killSuccessorBefore,
+		"successor ends after":             (*shutdownScenario).killSuccessorAfter,
+		"successor is terminated first":    (*shutdownScenario).terminateSuccessorFirst,
+		"both are terminated":              (*shutdownScenario).terminateBoth,
+		"SIGTERM twice, and SIGHUP":        (*shutdownScenario).signalRepeatedly,
+		"stalled at SIGTERM":               (*shutdownScenario).stallAtStart,
+		"stalled at the last responses":    (*shutdownScenario).stallAtEnd,
+		"successor starts during shutdown": (*shutdownScenario).startSuccessorLate,
 	} {
-		for habit, begin := range map[string]string{
+		for part, begin := range map[string]string{
 			"first request": "",
 			"rest of head":  "GET /api HTTP/1.1\r\nHost: x\r\nX-Tr",
 			"rest of body":  "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nX-Qos: a\r\nX-Trace-Id: %s\r\n\r\nab",
 		} {
-			t.Run(way+"/"+habit, func(t *testing.T) {
+			t.Run(scenario+"/"+part, func(t *testing.T) {
 				t.Parallel()
-				play := newShutdownPlay(t, begin)
-				end(play)
-				play.judge()
+				s := newShutdownScenario(t, begin)
+				terminate(s)
+				s.checkRequests()
 			})
 		}
 	}
 }
 
 const (
-	// shutdownDeadline is the longest deadline, and shutdownKill when SIGKILL may come for it.
+	// shutdownDeadline is the longest deadline of a class.
 	shutdownDeadline = 650 * time.Millisecond
-	shutdownKill     = shutdownDeadline + 700*time.Millisecond
-	// crossing is how soon after it was sent a request's connection ends if the close crossed it.
-	crossing = 50 * time.Millisecond
+	// shutdownKill is the earliest time after SIGTERM at which SIGKILL may come.
+	shutdownKill = shutdownDeadline + 700*time.Millisecond
+	// maxCloseDelay is how long after a request was sent its connection may be closed without a response: the node may
+	// have closed the connection while the request was on its way.
+	maxCloseDelay = 50 * time.Millisecond
 )
 
-// hangingBackend reads requests and answers none. It records which it has read.
+// hangingBackend reads requests and answers none. It records the X-Trace-Id of each request that it has read.
 type hangingBackend struct {
-	mu    sync.Mutex
-	taken map[string]bool
+	mu       sync.Mutex
+	received map[string]bool
 }
 
 func (b *hangingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	b.mu.Lock()
-	b.taken[r.Header.Get("X-Trace-Id")] = true
+	b.received[r.Header.Get("X-Trace-Id")] = true
 	b.mu.Unlock()
 	<-r.Context().Done()
 }
 
-func (b *hangingBackend) took(id string) bool {
+// hasReceived reports whether the backend has read the request with an id.
+func (b *hangingBackend) hasReceived(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken[id]
+	return b.received[id]
 }
 
-// lateClient connects early, starts a request, and completes it some time after SIGTERM.
+// lateClient connects before SIGTERM, may send the beginning of a request, and completes the request some time after
+// SIGTERM.
 type lateClient struct {
 	net.Conn
 	id, begin string
-	at        time.Duration
-	sent      time.Time // when the request had been written whole; zero: it was not
-	ended     time.Time // when its answer or the end of the connection came
-	err       error     // why there is no whole answer
+	delay     time.Duration // from SIGTERM to the completion of the request
+	sent      time.Time     // when the request had been written completely; zero if it was not
+	ended     time.Time     // when the response was complete or the connection ended
+	err       error         // why there is no complete response
 }
 
-// rest returns what completes the client's request.
+// rest returns the part of the request that the client sends after SIGTERM.
 func (c *lateClient) rest() string {
 	switch {
 	case strings.HasPrefix(c.begin, "POST"):
@@ -102,10 +107,10 @@
 	return "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + c.id + "\r\nX-Qos: read\r\n\r\n"
 }
 
-// run completes the request at its time, and reads the response.
-func (c *lateClient) run(told time.Time) {
-	time.Sleep(time.Until(told.Add(c.at)))
-	c.SetDeadline(told.Add(c.at + shutdownDeadline + patience))
+// run completes the request at its delay after SIGTERM, and reads the response.
+func (c *lateClient) run(sigterm time.Time) {
+	time.Sleep(time.Until(sigterm.Add(c.delay)))
+	c.SetDeadline(sigterm.Add(c.delay + shutdownDeadline + patience))
 	if _, err := io.WriteString(c, c.rest()); err == nil {
 		c.sent = time.Now()
 	}
@@ -116,161 +121,165 @@
 	c.ended, c.err = time.Now(), err
 }
 
-// shutdownPlay is one node whose processes get SIGTERM while clients that connected early complete their requests, and
-// SIGKILL at the earliest time allowed.
-type shutdownPlay struct {
+// shutdownScenario is a test of one node. Its processes get SIGTERM while clients that connected earlier complete their
+// requests, and SIGKILL at the earliest time allowed.
+type shutdownScenario struct {
 	*testing.T
 	backend *hangingBackend
-	begin   string // of the clients' requests
+	begin   string // the part of the clients' requests that is sent before SIGTERM
 	first   *process
 	clients []*lateClient
-	waiting sync.WaitGroup // for clients and processes
+	running sync.WaitGroup // clients and processes
 }
 
-// newShutdownPlay starts the node's first process.
-func newShutdownPlay(t *testing.T, begin string) *shutdownPlay {
-	p := &shutdownPlay{T: t, backend: &hangingBackend{taken: map[string]bool{}}, begin: begin}
+// newShutdownScenario starts the first process of a node, with hanging backends, and connects clients to it.
+func newShutdownScenario(t *testing.T, begin string) *shutdownScenario {
+	s := &shutdownScenario{T: t, backend: &hangingBackend{received: map[string]bool{}}, begin: begin}
 	var members []string
-	for i := range 24 { // so many that some are not known yet to hang
-		s := httptest.NewServer(p.backend)
-		t.Cleanup(s.CloseClientConnections) // before Close, which waits for what hangs
+	for i := range 24 { // so many that the node does not know yet that all of them hang
+		server := httptest.NewServer(s.backend)
+		t.Cleanup(server.CloseClientConnections) // ends the hanging requests
 		const member = `{"id":"s-%d","host_port":%q,"locality":"a","flavor":"m","cell":0,"phase":"ready","size":1.0,` +
 			`"up_since_ms":0}`
-		members = append(members, fmt.Sprintf(member, i, s.Listener.Addr().String()))
+		members = append(members, fmt.Sprintf(member, i, server.Listener.Addr().String()))
 	}
-	addr, _ := discovery(t, members...)
-	p.first = startProcess(t, addr, `"admin":"127.0.0.1:0"`)
-	p.connect(p.first)
-	return p
+	addr, _ := startDiscovery(t, members...)
+	s.first = startProcess(t, addr, `"admin":"127.0.0.1:0"`)
+	s.connect(s.first)
+	return s
 }
 
-// connect has clients connect to the process that accepts now.
-func (p *shutdownPlay) connect(to *process) {
+// connect connects clients to the process that accepts now, with delays from 500 ms to shutdownKill. It also discards
+// the log of the process.
+func (s *shutdownScenario) connect(to *process) {
 	go io.Copy(io.Discard, to.log)
-	for at := 500 * time.Millisecond; at < shutdownKill; at += 50 * time.Millisecond {
-		conn, err := net.Dial("tcp", p.first.listen)
+	for delay := 500 * time.Millisecond; delay < shutdownKill; delay += 50 * time.Millisecond {
+		conn, err := net.Dial("tcp", s.first.listen)
 		if err != nil {
-			p.Fatal(err)
+			s.Fatal(err)
 		}
-		p.Cleanup(func() { conn.Close() })
-		id := fmt.Sprintf("id-%d-%d", to.Process.Pid, at.Milliseconds())
-		c := &lateClient{Conn: conn, id: id, at: at, begin: p.begin}
-		if strings.Contains(p.begin, "%s") {
-			c.begin = fmt.Sprintf(p.begin, c.id)
+		s.Cleanup(func() { conn.Close() })
+		id := fmt.Sprintf("id-%d-%d", to.Process.Pid, delay.Milliseconds())
+		c := &lateClient{Conn: conn, id: id, delay: delay, begin: s.begin}
+		if strings.Contains(s.begin, "%s") {
+			c.begin = fmt.Sprintf(s.begin, c.id)
 		}
 		to.clients = append(to.clients, c)
 	}
-	time.Sleep(100 * time.Millisecond) // for the process to accept them
+	time.Sleep(100 * time.Millisecond) // until the process has accepted them
 }
 
-// tell sends SIGTERM to a process, and SIGKILL at the earliest time. Its clients complete their requests.
-func (p *shutdownPlay) tell(to *process) {
+// terminate sends SIGTERM to a process, and SIGKILL at the earliest time allowed. The clients of the process complete
+// their requests. terminate does not wait for them.
+func (s *shutdownScenario) terminate(to *process) {
 	for _, c := range to.clients {
 		io.WriteString(c, c.begin)
 	}
-	told := time.Now()
+	sigterm := time.Now()
 	to.Process.Signal(syscall.SIGTERM)
-	p.clients = append(p.clients, to.clients...)
+	s.clients = append(s.clients, to.clients...)
 	for _, c := range to.clients {
-		p.waiting.Go(func() { c.run(told) })
+		s.running.Go(func() { c.run(sigterm) })
 	}
-	p.waiting.Go(func() {
-		kill := time.AfterFunc(time.Until(told.Add(shutdownKill)), func() { to.Process.Kill() })
+	s.running.Go(func() {
+		kill := time.AfterFunc(time.Until(sigterm.Add(shutdownKill)), func() { to.Process.Kill() })
 		defer kill.Stop()
 		to.Wait()
 	})
 }
 
-// series replaces the successor too while the first process shuts down.
-func (p *shutdownPlay) series() {
-	second := p.first.replace()
-	p.connect(second)
-	p.tell(p.first)
+// upgradeTwice replaces the first process, and its successor while the first process shuts down.
+func (s *shutdownScenario) upgradeTwice() {
+	second := s.first.replace()
+	s.connect(second)
+	s.terminate(s.first)
 	second.replace()
-	p.tell(second)
+	s.terminate(second)
 }
 
-func (p *shutdownPlay) successorEndsBefore() {
-	p.first.replace().Process.Kill()
+func (s *shutdownScenario) killSuccessorBefore() {
+	s.first.replace().Process.Kill()
 	time.Sleep(50 * time.Millisecond)
-	p.tell(p.first)
+	s.terminate(s.first)
 }
 
-func (p *shutdownPlay) successorEndsAfter() {
-	second := p.first.replace()
-	p.tell(p.first)
+func (s *shutdownScenario) killSuccessorAfter() {
+	second := s.first.replace()
+	s.terminate(s.first)
 	time.Sleep(300 * time.Millisecond)
 	second.Process.Kill()
 }
 
-func (p *shutdownPlay) successorToldFirst() {
-	second := p.first.start()
-	time.Sleep(20 * time.Millisecond) // it may have the listener by then
+func (s *shutdownScenario) terminateSuccessorFirst() {
+	second := s.first.start()
+	time.Sleep(20 * time.Millisecond) // the successor may have inherited the listener by then
 	second.Process.Signal(syscall.SIGTERM)
 	time.Sleep(300 * time.Millisecond)
-	p.tell(p.first)
+	s.terminate(s.first)
 }
 
-func (p *shutdownPlay) bothTold() {
-	second := p.first.replace()
-	p.connect(second)
-	p.tell(p.first)
-	p.tell(second)
+func (s *shutdownScenario) terminateBoth() {
+	second := s.first.replace()
+	s.connect(second)
+	s.terminate(s.first)
+	s.terminate(second)
 }
 
-func (p *shutdownPlay) toldTwice() {
-	p.first.replace()
-	p.tell(p.first)
-	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
+func (s *shutdownScenario) signalRepeatedly() {
+	s.first.replace()
+	s.terminate(s.first)
+	for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		time.Sleep(100 * time.Millisecond)
-		p.first.Process.Signal(s)
+		s.first.Process.Signal(sig)
 	}
 }
 
-// heldUp is the longest time that a process may stall.
-const heldUp = 150 * time.Millisecond
+// maxStall is the longest time for which a process may stall.
+const maxStall = 150 * time.Millisecond
 
-func (p *shutdownPlay) heldUpAtFirst() {
-	p.first.replace()
-	p.first.Process.Signal(syscall.SIGSTOP)
-	p.tell(p.first)
-	time.Sleep(heldUp)
-	p.first.Process.Signal(syscall.SIGCONT)
+func (s *shutdownScenario) stallAtStart() {
+	s.first.replace()
+	s.first.Process.Signal(syscall.SIGSTOP)
+	s.terminate(s.first)
+	time.Sleep(maxStall)
+	s.first.Process.Signal(syscall.SIGCONT)
 }
 
-func (p *shutdownPlay) heldUpAtLast() {
-	p.first.replace()
-	p.tell(p.first)
+func (s *shutdownScenario) stallAtEnd() {
+	s.first.replace()
+	s.terminate(s.first)
 	time.Sleep(shutdownKill - 250*time.Millisecond)
-	p.first.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(heldUp)
-	p.first.Process.Signal(syscall.SIGCONT)
+	s.first.Process.Signal(syscall.SIGSTOP)
+	time.Sleep(maxStall)
+	s.first.Process.Signal(syscall.SIGCONT)
 }
 
-func (p *shutdownPlay) successorComesLate() {
-	p.tell(p.first)
+func (s *shutdownScenario) startSuccessorLate() {
+	s.terminate(s.first)
 	time.Sleep(100 * time.Millisecond)
-	p.first.start()
+	s.first.start()
 }
 
-// judge checks what became of every client's request.
-func (p *shutdownPlay) judge() {
-	p.waiting.Wait()
-	for _, c := range p.clients {
+// checkRequests waits for all clients. It fails the test for each request without a complete response if a backend has
+// received the request, or if the node held it for longer than maxCloseDelay.
+func (s *shutdownScenario) checkRequests() {
+	s.running.Wait()
+	for _, c := range s.clients {
 		switch {
 		case c.err == nil:
-		case p.backend.took(c.id):
-			p.Errorf("%s after SIGTERM: taken by a backend, and no whole answer: %v", c.at, c.err)
-		case !c.sent.IsZero() && c.ended.Sub(c.sent) > crossing:
-			p.Errorf("%s after SIGTERM: held for %s, and no whole answer: %v", c.at, c.ended.Sub(c.sent), c.err)
+		case s.backend.hasReceived(c.id):
+			s.Errorf("request %s after SIGTERM: received by a backend, but no complete response: %v", c.delay, c.err)
+		case !c.sent.IsZero() && c.ended.Sub(c.sent) > maxCloseDelay:
+			s.Errorf("request %s after SIGTERM: held for %s, but no complete response: %v",
+				c.delay, c.ended.Sub(c.sent), c.err)
 		}
 	}
 }
 
-// start starts another process of the node beside this one.
+// start starts another process of the same node.
 func (p *process) start() *process {
 	p.t.Helper()
-	next := &process{Cmd: exec.Command(os.Args[0]), t: p.t, config: p.config, listen: p.listen, admin: address()}
+	next := &process{Cmd: exec.Command(os.Args[0]), t: p.t, config: p.config, listen: p.listen, admin: unusedAddress()}
 	next.Env = append(slices.Clone(p.Env), "BALANCER_ADMIN="+next.admin)
 	next.log, _ = os.Open(os.DevNull)
 	if err := next.Start(); err != nil {
@@ -284,7 +293,7 @@
 	return next
 }
 
-// replace starts another process of the node and waits until it is ready.
+// replace starts another process of the same node and waits until it is ready.
 func (p *process) replace() *process {
 	p.t.Helper()
 	next := p.start()
@@ -298,6 +307,6 @@
 			return next
 		}
 	}
-	p.t.Fatal("the second process does not become ready")
+	p.t.Fatal("the new process does not become ready")
 	return nil
 }
