--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -43,7 +43,8 @@
 // run runs the node until it has shut down, and logs to logWriter.
 func run(logWriter io.Writer) error {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // first and for good, as an unhandled SIGHUP ends the process
+	// SIGHUP is handled first and until the process exits, since an unhandled SIGHUP ends the process.
+	signal.Notify(hangups, syscall.SIGHUP)
 	path := os.Getenv("BALANCER_CONFIG")
 	config, err := loadConfig(path)
 	if err != nil {
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -14,7 +14,7 @@
 // This file is the predecessor's side of a hand-over.
 
 // handOverTo hands the node over to the successor at the other end of a connection. It returns true once the successor
-// serves and this process has no work left, and false if the successor ends earlier.
+// serves and this process has no work left, and false if the successor or ctx ends earlier.
 func (n *Node) handOverTo(ctx context.Context, successor *net.UnixConn) (done bool, err error) {
 	stop := closeWithContext(ctx, successor)
 	defer stop()
@@ -35,7 +35,8 @@
 	n.log.Info("handed over to successor")
 	done, err = n.assistSuccessor(ctx, successor, state)
 	if !done && ctx.Err() == nil && faultShutdown != faultSuccessor {
-		// This process accepts again even during its shutdown: no other process has the listener to serve its backlog.
+		// This process accepts again even during its shutdown: no other process would serve the backlog of the listener
+		// that both processes had.
 		n.setHandedOver(false)
 		n.shareDescriptors(descriptorUsage{})
 		n.log.Error("successor ended, serving again", "error", err)
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -36,7 +36,7 @@
 	}
 	predecessor.SetDeadline(time.Time{})
 	h.predecessor = predecessor
-	h.log.Info("predecessor found")
+	h.log.Info("predecessor found, taking over once ready")
 }
 
 // receiveOffer receives the predecessor's listener and its offer.
@@ -140,7 +140,7 @@
 	}
 	h.serving.Store(true)
 	if ctx.Err() == nil && !n.server.shutdown.started() {
-		n.log.Info("predecessor ended")
+		n.log.Info("predecessor ended, using all descriptors")
 		n.shareDescriptors(descriptorUsage{})
 	}
 }
--- a/internal/node/unix_socket.go
+++ b/internal/node/unix_socket.go
@@ -26,8 +26,9 @@
 	return optionErr
 }
 
-// withShortPath calls use with a path of the same socket that is no longer than maxSocketPath. It replaces a longer
-// path by a path through the descriptor of the socket's directory, which is open only during the call.
+// withShortPath calls use with a path of the socket that is short enough for a socket address. It replaces a path that
+// is longer than maxSocketPath by a path through the descriptor of the socket's directory, which is open only during
+// the call.
 func withShortPath(path string, use func(short string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
