--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -124,7 +124,7 @@
 			if err != nil {
 				return err
 			}
-			h := cl.Adopt(args[0], holder, token)
+			h := cl.ExistingLease(args[0], holder, token)
 			if err := h.Release(cmd.Context()); err != nil {
 				return failedError(err)
 			}
--- a/internal/fleet/sessionstore.go
+++ b/internal/fleet/sessionstore.go
@@ -35,7 +35,7 @@
 // Commands is part of statemachine.Machine.
 func (s *SessionStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &SessionCommand{} }
-	return statemachine.CommandsOf(empty, OpOpenSession, OpCloseSession, OpExpireSession)
+	return statemachine.CommandConstructors(empty, OpOpenSession, OpCloseSession, OpExpireSession)
 }
 
 // Apply executes a SessionCommand and returns the session. It fails with ErrMalformed, ErrSuperseded or
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -71,7 +71,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.TTL)
 	defer cancel()
-	client.Adopt(c.LeaseName, holder, token).Release(ctx)
+	client.ExistingLease(c.LeaseName, holder, token).Release(ctx)
 }
 
 // serve does the holder's work; it returns once the lease is lost, a write is rejected, or ctx ends (then the lease is
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -367,7 +367,7 @@
 // successor, and the check of the accepted tokens fails.
 func TestPlantedUnfencedRegistryIsCaught(t *testing.T) {
 	t.Parallel()
-	nodeBinary, planted := planted(t, "registry.plantUnfenced=1")
+	nodeBinary, planted := planted(t, "registry.disableFencing=1")
 	r := playWith(t, dutyScenario(11, 12, `"pause"`), nodeBinary, planted)
 	if r.Checks[0].OK {
 		t.Fatalf("stale writes were accepted in order without a fence: %+v", r.Checks[0])
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -148,9 +148,9 @@
 	return err
 }
 
-// Adopt returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down. It is
+// ExistingLease returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down. It is
 // not renewed, and its Lost is nil.
-func (c *Client) Adopt(name, holder string, token uint64) *Lease {
+func (c *Client) ExistingLease(name, holder string, token uint64) *Lease {
 	stopped := make(chan struct{})
 	close(stopped)
 	return &Lease{
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -124,7 +124,7 @@
 // Commands is part of statemachine.Machine.
 func (p *Plan) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &Command{} }
-	return statemachine.CommandsOf(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn,
+	return statemachine.CommandConstructors(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn,
 		OpConfirmDrained, OpMarkOverdue, OpFreeOverdue)
 }
 
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -108,7 +108,7 @@
 	t.Helper()
 	for range 200 {
 		for i, r := range c.replicas {
-			if r != nil && r.Leader() {
+			if r != nil && r.IsLeader() {
 				return i
 			}
 		}
--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -75,7 +75,7 @@
 
 // Heartbeat renews a member's TTL. It fails with ErrNotLeader on a follower and with ErrMemberNotFound.
 func (r *Replica) Heartbeat(id string) error {
-	if !r.Leader() {
+	if !r.IsLeader() {
 		return ErrNotLeader.Of(r.cfg.ID, nil)
 	}
 	known := false
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -109,7 +109,7 @@
 
 	before := agents[0].Status().Version
 	for i, r := range c.replicas {
-		if r.Leader() {
+		if r.IsLeader() {
 			c.stop(i)
 			break
 		}
@@ -124,7 +124,7 @@
 // remedy.
 func TestSessionsExpireAndErrorsCarryRemedies(t *testing.T) {
 	c := newClusterWith(t, 1, false)
-	await(t, "a leader", func() bool { return c.replicas[0].Leader() && c.replicas[0].canServeReads() })
+	await(t, "a leader", func() bool { return c.replicas[0].IsLeader() && c.replicas[0].canServeReads() })
 	ctx, client := t.Context(), fleetClient(c.http...)
 	defer client.HTTP.CloseIdleConnections()
 	s := fleet.Session{Node: "n1", Site: "a", Process: "p", Incarnation: 1, Address: "127.0.0.1:1", TTLms: 300}
--- a/internal/registry/http_leader.go
+++ b/internal/registry/http_leader.go
@@ -52,7 +52,7 @@
 // leaderOnly makes the leader answer a call: a follower forwards it.
 func (r *Replica) leaderOnly(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		if !r.Leader() {
+		if !r.IsLeader() {
 			r.forwardToLeader(w, req)
 			return
 		}
--- a/internal/registry/http_members.go
+++ b/internal/registry/http_members.go
@@ -68,7 +68,7 @@
 }
 
 func (r *Replica) role() string {
-	if r.Leader() {
+	if r.IsLeader() {
 		return roleLeader
 	}
 	return roleFollower
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// Leader reports whether this replica leads now.
-func (r *Replica) Leader() bool { return r.raft.State() == raft.Leader }
+// IsLeader reports whether this replica leads now.
+func (r *Replica) IsLeader() bool { return r.raft.State() == raft.Leader }
 
 // leaderHTTPAddr returns the HTTP address of the leader as the configuration names it; "" if it is not known.
 func (r *Replica) leaderHTTPAddr() string {
@@ -39,7 +39,7 @@
 	if r.store.lastError() != nil {
 		return false
 	}
-	if r.Leader() {
+	if r.IsLeader() {
 		return r.readableTerm.Load() == r.raft.CurrentTerm()
 	}
 	lastContact := r.raft.LastContact()
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -56,7 +56,7 @@
 // Commands is part of statemachine.Machine.
 func (s *leaseStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &LeaseCommand{} }
-	return statemachine.CommandsOf(empty, opAcquireLease, opReleaseLease, opExpireLease)
+	return statemachine.CommandConstructors(empty, opAcquireLease, opReleaseLease, opExpireLease)
 }
 
 // Apply executes a LeaseCommand and returns the lease. It fails with ErrMalformed, ErrLeaseHeld or ErrLeaseLost.
@@ -109,14 +109,14 @@
 	return nil
 }
 
-// plantUnfenced removes the fence check if it is not empty. It is a planted fault that the lab's lease scenarios must
-// detect, set at build time (-ldflags -X hitchvale/internal/registry.plantUnfenced=1) by tests alone.
-var plantUnfenced string
+// disableFencing removes the fence check if it is not empty. It is a planted fault that the lab's lease scenarios must
+// detect, set at build time (-ldflags -X hitchvale/internal/registry.disableFencing=1) by tests alone.
+var disableFencing string
 
 // checkToken accepts a fenced write and records its token, or fails with ErrStaleFencingToken if the token is lower
 // than one already accepted for the lease. A write without a token is accepted.
 func (s *leaseStore) checkToken(token *FencingToken) error {
-	if token == nil || plantUnfenced != "" {
+	if token == nil || disableFencing != "" {
 		return nil
 	}
 	if token.Token < s.AcceptedTokens[token.Lease] {
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -120,7 +120,7 @@
 // Commands is part of statemachine.Machine.
 func (s *memberStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &MemberCommand{} }
-	return statemachine.CommandsOf(empty, opRegister, opSetPhase, opDeregister, opExpire)
+	return statemachine.CommandConstructors(empty, opRegister, opSetPhase, opDeregister, opExpire)
 }
 
 // Apply executes a MemberCommand. It fails with ErrStaleFencingToken, ErrMalformed, ErrMemberNotFound or, for opExpire,
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -65,7 +65,7 @@
 }
 
 func (r *Replica) readyLeader() float64 {
-	if r.Leader() && r.canServeReads() {
+	if r.IsLeader() && r.canServeReads() {
 		return 1
 	}
 	return 0
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -15,7 +15,7 @@
 func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
-	await(t, "a leader", func() bool { return r.Leader() && r.canServeReads() })
+	await(t, "a leader", func() bool { return r.IsLeader() && r.canServeReads() })
 	var revision int64
 	r.fsm.read(func(s *State) { revision = s.Revision })
 	answered := make(chan error, 1)
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -126,7 +126,7 @@
 }
 
 func (r *Replica) publishView() {
-	leading := r.Leader() && r.canServeReads()
+	leading := r.IsLeader() && r.canServeReads()
 	term := r.raft.CurrentTerm()
 	if !leading {
 		r.views.clear()
--- a/internal/registry/write.go
+++ b/internal/registry/write.go
@@ -16,7 +16,7 @@
 // follower. After ErrNotCommitted, ErrDiskFailed or a lost leadership the write may still be committed later, as after
 // any lost answer.
 func (r *Replica) Write(c statemachine.Command) (Result, error) {
-	if !r.Leader() {
+	if !r.IsLeader() {
 		return Result{}, ErrNotLeader.Of(r.cfg.ID, nil)
 	}
 	text, err := EncodeCommand(c)
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -37,8 +37,8 @@
 	Value any
 }
 
-// CommandsOf returns the map that Machine.Commands wants for operations that share one type of command.
-func CommandsOf(empty func() Command, operations ...Operation) map[Operation]func() Command {
+// CommandConstructors returns the map that Machine.Commands wants for operations that share one type of command.
+func CommandConstructors(empty func() Command, operations ...Operation) map[Operation]func() Command {
 	commands := make(map[Operation]func() Command, len(operations))
 	for _, operation := range operations {
 		commands[operation] = empty
