--- a/internal/durable/faultyfs_test.go
+++ b/internal/durable/faultyfs_test.go
@@ -11,84 +11,84 @@
 
 // The errors that FaultyFS injects.
 var (
-	ErrCrashed  = errors.New("durable: crashed (injected)") // of every operation after the crash
+	ErrCrashed  = errors.New("durable: crashed (injected)") // returned by every operation after the crash
 	ErrDiskFull = errors.New("durable: no space left on device (injected)")
 )
 
 // file is a file of FaultyFS.
 type file struct {
 	durable []byte // the contents that survive a power cut
-	pending []byte // the contents as read
-	synced  bool   // pending is durable
+	current []byte // the contents that ReadFile returns
+	synced  bool   // current is durable
 }
 
-// FaultyFS is an FS in memory that separates durable contents and names from those that are only written, so that a
-// test can cut the power after any operation. A name is durable in its folder only after SyncDir. Not safe for
-// concurrent use.
+// FaultyFS is an in-memory FS that keeps durable contents and names separate from those that have only been written, so
+// that a test can simulate a power cut after any operation. A name is durable only after SyncDir of its directory.
+// FaultyFS is not safe for concurrent use.
 type FaultyFS struct {
-	names     map[string]*file // as read
-	durable   map[string]*file // that survive a power cut: those of each folder when it was last synced
-	stepsLeft int              // operations until the planned crash; -1 if none is planned
+	current   map[string]*file // the files that can be read, by name
+	durable   map[string]*file // the files that survive a power cut: those in each directory at its last sync
+	stepsLeft int              // number of operations until the planned crash; -1 if no crash is planned
 	crashed   bool
 
-	// TornBytes, if above 0, is how many bytes of an unsynced write survive a power cut (a torn write).
+	// TornBytes, if above 0, is the number of bytes of an unsynced write that survive a power cut (a torn write).
 	TornBytes int
-	// MaxFileBytes, if above 0, bounds a file's size: a larger write fails with ErrDiskFull.
+	// MaxFileBytes, if above 0, is the maximum size of a file. A larger write fails with ErrDiskFull.
 	MaxFileBytes int
 }
 
 // NewFaultyFS returns an empty FaultyFS without a planned crash.
 func NewFaultyFS() *FaultyFS {
-	return &FaultyFS{names: map[string]*file{}, durable: map[string]*file{}, stepsLeft: -1}
+	return &FaultyFS{current: map[string]*file{}, durable: map[string]*file{}, stepsLeft: -1}
 }
 
-// CrashAfter plans a crash: n more operations happen, then every one fails with ErrCrashed.
+// CrashAfter plans a crash: n more operations succeed, and every later one fails with ErrCrashed.
 func (f *FaultyFS) CrashAfter(n int) { f.stepsLeft = n }
 
-// StepsLeft returns how many operations happen until the planned crash; -1 if none is planned.
+// StepsLeft returns the number of operations until the planned crash, or -1 if no crash is planned.
 func (f *FaultyFS) StepsLeft() int { return f.stepsLeft }
 
-// PowerCut returns a new FaultyFS with what is durable: the names as their folders were last synced, and the contents
-// as last synced, with the first TornBytes of a later write over them.
+// PowerCut returns a new FaultyFS with the files that survive a power cut: the names as of the last sync of each
+// directory, and the contents as of the last sync of each file. The first TornBytes of a later write overwrite them.
 func (f *FaultyFS) PowerCut() *FaultyFS {
 	restarted := NewFaultyFS()
 	for name, before := range f.durable {
 		contents := before.durable
 		if !before.synced && f.TornBytes > 0 {
-			contents = torn(before.durable, before.pending, f.TornBytes)
+			contents = torn(before.durable, before.current, f.TornBytes)
 		}
-		after := &file{durable: bytes.Clone(contents), pending: bytes.Clone(contents), synced: true}
-		restarted.names[name] = after
+		after := &file{durable: bytes.Clone(contents), current: bytes.Clone(contents), synced: true}
+		restarted.current[name] = after
 		restarted.durable[name] = after
 	}
 	return restarted
 }
 
-// torn returns the durable contents with the first n bytes of the pending ones written over them, as after a partial
-// write.
-func torn(old, pending []byte, n int) []byte {
-	out := bytes.Clone(old)
-	n = min(n, len(pending))
+// torn returns the contents of a file after a partial write: the durable contents, overwritten with the first n bytes
+// of the current contents.
+func torn(durable, current []byte, n int) []byte {
+	out := bytes.Clone(durable)
+	n = min(n, len(current))
 	if len(out) < n {
 		out = append(out, make([]byte, n-len(out))...)
 	}
-	copy(out, pending[:n])
+	copy(out, current[:n])
 	return out
 }
 
-// Corrupt changes a file's contents, as damage of the disk does.
+// Corrupt changes the durable and the current contents of a file, like a fault of the disk.
 func (f *FaultyFS) Corrupt(name string, change func([]byte) []byte) error {
-	fl, ok := f.names[name]
+	fl, ok := f.current[name]
 	if !ok {
 		return fs.ErrNotExist
 	}
 	fl.durable = change(bytes.Clone(fl.durable))
-	fl.pending = bytes.Clone(fl.durable)
+	fl.current = bytes.Clone(fl.durable)
 	fl.synced = true
 	return nil
 }
 
-// countStep counts an operation, and fails if it is after the crash.
+// countStep counts an operation. It fails with ErrCrashed if the operation comes after the planned crash.
 func (f *FaultyFS) countStep() error {
 	if f.crashed {
 		return ErrCrashed
@@ -111,12 +111,12 @@
 	if f.MaxFileBytes > 0 && len(data) > f.MaxFileBytes {
 		return fmt.Errorf("write %s: %w", name, ErrDiskFull)
 	}
-	fl, ok := f.names[name]
+	fl, ok := f.current[name]
 	if !ok {
 		fl = &file{}
-		f.names[name] = fl
+		f.current[name] = fl
 	}
-	fl.pending = bytes.Clone(data)
+	fl.current = bytes.Clone(data)
 	fl.synced = false
 	return nil
 }
@@ -126,11 +126,11 @@
 	if err := f.countStep(); err != nil {
 		return err
 	}
-	fl, ok := f.names[name]
+	fl, ok := f.current[name]
 	if !ok {
 		return &fs.PathError{Op: "fsync", Path: name, Err: fs.ErrNotExist}
 	}
-	fl.durable = bytes.Clone(fl.pending)
+	fl.durable = bytes.Clone(fl.current)
 	fl.synced = true
 	return nil
 }
@@ -140,12 +140,12 @@
 	if err := f.countStep(); err != nil {
 		return err
 	}
-	fl, ok := f.names[oldname]
+	fl, ok := f.current[oldname]
 	if !ok {
 		return &fs.PathError{Op: "rename", Path: oldname, Err: fs.ErrNotExist}
 	}
-	delete(f.names, oldname)
-	f.names[newname] = fl
+	delete(f.current, oldname)
+	f.current[newname] = fl
 	return nil
 }
 
@@ -159,7 +159,7 @@
 			delete(f.durable, name)
 		}
 	}
-	for name, fl := range f.names {
+	for name, fl := range f.current {
 		if filepath.Dir(name) == dir {
 			f.durable[name] = fl
 		}
@@ -172,10 +172,10 @@
 	if err := f.countStep(); err != nil {
 		return err
 	}
-	if _, ok := f.names[name]; !ok {
+	if _, ok := f.current[name]; !ok {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	delete(f.names, name)
+	delete(f.current, name)
 	return nil
 }
 
@@ -184,11 +184,11 @@
 	if f.crashed {
 		return nil, ErrCrashed
 	}
-	fl, ok := f.names[name]
+	fl, ok := f.current[name]
 	if !ok {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return bytes.Clone(fl.pending), nil
+	return bytes.Clone(fl.current), nil
 }
 
 // ReadDir implements FS.
@@ -197,7 +197,7 @@
 		return nil, ErrCrashed
 	}
 	var out []string
-	for name := range f.names {
+	for name := range f.current {
 		if filepath.Dir(name) == dir {
 			out = append(out, filepath.Base(name))
 		}
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,5 +1,6 @@
-// Package durable stores the registry's snapshots so that a power cut at any moment leaves one that can be read:
-// SnapshotStore over FS, the few file operations that it needs. docs/ROADMAP.md has the design under "Recovery".
+// Package durable stores the registry's snapshots in such a way that a readable snapshot remains after a power cut at
+// any moment. SnapshotStore writes and reads the snapshots; FS is the interface of the file operations that it needs.
+// docs/ROADMAP.md describes the design under "Recovery".
 package durable
 
 import (
@@ -7,29 +8,30 @@
 	"os"
 )
 
-// FS is a file system. As in POSIX, a write is durable only once the file is synced, and a creation, renaming or
-// removal only once its folder is.
+// FS is a file system. As in POSIX, a write is durable only after the file has been synced, and the creation, renaming
+// or removal of a file is durable only after its directory has been synced.
 type FS interface {
-	// WriteFile creates or truncates a file and writes data. Nothing is synced.
+	// WriteFile creates or truncates a file and writes data. It does not sync the file or its directory.
 	WriteFile(name string, data []byte) error
 	// Sync makes a file's contents durable.
 	Sync(name string) error
-	// Rename replaces newname by oldname in one step, before and after a power cut alike.
+	// Rename renames oldname to newname and replaces an existing file of that name. The operation is atomic, also in
+	// case of a power cut.
 	Rename(oldname, newname string) error
-	// SyncDir makes the names in a folder durable.
+	// SyncDir makes the names in a directory durable.
 	SyncDir(dir string) error
 	// Remove removes a file.
 	Remove(name string) error
 	// ReadFile returns a file's contents.
 	ReadFile(name string) ([]byte, error)
-	// ReadDir returns the names in a folder, sorted.
+	// ReadDir returns the names in a directory, sorted.
 	ReadDir(dir string) ([]string, error)
 }
 
 // fileMode is the mode of the files that OSFS creates.
 const fileMode = 0o644
 
-// OSFS is the operating system's file system.
+// OSFS implements FS with the operating system's file system.
 type OSFS struct{}
 
 // WriteFile implements FS.
@@ -63,6 +65,7 @@
 	return names, nil
 }
 
+// syncPath opens a file or directory with the given flag, syncs it and closes it.
 func syncPath(name string, flag int) error {
 	file, err := os.OpenFile(name, flag, 0)
 	if err != nil {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -9,18 +9,19 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, has the same form as in earlier versions.
+// The JSON forms that are stored on disk or printed are the same as in earlier versions.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[ManifestEntry](t, "entry")
 	goldenfile.RoundTrip[Damage](t, "damage")
 }
 
-// A folder of snapshots that an earlier version wrote is read, and this version writes the same bytes.
-func TestGoldenSnapshotFolder(t *testing.T) {
+// This version reads a snapshot directory that an earlier version wrote, and writes the same bytes for the same
+// snapshots.
+func TestGoldenSnapshotDirectory(t *testing.T) {
 	golden := filepath.Join(goldenfile.Dir, "snapshots")
 	entry, data, damage, err := SnapshotStore{FS: OSFS{}, Dir: golden, Keep: 2}.Latest()
 	if err != nil || len(damage) > 0 || entry.Revision != 9 || string(data) != "the state at revision 9" {
-		t.Fatalf("%+v %q, damage %v, error %v", entry, data, damage, err)
+		t.Fatalf("latest snapshot: %+v with data %q, damage %v, error %v", entry, data, damage, err)
 	}
 	written := t.TempDir()
 	snapshots := SnapshotStore{FS: OSFS{}, Dir: written, Keep: 2}
@@ -31,13 +32,13 @@
 	}
 	files, err := os.ReadDir(golden)
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("golden directory: %d files, error %v, want 3 files", len(files), err)
 	}
 	for _, file := range files {
 		want, _ := os.ReadFile(filepath.Join(golden, file.Name()))
 		got, err := os.ReadFile(filepath.Join(written, file.Name()))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: %q, %v, want %q", file.Name(), got, err, want)
+			t.Errorf("%s: contents %q, error %v, want %q", file.Name(), got, err, want)
 		}
 	}
 }
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot file is one record: the magic, then as big-endian uint64s the revision, the data's length and the xxhash64
-// of the revision's 8 bytes and the data, then the data.
+// A snapshot file is one record. It consists of the magic string, three big-endian uint64s (the revision, the length of
+// the data, and the xxhash64 of the 8 bytes of the revision and the data), and the data.
 const (
 	recordMagic    = "HVSNAP1\n"
 	revisionOffset = len(recordMagic)
@@ -17,10 +17,10 @@
 	headerSize     = checksumOffset + 8
 )
 
-// Damage is a file that is short, torn or fails its checksum.
+// Damage describes a file that is truncated, partly written or does not match its checksum. It implements error.
 type Damage struct {
 	File   string `json:"file"`
-	Offset int64  `json:"offset"` // the first byte that can't be trusted
+	Offset int64  `json:"offset"` // offset of the first byte that may be wrong
 	Reason string `json:"reason"`
 }
 
@@ -36,21 +36,21 @@
 	return append(record, data...)
 }
 
-// decodeRecord returns the data of a file's record; its error is a Damage.
+// decodeRecord returns the data of a snapshot file's record. If it fails, the error is a Damage.
 func decodeRecord(file string, record []byte) ([]byte, error) {
 	if len(record) < headerSize || string(record[:len(recordMagic)]) != recordMagic {
-		reason := fmt.Sprintf("header missing or short (%d bytes)", len(record))
+		reason := fmt.Sprintf("the header is missing or incomplete (the file has %d bytes)", len(record))
 		return nil, Damage{File: file, Offset: 0, Reason: reason}
 	}
 	revision := int64(binary.BigEndian.Uint64(record[revisionOffset:]))
 	length := binary.BigEndian.Uint64(record[lengthOffset:])
 	data := record[headerSize:]
 	if uint64(len(data)) != length {
-		reason := fmt.Sprintf("%d bytes of data, the header says %d", len(data), length)
+		reason := fmt.Sprintf("the file has %d bytes of data, but its header says %d", len(data), length)
 		return nil, Damage{File: file, Offset: int64(len(record)), Reason: reason}
 	}
 	if checksum(revision, data) != binary.BigEndian.Uint64(record[checksumOffset:]) {
-		return nil, Damage{File: file, Offset: int64(headerSize), Reason: "xxhash of the record does not match"}
+		return nil, Damage{File: file, Offset: int64(headerSize), Reason: "the record does not match its xxhash64 checksum"}
 	}
 	return data, nil
 }
--- a/internal/durable/snapshotstore.go
+++ b/internal/durable/snapshotstore.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// A snapshot's file is named by its revision, in 20 digits.
+	// The name of a snapshot's file is the prefix, the revision in 20 decimal digits, and the suffix.
 	snapshotPrefix = "snap-"
 	snapshotSuffix = ".bin"
 
-	// temporarySuffix marks a file that is being written.
+	// temporarySuffix is the suffix of the name of a file that is being written.
 	temporarySuffix = ".tmp"
 
-	// minRetained is the least number of snapshots to retain: the newest, and one to fall back to if that is damaged.
+	// minRetained is the minimum number of snapshots to retain: the newest one, and one to fall back to if the newest
+	// is damaged.
 	minRetained = 2
 )
 
-// SnapshotStore retains the newest verified snapshots of a folder, which a manifest lists. A snapshot is listed only
-// once it is durable and has been read back, and an old one removed only once a manifest without it is durable. So a
-// power cut at any moment leaves the last acknowledged snapshot or the one being written.
+// SnapshotStore stores the newest snapshots in a directory, and lists them in a manifest. The manifest lists a snapshot
+// only after the snapshot is durable and has been read back and verified. An old snapshot is removed only after a
+// manifest without it is durable. Therefore, after a power cut at any moment, Latest returns the last acknowledged
+// snapshot or the one that was being written. A SnapshotStore is not safe for concurrent writes.
 type SnapshotStore struct {
 	FS   FS
 	Dir  string
-	Keep int // snapshots to retain, at least minRetained
+	Keep int // number of snapshots to retain; a number below 2 counts as 2
 }
 
-// ErrNoSnapshot is the error of Latest if the folder has snapshots and each of them is damaged.
-var ErrNoSnapshot = errors.New("durable: no snapshot verifies")
+// ErrNoSnapshot is the error of Latest if the directory has snapshots and all of them are damaged.
+var ErrNoSnapshot = errors.New("durable: all snapshots are damaged")
 
-// Write makes data the newest snapshot, of the given revision. It returns nil once the snapshot and a manifest that
-// lists it are durable. After an error, such as a full disk, the snapshots listed before are still there.
+// Write stores data as the newest snapshot, with the given revision. It returns nil after the snapshot and a manifest
+// that lists it have become durable. After an error, such as a full disk, the previous snapshots still exist.
 func (s SnapshotStore) Write(revision int64, data []byte) error {
 	name := SnapshotName(revision)
 	if err := s.replaceFile(name, encodeRecord(revision, data)); err != nil {
-		return fmt.Errorf("snapshot %d: %w", revision, err)
+		return fmt.Errorf("write snapshot %d: %w", revision, err)
 	}
 	if _, err := s.verify(name); err != nil {
-		return fmt.Errorf("snapshot %d read back: %w", revision, err)
+		return fmt.Errorf("read back snapshot %d: %w", revision, err)
 	}
 	entries := s.entriesWith(ManifestEntry{File: name, Revision: revision, Size: len(data)})
 	manifest, err := encodeManifest(entries)
@@ -50,13 +52,13 @@
 		return err
 	}
 	if err := s.replaceFile(manifestName, manifest); err != nil {
-		return fmt.Errorf("manifest: %w", err)
+		return fmt.Errorf("write manifest: %w", err)
 	}
 	return s.prune(entries)
 }
 
-// entriesWith returns the entries of the manifest after a new snapshot, the newest first. A damaged manifest counts as
-// empty.
+// entriesWith returns the entries of the manifest with a new snapshot added, the newest first, limited to the snapshots
+// to retain. A damaged manifest counts as empty.
 func (s SnapshotStore) entriesWith(newest ManifestEntry) []ManifestEntry {
 	listed, _, _ := s.readManifest()
 	listed = slices.DeleteFunc(listed, func(e ManifestEntry) bool { return e.File == newest.File })
@@ -64,7 +66,8 @@
 	return entries[:min(len(entries), max(s.Keep, minRetained))]
 }
 
-// replaceFile replaces a file in one step and durably: by a temporary file, fsync, rename, and fsync of the folder.
+// replaceFile replaces a file atomically and durably: it writes and syncs a temporary file, renames it, and syncs the
+// directory.
 func (s SnapshotStore) replaceFile(name string, data []byte) error {
 	path := filepath.Join(s.Dir, name)
 	temporary := path + temporarySuffix
@@ -89,8 +92,8 @@
 	removed := false
 	for _, name := range names {
 		listed := slices.ContainsFunc(entries, func(e ManifestEntry) bool { return e.File == name })
-		ours := strings.HasPrefix(name, snapshotPrefix) || strings.HasSuffix(name, temporarySuffix)
-		if name == manifestName || listed || !ours {
+		owned := strings.HasPrefix(name, snapshotPrefix) || strings.HasSuffix(name, temporarySuffix)
+		if name == manifestName || listed || !owned {
 			continue
 		}
 		if err := s.FS.Remove(filepath.Join(s.Dir, name)); err != nil {
@@ -104,9 +107,10 @@
 	return nil
 }
 
-// Latest returns the newest snapshot that verifies and its entry, and the damage found on the way: the manifest's, in
-// which case every snapshot of the folder counts, and that of newer snapshots. Without any snapshot it returns a zero
-// entry and no error; if all are damaged, ErrNoSnapshot.
+// Latest returns the manifest entry and the data of the newest valid snapshot, and the damage that it has found in
+// newer snapshots and in the manifest. If the manifest is missing or damaged, Latest considers all snapshots in the
+// directory. If there is no snapshot, it returns a zero entry and no error. If all snapshots are damaged, it fails with
+// ErrNoSnapshot.
 func (s SnapshotStore) Latest() (ManifestEntry, []byte, []Damage, error) {
 	entries, manifestDamage, err := s.readManifest()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -126,7 +130,8 @@
 	return s.firstValid(entries, damage)
 }
 
-// firstValid returns the first of the entries whose snapshot verifies, and adds the damage of those before it.
+// firstValid returns the first entry whose snapshot is valid, and the data of that snapshot. It adds the damage of the
+// snapshots before it to damage.
 func (s SnapshotStore) firstValid(entries []ManifestEntry, damage []Damage) (ManifestEntry, []byte, []Damage, error) {
 	for _, entry := range entries {
 		data, err := s.verify(entry.File)
@@ -147,7 +152,8 @@
 	return ManifestEntry{}, nil, damage, ErrNoSnapshot
 }
 
-// scanDir returns entries for the folder's snapshots, the newest first, for a folder without a valid manifest.
+// scanDir returns an entry for each snapshot file in the directory, the newest first. It replaces the manifest if that
+// is missing or damaged.
 func (s SnapshotStore) scanDir() ([]ManifestEntry, error) {
 	names, err := s.FS.ReadDir(s.Dir)
 	if err != nil {
@@ -163,12 +169,12 @@
 	return entries, nil
 }
 
-// SnapshotName returns the name of the file of the snapshot of a revision.
+// SnapshotName returns the name of the file that holds the snapshot of a revision.
 func SnapshotName(revision int64) string {
 	return fmt.Sprintf("%s%020d%s", snapshotPrefix, revision, snapshotSuffix)
 }
 
-// parseSnapshotName returns the revision in a snapshot's name; false for any other file.
+// parseSnapshotName returns the revision in the name of a snapshot's file, and false for the name of any other file.
 func parseSnapshotName(name string) (int64, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, snapshotPrefix)
 	digits, hasSuffix := strings.CutSuffix(digits, snapshotSuffix)
@@ -176,7 +182,8 @@
 	return revision, hasPrefix && hasSuffix && err == nil
 }
 
-// readManifest returns the entries of the manifest, or its damage, or an error such as fs.ErrNotExist.
+// readManifest returns the entries of the manifest, its damage if it is damaged, or an error if it cannot be read, such
+// as fs.ErrNotExist.
 func (s SnapshotStore) readManifest() ([]ManifestEntry, *Damage, error) {
 	text, err := s.FS.ReadFile(filepath.Join(s.Dir, manifestName))
 	if err != nil {
@@ -186,7 +193,7 @@
 	return entries, damage, nil
 }
 
-// verify returns the data of a snapshot's file; a file that does not verify is a Damage.
+// verify reads and checks a snapshot's file and returns the data. If the file is damaged, the error is a Damage.
 func (s SnapshotStore) verify(name string) ([]byte, error) {
 	record, err := s.FS.ReadFile(filepath.Join(s.Dir, name))
 	if err != nil {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// defaultCallTimeout bounds a call to a replica if Client.HTTP is not set.
+	// defaultCallTimeout is the timeout of a call to one replica if Client.HTTP is not set.
 	defaultCallTimeout = 2 * time.Second
 
-	// maxResponseBytes bounds the body of an answer.
+	// maxResponseBytes is the number of bytes of a response's body that are read.
 	maxResponseBytes = 64 << 10
 )
 
-// Client calls the leases of the registry's replicas, each in turn. Safe for concurrent use.
+// Client acquires leases from the registry. It calls the replicas in order until one of them handles the call. It is
+// safe for concurrent use.
 type Client struct {
-	Replicas []string     // HTTP addresses
-	HTTP     *http.Client // nil: one with defaultCallTimeout
+	Replicas []string     // HTTP addresses of the registry's replicas, as host:port
+	HTTP     *http.Client // nil: a client with a timeout of 2 s for each call
 }
 
 // acquireRequest is the body of a call that acquires a lease.
@@ -31,13 +32,13 @@
 	TTLms  int64  `json:"ttl_ms"`
 }
 
-// holderRequest is the body of a call that renews or releases a lease: who holds it, by which grant.
+// holderRequest is the body of a call that renews or releases a lease. It names the holder and the token of the grant.
 type holderRequest struct {
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
 }
 
-// response is the body of an answer.
+// response is the body of a response of the registry.
 type response struct {
 	Lease struct {
 		Token uint64 `json:"token"`
@@ -45,10 +46,11 @@
 	Error string `json:"error"`
 }
 
+// leasePath returns the path of the call for an action on a lease, such as "renew".
 func leasePath(name, action string) string { return "/registry/leases/" + name + "/" + action }
 
-// post sends body to each replica in turn until one answers with another status than 503. It fails with the last
-// replica's error.
+// post sends body as JSON to the replicas in order, until one responds with a status other than 503. If none does, post
+// fails with the error of the last replica.
 func (c *Client) post(ctx context.Context, path string, body any) (status int, answer response, err error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -58,7 +60,7 @@
 	if httpClient == nil {
 		httpClient = &http.Client{Timeout: defaultCallTimeout}
 	}
-	lastErr := errors.New("no replica named")
+	lastErr := errors.New("the client has no replica addresses")
 	for _, addr := range c.Replicas {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(text))
 		if err != nil {
@@ -78,7 +80,8 @@
 	return 0, response{}, lastErr
 }
 
-// decodeResponse reads and closes an answer's body. A renewal's answer has none, so that bad JSON counts as empty.
+// decodeResponse reads and closes a response's body. Invalid JSON counts as an empty response, since the response to a
+// renewal has no body.
 func decodeResponse(resp *http.Response) response {
 	defer resp.Body.Close()
 	var answer response
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,6 @@
-// Package lease is the client of the registry's leases (docs/registry.md). A lease is a duty that one process holds at
-// a time; its fencing token goes with every write on the duty's behalf, as a sequencer does in Chubby.
+// Package lease is the client of the registry's leases, which docs/registry.md describes. At most one process holds a
+// lease at a time. The holder sends the lease's fencing token with every write that it makes under the lease, like a
+// sequencer in Chubby.
 package lease
 
 import (
@@ -13,38 +14,42 @@
 )
 
 const (
-	// clockMarginFraction is the fraction of the TTL by which a holder takes its lease for lost before the TTL ends:
-	// the clocks of the leader and of this process may drift apart by that much. Writes are fenced in any case.
+	// clockMarginFraction is the fraction of the TTL by which the holder considers its lease lost before the TTL ends.
+	// The clocks of the leader and of this process may drift apart by this much within a TTL. Writes are protected by
+	// the fencing token in any case.
 	clockMarginFraction = 0.2
 
-	// renewalsPerTTL is how often a lease is renewed within its TTL.
+	// renewalsPerTTL is the number of times that a lease is renewed within its TTL.
 	renewalsPerTTL = 3
 
-	// A candidate polls for a lease that is held at least every maxPollInterval, or pollsPerTTL times within its TTL,
-	// plus a random time of up to pollJitter, so that candidates don't poll in step.
+	// A candidate polls for a lease that is held by another process. The interval is the smaller of maxPollInterval and
+	// the TTL divided by pollsPerTTL, plus a random time of up to pollJitter, so that candidates do not poll at the
+	// same time.
 	maxPollInterval = 25 * time.Millisecond
 	pollsPerTTL     = 4
 	pollJitter      = 25 * time.Millisecond
 )
 
-// Lease is a lease that this process holds.
+// Lease is a lease that this process holds. Its methods are safe for concurrent use.
 type Lease struct {
 	Name   string
 	Holder string
 	Token  uint64 // the fencing token of the grant
 	TTL    time.Duration
-	// Lost is closed once the holder can't be sure to hold the lease: the registry has said that it doesn't, or the
-	// last renewal that succeeded was sent a TTL less the clock margin ago. Release closes it too.
+	// Lost is closed when this process can no longer be sure that it holds the lease. This is the case when the
+	// registry reports that the lease is lost, or when the last successful renewal was sent longer ago than the TTL
+	// minus the clock margin. Release also closes Lost.
 	Lost <-chan struct{}
 
 	client       *Client
 	stopRenewing context.CancelFunc
-	stopped      chan struct{} // closed when renewing has stopped
+	stopped      chan struct{} // closed when the renewals have stopped
 	releaseOnce  sync.Once
 }
 
-// Acquire polls for the lease until it is granted, the registry refuses the call for another reason than that the lease
-// is held, or ctx ends. It then renews the lease until Release.
+// Acquire polls for the lease until the registry grants it, and then renews it in the background until Release or until
+// the lease is lost. While the lease is held by another process or the registry cannot be reached, Acquire continues to
+// poll. It fails if ctx ends or if the registry rejects the call for any other reason.
 func (c *Client) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lease, error) {
 	request := acquireRequest{Holder: holder, TTLms: ttl.Milliseconds()}
 	for {
@@ -53,7 +58,7 @@
 		case err == nil && status == http.StatusOK:
 			return c.startRenewal(name, holder, answer.Lease.Token, ttl), nil
 		case err == nil && status != http.StatusConflict:
-			return nil, fmt.Errorf("acquire %s: %d %s", name, status, answer.Error)
+			return nil, fmt.Errorf("acquire lease %s: status %d: %s", name, status, answer.Error)
 		}
 		wait := min(ttl/pollsPerTTL, maxPollInterval) + rand.N(pollJitter)
 		select {
@@ -64,7 +69,7 @@
 	}
 }
 
-// startRenewal returns a lease that has just been granted and starts to renew it.
+// startRenewal returns a lease that has just been granted, and starts the goroutine that renews it.
 func (c *Client) startRenewal(name, holder string, token uint64, ttl time.Duration) *Lease {
 	ctx, cancel := context.WithCancel(context.Background())
 	lost := make(chan struct{})
@@ -86,8 +91,8 @@
 	return l
 }
 
-// renewUntilLost renews the lease until ctx ends or the lease is lost. The holder is sure to hold it until validFor has
-// passed since the last renewal that succeeded was sent.
+// renewUntilLost renews the lease until ctx ends or the lease is lost. The lease counts as lost when the registry
+// reports it lost, or when validFor has passed since the last successful renewal was sent.
 func (l *Lease) renewUntilLost(ctx context.Context) {
 	validFor := time.Duration(float64(l.TTL) * (1 - clockMarginFraction))
 	validUntil := time.Now().Add(validFor)
@@ -115,7 +120,8 @@
 	}
 }
 
-// renew sends one renewal. A call that hangs ends at the deadline, so that it does not delay the loss of the lease.
+// renew sends one renewal. The call ends at the deadline, so that a call without a response does not delay the closing
+// of Lost.
 func (l *Lease) renew(ctx context.Context, deadline time.Time) (int, error) {
 	callCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -124,11 +130,11 @@
 	return status, err
 }
 
-// FencingToken returns the value of X-Fencing-Token for writes on the duty's behalf.
+// FencingToken returns the value of the X-Fencing-Token header for writes that this process makes under the lease.
 func (l *Lease) FencingToken() string { return l.Name + ":" + strconv.FormatUint(l.Token, 10) }
 
-// Release stops renewing and releases the lease, so that a successor need not wait for the TTL. Only the first call
-// does anything. A lease that is no longer held is no error.
+// Release stops the renewals and releases the lease, so that a successor does not have to wait for the TTL. Only the
+// first call has an effect; later calls return nil. It is not an error if the lease is no longer held.
 func (l *Lease) Release(ctx context.Context) error {
 	var err error
 	l.releaseOnce.Do(func() {
@@ -143,13 +149,13 @@
 	request := holderRequest{Holder: l.Holder, Token: l.Token}
 	status, answer, err := l.client.post(ctx, leasePath(l.Name, "release"), request)
 	if err == nil && status != http.StatusOK && status != http.StatusConflict {
-		return fmt.Errorf("release %s: %d %s", l.Name, status, answer.Error)
+		return fmt.Errorf("release lease %s: status %d: %s", l.Name, status, answer.Error)
 	}
 	return err
 }
 
-// ExistingLease returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down.
-// It is not renewed, and its Lost is nil.
+// ExistingLease returns a lease that has already been granted, so that the caller can release it, such as an operator
+// who releases the lease of another process. The lease is not renewed, and its Lost channel is nil.
 func (c *Client) ExistingLease(name, holder string, token uint64) *Lease {
 	stopped := make(chan struct{})
 	close(stopped)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,11 +11,12 @@
 	"hitchvale/internal/registry"
 )
 
-// oneReplica starts a registry of one replica in this process and gives its HTTP address and its stop.
+// startReplica starts a registry of one replica in this process. It returns the replica's HTTP address and a function
+// that stops the replica. The replica also stops at the end of the test.
 func startReplica(t *testing.T) (string, func()) {
 	t.Helper()
-	rl, _ := net.Listen("tcp", "127.0.0.1:0")
-	hl, _ := net.Listen("tcp", "127.0.0.1:0")
+	raftListener, _ := net.Listen("tcp", "127.0.0.1:0")
+	httpListener, _ := net.Listen("tcp", "127.0.0.1:0")
 	cfg, err := registry.ParseConfig([]byte(fmt.Sprintf(`id = "r0"
 data_dir = %q
 http = %q
@@ -25,75 +26,75 @@
 heartbeat = "50ms"
 election = "50ms"
 leader_lease = "50ms"
-`, t.TempDir(), hl.Addr(), rl.Addr())))
+`, t.TempDir(), httpListener.Addr(), raftListener.Addr())))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := registry.Open(cfg, rl, slog.New(slog.DiscardHandler))
+	replica, err := registry.Open(cfg, raftListener, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan struct{})
-	go func() { r.Serve(ctx, hl); close(served) }()
+	go func() { replica.Serve(ctx, httpListener); close(served) }()
 	stopped := false
 	stop := func() {
 		if !stopped {
 			stopped = true
 			cancel()
 			<-served
-			r.Close()
+			replica.Close()
 		}
 	}
 	t.Cleanup(stop)
-	return hl.Addr().String(), stop
+	return httpListener.Addr().String(), stop
 }
 
-// A released lease passes to the waiting candidate at once, with a higher token; a holder that can no longer
-// renew is notified of the loss within the TTL.
+// When a holder releases its lease, the waiting candidate immediately gets the lease with a higher token. When a holder
+// can no longer renew its lease, Lost is closed within the TTL.
 func TestReleaseHandsOverAndLossIsNotified(t *testing.T) {
 	addr, stop := startReplica(t)
-	c := &Client{Replicas: []string{addr}}
+	client := &Client{Replicas: []string{addr}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	const ttl = 400 * time.Millisecond
-	a, err := c.Acquire(ctx, "duty", "a", ttl)
+	first, err := client.Acquire(ctx, "duty", "a", ttl)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan *Lease, 1)
+	acquired := make(chan *Lease, 1)
 	go func() {
-		b, err := c.Acquire(ctx, "duty", "b", ttl)
+		lease, err := client.Acquire(ctx, "duty", "b", ttl)
 		if err != nil {
 			t.Error(err)
 		}
-		got <- b
+		acquired <- lease
 	}()
-	time.Sleep(3 * ttl) // a renews: b must still wait
+	time.Sleep(3 * ttl) // the first holder renews the lease, so the candidate must still wait
 	select {
-	case <-got:
-		t.Fatal("a second holder while the first renews")
-	case <-a.Lost:
-		t.Fatal("a renewing holder lost its lease")
+	case <-acquired:
+		t.Fatal("a second process acquired the lease while the first holder renewed it")
+	case <-first.Lost:
+		t.Fatal("a holder that renews its lease lost it")
 	default:
 	}
 	released := time.Now()
-	if err := a.Release(ctx); err != nil {
+	if err := first.Release(ctx); err != nil {
 		t.Fatal(err)
 	}
-	b := <-got
-	if took := time.Since(released); b == nil || b.Token <= a.Token || took > 200*time.Millisecond {
-		t.Fatalf("handover: %+v after %s", b, took)
+	second := <-acquired
+	if took := time.Since(released); second == nil || second.Token <= first.Token || took > 200*time.Millisecond {
+		t.Fatalf("after the release the candidate has lease %+v after %s", second, took)
 	}
 	stop()
-	cut := time.Now()
+	stopped := time.Now()
 	select {
-	case <-b.Lost:
-		if took := time.Since(cut); took > ttl {
-			t.Fatalf("loss notified after %s, beyond the TTL", took)
+	case <-second.Lost:
+		if took := time.Since(stopped); took > ttl {
+			t.Fatalf("Lost was closed after %s, later than the TTL", took)
 		}
 	case <-time.After(2 * ttl):
-		t.Fatal("loss never notified")
+		t.Fatal("Lost was not closed")
 	}
-	b.Release(ctx)
+	second.Release(ctx)
 }
