--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -9,7 +9,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// The JSON forms that are stored on disk or printed are the same as in earlier versions.
+// The JSON forms that are stored, or exchanged with processes of other versions, are the same as in earlier versions.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[ManifestEntry](t, "entry")
 	goldenfile.RoundTrip[Damage](t, "damage")
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -15,23 +15,24 @@
 	"github.com/hashicorp/raft"
 )
 
-// Writes a second that three replicas on loopback commit and apply, 64 writers at once.
+// BenchmarkWritesThreeReplicas measures the writes per second that three replicas on the loopback interface commit and
+// apply. The number of concurrent writers is 8 * GOMAXPROCS, which is 64 on 8 cores.
 func BenchmarkWritesThreeReplicas(b *testing.B) {
 	c := newCluster(b, 3)
 	r := c.replicas[c.leader(b)]
 	b.SetParallelism(8)
-	var n sync.Mutex
+	var mu sync.Mutex
 	i := 0
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			n.Lock()
+			mu.Lock()
 			i++
 			id := fmt.Sprintf("s-%d", i%5000)
-			n.Unlock()
+			mu.Unlock()
 			m := Member{ID: id, HostPort: "127.0.0.1:9000", Phase: PhaseReady, Size: 1}
-			if res, err := r.Write(&MemberCommand{Op: "register", Member: m}); err != nil || res.Err != nil {
-				b.Error(err, res.Err)
+			if result, err := r.Write(&MemberCommand{Op: "register", Member: m}); err != nil || result.Err != nil {
+				b.Error(err, result.Err)
 				return
 			}
 		}
@@ -39,28 +40,28 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
 }
 
-// The time from a write's acknowledgement until each of 300 watches on the leader has its answer (p50, p99), and
-// the memory each open watch holds.
+// BenchmarkWatchFanOut300 measures the time from the acknowledgement of a write until each of 300 watches on the leader
+// has its response (p50, p99), and the memory that each open watch uses.
 func BenchmarkWatchFanOut300(b *testing.B) {
 	const watchers = 300
 	c := newCluster(b, 3)
 	lead := c.leader(b)
 	r, addr := c.replicas[lead], c.http[lead]
-	tr := &http.Transport{MaxIdleConnsPerHost: watchers, MaxConnsPerHost: watchers}
-	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr}
-	var lat []float64
-	var perWatch float64
+	transport := &http.Transport{MaxIdleConnsPerHost: watchers, MaxConnsPerHost: watchers}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport}
+	var latenciesMs []float64
+	var bytesPerWatch float64
 	for i := 0; i < b.N; i++ {
-		rev := r.Status().Revision
-		var ms0, ms1 runtime.MemStats
+		revision := r.Status().Revision
+		var before, after runtime.MemStats
 		runtime.GC()
-		runtime.ReadMemStats(&ms0)
+		runtime.ReadMemStats(&before)
 		arrived := make(chan time.Time, watchers)
 		var wg sync.WaitGroup
 		for range watchers {
 			wg.Go(func() {
-				resp, err := client.Get(fmt.Sprintf("http://%s/registry/instances?after=%d&wait_ms=20000", addr, rev))
+				resp, err := client.Get(fmt.Sprintf("http://%s/registry/instances?after=%d&wait_ms=20000", addr, revision))
 				if err != nil {
 					b.Error(err)
 					return
@@ -71,40 +72,40 @@
 			})
 		}
 		waitWatches(b, r, watchers)
-		runtime.ReadMemStats(&ms1)
-		perWatch = float64(ms1.HeapInuse+ms1.StackInuse-ms0.HeapInuse-ms0.StackInuse) / watchers
+		runtime.ReadMemStats(&after)
+		bytesPerWatch = float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse) / watchers
 		member := Member{ID: fmt.Sprintf("w-%d", i), HostPort: "127.0.0.1:1", Phase: PhaseReady}
 		if _, err := r.Write(&MemberCommand{Op: "register", Member: member}); err != nil {
 			b.Fatal(err)
 		}
-		acked := time.Now()
+		acknowledged := time.Now()
 		wg.Wait()
 		close(arrived)
 		for t := range arrived {
-			lat = append(lat, float64(t.Sub(acked).Microseconds())/1000)
+			latenciesMs = append(latenciesMs, float64(t.Sub(acknowledged).Microseconds())/1000)
 		}
 	}
-	slices.Sort(lat)
-	b.ReportMetric(lat[len(lat)/2], "p50-ms")
-	b.ReportMetric(lat[len(lat)*99/100], "p99-ms")
-	b.ReportMetric(perWatch, "B/watch")
+	slices.Sort(latenciesMs)
+	b.ReportMetric(latenciesMs[len(latenciesMs)/2], "p50-ms")
+	b.ReportMetric(latenciesMs[len(latenciesMs)*99/100], "p99-ms")
+	b.ReportMetric(bytesPerWatch, "B/watch")
 }
 
-// waitWatches waits until n watches wait on the state's change channel (counted by the replica).
+// waitWatches waits until the replica has n open watches. It fails the benchmark after 10 s.
 func waitWatches(b *testing.B, r *Replica, n int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for r.openWatches.Load() < n {
 		if ctx.Err() != nil {
-			b.Fatalf("%d of %d watches open", r.openWatches.Load(), n)
+			b.Fatalf("%d of %d watches are open after 10 s", r.openWatches.Load(), n)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The time a replica takes to restore its state from its newest snapshot on disk (read, verify the checksum,
-// decode), at 10k, 100k and 1M members; the snapshot's size is reported beside it. Raft's election and the log
-// after the snapshot come on top.
+// BenchmarkRestoreFromSnapshot measures the time in which a replica restores its state from its newest snapshot on disk
+// (read, verify the checksum, decode), with 10 thousand, 100 thousand and 1 million members. It also reports the size
+// of the snapshot. A real start needs additional time for raft's election and for the log after the snapshot.
 func BenchmarkRestoreFromSnapshot(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -128,11 +129,11 @@
 				if err != nil || len(metas) != 1 {
 					b.Fatal(err)
 				}
-				_, rd, err := store.Open(metas[0].ID)
+				_, reader, err := store.Open(metas[0].ID)
 				if err != nil {
 					b.Fatal(err)
 				}
-				data, _ := io.ReadAll(rd)
+				data, _ := io.ReadAll(reader)
 				if err := NewState(64).Decode(data); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/registry/changelog_test.go
+++ b/internal/registry/changelog_test.go
@@ -7,15 +7,15 @@
 	"hitchvale/internal/statemachine"
 )
 
-// A watch from a revision that the change log reaches back to gets each changed member once, in its present form,
-// removed ones in phase gone; from an older one, it gets the complete list.
+// If the change log reaches back to the revision, ChangesSince returns each changed member once in its current form,
+// and removed members in phase gone. Otherwise it returns the complete list.
 func TestChangesSinceReturnsChangesOrCompleteList(t *testing.T) {
 	s := NewState(16)
-	m := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: PhaseReady, Size: 1} }
+	member := func(id string) Member { return Member{ID: id, HostPort: "127.0.0.1:1", Phase: PhaseReady, Size: 1} }
 	for _, c := range []statemachine.Command{
-		&MemberCommand{Op: "register", Member: m("a")},
-		&MemberCommand{Op: "register", Member: m("b")},
-		&MemberCommand{Op: "register", Member: m("c")},
+		&MemberCommand{Op: "register", Member: member("a")},
+		&MemberCommand{Op: "register", Member: member("b")},
+		&MemberCommand{Op: "register", Member: member("c")},
 		&MemberCommand{Op: "phase", ID: "a", Phase: PhaseDraining},
 		&MemberCommand{Op: "deregister", ID: "b"},
 	} {
@@ -26,17 +26,17 @@
 	got := s.ChangesSince(3)
 	if got.Revision != 5 || got.Complete || len(got.Members) != 2 ||
 		got.Members[0].Phase != PhaseDraining || got.Members[1].ID != "b" || got.Members[1].Phase != PhaseGone {
-		t.Fatalf("since 3: %+v", got)
+		t.Fatalf("changes since revision 3: %+v", got)
 	}
-	for range 20 { // push revision 1 to 5 out of the change log
+	for range 20 { // 40 changes drop revisions 1 to 5 from the change log
 		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: PhaseDraining})
 		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: PhaseReady})
 	}
-	if w := s.ChangesSince(3); !w.Complete || len(w.Members) != 2 {
-		t.Fatalf("since a compacted revision: %+v", w)
+	if list := s.ChangesSince(3); !list.Complete || len(list.Members) != 2 {
+		t.Fatalf("changes since a compacted revision: %+v, want the complete list", list)
 	}
-	r := s.Apply(&MemberCommand{Op: "phase", ID: "zz", Phase: PhaseReady})
-	if !errors.Is(r.Err, ErrMemberNotFound) || r.Revision != s.Revision {
-		t.Fatalf("unknown member: %+v", r)
+	result := s.Apply(&MemberCommand{Op: "phase", ID: "zz", Phase: PhaseReady})
+	if !errors.Is(result.Err, ErrMemberNotFound) || result.Revision != s.Revision {
+		t.Fatalf("setting the phase of an unknown member: %+v", result)
 	}
 }
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// cluster is a registry of several replicas in this process.
+// cluster is a registry cluster whose replicas run in this process. The slices are indexed by replica.
 type cluster struct {
 	t               testing.TB
 	configs         []Config
-	replicas        []*Replica
-	http            []string
-	stops           []func() // ends replica i's HTTP side and waits for it
-	ackBeforeCommit bool     // the planted bug, for every replica opened
+	replicas        []*Replica // nil while the replica is stopped
+	http            []string   // HTTP addresses
+	stops           []func()   // stops serving the replica's HTTP interface and waits until Serve has returned
+	ackBeforeCommit bool       // injects the fault of the same name into every replica
 	disks           []*faultyDisk
 }
 
+// testConfig returns a configuration with short raft timeouts that bootstraps the cluster.
 func testConfig(id, dir string) Config {
 	c := defaultConfig()
 	c.ID, c.DataDir, c.Bootstrap = id, dir, true
@@ -32,16 +33,20 @@
 	return c
 }
 
-// newCluster starts n replicas in this process on ports of 127.0.0.1 that the system picks.
-func newCluster(t testing.TB, n int) *cluster { return newClusterWith(t, n, false) }
+// newCluster starts n replicas in this process on ports of 127.0.0.1 that the system chooses. They stop at the end of
+// the test.
+func newCluster(t testing.TB, n int) *cluster { return newClusterWithFault(t, n, false) }
 
-func newClusterWith(t testing.TB, n int, ackEarly bool) *cluster {
-	return newClusterFor(t, n, ackEarly, fleetInterval)
+// newClusterWithFault is like newCluster. If ackBeforeCommit is true, the replicas acknowledge writes before raft
+// commits them.
+func newClusterWithFault(t testing.TB, n int, ackBeforeCommit bool) *cluster {
+	return newClusterWithInterval(t, n, ackBeforeCommit, fleetInterval)
 }
 
-func newClusterFor(t testing.TB, n int, ackEarly bool, interval time.Duration) *cluster {
+// newClusterWithInterval is like newClusterWithFault, with the interval at which the leader publishes fleet views.
+func newClusterWithInterval(t testing.TB, n int, ackBeforeCommit bool, interval time.Duration) *cluster {
 	t.Helper()
-	c := &cluster{t: t, ackBeforeCommit: ackEarly, replicas: make([]*Replica, n), stops: make([]func(), n)}
+	c := &cluster{t: t, ackBeforeCommit: ackBeforeCommit, replicas: make([]*Replica, n), stops: make([]func(), n)}
 	var peers []Peer
 	var raftLn, httpLn []net.Listener
 	for i := range n {
@@ -64,6 +69,7 @@
 	return c
 }
 
+// listen opens a TCP listener.
 func listen(t testing.TB, addr string) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -73,6 +79,7 @@
 	return l
 }
 
+// open opens replica i and serves its HTTP interface.
 func (c *cluster) open(i int, raftLn, httpLn net.Listener) {
 	if len(c.disks) <= i {
 		c.disks = append(c.disks, &faultyDisk{})
@@ -88,7 +95,7 @@
 	c.replicas[i], c.stops[i] = r, func() { cancel(); <-served }
 }
 
-// stop stops replica i and closes its files.
+// stop stops replica i and closes its files. It does nothing if the replica is already stopped.
 func (c *cluster) stop(i int) {
 	if c.replicas[i] == nil {
 		return
@@ -98,12 +105,12 @@
 	c.replicas[i] = nil
 }
 
-// restart opens replica i again from its folder, on its addresses.
+// restart opens the stopped replica i again with its data directory and its addresses.
 func (c *cluster) restart(i int) {
 	c.open(i, listen(c.t, c.configs[i].RaftAddr), listen(c.t, c.configs[i].HTTPAddr))
 }
 
-// leader waits for a leader among the replicas still open.
+// leader waits until one of the open replicas is the leader and returns its index.
 func (c *cluster) leader(t testing.TB) int {
 	t.Helper()
 	for range 200 {
@@ -114,10 +121,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("no leader")
+	t.Fatal("no replica became the leader")
 	return -1
 }
 
+// call makes an HTTP call and returns the status and the body of the response. If no response arrives, it returns
+// status 0 and the text of the error.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -18,15 +18,18 @@
 	"hitchvale/internal/fleet"
 )
 
-// fleetInterval is short in tests: a view is due soon, and nothing rests on how soon.
+// fleetInterval is the interval at which the leader publishes views in tests. It is short so that tests do not wait
+// long; no test depends on its exact value.
 const fleetInterval = 50 * time.Millisecond
 
+// fleetClient returns a client with its own connections.
 func fleetClient(addrs ...string) *fleet.Client {
 	return &fleet.Client{Replicas: addrs, HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-// testAgent starts a node's agent over HTTP that ends with the test.
-func testAgent(t testing.TB, name, process string, addrs []string) (*fleet.Agent, <-chan error) {
+// startTestAgent starts the agent of a node, which calls the registry over HTTP and stops at the end of the test. The
+// channel receives the result of the agent's Run.
+func startTestAgent(t testing.TB, name, process string, addrs []string) (*fleet.Agent, <-chan error) {
 	t.Helper()
 	c := fleetClient(addrs...)
 	cfg := fleet.AgentConfig{
@@ -54,36 +57,38 @@
 	return a, ended
 }
 
-// await waits for ok.
-func await(t testing.TB, what string, ok func() bool) {
+// waitUntil waits until ok returns true. It fails the test after 20 s; condition describes the condition.
+func waitUntil(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came about: %s", what)
+			t.Fatalf("not true within 20 s: %s", condition)
 		}
 	}
 }
 
+// allFresh returns a condition for waitUntil: the agent has a view with that number of nodes, and all of them are
+// fresh.
 func allFresh(a *fleet.Agent, nodes int) func() bool {
 	return func() bool { s := a.Status(); return s.Fresh == nodes && s.Nodes == nodes }
 }
 
-// Nodes that use different replicas get the same bytes for one version of the view; a second process under a name
-// supersedes the first; and after the leader is stopped the next one publishes views, in a higher term, with every
-// session in them.
-func TestNodesGetTheSameView(t *testing.T) {
-	c := newClusterWith(t, 3, false)
+// Nodes that call different replicas get the same bytes for the same version of the view. A second process of the same
+// node supersedes the first. After the leader has stopped, the next leader publishes views in a higher term that
+// contain every session.
+func TestAllNodesReceiveTheSameView(t *testing.T) {
+	c := newCluster(t, 3)
 	var agents []*fleet.Agent
 	for i := range 3 {
-		a, _ := testAgent(t, fmt.Sprint("n", i), "p", []string{c.http[i], c.http[(i+1)%3], c.http[(i+2)%3]})
+		a, _ := startTestAgent(t, fmt.Sprint("n", i), "p", []string{c.http[i], c.http[(i+1)%3], c.http[(i+2)%3]})
 		agents = append(agents, a)
 	}
 	for _, a := range agents {
-		await(t, "three fresh nodes", allFresh(a, 3))
+		waitUntil(t, "the view has three fresh nodes", allFresh(a, 3))
 	}
 	v, _, _ := agents[0].View()
 	if v.Endpoints[0].ReportingNodes != 3 || v.Endpoints[0].QueueEstimate != 2 || v.Nodes[1].Metrics.Connections != 7 {
-		t.Errorf("view %+v", v)
+		t.Errorf("view of three nodes: %+v", v)
 	}
 
 	texts := map[string]string{}
@@ -96,16 +101,16 @@
 			text, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			version := resp.Header.Get(viewHeader)
-			if was, ok := texts[version]; resp.StatusCode != 200 || ok && was != string(text) {
-				t.Fatalf("%d: two views under %s:\n%s\n%s", resp.StatusCode, version, was, text)
+			if earlier, ok := texts[version]; resp.StatusCode != 200 || ok && earlier != string(text) {
+				t.Fatalf("status %d; version %s has two different views:\n%s\n%s", resp.StatusCode, version, earlier, text)
 			}
 			texts[version] = string(text)
 		}
 	}
 
-	newer, _ := testAgent(t, "n1", "p'", c.http)
-	await(t, "the newer process in the view", allFresh(newer, 3))
-	await(t, "the older process to be superseded", func() bool { return agents[1].Status().Superseded })
+	newer, _ := startTestAgent(t, "n1", "p'", c.http)
+	waitUntil(t, "the newer process gets a view with three fresh nodes", allFresh(newer, 3))
+	waitUntil(t, "the older process is superseded", func() bool { return agents[1].Status().Superseded })
 
 	before := agents[0].Status().Version
 	for i, r := range c.replicas {
@@ -114,17 +119,19 @@
 			break
 		}
 	}
-	await(t, "a view of a later term with all fresh", func() bool {
+	waitUntil(t, "a view of a later term has three fresh nodes", func() bool {
 		s := agents[0].Status()
 		return s.Version.Term > before.Term && allFresh(agents[0], 3)()
 	})
 }
 
-// A process that stops reporting loses its session with its TTL, and calls answer with a code, what is wrong and a
+// The session of a process that sends no reports expires after its TTL. Calls that fail get an error code, a text and a
 // remedy.
 func TestSessionsExpireAndErrorsCarryRemedies(t *testing.T) {
-	c := newClusterWith(t, 1, false)
-	await(t, "a leader", func() bool { return c.replicas[0].IsLeader() && c.replicas[0].canServeReads() })
+	c := newCluster(t, 1)
+	waitUntil(t, "the leader serves reads", func() bool {
+		return c.replicas[0].IsLeader() && c.replicas[0].canServeReads()
+	})
 	ctx, client := t.Context(), fleetClient(c.http...)
 	defer client.HTTP.CloseIdleConnections()
 	s := fleet.Session{Node: "n1", Site: "a", Process: "p", Incarnation: 1, Address: "127.0.0.1:1", TTLms: 300}
@@ -132,21 +139,21 @@
 		t.Fatal(err)
 	}
 	if h, err := client.SessionStatus(ctx, "n1"); err != nil || h.LastIncarnation != 1 || h.Session == nil {
-		t.Fatalf("%+v %v", h, err)
+		t.Fatalf("status of the open session: %+v, error %v", h, err)
 	}
-	late := s
-	late.Process = "older"
-	if _, err := client.OpenSession(ctx, late); !errors.Is(err, fleet.ErrSuperseded) {
-		t.Errorf("an older process: %v", err)
+	otherProcess := s
+	otherProcess.Process = "older"
+	if _, err := client.OpenSession(ctx, otherProcess); !errors.Is(err, fleet.ErrSuperseded) {
+		t.Errorf("another process opens a session with the same incarnation: error %v", err)
 	}
-	await(t, "expiry", func() bool {
+	waitUntil(t, "the session has expired", func() bool {
 		h, err := client.SessionStatus(ctx, "n1")
 		return err == nil && h.Session == nil && h.LastIncarnation == 1
 	})
 	report := fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}
 	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: report}, 0)
 	if !errors.Is(err, fleet.ErrSessionNotFound) {
-		t.Errorf("a report without a session: %v", err)
+		t.Errorf("report without an open session: error %v", err)
 	}
 	for body, code := range map[string]string{
 		`{"node":"n1","ttl_ms":1}`: "registry.malformed",
@@ -162,28 +169,29 @@
 		json.NewDecoder(resp.Body).Decode(&a)
 		resp.Body.Close()
 		if resp.StatusCode != 400 || a.Code != code || a.Error == "" || a.Remedy == "" {
-			t.Errorf("%s: %d %+v", body, resp.StatusCode, a)
+			t.Errorf("body %s: status %d, response %+v; want status 400 and code %s", body, resp.StatusCode, a, code)
 		}
 	}
 }
 
-// BenchmarkFleetView has 300 nodes report to three replicas at an interval of a second for five intervals, and reports
-// the leader process's share of a core (all three replicas and the 300 nodes run in this process, so it is an upper
-// bound), the time from a view's epoch to its arrival at p99, and the bytes of a view.
+// BenchmarkFleetView lets 300 nodes report to three replicas for five intervals of a second. It reports the CPU cores
+// that this process uses, the time from the publication of a view to its arrival at a node (p50, p99), the number of
+// views per second, and the size of a view in bytes, plain and compressed. The CPU time is an upper bound of the
+// leader's, since all three replicas and the 300 nodes run in this process.
 func BenchmarkFleetView(b *testing.B) {
 	const nodes = 300
-	c := newClusterFor(b, 3, false, time.Second)
+	c := newClusterWithInterval(b, 3, false, time.Second)
 	for b.Loop() {
 		var mu sync.Mutex
-		var late []float64
+		var latenciesMs []float64
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for i := range nodes {
 			client := fleetClient(c.http[i%3], c.http[(i+1)%3], c.http[(i+2)%3])
 			defer client.HTTP.CloseIdleConnections()
-			timed := &timedRegistry{Client: client, took: func(d time.Duration) {
+			timed := &timedRegistry{Client: client, observe: func(d time.Duration) {
 				mu.Lock()
-				late = append(late, d.Seconds()*1000)
+				latenciesMs = append(latenciesMs, d.Seconds()*1000)
 				mu.Unlock()
 			}, replicas: c.replicas}
 			name := fmt.Sprintf("n%03d", i)
@@ -191,17 +199,17 @@
 			a := fleet.NewAgent(cfg, "p", timed, sampleReport, slog.New(slog.DiscardHandler))
 			wg.Go(func() { a.Run(ctx) })
 		}
-		time.Sleep(3 * time.Second) // sessions
+		time.Sleep(3 * time.Second) // until the nodes have opened their sessions
 		mu.Lock()
-		late = late[:0]
+		latenciesMs = latenciesMs[:0]
 		mu.Unlock()
 		cpu := processTime()
 		time.Sleep(5 * time.Second)
 		used := processTime() - cpu
 		mu.Lock()
-		b.ReportMetric(quantileOf(late, 0.5), "p50-ms")
-		b.ReportMetric(quantileOf(late, 0.99), "p99-ms")
-		b.ReportMetric(float64(len(late))/5, "views/s")
+		b.ReportMetric(quantileOf(latenciesMs, 0.5), "p50-ms")
+		b.ReportMetric(quantileOf(latenciesMs, 0.99), "p99-ms")
+		b.ReportMetric(float64(len(latenciesMs))/5, "views/s")
 		mu.Unlock()
 		b.ReportMetric(used.Seconds()/5, "cores")
 		for _, r := range c.replicas {
@@ -217,28 +225,29 @@
 	}
 }
 
-// timedRegistry measures how long after its epoch each view arrives.
+// timedRegistry measures the time from the publication of a view to its arrival at a node.
 type timedRegistry struct {
 	*fleet.Client
 	replicas []*Replica
-	took     func(time.Duration)
+	observe  func(time.Duration) // is called with the time of each view that arrives while it is the latest
 }
 
 func (t *timedRegistry) SendReport(ctx context.Context, r fleet.ReportRequest, wait time.Duration) (
 	fleet.View, bool, error) {
-	v, came, err := t.Client.SendReport(ctx, r, wait)
+	v, received, err := t.Client.SendReport(ctx, r, wait)
 	now := time.Now()
 	for _, r := range t.replicas {
 		r.views.mu.Lock()
-		if p := r.views.latest; came && p != nil && p.version == v.ViewVersion {
-			t.took(now.Sub(p.publishedAt))
+		if p := r.views.latest; received && p != nil && p.version == v.ViewVersion {
+			t.observe(now.Sub(p.publishedAt))
 		}
 		r.views.mu.Unlock()
 	}
-	return v, came, err
+	return v, received, err
 }
 
-// sampleReport is a report as a node of the full fleet makes it, whose subset has some twenty endpoints.
+// sampleReport returns a report of the size that a node in a fleet of the full size sends. The subset of such a node
+// has about twenty endpoints.
 func sampleReport() fleet.Report {
 	r := fleet.Report{Metrics: fleet.LoadMetrics{
 		Connections:       123,
@@ -263,12 +272,14 @@
 	return r
 }
 
+// processTime returns the CPU time that this process has used.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// quantileOf sorts x and returns its q-quantile, or 0 if x is empty.
 func quantileOf(x []float64, q float64) float64 {
 	if len(x) == 0 {
 		return 0
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -12,20 +12,21 @@
 	"hitchvale/internal/statemachine"
 )
 
-// leaseModel is the plain model that the state machine must agree with.
+// leaseModel is a simple model of the leases. The state machine must behave like it.
 type leaseModel struct {
-	held   map[string]Lease
-	tokens uint64
-	fenced map[string]uint64
+	held      map[string]Lease  // by lease name
+	lastToken uint64            // token of the last grant
+	accepted  map[string]uint64 // token of the last accepted fenced write, by lease name
 }
 
-// The lease state machine against a plain model, over random acquires, releases, expiries, fenced writes and
-// snapshot restores (a replica's restart or a new leader's catch-up): the same answers, a token that rises with
-// every grant and is never issued twice, one holder a lease, and no fenced write below an accepted token.
+// The lease state machine must return the same results as a simple model, over random acquisitions, releases, expiries,
+// fenced writes and restores from a snapshot, which happen when a replica restarts or lags behind. The token must rise
+// with every grant, no token may be issued twice, a lease may have only one holder, and no fenced write with a token
+// below an accepted one may be accepted.
 func TestLeaseStateMachineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState(64)
-		m := leaseModel{held: map[string]Lease{}, fenced: map[string]uint64{}}
+		m := leaseModel{held: map[string]Lease{}, accepted: map[string]uint64{}}
 		issued := map[uint64]bool{}
 		name := rapid.SampledFrom([]string{"release-controller", "reaper"})
 		holder := rapid.SampledFrom([]string{"p1", "p2", "p3"})
@@ -38,24 +39,24 @@
 				switch {
 				case ok && l.Holder != h:
 					if !errors.Is(r.Err, ErrLeaseHeld) {
-						t.Fatalf("acquire of a held lease: %+v", r)
+						t.Fatalf("acquisition of a lease that another process holds: %+v", r)
 					}
 				case ok:
-					if r.Err != nil || lease(r).Token != l.Token {
-						t.Fatalf("acquire again by its holder: %+v, want token %d", r, l.Token)
+					if r.Err != nil || leaseOf(r).Token != l.Token {
+						t.Fatalf("repeated acquisition by the holder: %+v, want token %d", r, l.Token)
 					}
 				default:
-					m.tokens++
-					if r.Err != nil || lease(r).Token != m.tokens || issued[lease(r).Token] {
-						t.Fatalf("grant: %+v, want token %d", r, m.tokens)
+					m.lastToken++
+					if r.Err != nil || leaseOf(r).Token != m.lastToken || issued[leaseOf(r).Token] {
+						t.Fatalf("grant of a free lease: %+v, want token %d", r, m.lastToken)
 					}
-					issued[lease(r).Token] = true
-					m.held[n] = lease(r)
+					issued[leaseOf(r).Token] = true
+					m.held[n] = leaseOf(r)
 				}
 			},
 			"release or expire": func(t *rapid.T) {
 				n, h := name.Draw(t, "name"), holder.Draw(t, "holder")
-				token := rapid.Uint64Range(0, m.tokens+1).Draw(t, "token")
+				token := rapid.Uint64Range(0, m.lastToken+1).Draw(t, "token")
 				op := rapid.SampledFrom([]statemachine.Operation{"release", "lease-expire"}).Draw(t, "op")
 				r := s.Apply(&LeaseCommand{Op: op, Lease: Lease{Name: n, Holder: h, Token: token}})
 				l, ok := m.held[n]
@@ -65,24 +66,24 @@
 					}
 					delete(m.held, n)
 				} else if !errors.Is(r.Err, ErrLeaseLost) {
-					t.Fatalf("%s of a lease not so held: %+v", op, r)
+					t.Fatalf("%s of a lease that is not held with this holder and token: %+v", op, r)
 				}
 			},
 			"fenced write": func(t *rapid.T) {
 				n := name.Draw(t, "name")
-				token := rapid.Uint64Range(0, m.tokens).Draw(t, "token")
+				token := rapid.Uint64Range(0, m.lastToken).Draw(t, "token")
 				fence := &FencingToken{Lease: n, Token: token}
 				r := s.Apply(&MemberCommand{Op: "phase", ID: "m", Phase: PhaseDraining, FencingToken: fence})
-				if token < m.fenced[n] {
+				if token < m.accepted[n] {
 					if !errors.Is(r.Err, ErrStaleFencingToken) {
-						t.Fatalf("token %d below %d accepted: %+v", token, m.fenced[n], r)
+						t.Fatalf("fenced write with token %d after token %d was accepted: %+v", token, m.accepted[n], r)
 					}
 					return
 				}
 				if r.Err != nil {
 					t.Fatalf("fenced write with token %d: %v", token, r.Err)
 				}
-				m.fenced[n] = token
+				m.accepted[n] = token
 			},
 			"restore from a snapshot": func(t *rapid.T) {
 				text, err := s.Encode()
@@ -96,13 +97,13 @@
 				s = n
 			},
 			"": func(t *rapid.T) {
-				if len(s.leases.ByName) != len(m.held) || s.leases.LastToken != m.tokens {
-					t.Fatalf("state %d leases, token %d; model %d, %d",
-						len(s.leases.ByName), s.leases.LastToken, len(m.held), m.tokens)
+				if len(s.leases.ByName) != len(m.held) || s.leases.LastToken != m.lastToken {
+					t.Fatalf("the state has %d leases and last token %d; the model has %d and %d",
+						len(s.leases.ByName), s.leases.LastToken, len(m.held), m.lastToken)
 				}
 				for n, l := range m.held {
 					if s.leases.ByName[n] != l {
-						t.Fatalf("lease %s: %+v, model %+v", n, s.leases.ByName[n], l)
+						t.Fatalf("lease %s: the state has %+v, the model has %+v", n, s.leases.ByName[n], l)
 					}
 				}
 			},
@@ -110,10 +111,10 @@
 	})
 }
 
-// Over HTTP: one holder at a time, renewals on the leader's clock, expiry after the TTL, a rising token, fenced
-// writes refused below the newest token, release for an immediate handover, and a new leader that waits a full
-// TTL before granting a lease the old one had granted.
-func TestLeaseHandsOverAndFences(t *testing.T) {
+// Over HTTP, a lease has one holder at a time and expires when its TTL has elapsed without a renewal. Each grant gets a
+// higher token, and a write with a token below an accepted one is rejected. After a release another process acquires
+// the lease immediately. A new leader grants a lease that the old leader had granted only after a full TTL.
+func TestLeaseExpiryReleaseAndFencingOverHTTP(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	url := func(i int, path string) string { return "http://" + c.http[i] + path }
@@ -122,26 +123,26 @@
 	}
 	shortTTL := `{"holder":"p1","ttl_ms":50}`
 	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/acquire"), shortTTL); code != 400 {
-		t.Fatalf("a TTL shorter than two elections: %d %s", code, text)
+		t.Fatalf("acquisition with a TTL shorter than two election timeouts: %d %s", code, text)
 	}
-	// The TTL runs from the grant, which is no earlier than this.
+	// The TTL starts at the grant, which is not earlier than this time.
 	granted := time.Now()
 	if code, text := acquire(lead, "p1"); code != 200 || !strings.Contains(text, `"token":1`) {
 		t.Fatalf("first grant: %d %s", code, text)
 	}
 	if code, _ := acquire((lead+1)%3, "p2"); code != 409 {
-		t.Fatalf("a held lease granted again: %d", code)
+		t.Fatalf("acquisition of a held lease: status %d, want 409", code)
 	}
-	// p1 stops renewing; p2 gets it once the TTL has passed, with a higher token.
+	// p1 does not renew the lease. p2 acquires it after the TTL has elapsed, with a higher token.
 	code, text := 0, ""
 	for code != 200 && time.Since(granted) < 5*time.Second {
 		time.Sleep(20 * time.Millisecond)
 		code, text = acquire(lead, "p2")
 	}
 	if waited := time.Since(granted); code != 200 || !strings.Contains(text, `"token":2`) || waited < 300*time.Millisecond {
-		t.Fatalf("after the TTL: %d %s after %s", code, text, waited)
+		t.Fatalf("acquisition after the TTL: %d %s after %s", code, text, waited)
 	}
-	fenced := func(token string) int {
+	writeWithToken := func(token string) int {
 		body := strings.NewReader(`{"member":{"id":"s","host_port":"127.0.0.1:1"}}`)
 		req, _ := http.NewRequest("POST", url(lead, "/registry/members"), body)
 		req.Header.Set(fencingTokenHeader, token)
@@ -152,21 +153,21 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	if got := fenced("duty:2"); got != 200 {
-		t.Fatalf("the holder's fenced write: %d", got)
+	if got := writeWithToken("duty:2"); got != 200 {
+		t.Fatalf("write of the holder: status %d, want 200", got)
 	}
-	if got := fenced("duty:1"); got != 409 {
-		t.Fatalf("the old holder's write after the new one's: %d", got)
+	if got := writeWithToken("duty:1"); got != 409 {
+		t.Fatalf("write of the previous holder after a write of the new one: status %d, want 409", got)
 	}
-	// Release hands over at once.
+	// After a release another process acquires the lease immediately.
 	release := url(lead, "/registry/leases/duty/release")
 	if code, text := call(t, "POST", release, `{"holder":"p2","token":2}`); code != 200 {
 		t.Fatalf("release: %d %s", code, text)
 	}
 	if code, text := acquire(lead, "p3"); code != 200 || !strings.Contains(text, `"token":3`) {
-		t.Fatalf("after release: %d %s", code, text)
+		t.Fatalf("acquisition after the release: %d %s", code, text)
 	}
-	// The leader stops while p3 holds the lease: the next leader waits a full TTL before p4 may have it.
+	// The leader stops while p3 holds the lease. The next leader grants the lease to p4 only after a full TTL.
 	c.stop(lead)
 	stopped := time.Now()
 	next := c.leader(t)
@@ -176,12 +177,12 @@
 		code, _ = acquire(next, "p4")
 	}
 	if waited := time.Since(stopped); code != 200 || waited < 300*time.Millisecond {
-		t.Fatalf("after a leader change: %d after %s", code, waited)
+		t.Fatalf("acquisition after a change of the leader: status %d after %s", code, waited)
 	}
 }
 
-// lease is the lease that a command's result gives; none where it failed.
-func lease(r Result) Lease {
+// leaseOf returns the lease in the result of a command, or a zero Lease if the result has none.
+func leaseOf(r Result) Lease {
 	l, _ := r.Value.(Lease)
 	return l
 }
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -14,27 +14,27 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// regInput is one operation on one member's phase: a write, or a read at a replica that led when it answered.
+// registerInput is one operation on the phase of one member: a write, or a read that a leader served.
 type registerInput struct {
-	key   string
+	key   string // member ID
 	write bool
-	phase string
+	phase string // the phase to write
 }
 
-// registerModel is a register per member (porcupine's model, partitioned by member): a read gives the last
-// phase written, "" before any.
+// registerModel is the model that porcupine checks the operations against. Each member is a register: a read returns
+// the phase that was last written, or "" before the first write. The operations are partitioned by member.
 var registerModel = porcupine.Model{
-	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
-		for _, op := range h {
+	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
+		byMember := map[string][]porcupine.Operation{}
+		for _, op := range history {
 			k := op.Input.(registerInput).key
-			by[k] = append(by[k], op)
+			byMember[k] = append(byMember[k], op)
 		}
-		var out [][]porcupine.Operation
-		for _, ops := range by {
-			out = append(out, ops)
+		var partitions [][]porcupine.Operation
+		for _, ops := range byMember {
+			partitions = append(partitions, ops)
 		}
-		return out
+		return partitions
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -46,7 +46,7 @@
 	},
 }
 
-// history records operations from several clients.
+// history records the operations of several clients. It is safe for concurrent use.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -58,46 +58,46 @@
 	h.mu.Unlock()
 }
 
-// schedule plays one randomized fault schedule: three clients write and read three members through random
-// replicas while one replica (the leader half of the time) is stopped and opened again. Writes whose answer is
-// lost may take effect at any time after their call; reads not served by a leader are left out, since followers
-// serve as fresh as stale_read only.
-func schedule(t *testing.T, c *cluster, seed uint64, h *history) {
+// runFaultSchedule runs one random fault schedule: three clients write and read three members through random replicas
+// while one replica is stopped and restarted. With a probability of one half that is the leader, otherwise a random
+// replica. A write whose response is lost may take effect at any time after its call. Reads that were not served by a
+// leader are not recorded, since the state of a follower may be out of date by stale_read.
+func runFaultSchedule(t *testing.T, c *cluster, seed uint64, h *history) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	keys := []string{fmt.Sprintf("k%d-a", seed), fmt.Sprintf("k%d-b", seed), fmt.Sprintf("k%d-c", seed)}
-	victim, after := rng.IntN(len(c.replicas)), time.Duration(rng.IntN(30))*time.Millisecond
+	stoppedReplica, stopDelay := rng.IntN(len(c.replicas)), time.Duration(rng.IntN(30))*time.Millisecond
 	if rng.IntN(2) == 0 {
-		victim = c.leader(t)
+		stoppedReplica = c.leader(t)
 	}
 	var wg sync.WaitGroup
 	for client := range 3 {
-		crng := rand.New(rand.NewPCG(seed, uint64(client)))
+		clientRNG := rand.New(rand.NewPCG(seed, uint64(client)))
 		wg.Go(func() {
 			for range 8 {
-				in := registerInput{key: keys[crng.IntN(len(keys))], write: crng.IntN(2) == 0,
-					phase: []string{PhaseReady, PhaseDraining}[crng.IntN(2)]}
-				if op, ok := callRegister(c.http[crng.IntN(len(c.http))], in); ok {
+				in := registerInput{key: keys[clientRNG.IntN(len(keys))], write: clientRNG.IntN(2) == 0,
+					phase: []string{PhaseReady, PhaseDraining}[clientRNG.IntN(2)]}
+				if op, ok := callRegister(c.http[clientRNG.IntN(len(c.http))], in); ok {
 					op.ClientId = client
 					h.add(op)
 				}
 			}
 		})
 	}
-	time.Sleep(after)
-	c.stop(victim)
+	time.Sleep(stopDelay)
+	c.stop(stoppedReplica)
 	time.Sleep(time.Duration(50+rng.IntN(100)) * time.Millisecond)
-	c.restart(victim)
+	c.restart(stoppedReplica)
 	wg.Wait()
 }
 
-// callRegister makes one call; it returns false for a read that no leader served, which says nothing of the order.
+// callRegister performs one operation. It returns false for a read that no leader served.
 func callRegister(addr string, in registerInput) (porcupine.Operation, bool) {
 	client := &http.Client{Timeout: time.Second}
 	op := porcupine.Operation{Input: in, Call: time.Now().UnixNano()}
 	if in.write {
 		body := fmt.Sprintf(`{"member":{"id":%q,"host_port":"127.0.0.1:1","phase":%q}}`, in.key, in.phase)
 		resp, err := client.Post("http://"+addr+"/registry/members", "application/json", strings.NewReader(body))
-		op.Return, op.Output = math.MaxInt64, "" // unknown: it may take effect at any time after its call
+		op.Return, op.Output = math.MaxInt64, "" // without a response the write may take effect at any time after its call
 		if err == nil {
 			if resp.StatusCode == http.StatusOK {
 				op.Return = time.Now().UnixNano()
@@ -125,36 +125,39 @@
 	return op, true
 }
 
-func checkSchedules(t *testing.T, ackEarly bool, schedules int) (linear bool, ops int) {
-	c := newClusterWith(t, 3, ackEarly)
+// runAndCheckSchedules runs fault schedules on a new cluster. It reports whether the history of the operations is
+// linearizable, and returns the number of operations.
+func runAndCheckSchedules(t *testing.T, ackBeforeCommit bool, schedules int) (linearizable bool, ops int) {
+	c := newClusterWithFault(t, 3, ackBeforeCommit)
 	c.leader(t)
 	h := &history{}
 	for s := range schedules {
-		schedule(t, c, uint64(s)+1, h)
+		runFaultSchedule(t, c, uint64(s)+1, h)
 	}
 	res := porcupine.CheckOperationsTimeout(registerModel, h.ops, 30*time.Second)
 	return res == porcupine.Ok, len(h.ops)
 }
 
-// Over 100 randomized schedules of a replica stopped and opened again under writes and reads, the history of
-// each member is linearizable (porcupine).
+// The history of each member is linearizable over 100 random schedules in which a replica is stopped and restarted
+// during writes and reads. Porcupine checks the history.
 func TestRegistryIsLinearizable(t *testing.T) {
-	linear, ops := checkSchedules(t, false, 100)
-	if !linear {
-		t.Fatalf("not linearizable over %d operations", ops)
+	linearizable, ops := runAndCheckSchedules(t, false, 100)
+	if !linearizable {
+		t.Fatalf("the history of %d operations is not linearizable", ops)
 	}
-	t.Logf("linearizable over %d operations", ops)
+	t.Logf("the history of %d operations is linearizable", ops)
 }
 
-// The same check must catch writes acknowledged before raft commits them.
+// The same check must detect that writes are acknowledged before raft commits them.
 func TestLinearizabilityDetectsAckBeforeCommit(t *testing.T) {
-	// How many schedules it takes depends on how quick the machine is: it has to show in some of many.
+	// The number of schedules until the fault shows depends on the speed of the machine, so the test tries several
+	// clusters and passes as soon as one history is not linearizable.
 	total := 0
 	for range 8 {
-		linear, ops := checkSchedules(t, true, 30)
-		if total += ops; !linear {
+		linearizable, ops := runAndCheckSchedules(t, true, 30)
+		if total += ops; !linearizable {
 			return
 		}
 	}
-	t.Fatalf("acknowledging before commit passed over %d operations", total)
+	t.Fatalf("%d operations did not show that writes are acknowledged before the commit", total)
 }
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// Calls that are in flight when a replica shuts down are answered, so that a writer knows whether its write was applied
-// (docs/incidents/2026-12-03-upgrade.md).
+// A replica that shuts down answers the calls in flight, so that a writer knows whether its write was applied.
+// docs/incidents/2026-12-03-upgrade.md describes the failure that this test guards against.
 func TestShutdownAnswersCallsInFlight(t *testing.T) {
 	c := newCluster(t, 1)
 	r := c.replicas[0]
-	await(t, "a leader", func() bool { return r.IsLeader() && r.canServeReads() })
+	waitUntil(t, "the leader serves reads", func() bool { return r.IsLeader() && r.canServeReads() })
 	var revision int64
 	r.fsm.read(func(s *State) { revision = s.Revision })
-	answered := make(chan error, 1)
+	watchResult := make(chan error, 1)
 	go func() {
 		resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?after=%d&wait_ms=60000", c.http[0], revision))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
-		answered <- err
+		watchResult <- err
 	}()
-	await(t, "the watch", func() bool { return r.openWatches.Load() > 0 })
+	waitUntil(t, "the watch is open", func() bool { return r.openWatches.Load() > 0 })
 	c.stop(0)
-	if err := <-answered; err != nil {
-		t.Errorf("the watch was cut off: %v", err)
+	if err := <-watchResult; err != nil {
+		t.Errorf("the shutdown interrupted the watch: %v", err)
 	}
 }
 
-// Writes sent to a follower are forwarded and acknowledged once applied; every acknowledged write is there after
-// the leader is stopped, the revision continues, and bad input changes nothing.
+// A follower forwards writes to the leader, and the writes are acknowledged after they have been applied. After the
+// leader has stopped, the next leader has every acknowledged write and continues with the next revision. Malformed
+// writes change nothing.
 func TestAcknowledgedWritesSurviveTheLeader(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	follower := c.http[(lead+1)%3]
-	await(t, "a follower that knows the leader", func() bool { return c.replicas[(lead+1)%3].leaderHTTPAddr() != "" })
+	waitUntil(t, "the follower knows the leader", func() bool { return c.replicas[(lead+1)%3].leaderHTTPAddr() != "" })
 	for i := range 20 {
 		body := fmt.Sprintf(`{"member":{"id":"s-%d","host_port":"127.0.0.1:%d","size":1}}`, i, 9000+i)
 		if code, text := call(t, "POST", "http://"+follower+"/registry/members", body); code != 200 {
 			t.Fatalf("write %d: %d %s", i, code, text)
 		}
 	}
-	for _, bad := range []string{`{"member":{"host_port":"127.0.0.1:1"}}`, `{"member":{"id":"x","host_port":"nowhere"}}`,
+	for _, malformed := range []string{`{"member":{"host_port":"127.0.0.1:1"}}`, `{"member":{"id":"x","host_port":"nowhere"}}`,
 		`{"member":`, `{"member":{"id":"x","host_port":"127.0.0.1:1","phase":"asleep"}}`, `{"membr":{}}`} {
-		if code, text := call(t, "POST", "http://"+follower+"/registry/members", bad); code != 400 {
-			t.Fatalf("%s: %d %s", bad, code, text)
+		if code, text := call(t, "POST", "http://"+follower+"/registry/members", malformed); code != 400 {
+			t.Fatalf("malformed write %s: %d %s", malformed, code, text)
 		}
 	}
 	c.stop(lead)
 	next := c.leader(t)
-	// A new leader answers 503 until it has applied what the old one committed; then it must hold all of it.
+	// The new leader responds with 503 until it has applied every entry that the old leader committed.
 	code, text := 0, ""
 	for try := 0; code != 200 && try < 100; try++ {
 		if try > 0 {
@@ -65,14 +66,14 @@
 	}
 	var l MemberList
 	if err := json.Unmarshal([]byte(text), &l); code != 200 || err != nil {
-		t.Fatalf("read: %d %s", code, text)
+		t.Fatalf("read from the new leader: %d %s", code, text)
 	}
 	if l.Revision != 20 || len(l.Members) != 20 {
-		t.Fatalf("after the leader: revision %d, %d members", l.Revision, len(l.Members))
+		t.Fatalf("list from the new leader: revision %d, %d members, want 20 and 20", l.Revision, len(l.Members))
 	}
 	code, text = call(t, "PUT", "http://"+c.http[next]+"/registry/members/s-3/phase", `{"phase":"draining"}`)
 	if code != 200 || !strings.Contains(text, `"revision":21`) {
-		t.Fatalf("phase: %d %s", code, text)
+		t.Fatalf("set the phase on the new leader: %d %s", code, text)
 	}
 	_, text = call(t, "GET", "http://"+c.http[next]+"/metrics", "")
 	for _, want := range []string{
@@ -82,7 +83,7 @@
 		`hitchvale_registry_write_seconds_count{result="ok"} 1`,
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %s in /metrics", want)
+			t.Errorf("/metrics lacks the line %s", want)
 		}
 	}
 }
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -13,17 +13,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// flakyDisk fails a part of the writes of a replica's store, as a disk that is full or broken for a while.
+// faultyDisk lets some of the writes of a replica's store fail, like a disk that is temporarily full or broken.
 type faultyDisk struct {
-	oneIn  atomic.Int64 // 0: none fail
-	writes atomic.Int64
+	failOneIn atomic.Int64 // one in this many writes fails; 0: no write fails
+	writes    atomic.Int64 // number of writes
 }
 
 func (d *faultyDisk) wrap(s raftStore) raftStore { return &faultyStore{raftStore: s, disk: d} }
 
 func (d *faultyDisk) write(f func() error) error {
 	n := d.writes.Add(1)
-	if every := d.oneIn.Load(); every > 0 && n%every == 0 {
+	if every := d.failOneIn.Load(); every > 0 && n%every == 0 {
 		if n%2 == 0 {
 			return syscall.ENOSPC
 		}
@@ -32,6 +32,7 @@
 	return f()
 }
 
+// faultyStore is a raftStore on a faultyDisk.
 type faultyStore struct {
 	raftStore
 	disk *faultyDisk
@@ -51,8 +52,8 @@
 	return s.disk.write(func() error { return s.raftStore.SetUint64(k, v) })
 }
 
-// writeMembers registers members at any replica that takes them, until as many have been acknowledged or the time is
-// up.
+// writeMembers registers members through the replicas in turn, until the wanted number has been acknowledged or the
+// time has passed. It returns the IDs of the acknowledged members.
 func (c *cluster) writeMembers(t *testing.T, prefix string, want int, within time.Duration) (acknowledged []string) {
 	t.Helper()
 	for try, end := 0, time.Now().Add(within); len(acknowledged) < want && time.Now().Before(end); try++ {
@@ -67,7 +68,7 @@
 	return acknowledged
 }
 
-// holds reports whether a replica serves a list that has all of these members.
+// holds reports whether replica i serves a list that contains all of the given members.
 func (c *cluster) holds(t *testing.T, i int, ids []string) bool {
 	t.Helper()
 	code, text := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
@@ -87,70 +88,72 @@
 	return true
 }
 
-// Replicas whose disks fail one write in a few stay up; what they acknowledge is there afterwards, on every one of
-// them.
+// Two of three replicas have disks that fail one in three and one in four writes. The replicas continue to run, and
+// after the disks work again every replica has all members whose writes were acknowledged.
 func TestReplicasSurviveFailingDisks(t *testing.T) {
 	c := newCluster(t, 3)
 	c.leader(t)
 	for i := range 2 {
-		c.disks[i].oneIn.Store(int64(3 + i))
+		c.disks[i].failOneIn.Store(int64(3 + i))
 	}
 	acknowledged := c.writeMembers(t, "failing", 20, 10*time.Second)
 	for _, d := range c.disks {
-		d.oneIn.Store(0)
+		d.failOneIn.Store(0)
 	}
 	acknowledged = append(acknowledged, c.writeMembers(t, "healed", 5, 10*time.Second)...)
 	if len(acknowledged) < 5 {
-		t.Errorf("%d writes acknowledged", len(acknowledged))
+		t.Errorf("%d writes acknowledged, want at least 5", len(acknowledged))
 	}
 	for i := range c.replicas {
-		await(t, "all that was acknowledged", func() bool { return c.holds(t, i, acknowledged) })
+		waitUntil(t, "the replica has all acknowledged members", func() bool { return c.holds(t, i, acknowledged) })
 	}
 }
 
-// A replica that can't write never serves a list that it can't bring up to date, and says why;
-// the others go on, and it comes back by itself.
+// A replica that cannot write to its disk never serves a stale list; it rejects reads with registry.disk. The other
+// replicas continue to serve. When the disk works again, the replica serves the current list without a restart.
 func TestReplicaWithFailedDiskServesNoStaleList(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
-	await(t, "the first write", func() bool { return len(c.writeMembers(t, "before", 1, time.Second)) == 1 })
+	waitUntil(t, "a write is acknowledged", func() bool { return len(c.writeMembers(t, "before", 1, time.Second)) == 1 })
 	for name, i := range map[string]int{"follower": (lead + 1) % 3, "leader": lead} {
 		t.Run(name, func(t *testing.T) {
-			c.disks[i].oneIn.Store(1)
+			c.disks[i].failOneIn.Store(1)
 			acknowledged := c.writeMembers(t, name, 10, 10*time.Second)
 			if len(acknowledged) < 10 {
-				t.Errorf("%d writes acknowledged", len(acknowledged))
+				t.Errorf("%d writes acknowledged, want 10", len(acknowledged))
 			}
-			await(t, "a refusal with its reason", func() bool {
+			waitUntil(t, "the replica rejects reads with registry.disk", func() bool {
 				code, text := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
 				return code == http.StatusServiceUnavailable && strings.Contains(text, "registry.disk")
 			})
 			for range 20 {
 				code, _ := call(t, "GET", "http://"+c.http[i]+"/registry/instances", "")
 				if code == http.StatusOK && !c.holds(t, i, acknowledged) {
-					t.Fatal("a stale list was served")
+					t.Fatal("the replica served a stale list")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			c.disks[i].oneIn.Store(0)
-			await(t, "the list, once the disk works", func() bool { return c.holds(t, i, acknowledged) })
+			c.disks[i].failOneIn.Store(0)
+			waitUntil(t, "the replica serves the current list after the disk works again", func() bool {
+				return c.holds(t, i, acknowledged)
+			})
 		})
 	}
 }
 
-// A replica whose disk fails can be stopped all the same.
+// Close of a replica whose disk fails returns, also while raft retries to save its term.
 func TestReplicaWithFailedDiskStops(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
 	i := (lead + 1) % 3
-	c.disks[i].oneIn.Store(1)
-	c.stop(lead) // an election at which the term can't be saved
-	await(t, "a failed write", func() bool { return c.replicas[i].store.lastError() != nil })
+	c.disks[i].failOneIn.Store(1)
+	c.stop(lead) // causes an election, in which the replica cannot save the new term
+	waitUntil(t, "a write of the replica has failed", func() bool { return c.replicas[i].store.lastError() != nil })
 	stopped := make(chan struct{})
 	go func() { c.stop(i); close(stopped) }()
 	select {
 	case <-stopped:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the replica does not stop")
+		t.Fatal("the replica did not stop within 20 s")
 	}
 }
--- a/internal/registry/snapshotstore_test.go
+++ b/internal/registry/snapshotstore_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A replica whose log was compacted behind two snapshots comes back from its own checksummed snapshot and the log
-// after it, at the revision it had; the snapshot folder holds the two records and the manifest.
-func TestReplicaRestartsFromItsSnapshot(t *testing.T) {
+// A replica that has taken two snapshots and truncated its log restores its state, with the same revision, from the
+// newest snapshot and the remaining log. The snapshot directory contains the two snapshot files and the manifest.
+func TestReplicaRestartsFromSnapshotAndLog(t *testing.T) {
 	c := newCluster(t, 1)
 	c.configs[0].Timing.TrailingLogs = 1
 	c.stop(0)
@@ -35,11 +35,11 @@
 	c.stop(0)
 	names, _ := os.ReadDir(filepath.Join(c.configs[0].DataDir, SnapshotDir))
 	if len(names) != 3 {
-		t.Fatalf("snapshot folder: %v", names)
+		t.Fatalf("the snapshot directory contains %v, want 3 files", names)
 	}
 	c.restart(0)
 	c.leader(t)
 	if got := c.replicas[0].Status(); got.Revision != want || want < 25 {
-		t.Fatalf("after the restart: revision %d, want %d", got.Revision, want)
+		t.Fatalf("after the restart: revision %d, want %d, which must be at least 25", got.Revision, want)
 	}
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -10,19 +10,19 @@
 	"hitchvale/internal/statemachine"
 )
 
-// version0 is a snapshot as the program wrote it before machines had parts of their own, and version0Bare one from
-// before the first lease.
+// snapshotVersion0 is a snapshot of version 0, in which the state machines do not have their own sections.
+// snapshotVersion0WithoutLeases is a snapshot of version 0 from before the first grant of a lease.
 const (
-	version0 = `{"revision":7,"members":{"a":{"member":{"id":"a","host_port":"127.0.0.1:1",` +
+	snapshotVersion0 = `{"revision":7,"members":{"a":{"member":{"id":"a","host_port":"127.0.0.1:1",` +
 		`"locality":"","flavor":"","cell":0,"phase":"draining","size":1,"up_since_ms":0},"ttl_ms":500,"changed":4}},` +
 		`"leases":{"reaper":{"name":"reaper","holder":"p1","token":3,"ttl_ms":1000}},"tokens":3,"fenced":{"reaper":2}}`
-	version0Bare = `{"revision":1,"members":{},"leases":null,"tokens":0,"fenced":null}`
+	snapshotVersion0WithoutLeases = `{"revision":1,"members":{},"leases":null,"tokens":0,"fenced":null}`
 )
 
-// A snapshot of an older version loads, and is written again in the present one without a loss.
-func TestOlderSnapshotLoads(t *testing.T) {
+// A snapshot of version 0 can be restored, and the current version encodes its state without loss.
+func TestSnapshotOfOlderVersionIsRestored(t *testing.T) {
 	s := NewState(16)
-	if err := s.Decode([]byte(version0)); err != nil {
+	if err := s.Decode([]byte(snapshotVersion0)); err != nil {
 		t.Fatal(err)
 	}
 	text, err := s.Encode()
@@ -37,23 +37,23 @@
 		m := s.members.Records["a"]
 		if s.Revision != 7 || m.Member.Phase != PhaseDraining || m.TTLms != 500 || m.Revision != 4 ||
 			s.leases.ByName["reaper"].Token != 3 || s.leases.LastToken != 3 || s.leases.AcceptedTokens["reaper"] != 2 {
-			t.Errorf("%d %+v %+v", s.Revision, s.members, s.leases)
+			t.Errorf("restored state: revision %d, members %+v, leases %+v", s.Revision, s.members, s.leases)
 		}
-		if w := s.ChangesSince(6); !w.Complete || len(w.Members) != 1 {
-			t.Errorf("a watch from before the snapshot: %+v", w)
+		if list := s.ChangesSince(6); !list.Complete || len(list.Members) != 1 {
+			t.Errorf("changes since a revision before the snapshot: %+v, want the complete list", list)
 		}
 	}
-	if err := n.Decode([]byte(version0Bare)); err != nil {
+	if err := n.Decode([]byte(snapshotVersion0WithoutLeases)); err != nil {
 		t.Fatal(err)
 	}
 	r := n.Apply(&LeaseCommand{Op: "acquire", Lease: Lease{Name: "x", Holder: "p", TTLms: 1}})
 	if r.Err != nil || r.Revision != 2 {
-		t.Errorf("the first lease after a snapshot without any: %+v", r)
+		t.Errorf("first grant of a lease after a snapshot without leases: %+v", r)
 	}
 }
 
-// A snapshot that this program cannot read completely is refused, and the state stays as it was.
-func TestSnapshotThatLosesRecordsIsRefused(t *testing.T) {
+// Decode rejects a snapshot that this program cannot read completely, and does not change the state.
+func TestUnreadableSnapshotIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"newer":        `{"version":2,"revision":9,"machines":{}}`,
 		"unknown kind": `{"version":1,"revision":9,"machines":{"members":{},"moons":{}}}`,
@@ -64,13 +64,13 @@
 		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "a", HostPort: "127.0.0.1:1", Phase: PhaseReady}})
 		err := s.Decode([]byte(text))
 		if !errors.Is(err, ErrSnapshotUnreadable) || s.Revision != 1 || len(s.members.Records) != 1 {
-			t.Errorf("%s: %v, then %d %v", name, err, s.Revision, s.members.Records)
+			t.Errorf("%s: error %v; then revision %d, members %v", name, err, s.Revision, s.members.Records)
 		}
 	}
 }
 
-// Commands that older programs logged are carried out by the machines of today.
-func TestOlderLogIsReplayed(t *testing.T) {
+// The state machines apply commands that older versions of the program have written to the log.
+func TestCommandsOfOlderVersionsAreApplied(t *testing.T) {
 	s := NewState(16)
 	for i, line := range []string{
 		`{"op":"register","member":{"id":"a","host_port":"127.0.0.1:1","phase":"ready","size":1},"ttl_ms":500}`,
@@ -88,35 +88,35 @@
 		}
 		text, err := EncodeCommand(c)
 		if err != nil || json.Valid(text) == false || !strings.Contains(string(text), string(c.Operation())) {
-			t.Errorf("written again: %s %v", text, err)
+			t.Errorf("the command encoded again: %s, error %v", text, err)
 		}
 	}
 	if len(s.members.Records) != 0 || len(s.leases.ByName) != 0 || s.leases.AcceptedTokens["reaper"] != 1 {
-		t.Errorf("%+v %+v", s.members, s.leases)
+		t.Errorf("after all commands: members %+v, leases %+v", s.members, s.leases)
 	}
-	if _, err := s.ParseCommand([]byte(`{"op":"levitate"}`)); !errors.Is(err, ErrUnknownOperation) {
-		t.Errorf("an unknown operation: %v", err)
+	if _, err := s.ParseCommand([]byte(`{"op":"no-such-operation"}`)); !errors.Is(err, ErrUnknownOperation) {
+		t.Errorf("unknown operation: error %v", err)
 	}
 }
 
-// counter is a machine of a test's own: it counts, and refuses to count to three.
+// counter is a state machine for tests. Its command adds to N, and fails if the sum is 3.
 type counter struct{ N int }
 
-type count struct {
+type countCommand struct {
 	Op statemachine.Operation `json:"op"`
 	By int                    `json:"by"`
 }
 
-func (c *count) Operation() statemachine.Operation { return c.Op }
+func (c *countCommand) Operation() statemachine.Operation { return c.Op }
 
 func (c *counter) Kind() string { return "counter" }
 func (c *counter) Commands() map[statemachine.Operation]func() statemachine.Command {
-	return map[statemachine.Operation]func() statemachine.Command{"count": func() statemachine.Command { return &count{} }}
+	return map[statemachine.Operation]func() statemachine.Command{"count": func() statemachine.Command { return &countCommand{} }}
 }
 func (c *counter) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
-	by := cmd.(*count).By
+	by := cmd.(*countCommand).By
 	if c.N+by == 3 {
-		return statemachine.Outcome{}, errors.New("three")
+		return statemachine.Outcome{}, errors.New("the sum is 3")
 	}
 	c.N += by
 	return statemachine.Outcome{Unchanged: by == 0, Value: c.N}, nil
@@ -124,9 +124,9 @@
 func (c *counter) Encode() ([]byte, error)           { return fmt.Appendf(nil, `{"N":%d}`, c.N), nil }
 func (c *counter) Decode(text []byte, _ int64) error { *c = counter{}; return json.Unmarshal(text, c) }
 
-// A further kind of records is a machine beside the others: its commands reach it alone, what it refuses or has done
-// already leaves the revision, and a snapshot from before it has it begin empty.
-func TestAdditionalMachines(t *testing.T) {
+// An additional state machine receives the commands of its operations. A command that fails or has the outcome
+// Unchanged does not change the revision. After a snapshot without its section, the state machine is empty.
+func TestAdditionalStateMachine(t *testing.T) {
 	c := &counter{}
 	s := NewState(16, c)
 	for _, step := range []struct {
@@ -139,15 +139,15 @@
 			t.Fatal(err)
 		}
 		if r := s.Apply(cmd); r.Revision != step.revision || (r.Err != nil) != step.fails {
-			t.Errorf("by %d: %+v", step.by, r)
+			t.Errorf("count by %d: %+v", step.by, r)
 		}
 	}
 	text, _ := s.Encode()
-	d := &counter{}
-	if n := NewState(16, d); n.Decode(text) != nil || d.N != 4 || n.Revision != 2 {
-		t.Errorf("restored %d", d.N)
+	restored := &counter{}
+	if n := NewState(16, restored); n.Decode(text) != nil || restored.N != 4 || n.Revision != 2 {
+		t.Errorf("restored from a snapshot: counter %d, revision %d, want 4 and 2", restored.N, n.Revision)
 	}
-	if n := NewState(16, d); n.Decode([]byte(version0)) != nil || d.N != 0 {
-		t.Errorf("from a snapshot without it: %d", d.N)
+	if n := NewState(16, restored); n.Decode([]byte(snapshotVersion0)) != nil || restored.N != 0 {
+		t.Errorf("restored from a snapshot without a section for the counter: %d, want 0", restored.N)
 	}
 }
