--- a/internal/durable/snapshotstore.go
+++ b/internal/durable/snapshotstore.go
@@ -33,7 +33,7 @@
 	Keep int // number of snapshots to retain; a number below 2 counts as 2
 }
 
-// ErrNoSnapshot is the error of Latest if the directory has snapshots and all of them are damaged.
+// ErrNoSnapshot is the error of Latest if there are snapshots and all of them are damaged.
 var ErrNoSnapshot = errors.New("durable: all snapshots are damaged")
 
 // Write stores data as the newest snapshot, with the given revision. It returns nil after the snapshot and a manifest
@@ -108,9 +108,9 @@
 }
 
 // Latest returns the manifest entry and the data of the newest valid snapshot, and the damage that it has found in
-// newer snapshots and in the manifest. If the manifest is missing or damaged, Latest considers all snapshots in the
-// directory. If there is no snapshot, it returns a zero entry and no error. If all snapshots are damaged, it fails with
-// ErrNoSnapshot.
+// newer snapshots and in the manifest. It considers the snapshots that the manifest lists or, if the manifest is
+// missing or damaged, all snapshots in the directory. If there is none, it returns a zero entry and no error. If all of
+// them are damaged, it fails with ErrNoSnapshot.
 func (s SnapshotStore) Latest() (ManifestEntry, []byte, []Damage, error) {
 	entries, manifestDamage, err := s.readManifest()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -152,8 +152,8 @@
 	return ManifestEntry{}, nil, damage, ErrNoSnapshot
 }
 
-// scanDir returns an entry for each snapshot file in the directory, the newest first. It replaces the manifest if that
-// is missing or damaged.
+// scanDir returns an entry for each snapshot file in the directory, the newest first. The entries stand in for a
+// manifest that is missing or damaged.
 func (s SnapshotStore) scanDir() ([]ManifestEntry, error) {
 	names, err := s.FS.ReadDir(s.Dir)
 	if err != nil {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -23,7 +23,7 @@
 // safe for concurrent use.
 type Client struct {
 	Replicas []string     // HTTP addresses of the registry's replicas, as host:port
-	HTTP     *http.Client // nil: a client with a timeout of 2 s for each call
+	HTTP     *http.Client // nil: a client whose timeout for a call is defaultCallTimeout
 }
 
 // acquireRequest is the body of a call that acquires a lease.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -154,8 +154,8 @@
 	return err
 }
 
-// ExistingLease returns a lease that has already been granted, so that the caller can release it, such as an operator
-// who releases the lease of another process. The lease is not renewed, and its Lost channel is nil.
+// ExistingLease returns a Lease for a grant that the caller knows by its holder and token. The caller may only release
+// the lease, such as an operator who ends the lease of another process. The lease is not renewed, and Lost is nil.
 func (c *Client) ExistingLease(name, holder string, token uint64) *Lease {
 	stopped := make(chan struct{})
 	close(stopped)
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -24,7 +24,7 @@
 		"acquire the lease again; writes with the old token are rejected once a newer token has been used")
 	ErrStaleFencingToken = operror.Define("registry.fenced", http.StatusConflict,
 		"the fencing token is lower than one already accepted",
-		"a newer holder of the lease already writes: end the process that sent this call")
+		"the lease has a newer holder that already writes: end the process that sent this call")
 	ErrUnknownOperation = operror.Define("registry.unknown-operation", http.StatusBadRequest,
 		"unknown operation", "run the same version of the program on all replicas")
 	ErrSnapshotUnreadable = operror.Define("registry.snapshot", http.StatusServiceUnavailable,
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -15,8 +15,8 @@
 	// readHeaderTimeout is the maximum time that a client may take to send the header of a call.
 	readHeaderTimeout = 5 * time.Second
 
-	// shutdownTimeout is the maximum time that a replica waits for the calls in flight when it shuts down. Without the
-	// limit, a write could wait for a majority of replicas that no longer runs.
+	// shutdownTimeout is the maximum time that a replica waits for the calls in flight when it shuts down. The time is
+	// limited because a write does not end while no majority of the replicas runs.
 	shutdownTimeout = time.Second
 )
 
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -88,7 +88,7 @@
 // openWithStore is like Open, but wraps raft's store with wrap, which tests use to inject faults.
 func openWithStore(cfg Config, ln net.Listener, log *slog.Logger, wrap func(raftStore) raftStore) (*Replica, error) {
 	if err := os.MkdirAll(cfg.DataDir, 0o755); err != nil {
-		return nil, fmt.Errorf("data_dir: %w", err)
+		return nil, fmt.Errorf("create data_dir: %w", err)
 	}
 	file, err := raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, raftStoreFile))
 	if err != nil {
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -44,6 +44,6 @@
 type raftLogWriter struct{ log *slog.Logger }
 
 func (w raftLogWriter) Write(line []byte) (int, error) {
-	w.log.Warn("raft", "line", json.RawMessage(bytes.TrimSpace(line)))
+	w.log.Warn("raft logged a warning or an error", "line", json.RawMessage(bytes.TrimSpace(line)))
 	return len(line), nil
 }
