--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -154,7 +154,7 @@
 	case t.Election.Duration < t.Heartbeat.Duration:
 		return tomlfile.Bad("raft_timing.election", "%s is below raft_timing.heartbeat (%s)", t.Election, t.Heartbeat)
 	case t.LeaderLease.Duration <= 0 || t.LeaderLease.Duration > t.Heartbeat.Duration:
-		return tomlfile.Bad("raft_timing.leader_lease", "%s is not above 0 and at most raft_timing.heartbeat (%s)",
+		return tomlfile.Bad("raft_timing.leader_lease", "%s is not in the range above 0 and up to raft_timing.heartbeat (%s)",
 			t.LeaderLease, t.Heartbeat)
 	case t.Commit.Duration <= 0:
 		return tomlfile.Bad("raft_timing.commit", "%s is not above 0", t.Commit)
