--- a/internal/fleet/collector.go
+++ b/internal/fleet/collector.go
@@ -51,7 +51,7 @@
 	if err := r.Validate(); err != nil {
 		return err
 	}
-	if err := sessions.VerifyHolder(r.Node, r.Incarnation); err != nil {
+	if err := sessions.VerifyIncarnation(r.Node, r.Incarnation); err != nil {
 		return err
 	}
 	last, ok := c.reports[r.Node]
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -90,7 +90,7 @@
 				given[n.Incarnation] = n.Process
 			}
 			for i := range uint64(10) {
-				if s.VerifyHolder("n", i) == nil && i != s.LastIncarnation["n"] {
+				if s.VerifyIncarnation("n", i) == nil && i != s.LastIncarnation["n"] {
 					t.Fatalf("incarnation %d holds the name, the last is %d", i, s.LastIncarnation["n"])
 				}
 			}
--- a/internal/fleet/sessionstore.go
+++ b/internal/fleet/sessionstore.go
@@ -45,7 +45,7 @@
 	if c.Op == OpOpenSession {
 		return s.openSession(c.Session, nextRevision)
 	}
-	if err := s.VerifyHolder(c.Session.Node, c.Session.Incarnation); err != nil {
+	if err := s.VerifyIncarnation(c.Session.Node, c.Session.Incarnation); err != nil {
 		return statemachine.Outcome{}, err
 	}
 	delete(s.Open, c.Session.Node)
@@ -87,8 +87,9 @@
 	return ErrSuperseded.Of(node, fmt.Errorf("incarnation %d, and %d has been here", incarnation, last))
 }
 
-// VerifyHolder fails with ErrSuperseded or ErrSessionNotFound unless the node's open session has the given incarnation.
-func (s *SessionStore) VerifyHolder(node string, incarnation uint64) error {
+// VerifyIncarnation fails with ErrSuperseded or ErrSessionNotFound unless the node's open session has the given
+// incarnation.
+func (s *SessionStore) VerifyIncarnation(node string, incarnation uint64) error {
 	if last := s.LastIncarnation[node]; incarnation < last {
 		return supersededBy(node, incarnation, last)
 	}
--- a/internal/maintenance/confirmation.go
+++ b/internal/maintenance/confirmation.go
@@ -11,7 +11,7 @@
 // does not drain or the node's list is older than that. The turn's revision stays, so that confirmations of several
 // nodes don't conflict.
 func (p *Plan) recordConfirmation(t *Turn, c *Command) (statemachine.Outcome, error) {
-	if err := p.sessions.VerifyHolder(c.Node, c.Incarnation); err != nil {
+	if err := p.sessions.VerifyIncarnation(c.Node, c.Incarnation); err != nil {
 		return statemachine.Outcome{}, ErrSessionNotHeld.Of(c.Node, err)
 	}
 	if t.State != Draining || c.ListRevision < t.DrainingRevision {
@@ -42,7 +42,7 @@
 	var missing []string
 	for _, node := range p.sessions.LiveNodes() {
 		incarnation, ok := t.ConfirmedBy[node]
-		if !ok || p.sessions.VerifyHolder(node, incarnation) != nil {
+		if !ok || p.sessions.VerifyIncarnation(node, incarnation) != nil {
 			missing = append(missing, node)
 		}
 	}
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -21,11 +21,11 @@
 
 // Request is an operator's request: machines to be worked on, and the limits that hold meanwhile.
 type Request struct {
-	ID         string           `json:"id"`
-	Machines   []string         `json:"machines"`
-	Reason     string           `json:"reason"`
-	ExpectedMs int64            `json:"length_ms"` // how long the work on one machine is expected to take
-	Budget     DisruptionBudget `json:"budget"`
+	ID             string           `json:"id"`
+	Machines       []string         `json:"machines"`
+	Reason         string           `json:"reason"`
+	ExpectedWorkMs int64            `json:"length_ms"` // how long the work on one machine is expected to take
+	Budget         DisruptionBudget `json:"budget"`
 	// CapacityFloor is, by site, the ready capacity that has to remain, in the unit of Machine.Capacity.
 	CapacityFloor map[string]float64 `json:"floor,omitempty"`
 }
@@ -51,8 +51,8 @@
 type Sessions interface {
 	// LiveNodes returns the names of the nodes with an open session, sorted.
 	LiveNodes() []string
-	// VerifyHolder fails unless the node's open session has the given incarnation.
-	VerifyHolder(node string, incarnation uint64) error
+	// VerifyIncarnation fails unless the node's open session has the given incarnation.
+	VerifyIncarnation(node string, incarnation uint64) error
 }
 
 // Turn is the turn of one machine.
@@ -181,12 +181,12 @@
 	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
-// ExpectedMs returns how long the work on a machine is expected to take, in milliseconds: the longest time of the
+// ExpectedWorkMs returns how long the work on a machine is expected to take, in milliseconds: the longest time of the
 // requests that name it.
-func (p *Plan) ExpectedMs(t *Turn) int64 {
+func (p *Plan) ExpectedWorkMs(t *Turn) int64 {
 	var longest int64
 	for _, id := range t.Requests {
-		longest = max(longest, p.Requests[id].ExpectedMs)
+		longest = max(longest, p.Requests[id].ExpectedWorkMs)
 	}
 	return longest
 }
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-func (n fakeSessions) VerifyHolder(node string, incarnation uint64) error {
+func (n fakeSessions) VerifyIncarnation(node string, incarnation uint64) error {
 	if n[node] != incarnation || incarnation == 0 {
 		return errors.New("no")
 	}
@@ -119,12 +119,12 @@
 
 func request(id string, budget DisruptionBudget, floor map[string]float64, machines ...string) Command {
 	return Command{Op: "rota-request", Request: Request{
-		ID:            id,
-		Machines:      machines,
-		Reason:        "kernel",
-		ExpectedMs:    1000,
-		Budget:        budget,
-		CapacityFloor: floor,
+		ID:             id,
+		Machines:       machines,
+		Reason:         "kernel",
+		ExpectedWorkMs: 1000,
+		Budget:         budget,
+		CapacityFloor:  floor,
 	}}
 }
 
--- a/internal/maintenance/request.go
+++ b/internal/maintenance/request.go
@@ -23,7 +23,7 @@
 		return ErrMalformed.Of(q.ID, errors.New("no machine named"))
 	case budget.Total < 0 || budget.PerSite < 0 || budget.PerCell < 0:
 		return ErrMalformed.Of(q.ID, errors.New("budget: negative"))
-	case q.ExpectedMs <= 0:
+	case q.ExpectedWorkMs <= 0:
 		return ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
 	}
 	return nil
--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -189,7 +189,7 @@
 			o[id] = turnObservation{revision: turn.Revision, firstSeen: now}
 			continue
 		}
-		if now.Sub(observed.firstSeen) > time.Duration(plan.ExpectedMs(turn))*time.Millisecond {
+		if now.Sub(observed.firstSeen) > time.Duration(plan.ExpectedWorkMs(turn))*time.Millisecond {
 			due = append(due, &maintenance.Command{Op: maintenance.OpMarkOverdue, Machine: id, Revision: turn.Revision})
 		}
 	}
