--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -2,7 +2,7 @@
 
 import "hitchvale/internal/statemachine"
 
-// The operations on the plan, as stored in the log, with the fields of Command that each uses.
+// The operations on the plan. The values are stored in the log. Beside each are the fields of Command that it uses.
 const (
 	OpAddRequest      statemachine.Operation = "rota-request"  // Request
 	OpWithdrawRequest statemachine.Operation = "rota-withdraw" // Request.ID
@@ -10,23 +10,23 @@
 	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
 	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
 	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
-	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; meant for operators, not enforced
+	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; for operators, which is not enforced
 )
 
-// Command is a write of the plan.
+// Command is a write to the plan.
 type Command struct {
 	Op       statemachine.Operation `json:"op"`
 	Request  Request                `json:"request,omitzero"`
 	Machine  string                 `json:"machine,omitempty"`
-	Revision int64                  `json:"rev,omitempty"` // of the turn as the proposer read it
+	Revision int64                  `json:"rev,omitempty"` // of the turn that the proposer read
 	Target   TurnState              `json:"to,omitempty"`
 	View     ViewVersion            `json:"epoch,omitzero"`
-	// Costs are the costs of taking out the waiting machines, by ID, as the registry's leader derives them from View.
-	// They travel in the command so that every replica settles the same order.
+	// Costs maps the machines' IDs to the costs of taking them out. The registry's leader derives the costs from View.
+	// They are part of the command so that every replica settles the same order.
 	Costs        map[string]float64 `json:"costs,omitempty"`
 	Node         string             `json:"node,omitempty"`
 	Incarnation  uint64             `json:"incarnation,omitempty"`
-	ListRevision int64              `json:"held,omitempty"` // of the list that the node has
+	ListRevision int64              `json:"held,omitempty"` // of the member list that the node has
 }
 
 // Operation returns the command's operation.
--- a/internal/maintenance/confirmation.go
+++ b/internal/maintenance/confirmation.go
@@ -6,22 +6,23 @@
 	"hitchvale/internal/statemachine"
 )
 
-// recordConfirmation records that a node has the list with the draining machine and nothing in flight there. It fails
-// with ErrSessionNotHeld for a process that is not its node's present one, and with ErrInvalidTransition if the machine
-// does not drain or the node's list is older than that. The turn's revision stays, so that confirmations of several
-// nodes don't conflict.
+// recordConfirmation records that a node has the member list with the draining machine, and has nothing in flight at
+// the machine. It fails with ErrSessionNotHeld if the confirming process does not have its node's open session, and
+// with ErrInvalidTransition if the machine does not drain or the node's list is older than the draining. The turn keeps
+// its revision, so that confirmations of several nodes do not conflict.
 func (p *Plan) recordConfirmation(t *Turn, c *Command) (statemachine.Outcome, error) {
 	if err := p.sessions.VerifyIncarnation(c.Node, c.Incarnation); err != nil {
 		return statemachine.Outcome{}, ErrSessionNotHeld.Of(c.Node, err)
 	}
 	if t.State != Draining || c.ListRevision < t.DrainingRevision {
 		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
-			fmt.Errorf("%s since revision %d, and the node holds %d", t.State, t.DrainingRevision, c.ListRevision))
+			fmt.Errorf("state %s, draining revision %d, list revision of the node %d",
+				t.State, t.DrainingRevision, c.ListRevision))
 	}
 	if t.ConfirmedBy[c.Node] == c.Incarnation {
 		return statemachine.Outcome{Unchanged: true}, nil
 	}
-	if t.ConfirmedBy == nil { // a snapshot has no empty map
+	if t.ConfirmedBy == nil { // a snapshot omits an empty map
 		t.ConfirmedBy = map[string]uint64{}
 	}
 	t.ConfirmedBy[c.Node] = c.Incarnation
@@ -32,7 +33,7 @@
 func (p *Plan) checkConfirmed(t *Turn) error {
 	missing := p.unconfirmedNodes(t)
 	if len(missing) > 0 && plantedFault != faultNoConfirmation {
-		return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("%v", missing))
+		return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("nodes %v", missing))
 	}
 	return nil
 }
--- a/internal/maintenance/disruption.go
+++ b/internal/maintenance/disruption.go
@@ -13,15 +13,15 @@
 	number int
 }
 
-// disruption is what is out of service at once: the machines that occupy a slot.
+// disruption is the set of machines that are out of service at the same time, which are those that occupy a slot.
 type disruption struct {
 	machines map[string]bool
 	perSite  map[string]int
 	perCell  map[cell]int
-	binding  map[string]bool // IDs of the requests that name any of the machines
+	binding  map[string]bool // IDs of the requests that name any of the machines; their limits apply
 }
 
-// disruptionWith returns the present disruption and one machine more, unless it occupies a slot already.
+// disruptionWith returns the disruption of the machines that occupy a slot and, in addition, the machine of t.
 func (p *Plan) disruptionWith(t *Turn) *disruption {
 	d := &disruption{
 		machines: map[string]bool{},
@@ -47,7 +47,7 @@
 	}
 }
 
-// exceeds reports whether more machines are out than a budget allows.
+// exceeds reports whether the disruption has more machines than a budget allows.
 func (d *disruption) exceeds(b DisruptionBudget) bool {
 	return b.Total > 0 && len(d.machines) > b.Total ||
 		b.PerSite > 0 && greatestCount(d.perSite) > b.PerSite ||
@@ -58,7 +58,7 @@
 	return slices.Max(slices.Collect(maps.Values(counts)))
 }
 
-// readyCapacity returns the capacity of the ready machines that are not out, by site.
+// readyCapacity returns, by site, the capacity of the ready machines that are not part of the disruption.
 func (p *Plan) readyCapacity(d *disruption) map[string]float64 {
 	ready := map[string]float64{}
 	for _, m := range p.inventory.Machines() {
@@ -69,8 +69,9 @@
 	return ready
 }
 
-// checkDisruption fails with ErrOverBudget or ErrUnderFloor unless all budgets and floors hold with a machine out
-// beside those that are. A request's limits bind if it names any of these machines.
+// checkDisruption fails with ErrOverBudget or ErrUnderFloor unless every budget and floor holds when the machine of t
+// is out in addition to the machines that are out already. A request's budget and floors apply if the request names any
+// of these machines.
 func (p *Plan) checkDisruption(t *Turn) error {
 	if plantedFault == faultNoBudget {
 		return nil
@@ -80,20 +81,21 @@
 	for _, id := range slices.Sorted(maps.Keys(d.binding)) {
 		request := p.Requests[id]
 		if d.exceeds(request.Budget) {
-			return ErrOverBudget.Of(t.Machine, fmt.Errorf("of request %s", id))
+			return ErrOverBudget.Of(t.Machine, fmt.Errorf("budget of request %s", id))
 		}
 		for _, site := range slices.Sorted(maps.Keys(request.CapacityFloor)) {
 			if floor := request.CapacityFloor[site]; ready[site] < floor {
 				return ErrUnderFloor.Of(t.Machine,
-					fmt.Errorf("%s would have %g ready of %g, by request %s", site, ready[site], floor, id))
+					fmt.Errorf("site %s would have %g ready, and its floor in request %s is %g", site, ready[site], id, floor))
 			}
 		}
 	}
 	return nil
 }
 
-// TurnsToRecall returns the machines that should wait again: they are granted or draining, and a floor that binds them
-// no longer holds, since another machine has failed. A machine that is quiet or out is not recalled.
+// TurnsToRecall returns the IDs of the machines that have to wait again, sorted. These machines are granted or
+// draining, and a floor that applies to them no longer holds, for example because another machine has failed. A machine
+// that is quiet or out is not recalled.
 func (p *Plan) TurnsToRecall() []string {
 	var recalled []string
 	for _, id := range slices.Sorted(maps.Keys(p.Turns)) {
--- a/internal/maintenance/errors.go
+++ b/internal/maintenance/errors.go
@@ -6,29 +6,31 @@
 	"hitchvale/internal/operror"
 )
 
-// The errors of maintenance turns. A call that fails with one changes nothing; docs/oncall.md lists them for operators.
+// The errors of maintenance. A call that fails with one of them changes nothing. docs/oncall.md lists them for
+// operators.
 var (
 	ErrMalformed = operror.Define("rota.malformed", http.StatusBadRequest,
 		"the request is not well formed", "correct the field that the error names")
 	ErrNotFound = operror.Define("rota.unknown", http.StatusNotFound,
-		"no such machine or request", "read GET /registry/rota for those there are")
+		"no such machine or request",
+		"GET /registry/rota lists the requests and the turns, GET /registry/instances the machines")
 	ErrTurnChanged = operror.Define("rota.changed-since", http.StatusConflict,
-		"the turn has changed since it was read", "nothing: another node took the step; read again")
+		"the turn has changed since it was read", "nothing: another node advanced the turn; read the plan again")
 	ErrInvalidTransition = operror.Define("rota.no-such-step", http.StatusConflict,
-		"the turn does not go that way",
-		"read GET /registry/rota: a turn goes waiting, granted, draining, quiet, out, returning, done")
+		"the state of the turn does not allow this step",
+		"read the state with GET /registry/rota; the order is waiting, granted, draining, quiet, out, returning, done")
 	ErrOutOfOrder = operror.Define("rota.out-of-order", http.StatusConflict,
-		"another machine goes first in the settled order",
-		"nothing: it waits for its turn; GET /registry/rota tells the order")
+		"the machine is not the next to be granted in the settled order",
+		"nothing: the machine waits for its turn; GET /registry/rota shows the order")
 	ErrOverBudget = operror.Define("rota.over-budget", http.StatusConflict,
-		"as many machines are out as the budget allows",
-		"bring one back or raise the budget; an overdue one is freed by an operator's word alone")
+		"the budget does not allow another machine to be out",
+		"bring a machine back or raise the budget; only an operator can free an overdue machine")
 	ErrUnderFloor = operror.Define("rota.under-floor", http.StatusConflict,
 		"the site would have less ready capacity than its floor",
 		"bring machines back, add capacity, or lower the floor")
 	ErrUnconfirmed = operror.Define("rota.unconfirmed", http.StatusConflict,
-		"a live node has not confirmed that it has nothing open there",
-		"look at the nodes named: a paused one is excused once its session ends")
+		"a live node has not confirmed that it has nothing in flight at the machine",
+		"check the nodes that the error names; a paused node is excused once its session ends")
 	ErrSessionNotHeld = operror.Define("rota.no-session", http.StatusConflict,
-		"the node that confirms does not hold its name", "nothing: a newer process of the node confirms")
+		"the process that confirms does not hold the session of its node", "nothing: a newer process of the node confirms")
 )
--- a/internal/maintenance/invariants_test.go
+++ b/internal/maintenance/invariants_test.go
@@ -10,7 +10,7 @@
 	"hitchvale/internal/statemachine"
 )
 
-// nextState is the order of a turn that completes.
+// nextState is the state that follows each state in a turn that completes.
 var nextState = map[TurnState]TurnState{
 	Waiting:   Granted,
 	Granted:   Draining,
@@ -20,20 +20,21 @@
 	Returning: Done,
 }
 
-// playRandomCommands applies random commands, valid and invalid, and returns the first violated invariant.
+// playRandomCommands applies random commands, valid and invalid ones, and describes the first violated invariant. It
+// returns "" if there is none.
 func playRandomCommands(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	f := newPlanFixture(t)
 	f.t = t
-	read := map[string]Turn{} // turns as stale proposers read them
+	read := map[string]Turn{} // the turns as a stale proposer last read them
 	for range 120 {
 		id := fmt.Sprint("s", rng.IntN(8))
 		c := Command{Machine: id}
 		switch rng.IntN(12) {
 		case 0, 1:
-			name := fmt.Sprint("q", rng.IntN(3))
+			requestID := fmt.Sprint("q", rng.IntN(3))
 			budget := DisruptionBudget{rng.IntN(4), rng.IntN(3), rng.IntN(3)}
-			q := request(name, budget, nil, id, fmt.Sprint("s", rng.IntN(8)))
+			q := request(requestID, budget, nil, id, fmt.Sprint("s", rng.IntN(8)))
 			if rng.IntN(2) == 0 {
 				q.Request.CapacityFloor = map[string]float64{"a": float64(rng.IntN(4)), "b": float64(rng.IntN(4))}
 			}
@@ -47,10 +48,10 @@
 				c.Costs[fmt.Sprint("s", i)] = rng.Float64()
 			}
 		case 5, 6:
-			n := fmt.Sprint("n", rng.IntN(4))
+			node := fmt.Sprint("n", rng.IntN(4))
 			c.Op = "rota-confirm"
-			c.Node = n
-			c.Incarnation = f.sessions[n] - uint64(rng.IntN(2))*min(1, f.sessions[n])
+			c.Node = node
+			c.Incarnation = f.sessions[node] - uint64(rng.IntN(2))*min(1, f.sessions[node])
 			c.ListRevision = f.revision - int64(rng.IntN(3))
 		case 7:
 			c.Op = []statemachine.Operation{"rota-overdue", "rota-free"}[rng.IntN(2)]
@@ -64,25 +65,26 @@
 		if t := f.plan.Turns[id]; t != nil && rng.IntN(3) > 0 {
 			c.Revision, read[id] = t.Revision, *t
 		}
-		switch rng.IntN(15) { // the world moves too
+		switch rng.IntN(15) { // sometimes a machine or a session changes, too
 		case 0:
 			f.inventory.SetDraining(fmt.Sprint("s", rng.IntN(8)), rng.IntN(2) == 0, 0)
 		case 1:
-			n := fmt.Sprint("n", rng.IntN(4))
-			if f.sessions[n] == 0 || rng.IntN(2) == 0 {
-				f.sessions[n] += 1 + uint64(rng.IntN(2))
+			node := fmt.Sprint("n", rng.IntN(4))
+			if f.sessions[node] == 0 || rng.IntN(2) == 0 {
+				f.sessions[node] += 1 + uint64(rng.IntN(2))
 			} else {
-				delete(f.sessions, n)
+				delete(f.sessions, node)
 			}
 		}
-		if bad := f.applyAndCheck(c); bad != "" {
-			return bad
+		if violation := f.applyAndCheck(c); violation != "" {
+			return violation
 		}
 	}
 	return f.checkSnapshot()
 }
 
-// applyAndCheck applies a command and compares its result to the rules, computed independently.
+// applyAndCheck applies a command and checks its result against the invariants, which it computes independently of the
+// plan. It describes the first violation and returns "" if there is none.
 func (f *planFixture) applyAndCheck(c Command) string {
 	before := map[string]Turn{}
 	for id, t := range f.plan.Turns {
@@ -95,7 +97,7 @@
 	}
 	now := f.plan.Turns[c.Machine]
 	if c.Op == "rota-step" && ok && was.State != c.Target && was.Revision != c.Revision {
-		return fmt.Sprintf("a step of %s from revision %d, which stood at %d, was taken", c.Machine, c.Revision, was.Revision)
+		return fmt.Sprintf("%s: a step from revision %d was accepted at revision %d", c.Machine, c.Revision, was.Revision)
 	}
 	if c.Op != "rota-step" || now == nil || was.State == now.State {
 		return ""
@@ -104,26 +106,27 @@
 	case Granted:
 		return f.checkLimits()
 	case Quiet:
-		for _, n := range f.sessions.LiveNodes() {
-			if was.ConfirmedBy[n] != f.sessions[n] {
-				return fmt.Sprintf("%s is quiet, and %s has not confirmed", c.Machine, n)
+		for _, node := range f.sessions.LiveNodes() {
+			if was.ConfirmedBy[node] != f.sessions[node] {
+				return fmt.Sprintf("%s is quiet, and %s has not confirmed", c.Machine, node)
 			}
 		}
 	}
 	return ""
 }
 
-// checkLimits names a scope with more machines out than a binding budget, or a site under a binding floor.
+// checkLimits describes a scope with more machines out than a budget that applies, or a site with less ready capacity
+// than a floor that applies. It returns "" if there is none.
 func (f *planFixture) checkLimits() string {
 	count, ready := map[string]int{}, map[string]float64{}
-	for _, u := range f.inventory.machines {
-		t := f.plan.Turns[u.ID]
+	for _, m := range f.inventory.machines {
+		t := f.plan.Turns[m.ID]
 		if t != nil && t.State != Waiting {
 			count["all"]++
-			count["site "+u.Site]++
-			count[fmt.Sprint("cell ", u.Site, u.Cell)]++
-		} else if u.Ready {
-			ready[u.Site] += u.Capacity
+			count["site "+m.Site]++
+			count[fmt.Sprint("cell ", m.Site, m.Cell)]++
+		} else if m.Ready {
+			ready[m.Site] += m.Capacity
 		}
 	}
 	for _, t := range f.plan.Turns {
@@ -133,14 +136,14 @@
 		for _, id := range t.Requests {
 			q := f.plan.Requests[id]
 			for scope, n := range count {
-				most := map[byte]int{'a': q.Budget.Total, 's': q.Budget.PerSite, 'c': q.Budget.PerCell}[scope[0]]
-				if most > 0 && n > most {
-					return fmt.Sprintf("%d out in %s, and %s allows %d", n, scope, id, most)
+				limit := map[byte]int{'a': q.Budget.Total, 's': q.Budget.PerSite, 'c': q.Budget.PerCell}[scope[0]]
+				if limit > 0 && n > limit {
+					return fmt.Sprintf("%d machines are out in %q, and request %s allows %d", n, scope, id, limit)
 				}
 			}
 			for site, floor := range q.CapacityFloor {
 				if ready[site] < floor {
-					return fmt.Sprintf("%s has %g ready, and %s wants %g", site, ready[site], id, floor)
+					return fmt.Sprintf("site %s has %g ready, and its floor in request %s is %g", site, ready[site], id, floor)
 				}
 			}
 		}
@@ -148,45 +151,45 @@
 	return ""
 }
 
-// checkSnapshot reports whether a snapshot restores the plan.
+// checkSnapshot checks that a snapshot restores the plan. It describes the failure and returns "" if there is none.
 func (f *planFixture) checkSnapshot() string {
 	text, err := f.plan.Encode()
 	if err != nil {
 		return err.Error()
 	}
-	n := NewPlan(f.inventory, f.sessions)
-	if err := n.Decode(text, f.revision); err != nil {
+	restored := NewPlan(f.inventory, f.sessions)
+	if err := restored.Decode(text, f.revision); err != nil {
 		return err.Error()
 	}
-	if again, _ := json.Marshal(n); !bytes.Equal(text, again) {
-		return "a snapshot restores something else"
+	if again, _ := json.Marshal(restored); !bytes.Equal(text, again) {
+		return "the plan restored from a snapshot differs"
 	}
 	return ""
 }
 
-// Whatever the commands, no grant exceeds a budget or breaks a floor, nothing is quiet without every live node, and no
-// step is taken from a state that has changed since.
+// Under random commands no grant exceeds a budget or breaks a floor, no machine becomes quiet before every live node
+// has confirmed, and no step is accepted if its turn has changed since the proposer read it.
 func TestInvariantsUnderRandomCommands(t *testing.T) {
 	for seed := range uint64(10000) {
-		if bad := playRandomCommands(t, seed); bad != "" {
-			t.Fatalf("seed %d: %s", seed, bad)
+		if violation := playRandomCommands(t, seed); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// Leaving out any of the checks is detected.
+// The random commands detect a plan that lacks the check of the budget, of the confirmations or of the revision.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	defer func() { plantedFault = "" }()
-	for _, bug := range []string{"budget", "confirm", "cas"} {
-		plantedFault = bug
-		caught := ""
+	for _, fault := range []string{"budget", "confirm", "cas"} {
+		plantedFault = fault
+		violation := ""
 		for seed := range uint64(2000) {
-			if caught = playRandomCommands(t, seed); caught != "" {
+			if violation = playRandomCommands(t, seed); violation != "" {
 				break
 			}
 		}
-		if caught == "" {
-			t.Errorf("%s left out: not detected in 2,000 schedules", bug)
+		if violation == "" {
+			t.Errorf("fault %q is not detected in 2,000 schedules", fault)
 		}
 	}
 }
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -15,21 +15,23 @@
 )
 
 const (
-	// agingFraction is the fraction of the greatest cost that each settlement a machine has waited through takes off
-	// its score: after 1/agingFraction of them it precedes any machine that has just begun to wait.
+	// agingFraction is how much a machine's score falls with each settlement that the machine has waited through, as a
+	// fraction of the greatest cost. After 1/agingFraction settlements a machine of known cost precedes every machine
+	// that has just begun to wait, so that cheaper newcomers do not delay it forever.
 	agingFraction = 0.1
 
-	// unknownCostFactor is the score, in greatest costs, of a machine whose cost the view does not have.
+	// unknownCostFactor is the cost that is assumed for a machine without a known cost, as a multiple of the greatest
+	// known cost.
 	unknownCostFactor = 2
 )
 
-// settleOrder orders the waiting machines by cost and age, for a view newer than the one that the present order is
-// settled on (else ErrTurnChanged).
+// settleOrder replaces the order of the waiting machines by an order of their scores on a newer view. It fails with
+// ErrTurnChanged if the view is not newer than the view that the present order was settled on.
 func (p *Plan) settleOrder(c *Command) (statemachine.Outcome, error) {
 	settled := p.SettledView
 	if c.View.Term < settled.Term || c.View.Term == settled.Term && c.View.Epoch <= settled.Epoch {
 		return statemachine.Outcome{}, ErrTurnChanged.Of("order",
-			fmt.Errorf("settled on %d.%d", settled.Term, settled.Epoch))
+			fmt.Errorf("it was settled on view %d.%d", settled.Term, settled.Epoch))
 	}
 	scores := p.scoreWaiting(c.Costs)
 	p.SettledView = c.View
@@ -42,8 +44,8 @@
 	return statemachine.Outcome{Value: p.Order}, nil
 }
 
-// scoreWaiting returns the scores of the waiting machines, the lowest to go first, and counts the settlement in their
-// RoundsWaited.
+// scoreWaiting returns the scores of the waiting machines, and adds one to RoundsWaited of each. The machine with the
+// lowest score goes first.
 func (p *Plan) scoreWaiting(costs map[string]float64) map[string]float64 {
 	scores := map[string]float64{}
 	greatest := 0.0
@@ -68,8 +70,9 @@
 	return scores
 }
 
-// rendezvousWeight breaks ties between machines of one score by rendezvous hashing (Thaler and Ravishankar, "Using
-// name-based mappings to increase hit rates", 1998): they go to another machine with each view, and no node can choose.
+// rendezvousWeight returns the weight that breaks ties between machines of equal scores, by rendezvous hashing (Thaler
+// and Ravishankar, "Using name-based mappings to increase hit rates", 1998). The weights differ from view to view, so
+// that no machine wins every tie, and no node can influence them.
 func rendezvousWeight(view ViewVersion, machine string) uint64 {
 	key := binary.BigEndian.AppendUint64(nil, view.Term)
 	key = binary.BigEndian.AppendUint64(key, view.Epoch)
@@ -81,19 +84,20 @@
 	p.Order = slices.DeleteFunc(p.Order, func(id string) bool { return id == machine })
 }
 
-// checkGrant fails unless a waiting machine may take a slot now: it is in the settled order and fits (checkDisruption),
-// and none before it in the order fits (else ErrOutOfOrder).
+// checkGrant fails unless a waiting machine may take a slot now. It fails with ErrOutOfOrder if the machine is not in
+// the settled order, or if a machine before it in the order passes checkDisruption. It fails with the error of
+// checkDisruption if the machine itself does not pass.
 func (p *Plan) checkGrant(t *Turn) error {
-	at := slices.Index(p.Order, t.Machine)
-	if at < 0 {
-		return ErrOutOfOrder.Of(t.Machine, errors.New("no order has been settled with it"))
+	index := slices.Index(p.Order, t.Machine)
+	if index < 0 {
+		return ErrOutOfOrder.Of(t.Machine, errors.New("it is not in the settled order"))
 	}
 	if err := p.checkDisruption(t); err != nil {
 		return err
 	}
-	for _, id := range p.Order[:at] {
+	for _, id := range p.Order[:index] {
 		if p.checkDisruption(p.Turns[id]) == nil {
-			return ErrOutOfOrder.Of(t.Machine, fmt.Errorf("%s goes first", id))
+			return ErrOutOfOrder.Of(t.Machine, fmt.Errorf("%s precedes it in the settled order", id))
 		}
 	}
 	return nil
--- a/internal/maintenance/path.go
+++ b/internal/maintenance/path.go
@@ -6,15 +6,15 @@
 	"hitchvale/internal/statemachine"
 )
 
-// The paths of the registry's calls on the plan.
+// The paths of the registry's calls that read or change the plan.
 const (
 	PlanPath     = "/registry/rota"
-	RequestsPath = PlanPath + "/requests" // a request's ID follows to withdraw it
+	RequestsPath = PlanPath + "/requests" // "/" and a request's ID follow to withdraw the request
 	SettlePath   = PlanPath + "/settle"
-	TurnsPath    = PlanPath + "/machines" // a machine's ID and an action of TurnActions follow
+	TurnsPath    = PlanPath + "/machines" // "/", a machine's ID, "/" and a key of TurnActions follow
 )
 
-// TurnActions are the operations on one turn by the name that they have in the path of a call.
+// TurnActions maps the names of actions on one turn, as they appear in the path of a call, to the operations.
 var TurnActions = map[string]statemachine.Operation{
 	"step":    OpAdvanceTurn,
 	"confirm": OpConfirmDrained,
@@ -22,7 +22,7 @@
 	"free":    OpFreeOverdue,
 }
 
-// Path returns the path of the call that makes a command.
+// Path returns the path of the call that submits the command to the registry.
 func (c *Command) Path() string {
 	switch c.Op {
 	case OpAddRequest:
@@ -35,7 +35,7 @@
 	return TurnsPath + "/" + url.PathEscape(c.Machine) + "/" + turnAction(c.Op)
 }
 
-// turnAction returns the name of an operation on one turn in the path of a call.
+// turnAction returns the key of an operation in TurnActions.
 func turnAction(operation statemachine.Operation) string {
 	for action, o := range TurnActions {
 		if o == operation {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,6 +1,7 @@
-// Package maintenance takes machines out for work in turns, in an order that the nodes settle among themselves. The
-// plan of all turns is a state machine of the registry, and its Apply enforces every rule: a proposer that is stale or
-// faulty can be useless, but does no harm. docs/ROADMAP.md has the design, docs/registry.md the calls.
+// Package maintenance takes machines out of service for maintenance, each in a turn. The nodes read the plan of all
+// turns from the registry and propose commands (Propose). The plan is a state machine of the registry, and Plan.Apply
+// enforces every rule: a command of a stale or faulty proposer is refused and does no harm. docs/ROADMAP.md describes
+// the design, and docs/registry.md the calls.
 package maintenance
 
 import (
@@ -12,25 +13,26 @@
 	"hitchvale/internal/statemachine"
 )
 
-// DisruptionBudget bounds how many machines may be out at once; 0 is no bound.
+// DisruptionBudget bounds how many machines may be out of service at the same time; 0 means no bound.
 type DisruptionBudget struct {
 	Total   int `json:"all,omitempty"`
 	PerSite int `json:"site,omitempty"`
 	PerCell int `json:"cell,omitempty"`
 }
 
-// Request is an operator's request: machines to be worked on, and the limits that hold meanwhile.
+// Request is an operator's request for maintenance. It names the machines, and the limits that hold until the last of
+// them is back in service.
 type Request struct {
 	ID             string           `json:"id"`
 	Machines       []string         `json:"machines"`
 	Reason         string           `json:"reason"`
-	ExpectedWorkMs int64            `json:"length_ms"` // how long the work on one machine is expected to take
+	ExpectedWorkMs int64            `json:"length_ms"` // expected duration of the work on one machine
 	Budget         DisruptionBudget `json:"budget"`
-	// CapacityFloor is, by site, the ready capacity that has to remain, in the unit of Machine.Capacity.
+	// CapacityFloor is the ready capacity that has to remain at each site, in the unit of Machine.Capacity.
 	CapacityFloor map[string]float64 `json:"floor,omitempty"`
 }
 
-// Machine is a machine as the member list has it.
+// Machine is a machine of the member list.
 type Machine struct {
 	ID       string
 	Site     string
@@ -39,11 +41,11 @@
 	Ready    bool    // listed and not draining
 }
 
-// Inventory is the member list of the replicated state that the plan is part of.
+// Inventory is the member list in the replicated state that the plan is part of.
 type Inventory interface {
-	// Machines returns the listed machines by ID.
+	// Machines returns the listed machines, sorted by ID.
 	Machines() []Machine
-	// SetDraining sets a listed machine to draining, or to ready, as of a revision.
+	// SetDraining sets a listed machine to draining or to ready. The change gets the revision nextRevision.
 	SetDraining(id string, draining bool, nextRevision int64)
 }
 
@@ -55,21 +57,22 @@
 	VerifyIncarnation(node string, incarnation uint64) error
 }
 
-// Turn is the turn of one machine.
+// Turn is one machine's passage through maintenance, from the request until the machine is back in service.
 type Turn struct {
 	Machine  string    `json:"machine"`
 	Site     string    `json:"site"`
 	Cell     int       `json:"cell"`
 	Capacity float64   `json:"size"`
-	Requests []string  `json:"requests"` // IDs of those that name the machine, sorted
+	Requests []string  `json:"requests"` // IDs of the requests that name the machine, sorted
 	State    TurnState `json:"state"`
-	Revision int64     `json:"rev"` // of the last change that counts for compare-and-set
-	// DrainingRevision is the revision as of which the list has the machine as draining; 0 if it does not drain.
+	Revision int64     `json:"rev"` // a command on the turn must name it (compare-and-set)
+	// DrainingRevision is the revision from which on the member list has the machine as draining; 0 if the machine has
+	// not begun to drain.
 	DrainingRevision int64 `json:"drained,omitempty"`
-	RoundsWaited     int   `json:"passed,omitempty"` // settlements of the order since the turn began to wait
+	RoundsWaited     int   `json:"passed,omitempty"` // how often the order was settled while the turn waited
 	Overdue          bool  `json:"overdue,omitempty"`
-	// ConfirmedBy has the nodes that hold the list with the draining machine and have nothing in flight there, with
-	// the incarnation that confirmed.
+	// ConfirmedBy maps the nodes that have confirmed to the incarnation that confirmed. A node confirms that it has the
+	// member list with the draining machine and that it has nothing in flight at the machine.
 	ConfirmedBy map[string]uint64 `json:"confirmed,omitempty"`
 }
 
@@ -81,24 +84,24 @@
 	return c
 }
 
-// ViewVersion is the version of the fleet's view that an order was settled on.
+// ViewVersion is the version of the fleet's view that supplied the costs for an order.
 type ViewVersion struct {
 	Term  uint64 `json:"term"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Plan is the state machine of requests and turns.
+// Plan is the state machine of requests and turns. It is not safe for concurrent use.
 type Plan struct {
-	Turns       map[string]*Turn   `json:"turns"` // by machine; there is at most one a machine
-	Requests    map[string]Request `json:"requests"`
-	Order       []string           `json:"order"` // of the waiting machines as last settled, the next one first
-	SettledView ViewVersion        `json:"epoch"` // that Order was settled on
+	Turns       map[string]*Turn   `json:"turns"`    // by machine; a machine has at most one turn
+	Requests    map[string]Request `json:"requests"` // by ID
+	Order       []string           `json:"order"`    // the waiting machines as last settled, the next one first
+	SettledView ViewVersion        `json:"epoch"`    // the view that Order was settled on
 
 	inventory Inventory
 	sessions  Sessions
 }
 
-// NewPlan returns a plan without turns over the list and the sessions of the same state.
+// NewPlan returns a plan without turns. It uses the member list and the sessions of the same replicated state.
 func NewPlan(inventory Inventory, sessions Sessions) *Plan {
 	return &Plan{
 		Turns:     map[string]*Turn{},
@@ -108,27 +111,28 @@
 	}
 }
 
-// The faults that plantedFault may name; each leaves out one check.
+// The values of plantedFault. Each of them disables one check.
 const (
 	faultNoBudget       = "budget"
 	faultNoConfirmation = "confirm"
 	faultNoCompare      = "cas"
 )
 
-// plantedFault is set by tests alone, at build time by -ldflags -X for the lab's.
+// plantedFault is the check to disable, so that tests can show that they detect its absence. The tests of this package
+// assign it, and the lab's tests set it at build time by -ldflags -X. It is empty otherwise.
 var plantedFault string
 
-// Kind is part of statemachine.Machine.
+// Kind implements statemachine.Machine.
 func (p *Plan) Kind() string { return "rota" }
 
-// Commands is part of statemachine.Machine.
+// Commands implements statemachine.Machine.
 func (p *Plan) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &Command{} }
 	return statemachine.CommandsOf(empty, OpAddRequest, OpWithdrawRequest, OpSettleOrder, OpAdvanceTurn,
 		OpConfirmDrained, OpMarkOverdue, OpFreeOverdue)
 }
 
-// Apply executes a Command. It fails with the errors of this package.
+// Apply implements statemachine.Machine: it executes a *Command. It fails with the errors of this package.
 func (p *Plan) Apply(cmd statemachine.Command, nextRevision int64) (statemachine.Outcome, error) {
 	c := cmd.(*Command)
 	switch c.Op {
@@ -149,8 +153,9 @@
 	return p.applyToTurn(turn, c, nextRevision)
 }
 
-// applyToTurn executes a command that is a compare-and-set on the revision of a turn. Only the repetition of a step
-// that has been taken succeeds at another revision; it changes nothing.
+// applyToTurn executes a command on one turn. It fails with ErrTurnChanged unless the command names the turn's present
+// revision. The exception is a step to the state that the turn already has: it succeeds at any revision and changes
+// nothing.
 func (p *Plan) applyToTurn(t *Turn, c *Command, nextRevision int64) (statemachine.Outcome, error) {
 	if c.Op == OpAdvanceTurn && t.State == c.Target {
 		return statemachine.Outcome{Unchanged: true, Value: t.clone()}, nil
@@ -170,19 +175,19 @@
 	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
-// markOverdue marks a turn whose work takes longer than expected. It keeps its slot.
+// markOverdue marks a turn whose work takes longer than expected. The turn keeps its slot.
 func (p *Plan) markOverdue(t *Turn, nextRevision int64) (statemachine.Outcome, error) {
 	if !t.State.occupiesSlot() || t.Overdue {
 		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
-			fmt.Errorf("%s, overdue %v", t.State, t.Overdue))
+			fmt.Errorf("state %s, overdue %v", t.State, t.Overdue))
 	}
 	t.Overdue = true
 	t.Revision = nextRevision
 	return statemachine.Outcome{Value: t.clone()}, nil
 }
 
-// ExpectedWorkMs returns how long the work on a machine is expected to take, in milliseconds: the longest time of the
-// requests that name it.
+// ExpectedWorkMs returns how long the work on the machine of a turn is expected to take, in milliseconds. It is the
+// longest time that any request of the turn expects.
 func (p *Plan) ExpectedWorkMs(t *Turn) int64 {
 	var longest int64
 	for _, id := range t.Requests {
@@ -191,7 +196,7 @@
 	return longest
 }
 
-// ListTurns returns copies of the turns, by machine.
+// ListTurns returns copies of the turns, sorted by machine.
 func (p *Plan) ListTurns() []Turn {
 	var turns []Turn
 	for _, id := range slices.Sorted(maps.Keys(p.Turns)) {
@@ -200,10 +205,10 @@
 	return turns
 }
 
-// Encode is part of statemachine.Machine.
+// Encode implements statemachine.Machine.
 func (p *Plan) Encode() ([]byte, error) { return json.Marshal(p) }
 
-// Decode is part of statemachine.Machine.
+// Decode implements statemachine.Machine.
 func (p *Plan) Decode(section []byte, _ int64) error {
 	decoded := NewPlan(p.inventory, p.sessions)
 	if err := json.Unmarshal(section, decoded); err != nil {
--- a/internal/maintenance/propose.go
+++ b/internal/maintenance/propose.go
@@ -7,36 +7,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PlanView is the plan as a node reads it.
+// PlanView is the plan as a node reads it from the registry.
 type PlanView struct {
 	SettledView ViewVersion `json:"epoch"`
 	Order       []string    `json:"order"`
-	Turns       []Turn      `json:"turns"` // by machine
-	ToRecall    []string    `json:"short"` // machines that have to wait again
+	Turns       []Turn      `json:"turns"` // sorted by machine
+	ToRecall    []string    `json:"short"` // IDs of the machines that have to wait again (Plan.TurnsToRecall)
 }
 
-// NodeState is what a node knows beside the plan.
+// NodeState is the state of a node that Propose uses in addition to the plan.
 type NodeState struct {
 	Node         string
 	Incarnation  uint64
-	View         ViewVersion    // of the fleet's view that the node has
-	FreshNodes   []string       // those that are fresh in the view, sorted
-	ListRevision int64          // of the member list that the node has
-	InFlight     map[string]int // the node's attempts and streams, by machine
-	// ViewsUnchanged counts, by machine, the views for which its turn has had its present revision.
+	View         ViewVersion    // the version of the fleet's view that the node has
+	FreshNodes   []string       // the nodes that are fresh in the view, sorted
+	ListRevision int64          // the revision of the member list that the node has
+	InFlight     map[string]int // the number of the node's attempts and streams, by machine
+	// ViewsUnchanged is, by machine, the number of views for which the machine's turn has had its present revision.
 	ViewsUnchanged map[string]int
 }
 
-// resettleEpochs is how many epochs an order stands while machines wait and none is granted; a new one counts their
-// age.
+// resettleEpochs is the number of epochs after which an order is settled again while machines wait. The new order takes
+// into account how long they have waited.
 const resettleEpochs = 10
 
-// orderKey ranks the nodes for settling the order, as a machine's ID does for the steps of its turn.
+// orderKey is the key by which the nodes are ranked for settling the order. For the steps of a turn the key is the
+// machine's ID.
 const orderKey = "order"
 
-// Propose returns the commands that a node proposes on a plan. It proposes its own confirmations at once, and a step of
-// a turn once the turn has been unchanged for as many views as the node's rank for it, so that one node proposes and
-// the next one does if that one has failed. The result depends on the arguments alone.
+// Propose returns the commands that a node proposes on a plan. A node proposes its own confirmations immediately. It
+// proposes a step of a turn once the turn has been unchanged for as many views as the node's rank for the turn: the
+// first node in rank proposes, and the next node takes over if the first has failed. The result depends on the
+// arguments alone.
 func Propose(plan PlanView, node NodeState) []Command {
 	p := proposer{plan: plan, node: node}
 	for _, t := range plan.Turns {
@@ -50,7 +52,7 @@
 	return p.commands
 }
 
-// proposer collects what one node proposes on one plan.
+// proposer collects the commands that one node proposes on one plan.
 type proposer struct {
 	plan     PlanView
 	node     NodeState
@@ -75,7 +77,7 @@
 	}
 }
 
-// advance proposes a step if the turn has been unchanged for the node's rank.
+// advance proposes a step if the turn has been unchanged for as many views as the node's rank.
 func (p *proposer) advance(t Turn, target TurnState) {
 	if proposalRank(p.node.FreshNodes, p.node.Node, t.Machine) > p.node.ViewsUnchanged[t.Machine] {
 		return
@@ -88,7 +90,8 @@
 	})
 }
 
-// canConfirm reports whether the node has the draining and nothing in flight there, and has not confirmed it yet.
+// canConfirm reports whether the node's member list has the machine as draining, the node has nothing in flight at the
+// machine, and this process of the node has not confirmed yet.
 func (p *proposer) canConfirm(t Turn) bool {
 	return t.ConfirmedBy[p.node.Node] != p.node.Incarnation &&
 		p.node.ListRevision >= t.DrainingRevision &&
@@ -105,12 +108,13 @@
 	})
 }
 
+// confirmedByAll reports whether every fresh node has confirmed.
 func (p *proposer) confirmedByAll(t Turn) bool {
 	return !slices.ContainsFunc(p.node.FreshNodes, func(node string) bool { return t.ConfirmedBy[node] == 0 })
 }
 
-// orderIsOutdated reports whether a waiting machine is not in the order, or the order is of another term or has stood
-// for resettleEpochs.
+// orderIsOutdated reports whether the order has to be settled anew: a waiting machine is not in it, or machines wait
+// and the order is of another term or at least resettleEpochs old.
 func (p *proposer) orderIsOutdated() bool {
 	waiting := 0
 	ordered := 0
@@ -124,11 +128,12 @@
 		}
 	}
 	settled := p.plan.SettledView
-	outlived := settled.Term != p.node.View.Term || p.node.View.Epoch >= settled.Epoch+resettleEpochs
-	return ordered < waiting || waiting > 0 && outlived
+	expired := settled.Term != p.node.View.Term || p.node.View.Epoch >= settled.Epoch+resettleEpochs
+	return ordered < waiting || waiting > 0 && expired
 }
 
-// settleOrder proposes a new order if it is the node's turn: with each epoch one more node in rank proposes.
+// settleOrder proposes a new order if the node's rank is at most the epoch modulo the number of nodes. With each epoch
+// one more node proposes, in case the nodes before it have failed, until only the first node proposes again.
 func (p *proposer) settleOrder() {
 	nodes := max(len(p.node.FreshNodes), 1)
 	if proposalRank(p.node.FreshNodes, p.node.Node, orderKey) <= int(p.node.View.Epoch%uint64(nodes)) {
@@ -136,8 +141,8 @@
 	}
 }
 
-// grantInOrder proposes to grant every waiting machine in the settled order. The plan grants the first that fits and
-// refuses those behind it.
+// grantInOrder proposes to grant every waiting machine, in the settled order. The plan grants a machine only if no
+// machine before it fits, and refuses the others.
 func (p *proposer) grantInOrder() {
 	turns := map[string]Turn{}
 	for _, t := range p.plan.Turns {
@@ -150,8 +155,8 @@
 	}
 }
 
-// proposalRank returns a node's rank among the nodes for a key by rendezvous hashing, 0 for the first: each key has
-// another order of nodes.
+// proposalRank returns a node's rank among the nodes for a key, 0 for the first. The ranks come from rendezvous
+// hashing, so that the order of the nodes differs from key to key.
 func proposalRank(nodes []string, node, key string) int {
 	weight := func(n string) uint64 { return xxhash.Sum64String(key + "\x00" + n) }
 	own := weight(node)
--- a/internal/maintenance/request.go
+++ b/internal/maintenance/request.go
@@ -13,34 +13,35 @@
 // maxRequestIDBytes bounds the length of a request's ID.
 const maxRequestIDBytes = 128
 
-// validate reports with ErrMalformed what keeps a request from being stored.
+// validate fails with ErrMalformed if the request cannot be stored. It does not check the floors.
 func (q Request) validate() error {
 	budget := q.Budget
 	switch {
 	case q.ID == "" || len(q.ID) > maxRequestIDBytes:
-		return ErrMalformed.Of("id", fmt.Errorf("1 to %d bytes are wanted", maxRequestIDBytes))
+		return ErrMalformed.Of("id", fmt.Errorf("length must be 1 to %d bytes", maxRequestIDBytes))
 	case len(q.Machines) == 0:
-		return ErrMalformed.Of(q.ID, errors.New("no machine named"))
+		return ErrMalformed.Of(q.ID, errors.New("machines must name at least one machine"))
 	case budget.Total < 0 || budget.PerSite < 0 || budget.PerCell < 0:
-		return ErrMalformed.Of(q.ID, errors.New("budget: negative"))
+		return ErrMalformed.Of(q.ID, errors.New("budget must not be negative"))
 	case q.ExpectedWorkMs <= 0:
 		return ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
 	}
 	return nil
 }
 
-// validateFloors reports with ErrMalformed a floor that is not a capacity.
+// validateFloors fails with ErrMalformed if a floor is negative or NaN.
 func (q Request) validateFloors() error {
 	for site, floor := range q.CapacityFloor {
 		if math.IsNaN(floor) || floor < 0 {
-			return ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s: %g", site, floor))
+			return ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s is %g, and must be a number of at least 0", site, floor))
 		}
 	}
 	return nil
 }
 
-// addRequest adds or replaces an operator's request. Its machines must be listed, and each floor must hold with one of
-// them out and all others ready, else the request could never complete (ErrNotFound, ErrUnderFloor).
+// addRequest adds or replaces an operator's request. It fails with ErrNotFound if a machine is not in the member list.
+// It fails with ErrUnderFloor if a floor does not hold with one of the machines out and all others ready, since the
+// request could never complete.
 func (p *Plan) addRequest(q Request, nextRevision int64) (statemachine.Outcome, error) {
 	if err := q.validate(); err != nil {
 		return statemachine.Outcome{}, err
@@ -59,7 +60,7 @@
 		remaining := siteCapacity[m.Site] - m.Capacity
 		if floor := q.CapacityFloor[m.Site]; remaining < floor {
 			return statemachine.Outcome{}, ErrUnderFloor.Of(m.Site,
-				fmt.Errorf("%g with %s out and all else ready, and %g is the floor", remaining, id, floor))
+				fmt.Errorf("%g is left with %s out and all other machines ready, and the floor is %g", remaining, id, floor))
 		}
 	}
 	if err := q.validateFloors(); err != nil {
@@ -75,7 +76,7 @@
 	return statemachine.Outcome{Value: q}, nil
 }
 
-// attach adds a request to the turn of a machine, and begins the turn if there is none.
+// attach adds a request to the turn of a machine. It creates the turn if the machine has none.
 func (p *Plan) attach(m Machine, requestID string, nextRevision int64) {
 	t := p.Turns[m.ID]
 	if t == nil {
@@ -95,7 +96,8 @@
 	}
 }
 
-// withdrawRequest ends a request: machines that wait for it alone wait no more, others finish their turns.
+// withdrawRequest withdraws a request. The turns of machines that wait for this request alone are deleted. Machines
+// that occupy a slot finish their turns, and the request is deleted with the last of these.
 func (p *Plan) withdrawRequest(id string, nextRevision int64) (statemachine.Outcome, error) {
 	if _, ok := p.Requests[id]; !ok {
 		return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
@@ -107,8 +109,8 @@
 	return statemachine.Outcome{}, nil
 }
 
-// detachWaiting removes a request from the machines that wait. A machine that occupies a slot retains the request, so
-// that its budget and floors bind until the machine is back.
+// detachWaiting removes a request from the turns that wait, and deletes those without another request. The turn of a
+// machine that occupies a slot keeps the request, so that its budget and floors apply until the machine is back.
 func (p *Plan) detachWaiting(requestID string, nextRevision int64) {
 	for _, machine := range slices.Sorted(maps.Keys(p.Turns)) {
 		t := p.Turns[machine]
--- a/internal/maintenance/transition.go
+++ b/internal/maintenance/transition.go
@@ -11,18 +11,19 @@
 // TurnState is the state of a machine's turn.
 type TurnState string
 
-// The states in the order of a turn that completes. Done is never stored: a turn that is done is deleted.
+// The states, in the order in which a turn goes through them. Done is never stored, since a turn that is done is
+// deleted.
 const (
 	Waiting   TurnState = "waiting"
-	Granted   TurnState = "granted"   // has a slot of the budgets
-	Draining  TurnState = "draining"  // the list has the machine as draining
-	Quiet     TurnState = "quiet"     // every live node has confirmed that nothing is in flight there
-	Out       TurnState = "out"       // is being worked on
-	Returning TurnState = "returning" // listed again, warming up
+	Granted   TurnState = "granted"   // the machine occupies a slot of the budgets
+	Draining  TurnState = "draining"  // the member list has the machine as draining
+	Quiet     TurnState = "quiet"     // every live node has confirmed that it has nothing in flight at the machine
+	Out       TurnState = "out"       // the machine is being worked on
+	Returning TurnState = "returning" // the machine is listed as ready again and warms up
 	Done      TurnState = "done"
 )
 
-// occupiesSlot reports whether a machine in this state counts as out for budgets and floors.
+// occupiesSlot reports whether budgets and floors count a machine in this state as out.
 func (s TurnState) occupiesSlot() bool {
 	switch s {
 	case Granted, Draining, Quiet, Out, Returning:
@@ -31,13 +32,13 @@
 	return false
 }
 
-// Transition is one change of state that a turn may make. The plan takes it from whoever reaches the registry; Proposer
-// is who proposes it in practice, and is not enforced.
+// Transition is one change of state that a turn may make. The plan accepts it from any caller that reaches the
+// registry: Proposer says who proposes the transition in practice and is not enforced.
 type Transition struct {
 	From      TurnState
 	To        TurnState
 	Proposer  string
-	Condition string // beside the compare-and-set; "" if there is none
+	Condition string // in addition to the compare-and-set; "" if there is none
 	Effect    string
 
 	check  func(p *Plan, t *Turn) error
@@ -50,14 +51,14 @@
 	proposedByOperator = "operator"
 )
 
-// Transitions are all changes of state that a turn may make. docs/registry.md shows the same table.
+// Transitions lists every change of state that a turn may make. docs/registry.md shows the same table.
 var Transitions = []Transition{
 	{
 		From:      Waiting,
 		To:        Granted,
 		Proposer:  proposedByNodes,
-		Condition: "first in the settled order of those that fit every binding budget and floor",
-		Effect:    "takes a slot and leaves the order",
+		Condition: "the machine is the first in the settled order that fits every budget and floor that applies",
+		Effect:    "the machine takes a slot and leaves the order",
 		check:     (*Plan).checkGrant,
 		effect:    leaveOrder,
 	},
@@ -65,14 +66,14 @@
 		From:     Granted,
 		To:       Draining,
 		Proposer: proposedByNodes,
-		Effect:   "listed as draining",
+		Effect:   "the member list has the machine as draining",
 		effect:   startDraining,
 	},
 	{
 		From:      Draining,
 		To:        Quiet,
 		Proposer:  proposedByNodes,
-		Condition: "the present process of every open session has confirmed",
+		Condition: "the present process of every node with an open session has confirmed",
 		Effect:    "none",
 		check:     (*Plan).checkConfirmed,
 	},
@@ -92,18 +93,19 @@
 		From:     Returning,
 		To:       Done,
 		Proposer: proposedByOperator,
-		Effect:   "the turn ends, and with it each request that has no other machine",
+		Effect:   "the turn is deleted, and so is each request without another turn",
 		effect:   func(p *Plan, t *Turn, _ int64) { p.finishTurn(t) },
 	},
 }
 
-// recall is the transition of a machine that is not out yet and has to wait again, as a floor no longer holds.
+// recall returns the transition of a granted or draining machine that has to wait again because a floor no longer
+// holds.
 func recall(from TurnState) Transition {
 	return Transition{
 		From:     from,
 		To:       Waiting,
 		Proposer: proposedByNodes,
-		Effect:   "listed as ready, waits for a new order",
+		Effect:   "the member list has the machine as ready; it waits for a new order",
 		effect: func(p *Plan, t *Turn, nextRevision int64) {
 			listReady(p, t, nextRevision)
 			t.DrainingRevision = 0
@@ -111,13 +113,13 @@
 	}
 }
 
-// bringBack is the transition of a machine that goes back into service.
+// bringBack returns the transition of a machine that goes back into service.
 func bringBack(from TurnState) Transition {
 	return Transition{
 		From:     from,
 		To:       Returning,
 		Proposer: proposedByOperator,
-		Effect:   "listed as ready",
+		Effect:   "the member list has the machine as ready",
 		effect:   listReady,
 	}
 }
@@ -137,14 +139,15 @@
 
 // findTransition returns the transition between two states; nil if there is none.
 func findTransition(from, to TurnState) *Transition {
-	at := slices.IndexFunc(Transitions, func(x Transition) bool { return x.From == from && x.To == to })
-	if at < 0 {
+	index := slices.IndexFunc(Transitions, func(x Transition) bool { return x.From == from && x.To == to })
+	if index < 0 {
 		return nil
 	}
-	return &Transitions[at]
+	return &Transitions[index]
 }
 
-// advance makes a transition of a turn. It fails with ErrInvalidTransition or with the error of the transition's check.
+// advance moves a turn to another state. It fails with ErrInvalidTransition if there is no such transition, or with the
+// error of the transition's check.
 func (p *Plan) advance(t *Turn, target TurnState, nextRevision int64) error {
 	transition := findTransition(t.State, target)
 	if transition == nil {
@@ -159,13 +162,13 @@
 		transition.effect(p, t, nextRevision)
 	}
 	t.State = target
-	if target != Done { // a turn that has ended keeps its last revision
+	if target != Done { // the deleted turn is returned with its last revision
 		t.Revision = nextRevision
 	}
 	return nil
 }
 
-// finishTurn deletes a turn, and the requests that have no other machine.
+// finishTurn deletes a turn, and those of its requests that have no other turn.
 func (p *Plan) finishTurn(t *Turn) {
 	delete(p.Turns, t.Machine)
 	p.removeFromOrder(t.Machine)
@@ -176,10 +179,10 @@
 	}
 }
 
-// freeOverdue ends an overdue turn whose machine will not come back.
+// freeOverdue deletes an overdue turn whose machine will not come back, which frees the slot of the machine.
 func (p *Plan) freeOverdue(t *Turn) (statemachine.Outcome, error) {
 	if !t.Overdue {
-		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine, errors.New("it is not overdue"))
+		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine, errors.New("the turn is not overdue"))
 	}
 	p.finishTurn(t)
 	return statemachine.Outcome{}, nil
--- a/internal/maintenance/transition_test.go
+++ b/internal/maintenance/transition_test.go
@@ -8,19 +8,20 @@
 	"testing"
 )
 
-// docs/registry.md shows the transitions of a turn: each row of its table is one of them, and none is missing.
-func TestPageShowsTheTransitions(t *testing.T) {
+// The table of docs/registry.md has one row for each transition of a turn and no other row.
+func TestPageListsEveryTransition(t *testing.T) {
 	page, err := os.ReadFile("../../docs/registry.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want []string
-	for _, x := range Transitions {
-		condition := x.Condition
+	for _, transition := range Transitions {
+		condition := transition.Condition
 		if condition == "" {
 			condition = "none"
 		}
-		want = append(want, fmt.Sprintf("| `%s` | `%s` | %s | %s | %s |", x.From, x.To, x.Proposer, condition, x.Effect))
+		want = append(want, fmt.Sprintf("| `%s` | `%s` | %s | %s | %s |",
+			transition.From, transition.To, transition.Proposer, condition, transition.Effect))
 	}
 	got := regexp.MustCompile("(?m)^\\| `[a-z]+` \\| `[a-z]+` \\| .*$").FindAllString(string(page), -1)
 	for _, row := range want {
@@ -30,7 +31,7 @@
 	}
 	for _, row := range got {
 		if !slices.Contains(want, row) {
-			t.Errorf("docs/registry.md has a row of no transition:\n%s", row)
+			t.Errorf("docs/registry.md has a row without a transition:\n%s", row)
 		}
 	}
 	if len(got) != len(want) {
