--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// defaultTTLIntervals is the TTL of a session, in intervals, unless the configuration has one.
+	// defaultTTLIntervals is the TTL of a session, in intervals, if the configuration has no TTL.
 	defaultTTLIntervals = 5
 
-	// The bounds of the backoff after a failed call: a fraction of the interval, and a number of intervals.
+	// The backoff after failed calls starts at the interval divided by minRetryDivisor, and is at most maxRetryIntervals
+	// intervals.
 	minRetryDivisor   = 8
 	maxRetryIntervals = 2
 
-	// viewWaitIntervals is for how many intervals a report's call waits for the next view.
+	// viewWaitIntervals is the number of intervals for which a call that sends a report waits for the next view.
 	viewWaitIntervals = 2
 )
 
@@ -33,15 +34,15 @@
 	Node     string
 	Site     string
 	Address  string        // host:port that clients connect to
-	Interval time.Duration // between two reports; the registry's own interval
+	Interval time.Duration // between two reports; equal to the registry's interval between views
 	TTL      time.Duration // of the session; 0: defaultTTLIntervals
-	// OnView, if set, is called with each new view and the session's incarnation, between two reports. It must return
-	// within about an interval.
+	// OnView, if not nil, is called with each new view and the session's incarnation. The agent sends no report during
+	// the call, so OnView must return within about an interval.
 	OnView func(ctx context.Context, v View, incarnation uint64)
 }
 
-// Agent keeps a node's session open, sends a report once an interval, and follows the view. Run is to be called once;
-// View and Status may be called from anywhere.
+// Agent keeps a node's session open, sends a report about once an interval, and keeps the latest view. Run must be
+// called once. View and Status are safe for concurrent use.
 type Agent struct {
 	cfg      AgentConfig
 	registry Registry
@@ -50,19 +51,19 @@
 	process  string
 	retry    *backoff.ExponentialBackOff
 
-	// For Run alone.
+	// Used by the goroutine of Run alone.
 	incarnation     uint64 // of the open session; 0 if there is none
-	lastIncarnation uint64 // the highest that this process had
+	lastIncarnation uint64 // the highest incarnation that this process had
 	sequence        uint64 // of the last report
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	view       View
 	receivedAt time.Time // when view was received
 	superseded bool
 	lastError  string // of the last call; "" if it succeeded
 }
 
-// NewAgent returns an agent that does nothing until Run. process identifies the process; each draws its own.
+// NewAgent returns an agent that does nothing until Run is called. process is a unique ID of the process.
 func NewAgent(cfg AgentConfig, process string, registry Registry, source ReportSource, log *slog.Logger) *Agent {
 	cfg.TTL = cmp.Or(cfg.TTL, defaultTTLIntervals*cfg.Interval)
 	retry := backoff.NewExponentialBackOff()
@@ -71,25 +72,26 @@
 	return &Agent{cfg: cfg, registry: registry, source: source, log: log, process: process, retry: retry}
 }
 
-// Run takes part in the fleet until ctx ends, when it closes the session, or until a newer process has the node's name:
-// then it returns ErrSuperseded, and must not be run again.
+// Run takes part in the fleet until ctx ends. Then it closes the session and returns nil. If a newer process takes the
+// node's name, Run returns ErrSuperseded immediately. Run must not be called again.
 func (a *Agent) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := a.callOnce(ctx)
 		a.recordResult(err)
-		// Random, as the nodes of a fleet got the last view at the same time and must not report at the same time.
+		// The wait is random because the nodes got the last view at the same time and must not all report at the same
+		// time.
 		wait := rand.N(a.cfg.Interval/2 + 1)
 		switch {
 		case err == nil:
 			a.retry.Reset()
 		case errors.Is(err, ErrSuperseded):
-			a.log.Error("session superseded", "node", a.cfg.Node, "incarnation", a.incarnation, "error", err)
+			a.log.Error("session superseded; the agent stops", "node", a.cfg.Node, "incarnation", a.incarnation, "error", err)
 			return err
 		case errors.Is(err, ErrSessionNotFound):
-			a.incarnation = 0 // expired, as after a pause of the process: the next call opens another
+			a.incarnation = 0 // the session expired, for example during a pause: the next call opens a session
 		default:
 			wait = a.retry.NextBackOff()
-			a.log.Warn("fleet call failed", "node", a.cfg.Node, "error", err)
+			a.log.Warn("fleet call failed; retrying", "node", a.cfg.Node, "error", err)
 		}
 		sleep(ctx, wait)
 	}
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// recordResult keeps the result of a call for Status.
+// recordResult stores the result of a call for Status.
 func (a *Agent) recordResult(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,7 +110,7 @@
 	a.superseded = errors.Is(err, ErrSuperseded)
 }
 
-// callOnce makes one call: it opens a session if there is none, else it sends a report.
+// callOnce opens a session if there is none, and otherwise sends a report.
 func (a *Agent) callOnce(ctx context.Context) error {
 	if a.incarnation == 0 {
 		return a.openSession(ctx)
@@ -116,7 +118,7 @@
 	return a.sendReport(ctx)
 }
 
-// sendReport sends a report and passes on the view that comes back.
+// sendReport sends a report, and passes the view that it receives to OnView if the view is new.
 func (a *Agent) sendReport(ctx context.Context) error {
 	a.mu.Lock()
 	lastView := a.view.ViewVersion
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// acceptView stores a view if it is newer than the present one: an answer of a former leader may come late.
+// acceptView stores a view if it is newer than the stored view, and reports whether it is. An older view arrives if the
+// answer of a former leader is late.
 func (a *Agent) acceptView(v View) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -153,14 +156,14 @@
 	return true
 }
 
-// openSession opens a session one incarnation above the last. It fails with ErrSuperseded if a newer process has had
-// the name since this one's last session.
+// openSession opens a session with the incarnation above the last incarnation. It fails with ErrSuperseded if another
+// process has had a session under the name since the last session of this process.
 func (a *Agent) openSession(ctx context.Context) error {
 	status, err := a.registry.SessionStatus(ctx, a.cfg.Node)
 	if err != nil {
 		return err
 	}
-	if status.Session != nil && status.Session.Process == a.process { // the answer to its opening was lost
+	if status.Session != nil && status.Session.Process == a.process { // the answer to OpenSession was lost
 		a.incarnation = status.Session.Incarnation
 		a.lastIncarnation = status.Session.Incarnation
 		return nil
@@ -177,8 +180,8 @@
 		TTLms:       a.cfg.TTL.Milliseconds(),
 	})
 	if errors.Is(err, ErrSuperseded) && a.lastIncarnation == 0 {
-		// Another process opened a session between the two calls, or the late call of a former one did: try again. The
-		// cause is left out, since by it this process would count as superseded.
+		// Between the two calls another process, or a late call of a former process, opened a session. Run must try
+		// again, so the error does not wrap ErrSuperseded, which would end Run.
 		return ErrSessionNotFound.Of(a.cfg.Node, nil)
 	}
 	if err != nil {
@@ -190,7 +193,7 @@
 	return nil
 }
 
-// closeSession closes the session of an agent whose ctx has ended. If the call fails, the session expires.
+// closeSession closes the open session, if any, after ctx has ended. If the call fails, the session expires later.
 func (a *Agent) closeSession(ctx context.Context) {
 	if a.incarnation == 0 {
 		return
@@ -200,22 +203,22 @@
 	a.registry.CloseSession(closeCtx, a.cfg.Node, a.incarnation)
 }
 
-// View returns the last view and how long ago it was received; false if there is none.
+// View returns the last view and the time since it was received. It returns false if there is no view.
 func (a *Agent) View() (v View, age time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view, time.Since(a.receivedAt), a.view.Epoch != 0
 }
 
-// AgentStatus is the state of an agent, for operators.
+// AgentStatus is the state of an agent that operators see.
 type AgentStatus struct {
 	Node       string      `json:"node"`
 	Version    ViewVersion `json:"view"`
 	AgeMs      int64       `json:"age_ms"` // since the view was received; -1 if there is none
-	Nodes      int         `json:"nodes"`  // in the view
-	Fresh      int         `json:"fresh"`  // of them
+	Nodes      int         `json:"nodes"`  // number of nodes in the view
+	Fresh      int         `json:"fresh"`  // number of fresh nodes in the view
 	Superseded bool        `json:"superseded"`
-	Error      string      `json:"error,omitempty"` // of the last call
+	Error      string      `json:"error,omitempty"` // error of the last call
 }
 
 // Status returns the agent's state.
@@ -242,7 +245,7 @@
 	return status
 }
 
-// sleep waits for d or until ctx ends.
+// sleep returns after d or when ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// A process whose session was opened while the answer was lost, and expired before it learned of it, continues under
-// its name; one whose name another process had since is superseded. Seed 9294 of the model found the first.
+// After its session expired, a process learns that its name has had a later session. If the later session was its own,
+// and only the answer to OpenSession was lost, the process opens a new session. If another process had the later
+// session, the process is superseded.
 func TestOwnSessionWithLostAnswerDoesNotSupersede(t *testing.T) {
-	for _, by := range []string{"p", "q"} {
+	for _, lastProcess := range []string{"p", "q"} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newRegistryModel(1)
-			w.noFaults = true
-			l := &link{registryModel: w, node: "n", processEnded: t.Context(), calls: &w.calls}
+			m := newRegistryModel(1)
+			m.noFaults = true
+			l := &link{registryModel: m, node: "n", processEnded: t.Context(), calls: &m.calls}
 			a := NewAgent(AgentConfig{Node: "n", Address: "127.0.0.1:1", Interval: time.Second}, "p", l,
 				func() Report { return Report{} }, slog.New(slog.DiscardHandler))
 			if err := a.openSession(t.Context()); err != nil || a.incarnation != 1 {
@@ -24,20 +25,21 @@
 			s := session("n", "p", 1)
 			for _, c := range []SessionCommand{
 				{"session-expire", s},
-				{"session-open", session("n", by, 2)},
-				{"session-expire", session("n", by, 2)},
+				{"session-open", session("n", lastProcess, 2)},
+				{"session-expire", session("n", lastProcess, 2)},
 			} {
-				if _, err := w.apply(c.Op, c.Session); err != nil {
+				if _, err := m.apply(c.Op, c.Session); err != nil {
 					t.Fatal(err)
 				}
 			}
 			a.incarnation = 0
 			err := a.openSession(t.Context())
-			if by == "p" && (err != nil || a.incarnation != 3) || by == "q" && !errors.Is(err, ErrSuperseded) {
-				t.Errorf("the last by %s: incarnation %d, %v", by, a.incarnation, err)
+			if lastProcess == "p" && (err != nil || a.incarnation != 3) ||
+				lastProcess == "q" && !errors.Is(err, ErrSuperseded) {
+				t.Errorf("after a session of process %s: incarnation %d, %v", lastProcess, a.incarnation, err)
 			}
 			synctest.Wait()
-			w.calls.Wait()
+			m.calls.Wait()
 		})
 	}
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// maxViewBytes bounds the body of an answer.
-	maxViewBytes = 8 << 20
+	// maxResponseBytes bounds the body of an answer.
+	maxResponseBytes = 8 << 20
 
-	// callTimeout bounds a call beyond the time that the registry may hold it.
+	// callTimeout bounds a call, in addition to the time that the registry may hold it.
 	callTimeout = 2 * time.Second
 )
 
-// Registry is what an Agent needs of the registry. Client implements it over HTTP.
+// Registry is the part of the registry that an Agent uses. Client implements it over HTTP.
 type Registry interface {
-	// SessionStatus returns what the registry knows of a node's name.
+	// SessionStatus returns the registry's record of a node's name.
 	SessionStatus(ctx context.Context, node string) (SessionStatus, error)
 	// OpenSession opens a session by compare-and-set and returns it as stored.
 	OpenSession(ctx context.Context, s Session) (Session, error)
-	// CloseSession ends the session of a process.
+	// CloseSession closes a node's session if it has the given incarnation.
 	CloseSession(ctx context.Context, node string, incarnation uint64) error
-	// SendReport sends a report and waits for the first view after the one that it echoes; it returns false if there is
-	// none within the given time.
+	// SendReport sends a report and waits for a view other than the view that the report echoes. It returns false if
+	// there is none within the given time.
 	SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
 }
 
-// Client calls the registry's replicas over HTTP, one at a time: after a call without an answer, or with a 503, it uses
-// the next one. Its errors are those of this package. Safe for concurrent use.
+// Client calls the registry over HTTP. It uses one replica at a time, and changes to the next replica if a call gets no
+// usable answer or status 503. Its errors are those of this package. It is safe for concurrent use.
 type Client struct {
 	Replicas []string // HTTP addresses, at least one
 	HTTP     *http.Client
 
 	mu      sync.Mutex
-	current int // counts on without bound; its remainder is the index of the replica in use
+	current int // the index of the replica in use is current modulo the number of replicas
 }
 
 // SessionStatus implements Registry.
@@ -80,13 +80,14 @@
 	return view, err == nil && status == http.StatusOK, err
 }
 
-// Call makes a call of another part of the registry, with body as JSON (nil: none), and decodes a 2xx answer into out.
+// Call makes a call to another part of the registry. It sends body as JSON, or no body if body is nil, and decodes a
+// 2xx answer into out unless out is nil.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
 	_, err := c.call(ctx, method, path, body, out, 0)
 	return err
 }
 
-// currentReplica returns the address of the replica in use.
+// currentReplica returns the HTTP address of the replica in use.
 func (c *Client) currentReplica() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +100,7 @@
 	c.mu.Unlock()
 }
 
-// call makes one call, which the registry may hold for wait, and returns the answer's status.
+// call makes one call, which the registry may hold for up to wait, and returns the status of the answer.
 func (c *Client) call(ctx context.Context, method, path string, body, out any, wait time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -148,12 +149,12 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxViewBytes))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, body, err
 }
 
-// decodeError returns the error of an answer that is not a 2xx: by its code one of this package, else
-// ErrRegistryUnreachable.
+// decodeError returns the error of an answer whose status is not 2xx: the error of this package that has the answer's
+// code, or ErrRegistryUnreachable if none has it.
 func decodeError(host string, status int, text []byte) error {
 	var answer struct {
 		Code  string `json:"code"`
--- a/internal/fleet/collector.go
+++ b/internal/fleet/collector.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// tenantsPerNode is how many of a node's tenants a view shows, by connections and by work.
+	// tenantsPerNode bounds each list of a node's tenants in a view.
 	tenantsPerNode = 4
 
-	// maxFreshAgeIntervals is the age, in intervals between views, above which a report is not fresh.
+	// maxFreshAgeIntervals is the greatest age of a fresh report, in intervals between views.
 	maxFreshAgeIntervals = 3
 
-	// viewHistoryEpochs is for how many epochs a collector knows when it published a view. The age of a report that
-	// echoes an older one is not known.
+	// viewHistoryEpochs is the number of epochs for which a collector keeps the time when it published a view. The age
+	// of a report that echoes an older view is not known.
 	viewHistoryEpochs = 64
 )
 
-// latestReport is the last report of a node.
+// latestReport is the last report of a node, with the time that bounds its age.
 type latestReport struct {
 	Report
 	echoedViewAt time.Duration // when the view that the report echoes was published
-	ageKnown     bool          // echoedViewAt is known
+	ageKnown     bool          // false if the collector does not have echoedViewAt
 }
 
 // Collector collects the nodes' reports on the leader, for one raft term, and compiles views from them. It reads no
-// clock: times are given to it, on the leader's monotonic clock. Not safe for concurrent use.
+// clock: the caller passes times of the leader's monotonic clock. It is not safe for concurrent use.
 type Collector struct {
 	term      uint64
 	interval  time.Duration
@@ -37,7 +37,7 @@
 	published [viewHistoryEpochs]time.Duration // by epoch modulo viewHistoryEpochs
 }
 
-// NewCollector returns a collector without reports for a term, whose views come once an interval.
+// NewCollector returns a collector without reports for a term. The caller must compile a view once an interval.
 func NewCollector(term uint64, interval time.Duration) *Collector {
 	return &Collector{term: term, interval: interval, reports: map[string]latestReport{}}
 }
@@ -45,8 +45,8 @@
 // Term returns the term that the collector is for.
 func (c *Collector) Term() uint64 { return c.term }
 
-// Add adds the report of a process that has its node's session. It fails with ErrMalformed, ErrSuperseded,
-// ErrSessionNotFound or, for a report no newer than the last one, ErrStaleReport.
+// Add adds the report of a process that has its node's open session. It fails with ErrMalformed, ErrSuperseded,
+// ErrSessionNotFound, or with ErrStaleReport if the report is not newer than the last report of the process.
 func (c *Collector) Add(sessions *SessionStore, r ReportRequest) error {
 	if err := r.Validate(); err != nil {
 		return err
@@ -59,7 +59,7 @@
 		return ErrStaleReport.Of(r.Node, nil)
 	}
 	report := latestReport{Report: r.Report}
-	if c.remembers(r.LastView) {
+	if c.knowsPublishTime(r.LastView) {
 		report.echoedViewAt = c.published[r.LastView.Epoch%viewHistoryEpochs]
 		report.ageKnown = true
 	}
@@ -67,16 +67,18 @@
 	return nil
 }
 
-// remembers reports whether the collector knows when a view was published: it is of this term, out, and not too old.
-func (c *Collector) remembers(v ViewVersion) bool {
+// knowsPublishTime reports whether the collector knows when a view was published. The view must be of the collector's
+// term, published already, and one of the last viewHistoryEpochs views.
+func (c *Collector) knowsPublishTime(v ViewVersion) bool {
 	return v.Term == c.term && v.Epoch > 0 && v.Epoch <= c.epoch && c.epoch-v.Epoch < viewHistoryEpochs
 }
 
-// Compile returns the view of the next epoch, which counts as published at the given time.
+// Compile returns the view of the next epoch. now counts as the time of its publication; revision is the revision of
+// the registry's state that the sessions are from.
 func (c *Collector) Compile(sessions *SessionStore, revision int64, now time.Duration) View {
 	c.epoch++
 	c.published[c.epoch%viewHistoryEpochs] = now
-	c.forgetClosed(sessions)
+	c.dropReportsWithoutSession(sessions)
 	view := View{
 		ViewVersion: ViewVersion{Term: c.term, Epoch: c.epoch},
 		Revision:    revision,
@@ -101,8 +103,8 @@
 	return view
 }
 
-// forgetClosed drops the reports of nodes without an open session.
-func (c *Collector) forgetClosed(sessions *SessionStore) {
+// dropReportsWithoutSession deletes the reports of nodes without an open session.
+func (c *Collector) dropReportsWithoutSession(sessions *SessionStore) {
 	for node := range c.reports {
 		if _, ok := sessions.Open[node]; !ok {
 			delete(c.reports, node)
@@ -110,7 +112,8 @@
 	}
 }
 
-// nodeView returns the view of a session's node, with the report of that session's process if there is one.
+// nodeView returns the view of a session's node. It has the node's report only if the report is of the session's
+// process.
 func (c *Collector) nodeView(session Session, now time.Duration) NodeView {
 	node := NodeView{
 		Node:        session.Node,
@@ -139,8 +142,8 @@
 	return tenants[:min(tenantsPerNode, len(tenants))]
 }
 
-// mergeEndpoint merges the loads of an endpoint that several nodes report, which come in the order of the nodes' names,
-// so that sums are the same bit for bit. Medians keep one faulty node from deciding.
+// mergeEndpoint merges the loads of an endpoint that several nodes report. The loads must be in the order of the nodes'
+// names, so that sums are the same bit for bit. The medians limit the influence of a single faulty node.
 func mergeEndpoint(id string, loads []EndpointLoad) EndpointView {
 	view := EndpointView{ID: id, ReportingNodes: len(loads)}
 	var estimates []float64
@@ -155,7 +158,7 @@
 	return view
 }
 
-// median returns the lower median to a thousandth; 0 of nothing.
+// median sorts values and returns their lower median, rounded to a thousandth; 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, has the same form as in earlier versions.
+// The JSON that is stored, or sent to processes of other versions, keeps the form that earlier versions wrote.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[SessionCommand](t, "sessionCommand")
 	goldenfile.RoundTrip[SessionStore](t, "sessions")
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -17,31 +17,31 @@
 	"hitchvale/internal/statemachine"
 )
 
-// The fleet in one process, on virtual time: real agents, sessions and collector, with a registry between them whose
-// calls are lost, held up, answered to nobody, and whose leader changes; processes stall, crash and start again. All is
-// drawn from a seed.
+// The model runs a fleet in one process on virtual time. Agents, sessions and the collector are the real ones. The
+// registry between them is modelled: calls and answers are lost or delayed, and the leader changes. Processes stall,
+// crash and start again. Every choice is drawn from a seed.
 
 const modelInterval = time.Second
 
-// world is the registry of the model, and what is known of it from outside.
+// registryModel is the registry of the model, with the records that the invariants are checked against.
 type registryModel struct {
 	mu            sync.Mutex
 	rng           *rand.Rand
 	start         time.Time
-	calls         sync.WaitGroup // under way
+	calls         sync.WaitGroup // calls that are in progress
 	sessions      *SessionStore
 	revision      int64
 	term          uint64
-	collector     *Collector // nil: no leader
+	collector     *Collector // nil without a leader
 	view          View
-	changed       chan struct{}
+	changed       chan struct{} // closed when view changes
 	lastHeartbeat map[string]time.Time
-	noFaults      bool // no more faults
+	noFaults      bool // faults no longer lose or delay calls
 
-	sentAt   map[string]time.Time // when a report was made, by node, incarnation and number
-	views    map[ViewVersion]string
+	sentAt   map[string]time.Time   // when a report was made, by reportKey
+	views    map[ViewVersion]string // every view published, as text
 	timeline []string
-	// trustArrival is a planted bug: a report counts as made when it arrives.
+	// trustArrival is a planted fault: a report counts as made when it arrives.
 	trustArrival bool
 	violations   []string
 }
@@ -52,130 +52,132 @@
 		sentAt: map[string]time.Time{}, views: map[ViewVersion]string{}}
 }
 
-func reportKey(node string, incarnation, seq uint64) string {
-	return fmt.Sprintf("%s/%d/%d", node, incarnation, seq)
+func reportKey(node string, incarnation, sequence uint64) string {
+	return fmt.Sprintf("%s/%d/%d", node, incarnation, sequence)
 }
 
-// row adds a line of the timeline.
-func (w *registryModel) logEvent(format string, args ...any) {
-	w.timeline = append(w.timeline, fmt.Sprintf("%7.3f %s", time.Since(w.start).Seconds(), fmt.Sprintf(format, args...)))
+// logEvent adds a line to the timeline.
+func (m *registryModel) logEvent(format string, args ...any) {
+	m.timeline = append(m.timeline, fmt.Sprintf("%7.3f %s", time.Since(m.start).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (w *registryModel) violate(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (m *registryModel) violate(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// tick is a leader's round: expiry, and a view.
-func (w *registryModel) tick() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.collector == nil {
+// tick does what the leader does once an interval: it expires sessions, publishes a view, and checks the ages in the
+// view.
+func (m *registryModel) tick() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.collector == nil {
 		return
 	}
 	now := time.Now()
-	for node, s := range w.sessions.Open {
-		last, ok := w.lastHeartbeat[node]
+	for node, s := range m.sessions.Open {
+		last, ok := m.lastHeartbeat[node]
 		if !ok {
-			w.lastHeartbeat[node] = now
+			m.lastHeartbeat[node] = now
 		} else if now.Sub(last) > time.Duration(s.TTLms)*time.Millisecond {
-			w.apply("session-expire", s)
+			m.apply("session-expire", s)
 		}
 	}
-	v := w.collector.Compile(w.sessions, w.revision, time.Since(w.start))
+	v := m.collector.Compile(m.sessions, m.revision, time.Since(m.start))
 	for _, n := range v.Nodes {
-		h, ok := w.collector.reports[n.Node]
+		report, ok := m.collector.reports[n.Node]
 		if !ok || n.AgeMs < 0 {
 			continue
 		}
-		age := now.Sub(w.sentAt[reportKey(n.Node, h.Incarnation, h.Sequence)])
+		age := now.Sub(m.sentAt[reportKey(n.Node, report.Incarnation, report.Sequence)])
 		if n.Fresh && age > maxFreshAgeIntervals*modelInterval || age.Milliseconds() > n.AgeMs {
-			w.violate("a report of %s, %v old, is shown as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
+			m.violate("the view has the report of %s, which is %v old, as %d ms old, fresh: %v", n.Node, age, n.AgeMs, n.Fresh)
 		}
 	}
-	w.view = v
-	w.views[v.ViewVersion] = fmt.Sprint(v)
-	close(w.changed)
-	w.changed = make(chan struct{})
+	m.view = v
+	m.views[v.ViewVersion] = fmt.Sprint(v)
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-func (w *registryModel) apply(op statemachine.Operation, s Session) (Session, error) {
-	before := w.sessions.LastIncarnation[s.Node]
-	out, err := w.sessions.Apply(&SessionCommand{op, s}, w.revision+1)
-	if err == nil && !out.Unchanged {
-		w.revision++
+func (m *registryModel) apply(op statemachine.Operation, s Session) (Session, error) {
+	before := m.sessions.LastIncarnation[s.Node]
+	outcome, err := m.sessions.Apply(&SessionCommand{op, s}, m.revision+1)
+	if err == nil && !outcome.Unchanged {
+		m.revision++
 	}
-	if w.sessions.LastIncarnation[s.Node] < before {
-		w.violate("the incarnation of %s went back", s.Node)
+	if m.sessions.LastIncarnation[s.Node] < before {
+		m.violate("the last incarnation of %s fell", s.Node)
 	}
-	stored, _ := out.Value.(Session)
+	stored, _ := outcome.Value.(Session)
 	return stored, err
 }
 
-// elect changes the leader: a while without one, then a term whose collector knows no report.
-func (w *registryModel) elect(gap time.Duration) {
-	w.mu.Lock()
-	w.logEvent("leader lost for %v", gap)
-	w.collector = nil
-	w.mu.Unlock()
+// elect changes the leader. There is no leader for the time gap, and then a new term whose collector has no report.
+func (m *registryModel) elect(gap time.Duration) {
+	m.mu.Lock()
+	m.logEvent("no leader for %v", gap)
+	m.collector = nil
+	m.mu.Unlock()
 	time.Sleep(gap)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.term++
-	w.collector, w.lastHeartbeat = NewCollector(w.term, modelInterval), map[string]time.Time{}
-	w.logEvent("term %d", w.term)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.term++
+	m.collector, m.lastHeartbeat = NewCollector(m.term, modelInterval), map[string]time.Time{}
+	m.logEvent("term %d", m.term)
 }
 
-// link is one process's way to the registry.
+// link is the connection of one process to the registry. It implements Registry.
 type link struct {
 	*registryModel
 	node         string
-	stalledUntil time.Time // the process is paused until then
+	stalledUntil time.Time // the process is stalled until this time
 	processEnded context.Context
 	calls        *sync.WaitGroup
 }
 
-// way draws what becomes of a call: how long it takes there and back, and whether either is lost.
-func (w *registryModel) drawLink() (there, back time.Duration, lostThere, lostBack bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	there, back = time.Duration(1+w.rng.IntN(20))*time.Millisecond, time.Duration(1+w.rng.IntN(20))*time.Millisecond
-	if w.noFaults {
-		return there, back, false, false
+// drawLink draws the delays of a call and of its answer, and whether each of them is lost.
+func (m *registryModel) drawLink() (callDelay, answerDelay time.Duration, callLost, answerLost bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	callDelay = time.Duration(1+m.rng.IntN(20)) * time.Millisecond
+	answerDelay = time.Duration(1+m.rng.IntN(20)) * time.Millisecond
+	if m.noFaults {
+		return callDelay, answerDelay, false, false
 	}
-	if w.rng.IntN(8) == 0 {
-		there += time.Duration(w.rng.IntN(9000)) * time.Millisecond
+	if m.rng.IntN(8) == 0 {
+		callDelay += time.Duration(m.rng.IntN(9000)) * time.Millisecond
 	}
-	return there, back, w.rng.IntN(20) == 0, w.rng.IntN(20) == 0
+	return callDelay, answerDelay, m.rng.IntN(20) == 0, m.rng.IntN(20) == 0
 }
 
-// over makes a call over the link. What has been sent arrives even if nobody waits for the answer any more.
-func callOverLink[T any](l *link, ctx context.Context, limit time.Duration, f func() (T, error)) (T, error) {
+// callOverLink makes a call over the link. A call that was sent reaches the registry even if the caller has given up.
+func callOverLink[T any](l *link, ctx context.Context, limit time.Duration, call func() (T, error)) (T, error) {
 	type result struct {
-		v   T
-		err error
+		value T
+		err   error
 	}
 	var zero T
 	l.mu.Lock()
 	stall := time.Until(l.stalledUntil)
 	l.mu.Unlock()
 	sleep(l.processEnded, stall)
-	there, back, lostThere, lostBack := l.drawLink()
-	got := make(chan result, 1)
+	callDelay, answerDelay, callLost, answerLost := l.drawLink()
+	answered := make(chan result, 1)
 	l.calls.Go(func() {
-		if time.Sleep(there); lostThere {
+		if time.Sleep(callDelay); callLost {
 			return
 		}
-		v, err := f()
-		if time.Sleep(back); !lostBack {
-			got <- result{v, err}
+		value, err := call()
+		if time.Sleep(answerDelay); !answerLost {
+			answered <- result{value, err}
 		}
 	})
-	t := time.NewTimer(limit + callTimeout)
-	defer t.Stop()
+	timer := time.NewTimer(limit + callTimeout)
+	defer timer.Stop()
 	select {
-	case r := <-got:
-		return r.v, r.err
-	case <-t.C:
+	case r := <-answered:
+		return r.value, r.err
+	case <-timer.C:
 		return zero, ErrRegistryUnreachable.Of("model", context.DeadlineExceeded)
 	case <-ctx.Done():
 		return zero, ErrRegistryUnreachable.Of("model", ctx.Err())
@@ -185,11 +187,11 @@
 }
 
 func (l *link) SessionStatus(ctx context.Context, node string) (SessionStatus, error) {
-	return callOverLink(l, ctx, 0, func() (h SessionStatus, err error) {
+	return callOverLink(l, ctx, 0, func() (status SessionStatus, err error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.collector == nil {
-			return h, ErrViewNotReady.Of("model", nil)
+			return status, ErrViewNotReady.Of("model", nil)
 		}
 		return l.sessions.Status(node), nil
 	})
@@ -220,13 +222,13 @@
 
 func (l *link) SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
 	type answer struct {
-		v    View
-		came bool
+		view View
+		ok   bool
 	}
 	l.mu.Lock()
 	l.sentAt[reportKey(r.Node, r.Incarnation, r.Sequence)] = time.Now()
 	l.mu.Unlock()
-	a, err := callOverLink(l, ctx, wait, func() (answer, error) {
+	got, err := callOverLink(l, ctx, wait, func() (answer, error) {
 		l.mu.Lock()
 		if l.collector == nil {
 			l.mu.Unlock()
@@ -243,26 +245,26 @@
 		if err != nil {
 			return answer{}, err
 		}
-		t := time.NewTimer(wait)
-		defer t.Stop()
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
 		for {
 			l.mu.Lock()
-			v, next := l.view, l.changed
+			view, changed := l.view, l.changed
 			l.mu.Unlock()
-			if v.Epoch != 0 && v.ViewVersion != r.LastView {
-				return answer{v, true}, nil
+			if view.Epoch != 0 && view.ViewVersion != r.LastView {
+				return answer{view, true}, nil
 			}
 			select {
-			case <-next:
-			case <-t.C:
+			case <-changed:
+			case <-timer.C:
 				return answer{}, nil
 			}
 		}
 	})
-	return a.v, a.came, err
+	return got.view, got.ok, err
 }
 
-// process is one start of a node.
+// process is one process of a node.
 type process struct {
 	agent *Agent
 	link  *link
@@ -270,43 +272,44 @@
 	ended chan error
 }
 
-// fleetModel plays one schedule over nodes and gives what was broken.
-func playModel(t *testing.T, seed uint64, nodes int, planted bool) (broken, timeline []string) {
+// playModel plays the schedule of a seed with a number of nodes. It returns the violated invariants and the timeline.
+// If planted, reports count as made when they arrive.
+func playModel(t *testing.T, seed uint64, nodes int, planted bool) (violations, timeline []string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegistryModel(seed)
-		w.trustArrival = planted
+		m := newRegistryModel(seed)
+		m.trustArrival = planted
 		ctx, stop := context.WithCancel(context.Background())
-		var all sync.WaitGroup
+		var running sync.WaitGroup
 		processes := map[string][]*process{}
 		start := func(node string) {
 			processCtx, kill := context.WithCancel(ctx)
 			name := fmt.Sprintf("%s.%d", node, len(processes[node])+1)
 			p := &process{
-				link:  &link{registryModel: w, node: node, processEnded: processCtx, calls: &w.calls},
+				link:  &link{registryModel: m, node: node, processEnded: processCtx, calls: &m.calls},
 				kill:  kill,
 				ended: make(chan error, 1),
 			}
 			p.agent = NewAgent(AgentConfig{Node: node, Site: "a", Address: "127.0.0.1:1", Interval: modelInterval}, name, p.link,
 				func() Report { return Report{Metrics: LoadMetrics{Connections: 1}} }, slog.New(slog.DiscardHandler))
 			processes[node] = append(processes[node], p)
-			all.Go(func() { p.ended <- p.agent.Run(processCtx) })
+			running.Go(func() { p.ended <- p.agent.Run(processCtx) })
 		}
 		name := func(i int) string { return fmt.Sprintf("n%d", i) }
 		for i := range nodes {
 			start(name(i))
 		}
-		all.Go(func() {
-			for tick := time.NewTicker(modelInterval); ctx.Err() == nil; {
+		running.Go(func() {
+			for ticker := time.NewTicker(modelInterval); ctx.Err() == nil; {
 				select {
-				case <-tick.C:
-					w.tick()
+				case <-ticker.C:
+					m.tick()
 				case <-ctx.Done():
-					tick.Stop()
+					ticker.Stop()
 				}
 			}
 		})
 		seen := map[*process]ViewVersion{}
-		look := func() {
+		checkViews := func() {
 			for _, ps := range processes {
 				for _, p := range ps {
 					v, _, ok := p.agent.View()
@@ -314,67 +317,68 @@
 						continue
 					}
 					if v.ViewVersion.Before(seen[p]) {
-						w.violate("%s went back from %v to %v", p.link.node, seen[p], v.ViewVersion)
+						m.violate("the view of %s went from version %v back to %v", p.link.node, seen[p], v.ViewVersion)
 					}
-					if seen[p] = v.ViewVersion; fmt.Sprint(v) != w.views[v.ViewVersion] {
-						w.violate("%s reads another view under %v", p.link.node, v.ViewVersion)
+					if seen[p] = v.ViewVersion; fmt.Sprint(v) != m.views[v.ViewVersion] {
+						m.violate("%s has a view that differs from the published version %v", p.link.node, v.ViewVersion)
 					}
 				}
 			}
 		}
-		for range 6 + w.rng.IntN(6) {
-			time.Sleep(time.Duration(w.rng.IntN(3000)) * time.Millisecond)
-			w.mu.Lock()
-			node, kind, long := name(w.rng.IntN(nodes)), w.rng.IntN(4), time.Duration(w.rng.IntN(9000))*time.Millisecond
+		for range 6 + m.rng.IntN(6) {
+			time.Sleep(time.Duration(m.rng.IntN(3000)) * time.Millisecond)
+			m.mu.Lock()
+			node, fault := name(m.rng.IntN(nodes)), m.rng.IntN(4)
+			duration := time.Duration(m.rng.IntN(9000)) * time.Millisecond
 			last := processes[node][len(processes[node])-1]
-			switch kind {
+			switch fault {
 			case 0:
-				w.logEvent("%s stalls for %v", node, long)
-				last.link.stalledUntil = time.Now().Add(long)
+				m.logEvent("%s stalls for %v", node, duration)
+				last.link.stalledUntil = time.Now().Add(duration)
 			case 1:
-				w.logEvent("%s killed and started", node)
+				m.logEvent("%s is killed and started again", node)
 				last.kill()
 			case 2:
-				w.logEvent("%s: a second process beside the first", node)
+				m.logEvent("%s: a second process starts in addition to the first", node)
 			}
-			w.mu.Unlock()
-			switch kind {
+			m.mu.Unlock()
+			switch fault {
 			case 1, 2:
 				start(node)
 			case 3:
-				w.elect(long / 3)
+				m.elect(duration / 3)
 			}
-			w.mu.Lock()
-			look()
-			w.mu.Unlock()
+			m.mu.Lock()
+			checkViews()
+			m.mu.Unlock()
 		}
-		w.mu.Lock()
-		w.noFaults = true
-		w.logEvent("calm")
-		w.mu.Unlock()
-		time.Sleep(40 * modelInterval) // past every stall, call and TTL
-		w.mu.Lock()
-		look()
-		w.checkConverged(processes)
-		broken, timeline = w.violations, w.timeline
-		w.mu.Unlock()
+		m.mu.Lock()
+		m.noFaults = true
+		m.logEvent("end of the faults")
+		m.mu.Unlock()
+		time.Sleep(40 * modelInterval) // longer than every stall, call and TTL
+		m.mu.Lock()
+		checkViews()
+		m.checkConverged(processes)
+		violations, timeline = m.violations, m.timeline
+		m.mu.Unlock()
 		stop()
-		all.Wait()
-		w.calls.Wait()
+		running.Wait()
+		m.calls.Wait()
 	})
-	return broken, timeline
+	return violations, timeline
 }
 
-// checkConverged checks what must hold once faults have been over for long: each name is held by one live process, the others
-// of it are superseded and have ended, and its report is fresh.
-func (w *registryModel) checkConverged(processes map[string][]*process) {
+// checkConverged checks the state long after the last fault. Each name must have exactly one live process and a fresh
+// report, and every other process of the name must have been killed or have ended as superseded.
+func (m *registryModel) checkConverged(processes map[string][]*process) {
 	fresh := map[string]bool{}
-	for _, n := range w.view.Nodes {
+	for _, n := range m.view.Nodes {
 		fresh[n.Node] = n.Fresh
 	}
 	for node, ps := range processes {
 		if !fresh[node] {
-			w.violate("%s is not fresh long after the last fault", node)
+			m.violate("%s is not fresh long after the last fault", node)
 		}
 		live := 0
 		for _, p := range ps {
@@ -384,20 +388,20 @@
 			select {
 			case err := <-p.ended:
 				if !errors.Is(err, ErrSuperseded) {
-					w.violate("a process of %s ended with %v", node, err)
+					m.violate("a process of %s ended with %v, want %v", node, err, ErrSuperseded)
 				}
 			default:
 				live++
 			}
 		}
 		if live != 1 {
-			w.violate("%d live processes have the name %s", live, node)
+			m.violate("%s has %d live processes, want 1", node, live)
 		}
 	}
 }
 
-// modelSchedules is how many schedules a test plays; FLEET_SCHEDULES sets another number, and changes no verdict of a
-// seed.
+// modelSchedules returns the number of schedules that a test plays. The environment variable FLEET_SCHEDULES overrides
+// it. The result of each seed does not depend on the number.
 func modelSchedules() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_SCHEDULES")); err == nil {
 		return n
@@ -405,38 +409,38 @@
 	return 10000
 }
 
-// Over drawn schedules of lost and late calls, stalls, crashes, second processes and leader changes: no report counts
-// as younger than it is, views never go back and are the same for all readers, incarnations rise, and once faults are
-// over each name has one process and a fresh report.
+// Random schedules have lost and late calls, stalls, crashes, second processes of a node, and changes of the leader. No
+// report counts as younger than it is. The versions of views never go back, and each version is the same for all
+// readers. Incarnations rise. After the faults each name has one process and a fresh report.
 func TestViewInvariantsUnderRandomFaults(t *testing.T) {
 	const parts = 8
 	for part := range uint64(parts) {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part; seed < uint64(modelSchedules()); seed += parts {
-				if broken, timeline := playModel(t, seed, 3, false); len(broken) > 0 {
-					t.Fatalf("seed %d: %s\n%s", seed, broken[0], strings.Join(timeline, "\n"))
+				if violations, timeline := playModel(t, seed, 3, false); len(violations) > 0 {
+					t.Fatalf("seed %d: %s\n%s", seed, violations[0], strings.Join(timeline, "\n"))
 				}
 			}
 		})
 	}
 }
 
-// A fleet of the full size holds the same invariants.
+// The same invariants hold in a fleet of 300 nodes.
 func TestViewInvariantsAtFullSize(t *testing.T) {
 	for seed := range uint64(1) {
-		if broken, timeline := playModel(t, seed, 300, false); len(broken) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, broken[0], strings.Join(timeline[max(0, len(timeline)-40):], "\n"))
+		if violations, timeline := playModel(t, seed, 300, false); len(violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, violations[0], strings.Join(timeline[max(0, len(timeline)-40):], "\n"))
 		}
 	}
 }
 
-// A collector that takes a report for as young as its arrival is caught.
+// The model detects a registry that derives a report's age from its arrival.
 func TestPlantedArrivalAgeIsDetected(t *testing.T) {
 	for seed := range uint64(50) {
-		if broken, _ := playModel(t, seed, 3, true); len(broken) > 0 {
+		if violations, _ := playModel(t, seed, 3, true); len(violations) > 0 {
 			return
 		}
 	}
-	t.Fatal("50 schedules did not show a late report that passes for fresh")
+	t.Fatal("in 50 schedules no late report was shown as fresh")
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -9,75 +9,77 @@
 	"slices"
 )
 
-// MaxReportBytes bounds a report's JSON. An endpoint takes up to 200 bytes of it, with the longest ID, so that 1,024 of
-// them and the tenants fit.
+// MaxReportBytes bounds a report's JSON. An endpoint with the longest ID takes up to 200 bytes, so that 1,024 endpoints
+// and the tenants fit.
 const MaxReportBytes = 256 << 10
 
-// trimDivisor is the fraction of a list, one in trimDivisor, that one step of trimming removes.
+// trimDivisor determines how much one step of trimming removes: one in trimDivisor entries of a list.
 const trimDivisor = 8
 
-// EndpointLoad is what a node knows of an endpoint's load from its own decisions.
+// EndpointLoad is an endpoint's load as one node knows it from its own decisions.
 type EndpointLoad struct {
 	ID            string  `json:"id"`
-	QueueEstimate float64 `json:"estimate"`    // requests of all nodes
-	Outstanding   float64 `json:"outstanding"` // this node's attempts
+	QueueEstimate float64 `json:"estimate"`    // number of requests of all nodes
+	Outstanding   float64 `json:"outstanding"` // number of this node's attempts
 	FailureRate   float64 `json:"failures"`    // fraction of attempts, 0 to 1
 }
 
-// LoadMetrics are the metrics of a node's load.
+// LoadMetrics is a node's load.
 type LoadMetrics struct {
-	Connections       float64 `json:"connections"` // of clients
-	Descriptors       float64 `json:"descriptors"` // open
-	DescriptorLimit   float64 `json:"allowed"`
-	CPUFraction       float64 `json:"core"` // used of the part of a core that the node may use
+	Connections       float64 `json:"connections"` // number of client connections
+	Descriptors       float64 `json:"descriptors"` // number of open file descriptors
+	DescriptorLimit   float64 `json:"allowed"`     // greatest number of open file descriptors
+	CPUFraction       float64 `json:"core"`        // CPU time used, as a fraction of the CPU time that the node may use
 	InFlight          float64 `json:"in_flight"`
 	RejectedPerSecond float64 `json:"refused"`
 	FailedPerSecond   float64 `json:"failed"`
 }
 
-// Report is a process's report of its node's load.
+// Report is a process's report of the load of its node.
 type Report struct {
 	Node        string      `json:"node"`
 	Incarnation uint64      `json:"incarnation"`
-	Sequence    uint64      `json:"seq"` // rises with every report of a process
+	Sequence    uint64      `json:"seq"` // rises with each report of the process
 	Metrics     LoadMetrics `json:"figures"`
-	// The tenants of the greatest weight, by connections, and by work in seconds of endpoints.
+	// The tenants with the most connections, and the tenants with the most work in seconds of the endpoints' time.
 	TenantsByConnections []WeightedKey  `json:"by_conns,omitempty"`
 	TenantsByWork        []WeightedKey  `json:"by_work,omitempty"`
-	Endpoints            []EndpointLoad `json:"backends,omitempty"` // by ID
-	Omitted              int            `json:"cut,omitempty"`      // entries of the lists above that were trimmed
-	Draining             bool           `json:"draining,omitempty"` // the process shuts down
+	Endpoints            []EndpointLoad `json:"backends,omitempty"` // sorted by ID
+	Omitted              int            `json:"cut,omitempty"`      // number of entries removed from the lists above
+	Draining             bool           `json:"draining,omitempty"` // the process is shutting down
 }
 
-// ReportRequest is the body of a report's call: the report, and the last view that its sender had. The report was made
-// after that view was published, which bounds its age on the leader's clock; no other clock counts.
+// ReportRequest is the body of a call that sends a report. LastView is the last view that the node received before it
+// made the report. The report is therefore younger than the publication of LastView, and the leader's clock alone
+// bounds its age.
 type ReportRequest struct {
 	Report
 	LastView ViewVersion `json:"echo"`
 }
 
-// Validate fails with ErrMalformed for what no node sends.
+// Validate fails with ErrMalformed if the report has values that no node sends.
 func (r Report) Validate() error {
 	m := r.Metrics
 	for _, value := range []float64{m.Connections, m.Descriptors, m.DescriptorLimit, m.CPUFraction, m.InFlight,
 		m.RejectedPerSecond, m.FailedPerSecond} {
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return ErrMalformed.Of(r.Node, errors.New("a figure is negative or no number"))
+			return ErrMalformed.Of(r.Node, errors.New("figures must be finite numbers of at least 0"))
 		}
 	}
 	switch {
 	case r.Node == "" || len(r.Node) > maxKeyBytes:
-		return ErrMalformed.Of("node", fmt.Errorf("a name of 1 to %d bytes is wanted", maxKeyBytes))
+		return ErrMalformed.Of("node", fmt.Errorf("the name must have 1 to %d bytes", maxKeyBytes))
 	case r.Incarnation == 0:
-		return ErrMalformed.Of(r.Node, errors.New("incarnation: 0"))
+		return ErrMalformed.Of(r.Node, errors.New("incarnation must be above 0"))
 	case r.Omitted < 0:
-		return ErrMalformed.Of(r.Node, errors.New("cut: negative"))
+		return ErrMalformed.Of(r.Node, errors.New("cut must not be negative"))
 	}
 	return nil
 }
 
-// Trimmed returns the report in at most MaxReportBytes of JSON, with its endpoints by ID. Of the longest list it omits
-// the least loaded endpoints or the lightest tenants, and counts them in Omitted.
+// Trimmed returns a copy of the report that takes at most MaxReportBytes as JSON, with its endpoints sorted by ID. It
+// shortens the longest list until the report fits: it removes the least loaded endpoints, or the tenants at the end of
+// their list, and adds their number to Omitted.
 func (r Report) Trimmed() (Report, error) {
 	r.Endpoints = slices.Clone(r.Endpoints)
 	r.TenantsByConnections = slices.Clone(r.TenantsByConnections)
@@ -91,12 +93,12 @@
 		case len(text) <= MaxReportBytes:
 			return r, nil
 		case !r.trimLongestList():
-			return Report{}, ErrMalformed.Of(r.Node, errors.New("too long with nothing left to cut"))
+			return Report{}, ErrMalformed.Of(r.Node, fmt.Errorf("JSON longer than %d bytes with empty lists", MaxReportBytes))
 		}
 	}
 }
 
-// trimLongestList removes a part of the longest of the report's lists; it returns false if all are empty.
+// trimLongestList removes a part of the longest of the report's lists. It returns false if all lists are empty.
 func (r *Report) trimLongestList() bool {
 	endpoints := len(r.Endpoints)
 	byConnections := len(r.TenantsByConnections)
@@ -115,7 +117,7 @@
 	return true
 }
 
-// compareLoad orders endpoints by their load, the greatest first.
+// compareLoad orders endpoints by their load, the most loaded first.
 func compareLoad(a, b EndpointLoad) int {
 	return cmp.Or(
 		cmp.Compare(b.Outstanding, a.Outstanding),
--- a/internal/fleet/sessionstore.go
+++ b/internal/fleet/sessionstore.go
@@ -9,14 +9,14 @@
 	"hitchvale/internal/statemachine"
 )
 
-// SessionStore is the state machine of the nodes' sessions.
+// SessionStore is the state machine of the nodes' sessions. It is not safe for concurrent use.
 type SessionStore struct {
 	Open map[string]Session `json:"open"` // by node
-	// LastIncarnation is the highest incarnation that each name ever had: an older process stays superseded after the
-	// newer one's session has ended.
+	// LastIncarnation maps each name to the highest incarnation that it ever had. Entries are kept, so that an older
+	// process stays superseded after the session of the newer process has ended.
 	LastIncarnation map[string]uint64 `json:"last"`
-	// LastProcess is the process that had LastIncarnation. By it a process recognizes a session of its own that ended
-	// before the answer to its opening arrived.
+	// LastProcess maps each name to the process that had LastIncarnation. A process that did not receive the answer to
+	// its opening of a session recognizes by it that the session was its own, even if the session has ended since.
 	LastProcess map[string]string `json:"by"`
 }
 
@@ -29,17 +29,17 @@
 	}
 }
 
-// Kind is part of statemachine.Machine.
+// Kind implements statemachine.Machine.
 func (s *SessionStore) Kind() string { return "sessions" }
 
-// Commands is part of statemachine.Machine.
+// Commands implements statemachine.Machine.
 func (s *SessionStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &SessionCommand{} }
 	return statemachine.CommandsOf(empty, OpOpenSession, OpCloseSession, OpExpireSession)
 }
 
-// Apply executes a SessionCommand and returns the session. It fails with ErrMalformed, ErrSuperseded or
-// ErrSessionNotFound.
+// Apply implements statemachine.Machine: it executes a *SessionCommand and returns the session. It fails with
+// ErrMalformed, ErrSuperseded or ErrSessionNotFound.
 func (s *SessionStore) Apply(cmd statemachine.Command, nextRevision int64) (statemachine.Outcome, error) {
 	c := cmd.(*SessionCommand)
 	if c.Op == OpOpenSession {
@@ -52,9 +52,9 @@
 	return statemachine.Outcome{Value: c.Session}, nil
 }
 
-// openSession opens a session by compare-and-set: its incarnation has to be one above the last under the name, so that
-// a late call of a process that has ended does not supersede a newer one. To open the session that is open changes
-// nothing.
+// openSession opens a session by compare-and-set: its incarnation must be one above the last incarnation of the name,
+// so that a late call of a process that has ended does not supersede a newer process. Opening a session that is already
+// open changes nothing.
 func (s *SessionStore) openSession(session Session, nextRevision int64) (statemachine.Outcome, error) {
 	if err := session.Validate(); err != nil {
 		return statemachine.Outcome{}, err
@@ -64,7 +64,7 @@
 	if open && session.Process == present.Process {
 		if session.Incarnation != present.Incarnation {
 			return statemachine.Outcome{}, ErrSuperseded.Of(node,
-				fmt.Errorf("the process has incarnation %d", present.Incarnation))
+				fmt.Errorf("the process has an open session with incarnation %d", present.Incarnation))
 		}
 		return statemachine.Outcome{Unchanged: true, Value: present}, nil
 	}
@@ -74,7 +74,7 @@
 	}
 	if session.Incarnation > last+1 {
 		return statemachine.Outcome{}, ErrMalformed.Of(node,
-			fmt.Errorf("incarnation %d after %d", session.Incarnation, last))
+			fmt.Errorf("incarnation %d must be one above the last incarnation, %d", session.Incarnation, last))
 	}
 	session.OpenedRevision = nextRevision
 	s.Open[node] = session
@@ -84,7 +84,7 @@
 }
 
 func supersededBy(node string, incarnation, last uint64) error {
-	return ErrSuperseded.Of(node, fmt.Errorf("incarnation %d, and %d has been here", incarnation, last))
+	return ErrSuperseded.Of(node, fmt.Errorf("incarnation %d, and the last incarnation is %d", incarnation, last))
 }
 
 // VerifyIncarnation fails with ErrSuperseded or ErrSessionNotFound unless the node's open session has the given
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Status returns what the store has of a name.
+// Status returns the store's record of a node's name.
 func (s *SessionStore) Status(node string) SessionStatus {
 	status := SessionStatus{LastIncarnation: s.LastIncarnation[node], LastProcess: s.LastProcess[node]}
 	if session, ok := s.Open[node]; ok {
@@ -108,7 +108,7 @@
 	return status
 }
 
-// List returns the open sessions by name.
+// List returns the open sessions, sorted by node.
 func (s *SessionStore) List() []Session {
 	sessions := make([]Session, 0, len(s.Open))
 	for _, node := range slices.Sorted(maps.Keys(s.Open)) {
@@ -117,10 +117,10 @@
 	return sessions
 }
 
-// Encode is part of statemachine.Machine.
+// Encode implements statemachine.Machine.
 func (s *SessionStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode is part of statemachine.Machine.
+// Decode implements statemachine.Machine.
 func (s *SessionStore) Decode(section []byte, _ int64) error {
 	decoded := NewSessionStore()
 	if err := json.Unmarshal(section, decoded); err != nil {
--- a/internal/fleet/sketch.go
+++ b/internal/fleet/sketch.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxKeyBytes bounds the length of a key; a sketch cuts longer ones there.
+// maxKeyBytes bounds the length of a key. A sketch cuts longer keys to this length.
 const maxKeyBytes = 64
 
 // WeightedKey is a key of a sketch. Its true weight is at most Weight and at least Weight less MaxError.
@@ -15,18 +15,18 @@
 	MaxError float64 `json:"over,omitempty"`
 }
 
-// Sketch finds the keys of the greatest weight in a stream, in the memory of a fixed number of counters (Space-Saving:
-// Metwally, Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005). It is
-// exact as long as there are no more keys than counters; beyond, it has every key whose weight is above Total divided
-// by the number of counters. Not safe for concurrent use.
+// Sketch finds the keys of the greatest weight in a stream, with a fixed number of counters (Space-Saving: Metwally,
+// Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005). The weights are
+// exact as long as there are no more keys than counters. With more keys, the sketch has every key whose weight is above
+// Total divided by the number of counters. It is not safe for concurrent use.
 type Sketch struct {
-	capacity int            // counters
-	heap     []WeightedKey  // by compareWeights, the least first
-	position map[string]int // in heap, by key
+	capacity int            // number of counters
+	heap     []WeightedKey  // binary heap by compareWeights, the least key first
+	position map[string]int // index in heap, by key
 	total    float64
 }
 
-// NewSketch returns an empty sketch of the given number of counters, at least one.
+// NewSketch returns an empty sketch with the given number of counters, but at least one.
 func NewSketch(counters int) *Sketch {
 	counters = max(counters, 1)
 	return &Sketch{
@@ -65,8 +65,8 @@
 	s.siftUp(i)
 }
 
-// replaceLeast gives the counter of the least key to a new one. The weight of the old key is the most that the new one
-// can have had.
+// replaceLeast gives the counter of the least key to a new key. The weight of the old key bounds the weight that the
+// new key may already have had, and so is the new key's MaxError.
 func (s *Sketch) replaceLeast(key string, weight float64) {
 	least := s.heap[0]
 	delete(s.position, least.Key)
@@ -78,21 +78,21 @@
 // Total returns the sum of the weights added.
 func (s *Sketch) Total() float64 { return s.total }
 
-// Top returns the n heaviest keys, the heaviest first.
+// Top returns the n keys of the greatest weight, or all keys if there are fewer, the heaviest first.
 func (s *Sketch) Top(n int) []WeightedKey {
 	keys := slices.Clone(s.heap)
 	slices.SortFunc(keys, func(a, b WeightedKey) int { return -compareWeights(a, b) })
 	return keys[:min(n, len(keys))]
 }
 
-// Clear empties the sketch and retains its memory.
+// Clear removes all keys and keeps the allocated memory.
 func (s *Sketch) Clear() {
 	s.heap = s.heap[:0]
 	s.total = 0
 	clear(s.position)
 }
 
-// compareWeights orders by weight, and by key if weights are equal, so that the same stream gives the same sketch.
+// compareWeights orders by weight, and by key if the weights are equal, so that the same stream gives the same sketch.
 func compareWeights(a, b WeightedKey) int {
 	return cmp.Or(cmp.Compare(a.Weight, b.Weight), cmp.Compare(b.Key, a.Key))
 }
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Against exact counts over random streams: a key's weight is never too low nor higher by more than MaxError,
-// every key above its share of the total is there, there are no more counters than configured, and with no more keys
-// than counters all is exact.
+// A sketch of a random stream is compared with exact counts. A key's weight is not too low, and too high by at most
+// MaxError. Every key whose weight is above the total divided by the number of counters is there. There are no more
+// counters than configured. With no more keys than counters, the weights are exact.
 func TestSketchKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 12).Draw(t, "size")
@@ -25,26 +25,26 @@
 		if len(top) > size || s.Total() != total || len(s.position) != len(s.heap) {
 			t.Fatalf("%d counters of %d, total %v of %v", len(top), size, s.Total(), total)
 		}
-		there := map[string]bool{}
-		for i, h := range top {
-			there[h.Key] = true
-			if w := exact[h.Key]; w > h.Weight || w < h.Weight-h.MaxError || len(exact) <= size && w != h.Weight {
-				t.Fatalf("%+v, true weight %v", h, w)
+		found := map[string]bool{}
+		for i, k := range top {
+			found[k.Key] = true
+			if w := exact[k.Key]; w > k.Weight || w < k.Weight-k.MaxError || len(exact) <= size && w != k.Weight {
+				t.Fatalf("%+v, true weight %v", k, w)
 			}
-			if i > 0 && h.Weight > top[i-1].Weight {
+			if i > 0 && k.Weight > top[i-1].Weight {
 				t.Fatalf("out of order: %+v", top)
 			}
 		}
 		for key, w := range exact {
-			if w > total/float64(size) && !there[key] {
-				t.Fatalf("%s with %v of %v is missing among %d", key, w, total, size)
+			if w > total/float64(size) && !found[key] {
+				t.Fatalf("%s has weight %v of %v and is missing among %d counters", key, w, total, size)
 			}
 		}
 	})
 }
 
-// Keys of any length and number take no more memory, and a cleared sketch counts again without allocating.
-func TestSketchMemoryIsFixed(t *testing.T) {
+// Long keys are cut, a cleared sketch counts anew, and weights below 0 are ignored.
+func TestSketchCutsLongKeysAndClears(t *testing.T) {
 	s := NewSketch(64)
 	fill := func() {
 		for i := range 2000 {
@@ -52,9 +52,9 @@
 		}
 	}
 	fill()
-	for _, h := range s.Top(64) {
-		if len(h.Key) > maxKeyBytes {
-			t.Errorf("a key of %d bytes is stored", len(h.Key))
+	for _, k := range s.Top(64) {
+		if len(k.Key) > maxKeyBytes {
+			t.Errorf("a key of %d bytes is stored", len(k.Key))
 		}
 	}
 	s.Clear()
@@ -63,11 +63,12 @@
 	}
 	s.Add("a", -1)
 	if s.Total() != 1 {
-		t.Errorf("a weight below 0 counts")
+		t.Errorf("a weight below 0 is counted")
 	}
 }
 
-// A report is trimmed to its bound, counts what it omits, and omits the least loaded endpoints.
+// A trimmed report omits the least loaded endpoints and counts the omitted entries. The report that it is made from
+// does not change.
 func TestReportsAreTrimmed(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
@@ -78,24 +79,26 @@
 		tenant := WeightedKey{Key: fmt.Sprint("tenant", i), Weight: float64(100 - i)}
 		r.TenantsByConnections = append(r.TenantsByConnections, tenant)
 	}
-	b, err := r.Trimmed()
+	trimmed, err := r.Trimmed()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(b.Endpoints)+b.Omitted != 20000 || len(b.TenantsByConnections) != 32 || len(r.Endpoints) != 20000 {
-		t.Errorf("%d backends, %d cut, %d tenants", len(b.Endpoints), b.Omitted, len(b.TenantsByConnections))
+	if len(trimmed.Endpoints)+trimmed.Omitted != 20000 || len(trimmed.TenantsByConnections) != 32 ||
+		len(r.Endpoints) != 20000 {
+		t.Errorf("%d endpoints, %d omitted, %d tenants",
+			len(trimmed.Endpoints), trimmed.Omitted, len(trimmed.TenantsByConnections))
 	}
-	for i, x := range b.Endpoints {
-		if x.Outstanding < 3 {
-			t.Fatalf("%+v is reported while busier ones are omitted", x)
+	for i, load := range trimmed.Endpoints {
+		if load.Outstanding < 3 {
+			t.Fatalf("%+v is reported, and endpoints with more load are omitted", load)
 		}
-		if i > 0 && x.ID <= b.Endpoints[i-1].ID {
-			t.Fatal("not by id")
+		if i > 0 && load.ID <= trimmed.Endpoints[i-1].ID {
+			t.Fatal("the endpoints are not sorted by ID")
 		}
 	}
 }
 
-// Nothing is omitted for 1,024 endpoints with the longest IDs and metrics.
+// A report of 1,024 endpoints with the longest IDs and figures is not trimmed.
 func TestReportsHold1024Endpoints(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 1024 {
@@ -103,10 +106,11 @@
 			QueueEstimate: 1234.5678901234567 / 3, Outstanding: 1000.0 / 3, FailureRate: 1.0 / 3e6})
 	}
 	for i := range 64 {
-		heavy := WeightedKey{Key: fmt.Sprintf("%0*d", maxKeyBytes, i), Weight: 1000.0 / 3}
-		r.TenantsByConnections, r.TenantsByWork = append(r.TenantsByConnections, heavy), append(r.TenantsByWork, heavy)
+		tenant := WeightedKey{Key: fmt.Sprintf("%0*d", maxKeyBytes, i), Weight: 1000.0 / 3}
+		r.TenantsByConnections = append(r.TenantsByConnections, tenant)
+		r.TenantsByWork = append(r.TenantsByWork, tenant)
 	}
-	if b, err := r.Trimmed(); err != nil || b.Omitted != 0 || len(b.Endpoints) != 1024 {
-		t.Errorf("%d backends, %d cut, %v", len(b.Endpoints), b.Omitted, err)
+	if trimmed, err := r.Trimmed(); err != nil || trimmed.Omitted != 0 || len(trimmed.Endpoints) != 1024 {
+		t.Errorf("%d endpoints, %d omitted, %v", len(trimmed.Endpoints), trimmed.Omitted, err)
 	}
 }
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -21,15 +21,18 @@
 	return s
 }
 
-// A report is as old as the view that it echoes, whenever it comes: one that was held up is not fresh, nor is one that
-// echoes nothing of this term. The same report twice, an older one, and one of a process that has no session are
-// refused.
-func TestReportAgeComesFromEcho(t *testing.T) {
+// The age of a report is the age of the view that it echoes, whenever the report arrives. A report that was delayed, or
+// that echoes no view of this term, is not fresh. A report that is not newer than the last report, or is of a process
+// without a session, is refused.
+func TestReportAgeComesFromEchoedView(t *testing.T) {
 	const interval = time.Second
 	s := openSessions(t, 2)
 	c := NewCollector(7, interval)
-	report := func(inc, seq uint64, echo ViewVersion) ReportRequest {
-		return ReportRequest{Report: Report{Node: "n000", Incarnation: inc, Sequence: seq}, LastView: echo}
+	report := func(incarnation, sequence uint64, echoed ViewVersion) ReportRequest {
+		return ReportRequest{
+			Report:   Report{Node: "n000", Incarnation: incarnation, Sequence: sequence},
+			LastView: echoed,
+		}
 	}
 	for i := range 5 {
 		c.Compile(s, 1, time.Duration(i)*interval) // epoch i+1, published after i intervals
@@ -37,38 +40,38 @@
 	for name, tc := range map[string]struct {
 		r     ReportRequest
 		err   error
-		age   int64 // at 5 intervals
+		age   int64 // in ms, at 5 intervals
 		fresh bool
 	}{
-		"of the last view":       {r: report(1, 1, ViewVersion{7, 5}), age: 1000, fresh: true},
-		"at the bound":           {r: report(1, 1, ViewVersion{7, 3}), age: 3000, fresh: true},
-		"held up":                {r: report(1, 1, ViewVersion{7, 2}), age: 4000},
-		"echoes nothing":         {r: report(1, 1, ViewVersion{}), age: -1},
-		"echoes another term":    {r: report(1, 1, ViewVersion{6, 5}), age: -1},
-		"echoes a view to come":  {r: report(1, 1, ViewVersion{7, 6}), age: -1},
-		"of an older process":    {r: report(0, 1, ViewVersion{7, 5}), err: ErrMalformed, age: -1},
-		"of a process to come":   {r: report(2, 1, ViewVersion{7, 5}), err: ErrSessionNotFound, age: -1},
-		"of a node without name": {r: ReportRequest{Report: Report{Incarnation: 1}}, err: ErrMalformed, age: -1},
+		"echoes the last view":           {r: report(1, 1, ViewVersion{7, 5}), age: 1000, fresh: true},
+		"at the greatest fresh age":      {r: report(1, 1, ViewVersion{7, 3}), age: 3000, fresh: true},
+		"delayed":                        {r: report(1, 1, ViewVersion{7, 2}), age: 4000},
+		"echoes no view":                 {r: report(1, 1, ViewVersion{}), age: -1},
+		"echoes another term":            {r: report(1, 1, ViewVersion{6, 5}), age: -1},
+		"echoes a future view":           {r: report(1, 1, ViewVersion{7, 6}), age: -1},
+		"without an incarnation":         {r: report(0, 1, ViewVersion{7, 5}), err: ErrMalformed, age: -1},
+		"of a process without a session": {r: report(2, 1, ViewVersion{7, 5}), err: ErrSessionNotFound, age: -1},
+		"of a node without a name":       {r: ReportRequest{Report: Report{Incarnation: 1}}, err: ErrMalformed, age: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := *c
 			c.reports = map[string]latestReport{}
 			if err := c.Add(s, tc.r); !errors.Is(err, tc.err) {
-				t.Fatalf("%v, want %v", err, tc.err)
+				t.Fatalf("error %v, want %v", err, tc.err)
 			}
 			if err := c.Add(s, tc.r); tc.err == nil && !errors.Is(err, ErrStaleReport) {
 				t.Errorf("the same report again: %v", err)
 			}
 			v := c.Compile(s, 1, 5*interval)
 			if n := v.Nodes[0]; n.AgeMs != tc.age || n.Fresh != tc.fresh {
-				t.Errorf("age %d, fresh %v, want %d, %v", n.AgeMs, n.Fresh, tc.age, tc.fresh)
+				t.Errorf("age %d ms, fresh %v; want %d ms, %v", n.AgeMs, n.Fresh, tc.age, tc.fresh)
 			}
 		})
 	}
 }
 
-// The view depends on what was reported and not on the order in which it came, bit for bit; backends are seen by the
-// fresh reports alone, and one faulty node does not move them.
+// The bytes of a view do not depend on the order in which reports arrive. The endpoints' loads come from fresh reports
+// alone, and a single faulty node does not change the medians.
 func TestViewIsIndependentOfReportOrder(t *testing.T) {
 	s := openSessions(t, 9)
 	compile := func(seed uint64) []byte {
@@ -94,7 +97,7 @@
 				r.Endpoints[0] = EndpointLoad{ID: "s0", QueueEstimate: 1e9, FailureRate: 1}
 			}
 			if i == 7 {
-				r.LastView = ViewVersion{} // of no known age
+				r.LastView = ViewVersion{} // the report's age is not known
 			}
 			if err := c.Add(s, r); err != nil {
 				t.Fatal(err)
@@ -116,7 +119,7 @@
 	if err := json.Unmarshal(first, &v); err != nil {
 		t.Fatal(err)
 	}
-	if b := v.Endpoints[0]; b.ReportingNodes != 8 || b.QueueEstimate > 0.5 || b.FailureRate != 0.01 {
-		t.Errorf("a faulty node moved the median: %+v", b)
+	if e := v.Endpoints[0]; e.ReportingNodes != 8 || e.QueueEstimate > 0.5 || e.FailureRate != 0.01 {
+		t.Errorf("a faulty or stale node changed the endpoint's load: %+v", e)
 	}
 }
