--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -1,5 +1,6 @@
-// Package goldenfile helps tests to hold the JSON forms that are stored or sent to other processes: a version of the
-// program has to read what the version before it wrote, and the other way round.
+// Package goldenfile lets tests check that the JSON that is stored or sent to other processes keeps its form. Each
+// version of the program must read what the previous version wrote, and the previous version what the new version
+// writes.
 package goldenfile
 
 import (
@@ -10,11 +11,12 @@
 	"testing"
 )
 
-// Dir is the folder of a package's golden files.
+// Dir is the directory of a package's golden files, relative to the package.
 const Dir = "testdata/golden"
 
 // RoundTrip fails t unless the golden file NAME.json decodes into a T without an unknown field and encodes to the same
-// bytes again. Every field of the file has a value other than zero, so a field that was renamed or dropped is found.
+// bytes again. Every field in the golden file must have a value other than zero, so that a field that is renamed or
+// removed in T is detected.
 func RoundTrip[T any](t *testing.T, name string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join(Dir, name+".json"))
@@ -32,6 +34,6 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if want := bytes.TrimSpace(want); !bytes.Equal(got, want) {
-		t.Errorf("%s: the form has changed\n got %s\nwant %s", name, got, want)
+		t.Errorf("%s: the JSON has changed\n got %s\nwant %s", name, got, want)
 	}
 }
--- a/internal/operror/operror.go
+++ b/internal/operror/operror.go
@@ -1,5 +1,6 @@
-// Package operror defines the errors that operators see: each kind has a stable code, an HTTP status, a meaning and a
-// remedy. A package declares its kinds with Define; docs/oncall.md lists them all, and a test compares the two.
+// Package operror defines the errors that operators see. Each kind of error has a stable code, an HTTP status, a
+// meaning and a remedy. A package declares its kinds with Define. docs/oncall.md lists all kinds, and a test compares
+// the page with them.
 package operror
 
 import (
@@ -13,36 +14,36 @@
 	Code    string // stable and unique, such as "registry.unknown-member"
 	Meaning string // what failed
 	Remedy  string // what an operator can do
-	Status  int    // of the HTTP answer that carries the error
+	Status  int    // status of the HTTP answer that has the error
 }
 
-// Error is an error of a Kind. Errors of the same code match by errors.Is, whatever their subject and cause.
+// Error is an error of a Kind. errors.Is matches errors of the same code, whatever their subjects and causes are.
 type Error struct {
 	Kind
-	Subject string // what the operation failed on; may be empty
+	Subject string // the thing on which the operation failed; may be empty
 	Cause   error  // may be nil
 }
 
-// catalog holds the kinds of every package in the program, in the order of their definition.
+// catalog has the kinds of all packages of the program, in the order of their definition.
 var catalog []Kind
 
-// Define adds a kind of error to the catalog and returns its error without a subject. It is to be called from
-// package-level variable declarations only: the catalog is not safe for concurrent use.
+// Define adds a kind of error to the catalog and returns an error of this kind without a subject. It must be called
+// from package-level variable declarations only, because the catalog is not safe for concurrent use.
 func Define(code string, status int, meaning, remedy string) *Error {
 	kind := Kind{Code: code, Meaning: meaning, Remedy: remedy, Status: status}
 	catalog = append(catalog, kind)
 	return &Error{Kind: kind}
 }
 
-// Kinds returns every kind of error that the packages of this program define.
+// Kinds returns the kinds of error of all packages of the program.
 func Kinds() []Kind { return slices.Clone(catalog) }
 
-// Of returns an error of the same kind with a subject and a cause, which may be nil.
+// Of returns an error of the same kind with the given subject and cause. The subject may be empty and the cause nil.
 func (e *Error) Of(subject string, cause error) *Error {
 	return &Error{Kind: e.Kind, Subject: subject, Cause: cause}
 }
 
-// Error joins the subject, the meaning and the cause.
+// Error returns the subject, the meaning and the cause, separated by colons.
 func (e *Error) Error() string {
 	text := e.Meaning
 	if e.Subject != "" {
@@ -63,7 +64,7 @@
 	return ok && other.Code == e.Code
 }
 
-// Find returns the first Error in err's chain.
+// Find returns the first *Error in the chain of err. It returns false if there is none.
 func Find(err error) (*Error, bool) {
 	var found *Error
 	ok := errors.As(err, &found)
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline draws what several processes did as text: a row for each instant, a column for each process, and the
-// faults in a column of their own. It has no state and no clock; tests print a timeline when they fail, and compare it
-// with a golden file where time is virtual.
+// Package timeline draws the events of several processes as text, for tests. The drawing has a row for each instant, a
+// column for each process, and one column for the injected faults. Tests print a timeline when they fail, and compare
+// it with a golden file where time is virtual. The package has no state and reads no clock.
 package timeline
 
 import (
@@ -12,23 +12,24 @@
 	"unicode/utf8"
 )
 
-// Faults is the column of the faults that the lab or a schedule injected.
+// Faults is the Process of the faults that the lab or a schedule injects, and the name of their column.
 const Faults = "faults"
 
-// Event is something that happened at a process. Events with a Revision, of the registry's state, are ordered by it
-// among each other whatever the clocks say; the others by their time.
+// Event is an event of a process. Events with a revision are ordered by it among themselves, even if their times are in
+// another order. All other events are ordered by time.
 type Event struct {
 	At       time.Duration // since the start of the run, on one clock
-	Revision int64         // 0: none
-	Process  string        // a column
+	Revision int64         // of the registry's state; 0 if the event has none
+	Process  string        // the column of the event
 	Text     string
 }
 
-// minIdleGap is the time without an event from which on the drawing has a line that says so.
+// minIdleGap is the shortest time without an event that the drawing shows as a line of its own.
 const minIdleGap = time.Second
 
-// Merge orders events by time, then in the order given. Those with a revision are in its order: each counts as no
-// earlier than those of earlier revisions.
+// Merge returns the events ordered by time. Events of equal times without a revision keep their order. Events with a
+// revision are ordered by the revision: if the time of an event is earlier than that of a lower revision, Merge sets it
+// to the time of the lower revision.
 func Merge(events []Event) []Event {
 	adjusted := slices.Clone(events)
 	var byRevision []int
@@ -40,7 +41,7 @@
 	slices.SortStableFunc(byRevision, func(a, b int) int {
 		return cmp.Compare(adjusted[a].Revision, adjusted[b].Revision)
 	})
-	rank := map[int]int{} // 0: no revision
+	rank := map[int]int{} // by index in adjusted; 0 for an event without a revision
 	latest := time.Duration(0)
 	for n, i := range byRevision {
 		rank[i] = n + 1
@@ -61,14 +62,14 @@
 	return merged
 }
 
-// row is the events of one millisecond, at most one a column.
+// row has events of the same millisecond, at most one for each column.
 type row struct {
 	at    time.Duration
 	cells []string
 }
 
-// Draw returns the drawing: the columns given, then those of other events, and the faults' column last. Events of one
-// millisecond share a row unless they share a column.
+// Draw returns the drawing of events. The given columns come first, then the columns of other processes, and the column
+// of the faults last. Events of the same millisecond share a row unless they are in the same column.
 func Draw(columns []string, events []Event) string {
 	events = Merge(events)
 	columns = allColumns(columns, events)
@@ -91,7 +92,8 @@
 	return b.String()
 }
 
-// allColumns adds the columns of events that are not among those given, and moves the faults' to the end.
+// allColumns returns the given columns, those of other processes of the events, and the column of the faults at the
+// end.
 func allColumns(columns []string, events []Event) []string {
 	columns = slices.Clone(columns)
 	for _, event := range events {
@@ -102,7 +104,7 @@
 	return append(slices.DeleteFunc(columns, func(c string) bool { return c == Faults }), Faults)
 }
 
-// arrange places events in rows.
+// arrange places events, which must be in the order of Merge, in rows.
 func arrange(columns []string, events []Event) []row {
 	var rows []row
 	for _, event := range events {
@@ -116,18 +118,18 @@
 	return rows
 }
 
-// writeRow writes a row: its time, and its cells at the columns' widths.
-func writeRow(b *strings.Builder, widths []int, first string, cells []string) {
+// writeRow writes a row: the cell of the time, then the other cells, padded to the widths of the columns.
+func writeRow(b *strings.Builder, widths []int, timeCell string, cells []string) {
 	var line strings.Builder
-	fmt.Fprintf(&line, "%9s", first)
+	fmt.Fprintf(&line, "%9s", timeCell)
 	for i, cell := range cells {
 		fmt.Fprintf(&line, "  %-*s", widths[i], cell)
 	}
 	b.WriteString(strings.TrimRight(line.String(), " ") + "\n")
 }
 
-// First returns the first event of a process, from a time on, whose text has the given beginning; false where there is
-// none.
+// First returns the first event of a process, not before since, whose text has the given prefix. It returns false if
+// there is none.
 func First(events []Event, process, prefix string, since time.Duration) (Event, bool) {
 	for _, event := range Merge(events) {
 		if event.Process == process && event.At >= since && strings.HasPrefix(event.Text, prefix) {
@@ -137,8 +139,8 @@
 	return Event{}, false
 }
 
-// Between tells whether an event that matches comes after the first start event and before the first end event that
-// follows it, in the merged order.
+// Between reports whether a matching event comes between the first start event and the first end event after it, in the
+// order of Merge.
 func Between(events []Event, isStart, isEnd, matches func(Event) bool) bool {
 	started := false
 	for _, event := range Merge(events) {
