--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -35,7 +35,7 @@
 	Site     string
 	Address  string        // host:port that clients connect to
 	Interval time.Duration // between two reports; equal to the registry's interval between views
-	TTL      time.Duration // of the session; 0: defaultTTLIntervals
+	TTL      time.Duration // of the session; defaultTTLIntervals intervals if 0
 	// OnView, if not nil, is called with each new view and the session's incarnation. The agent sends no report during
 	// the call, so OnView must return within about an interval.
 	OnView func(ctx context.Context, v View, incarnation uint64)
--- a/internal/maintenance/disruption.go
+++ b/internal/maintenance/disruption.go
@@ -18,7 +18,7 @@
 	machines map[string]bool
 	perSite  map[string]int
 	perCell  map[cell]int
-	binding  map[string]bool // IDs of the requests that name any of the machines; their limits apply
+	requests map[string]bool // IDs of the requests that name any of the machines; their limits apply
 }
 
 // disruptionWith returns the disruption of the machines that occupy a slot and, in addition, the machine of t.
@@ -27,7 +27,7 @@
 		machines: map[string]bool{},
 		perSite:  map[string]int{},
 		perCell:  map[cell]int{},
-		binding:  map[string]bool{},
+		requests: map[string]bool{},
 	}
 	d.add(t)
 	for _, other := range p.Turns {
@@ -43,7 +43,7 @@
 	d.perSite[t.Site]++
 	d.perCell[cell{site: t.Site, number: t.Cell}]++
 	for _, id := range t.Requests {
-		d.binding[id] = true
+		d.requests[id] = true
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	d := p.disruptionWith(t)
 	ready := p.readyCapacity(d)
-	for _, id := range slices.Sorted(maps.Keys(d.binding)) {
+	for _, id := range slices.Sorted(maps.Keys(d.requests)) {
 		request := p.Requests[id]
 		if d.exceeds(request.Budget) {
 			return ErrOverBudget.Of(t.Machine, fmt.Errorf("budget of request %s", id))
--- a/internal/maintenance/transition.go
+++ b/internal/maintenance/transition.go
@@ -105,7 +105,7 @@
 		From:     from,
 		To:       Waiting,
 		Proposer: proposedByNodes,
-		Effect:   "the member list has the machine as ready; it waits for a new order",
+		Effect:   "the member list has the machine as ready, and the machine waits for a new order",
 		effect: func(p *Plan, t *Turn, nextRevision int64) {
 			listReady(p, t, nextRevision)
 			t.DrainingRevision = 0
