--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -45,7 +45,7 @@
 const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
-	sysfault.EnterChild() // first of all: it may become another program
+	sysfault.ExecIfChild() // first of all: it may become another program
 	// A reader of the log that ends, or stops reading, must neither end a replica nor block it.
 	signal.Ignore(syscall.SIGPIPE)
 	log := asynclog.New(os.Stderr)
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -68,10 +68,10 @@
 	return serveErr
 }
 
-// listen opens an address, and tries again for as long as accept.Open does.
+// listen opens an address, and tries again for as long as accept.OpenWithRetry does.
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	open := func() (net.Listener, error) { return net.Listen("tcp", addr) }
-	return accept.Open(open, func(err error) {
+	return accept.OpenWithRetry(open, func(err error) {
 		log.Warn("listen failed, retrying", "address", addr, "error", err)
 	})
 }
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -32,8 +32,8 @@
 	return slices.ContainsFunc(permanentErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
-// LogRetries returns a function for Retry.OnRetry and NewListener that logs errors, with what the listener is for, at a
-// bounded rate.
+// LogRetries returns a function for Retrier.OnRetry and NewListener that logs errors, with what the listener is for, at
+// a bounded rate.
 func LogRetries(log *slog.Logger, listener string) func(error) {
 	limited := &lograte.Limited{Log: log}
 	return func(err error) {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Retry calls accept until it succeeds. The zero value is ready. It may be used by one goroutine at a time; Failing may
-// be called from any.
-type Retry struct {
+// Retrier calls accept until it succeeds. The zero value is ready. It may be used by one goroutine at a time; Failing
+// may be called from any.
+type Retrier struct {
 	// OnRetry is called with each transient error before the delay. It may be nil.
 	OnRetry func(error)
 
@@ -51,11 +51,11 @@
 }
 
 // Failing tells whether the last call failed, so that connections may wait in the backlog.
-func (r *Retry) Failing() bool { return r.failing.Load() }
+func (r *Retrier) Failing() bool { return r.failing.Load() }
 
 // Accept returns the next connection. Its error is permanent, or os.ErrDeadlineExceeded where the listener's own
 // deadline has passed.
-func (r *Retry) Accept(accept func() (net.Conn, error)) (net.Conn, error) {
+func (r *Retrier) Accept(accept func() (net.Conn, error)) (net.Conn, error) {
 	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
 		conn, err := accept()
 		transient := err != nil && !IsPermanent(err) && !errors.Is(err, os.ErrDeadlineExceeded)
@@ -73,12 +73,12 @@
 // Listener is a net.Listener that retries after transient errors.
 type Listener struct {
 	net.Listener
-	retry Retry
+	retry Retrier
 }
 
 // NewListener wraps a listener. onRetry is called with each transient error, and may be nil.
 func NewListener(l net.Listener, onRetry func(error)) *Listener {
-	return &Listener{Listener: l, retry: Retry{OnRetry: onRetry}}
+	return &Listener{Listener: l, retry: Retrier{OnRetry: onRetry}}
 }
 
 // Accept is part of net.Listener.
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -17,7 +17,7 @@
 		syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR, syscall.ESOCKTNOSUPPORT} {
 		calls := 0
 		var failing bool
-		r := Retry{}
+		r := Retrier{}
 		r.OnRetry = func(error) { failing = r.Failing() }
 		c, err := r.Accept(func() (net.Conn, error) {
 			if calls++; calls < 3 {
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, final := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT, os.ErrDeadlineExceeded} {
-		r := Retry{}
+		r := Retrier{}
 		_, err := r.Accept(func() (net.Conn, error) { return nil, fmt.Errorf("accept: %w", final) })
 		if !errors.Is(err, final) || r.Failing() {
 			t.Errorf("%v: got %v, failing %v", final, err, r.Failing())
--- a/internal/accept/open.go
+++ b/internal/accept/open.go
@@ -19,18 +19,18 @@
 	syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
 
-// IsShortage tells whether opening a socket failed for a reason that passes, and that is this machine's own.
-func IsShortage(err error) bool {
+// IsTransientOpenError tells whether opening a socket failed for a reason that passes, and that is this machine's own.
+func IsTransientOpenError(err error) bool {
 	return slices.ContainsFunc(transientOpenErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
-// Open opens a socket, and retries until openTimeout where that fails for a shortage. waiting is called with the first
-// such error.
-func Open[T any](open func() (T, error), waiting func(error)) (T, error) {
+// OpenWithRetry opens a socket, and retries until openTimeout where that fails for a transient error. waiting is called
+// with the first such error.
+func OpenWithRetry[T any](open func() (T, error), waiting func(error)) (T, error) {
 	began := time.Now()
 	for first := true; ; first = false {
 		socket, err := open()
-		if err == nil || !IsShortage(err) || time.Since(began) >= openTimeout {
+		if err == nil || !IsTransientOpenError(err) || time.Since(began) >= openTimeout {
 			return socket, err
 		}
 		if first {
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -20,7 +20,7 @@
 			calls := make(chan string, 64)
 			cfg := testConfig(t, "127.0.0.1:1")
 			cfg.Settings.Config.PollDiscovery = polled
-			cfg.Known = List{Revision: 90, Members: []Member{{ID: "s"}}}
+			cfg.InitialList = List{Revision: 90, Members: []Member{{ID: "s"}}}
 			cfg.OnFailure = func() { failures <- struct{}{} }
 			cfg.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 				if r.URL.Host == "127.0.0.1:1" {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,12 +15,12 @@
 
 // Config is what a Client needs. OnList and OnFailure are called from Run's goroutine, one at a time.
 type Config struct {
-	Address   string   // of discovery, or of the replica to begin with
-	Replicas  []string // every replica of a replicated registry, in the order of failover; nil: one discovery
-	Settings  siteconfig.Settings
-	Known     List              // the list held at the start; a watch goes on from it if it has members
-	Transport http.RoundTripper // nil: TCP
-	Log       *slog.Logger
+	Address     string   // of discovery, or of the replica to begin with
+	Replicas    []string // every replica of a replicated registry, in the order of failover; nil: one discovery
+	Settings    siteconfig.Settings
+	InitialList List              // the list held at the start; a watch goes on from it if it has members
+	Transport   http.RoundTripper // nil: TCP
+	Log         *slog.Logger
 
 	OnList    func(List)                          // receives each list
 	OnFailure func()                              // is called when a call has failed
@@ -76,7 +76,7 @@
 		watchWait:       pushWatchWait,
 		fullListTimeout: defaultFullListTimeout,
 		replicas:        cfg.Replicas,
-		position:        position{resumable: len(cfg.Known.Members) > 0, revision: cfg.Known.Revision},
+		position:        position{resumable: len(cfg.InitialList.Members) > 0, revision: cfg.InitialList.Revision},
 		address:         cfg.Address,
 		url:             listURL(cfg.Address),
 		addressChanged:  make(chan struct{}),
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, "127.0.0.1:1")
 		cfg.Transport = &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}
-		cfg.Known = List{Revision: 1, Members: []Member{{ID: "s"}}}
+		cfg.InitialList = List{Revision: 1, Members: []Member{{ID: "s"}}}
 		c := NewClient(cfg)
 		c.position.listReceived = true
 		start := time.Now()
--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -28,10 +28,10 @@
 	TransferEncoding bool  // the field is given
 	HasLength        bool  // Content-Length is given
 	ContentLength    int64 // in bytes; 0 where it is not given
-	// Final says that no other request may follow on the connection, as only the reader of the body can tell where
-	// it ends.
-	Final bool
-	Fault error // why the request can't be served; nil if it can
+	// LastOnConnection says that no other request may follow on the connection, as only the reader of the body can tell
+	// where it ends.
+	LastOnConnection bool
+	Err              error // why the request can't be served; nil if it can
 }
 
 // Parser follows the heads of requests on one connection.
@@ -78,15 +78,15 @@
 // finish judges the current head, which is complete, and resets the parser for the next one.
 func (p *Parser) finish() *Head {
 	head := p.head
-	if head.TransferEncoding && head.Fault == nil {
+	if head.TransferEncoding && head.Err == nil {
 		switch {
 		case head.HasLength:
-			head.Fault = ErrLengthAndEncoding
+			head.Err = ErrLengthAndEncoding
 		case head.HTTP10:
-			head.Fault = ErrEncodingInHTTP10
+			head.Err = ErrEncodingInHTTP10
 		}
 	}
-	head.Final = head.TransferEncoding || head.Fault != nil
+	head.LastOnConnection = head.TransferEncoding || head.Err != nil
 	p.head = Head{}
 	p.begun = false
 	p.line = nil // idle connections need no buffer
@@ -96,7 +96,7 @@
 // parseField takes one line after the request line.
 func (h *Head) parseField(line string) {
 	if line[0] == ' ' || line[0] == '\t' {
-		h.Fault = ErrFoldedLine
+		h.Err = ErrFoldedLine
 		return
 	}
 	name, value, _ := strings.Cut(line, ":")
@@ -106,7 +106,7 @@
 	case strings.EqualFold(name, "Content-Length"):
 		length, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 63)
 		if h.HasLength || err != nil {
-			h.Fault = ErrContentLength
+			h.Err = ErrContentLength
 		}
 		h.HasLength = true
 		h.ContentLength = int64(length)
--- a/internal/lab/fleet_scenario.go
+++ b/internal/lab/fleet_scenario.go
@@ -32,17 +32,17 @@
 func (fleetScenario FleetScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Registries < 1:
-		return tomlfile.Bad("registries", "a fleet needs at least 1 registry replica")
+		return tomlfile.KeyErrorf("registries", "a fleet needs at least 1 registry replica")
 	case fleetScenario.Interval.Duration < 50*time.Millisecond || fleetScenario.Interval.Duration > time.Minute:
-		return tomlfile.Bad("fleet.interval", "%s is outside 50ms to 1m", fleetScenario.Interval)
+		return tomlfile.KeyErrorf("fleet.interval", "%s is outside 50ms to 1m", fleetScenario.Interval)
 	case fleetScenario.Sites < 1 || fleetScenario.Sites > 64:
-		return tomlfile.Bad("fleet.sites", "%d is outside 1 to 64", fleetScenario.Sites)
+		return tomlfile.KeyErrorf("fleet.sites", "%d is outside 1 to 64", fleetScenario.Sites)
 	case fleetScenario.FaultCount < 0 || fleetScenario.FaultCount > 100000:
-		return tomlfile.Bad("fleet.schedules", "%d is outside 0 to 100000", fleetScenario.FaultCount)
+		return tomlfile.KeyErrorf("fleet.schedules", "%d is outside 0 to 100000", fleetScenario.FaultCount)
 	case fleetScenario.FaultCount > 0 && len(fleetScenario.Kinds) == 0:
-		return tomlfile.Bad("fleet.kinds", "none named")
+		return tomlfile.KeyErrorf("fleet.kinds", "none named")
 	case len(scenario.Faults) > 0:
-		return tomlfile.Bad("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
+		return tomlfile.KeyErrorf("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
 	}
 	return checkKinds("fleet.kinds", fleetScenario.Kinds, fleetFaultKinds)
 }
--- a/internal/lab/lease_scenario.go
+++ b/internal/lab/lease_scenario.go
@@ -35,17 +35,18 @@
 func (leaseScenario LeaseScenario) check(registries int) error {
 	switch {
 	case registries < 1:
-		return tomlfile.Bad("registries", "a duty needs at least 1 registry replica")
+		return tomlfile.KeyErrorf("registries", "a duty needs at least 1 registry replica")
 	case leaseScenario.Candidates < 2 || leaseScenario.Candidates > 32:
-		return tomlfile.Bad("duty.candidates", "%d is outside 2 to 32", leaseScenario.Candidates)
+		return tomlfile.KeyErrorf("duty.candidates", "%d is outside 2 to 32", leaseScenario.Candidates)
 	case leaseScenario.TTL.Duration < 200*time.Millisecond:
-		return tomlfile.Bad("duty.ttl", "%s is shorter than two of the lab's election timeouts (200ms)", leaseScenario.TTL)
+		return tomlfile.KeyErrorf("duty.ttl", "%s is shorter than two of the lab's election timeouts (200ms)",
+			leaseScenario.TTL)
 	case leaseScenario.WorkTime.Duration < 0 || leaseScenario.WorkTime.Duration >= leaseScenario.TTL.Duration:
-		return tomlfile.Bad("duty.work", "%s is outside 0 to the TTL", leaseScenario.WorkTime)
+		return tomlfile.KeyErrorf("duty.work", "%s is outside 0 to the TTL", leaseScenario.WorkTime)
 	case leaseScenario.FaultCount < 1 || leaseScenario.FaultCount > 100000:
-		return tomlfile.Bad("duty.schedules", "%d is outside 1 to 100000", leaseScenario.FaultCount)
+		return tomlfile.KeyErrorf("duty.schedules", "%d is outside 1 to 100000", leaseScenario.FaultCount)
 	case len(leaseScenario.Kinds) == 0:
-		return tomlfile.Bad("duty.kinds", "none named")
+		return tomlfile.KeyErrorf("duty.kinds", "none named")
 	}
 	return checkKinds("duty.kinds", leaseScenario.Kinds, leaseFaultKinds)
 }
@@ -54,7 +55,7 @@
 func checkKinds(key string, kinds, allowed []string) error {
 	for _, kind := range kinds {
 		if !slices.Contains(allowed, kind) {
-			return tomlfile.Bad(key, "%q is not one of %s", kind, strings.Join(allowed, ", "))
+			return tomlfile.KeyErrorf(key, "%q is not one of %s", kind, strings.Join(allowed, ", "))
 		}
 	}
 	return nil
--- a/internal/lab/maintenance_scenario.go
+++ b/internal/lab/maintenance_scenario.go
@@ -29,11 +29,11 @@
 func (maintenanceScenario MaintenanceScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Fleet == nil:
-		return tomlfile.Bad("work", "machines are taken out by a [fleet]")
+		return tomlfile.KeyErrorf("work", "machines are taken out by a [fleet]")
 	case maintenanceScenario.Budget < 1 || maintenanceScenario.Budget >= scenario.Backends:
-		return tomlfile.Bad("work.budget", "%d is outside 1 to one below the backends", maintenanceScenario.Budget)
+		return tomlfile.KeyErrorf("work.budget", "%d is outside 1 to one below the backends", maintenanceScenario.Budget)
 	case len(maintenanceScenario.Kinds) > 0 && maintenanceScenario.FaultInterval.Duration < 100*time.Millisecond:
-		return tomlfile.Bad("work.every", "%s is below 100ms", maintenanceScenario.FaultInterval)
+		return tomlfile.KeyErrorf("work.every", "%s is below 100ms", maintenanceScenario.FaultInterval)
 	}
 	return checkKinds("work.kinds", maintenanceScenario.Kinds, maintenanceFaultKinds)
 }
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -12,7 +12,7 @@
 func (scenario Scenario) check() error {
 	if scenario.Lease != nil {
 		if scenario.Nodes != 0 || scenario.Backends != 0 || len(scenario.Faults) != 0 {
-			return tomlfile.Bad("duty", "a lease scenario has no nodes, backends or [[fault]]: its faults are drawn")
+			return tomlfile.KeyErrorf("duty", "a lease scenario has no nodes, backends or [[fault]]: its faults are drawn")
 		}
 		return scenario.Lease.check(scenario.Registries)
 	}
@@ -23,7 +23,7 @@
 		return err
 	}
 	if share := scenario.Backend.ErrorShare; share < 0 || share > 1 {
-		return tomlfile.Bad("backend.errors", "%g is outside 0 to 1", share)
+		return tomlfile.KeyErrorf("backend.errors", "%g is outside 0 to 1", share)
 	}
 	if err := scenario.checkExperiment(); err != nil {
 		return err
@@ -40,13 +40,13 @@
 func (scenario Scenario) checkSize() error {
 	switch {
 	case scenario.Nodes < 1 || scenario.Nodes > 64:
-		return tomlfile.Bad("nodes", "%d is outside 1 to 64", scenario.Nodes)
+		return tomlfile.KeyErrorf("nodes", "%d is outside 1 to 64", scenario.Nodes)
 	case scenario.Backends < 1 || scenario.Backends > 256:
-		return tomlfile.Bad("backends", "%d is outside 1 to 256", scenario.Backends)
+		return tomlfile.KeyErrorf("backends", "%d is outside 1 to 256", scenario.Backends)
 	case scenario.Registries < 0 || scenario.Registries > 7:
-		return tomlfile.Bad("registries", "%d is outside 0 to 7", scenario.Registries)
+		return tomlfile.KeyErrorf("registries", "%d is outside 0 to 7", scenario.Registries)
 	case scenario.Duration.Duration <= 0 || scenario.Duration.Duration > time.Hour:
-		return tomlfile.Bad("duration", "%s is outside 0 to 1h", scenario.Duration)
+		return tomlfile.KeyErrorf("duration", "%s is outside 0 to 1h", scenario.Duration)
 	}
 	return nil
 }
@@ -55,21 +55,21 @@
 func (load Load) check() error {
 	switch {
 	case load.Rate <= 0 || load.Rate > 20000:
-		return tomlfile.Bad("load.rate", "%g is outside 0 to 20000", load.Rate)
+		return tomlfile.KeyErrorf("load.rate", "%g is outside 0 to 20000", load.Rate)
 	case load.Count < 1:
-		return tomlfile.Bad("load.count", "%d is below 1", load.Count)
+		return tomlfile.KeyErrorf("load.count", "%d is below 1", load.Count)
 	case load.Deadline.Duration < minClientDeadline:
-		return tomlfile.Bad("load.deadline", "%s is below %s", load.Deadline, minClientDeadline)
+		return tomlfile.KeyErrorf("load.deadline", "%s is below %s", load.Deadline, minClientDeadline)
 	case load.UnsafeShare < 0 || load.UnsafeShare > 1:
-		return tomlfile.Bad("load.unsafe", "%g is outside 0 to 1", load.UnsafeShare)
+		return tomlfile.KeyErrorf("load.unsafe", "%g is outside 0 to 1", load.UnsafeShare)
 	case load.KeyedShare < 0 || load.KeyedShare+load.UnsafeShare > 1:
-		return tomlfile.Bad("load.keyed", "%g is outside 0 to 1 less unsafe", load.KeyedShare)
+		return tomlfile.KeyErrorf("load.keyed", "%g is outside 0 to 1 less unsafe", load.KeyedShare)
 	case load.DisconnectShare < 0 || load.DisconnectShare > 1:
-		return tomlfile.Bad("load.leave", "%g is outside 0 to 1", load.DisconnectShare)
+		return tomlfile.KeyErrorf("load.leave", "%g is outside 0 to 1", load.DisconnectShare)
 	case load.LateSendShare < 0 || load.LateSendShare > 1:
-		return tomlfile.Bad("load.late", "%g is outside 0 to 1", load.LateSendShare)
+		return tomlfile.KeyErrorf("load.late", "%g is outside 0 to 1", load.LateSendShare)
 	case load.EarlyBeginShare < 0 || load.LateSendShare+load.EarlyBeginShare > 1:
-		return tomlfile.Bad("load.begun", "%g is outside 0 to 1 less late", load.EarlyBeginShare)
+		return tomlfile.KeyErrorf("load.begun", "%g is outside 0 to 1 less late", load.EarlyBeginShare)
 	}
 	return nil
 }
@@ -98,21 +98,21 @@
 // checkFault checks one step of the schedule: its kind, time, targets and the fields that the kind needs.
 func (scenario Scenario) checkFault(fault Fault) error {
 	if !isProcessFault(fault.Kind) && !isLinkFault(fault.Kind) && fault.Kind != faultOutage {
-		return tomlfile.Bad("kind", "%q is not a fault kind", fault.Kind)
+		return tomlfile.KeyErrorf("kind", "%q is not a fault kind", fault.Kind)
 	}
 	if fault.At.Duration < 0 || fault.At.Duration > scenario.Duration.Duration {
-		return tomlfile.Bad("at", "%s is outside the scenario's duration", fault.At)
+		return tomlfile.KeyErrorf("at", "%s is outside the scenario's duration", fault.At)
 	}
 	if len(fault.Target) == 0 {
 		return errors.New("key \"target\": missing")
 	}
 	for _, target := range fault.Target {
 		if err := scenario.checkTarget(fault.Kind, target); err != nil {
-			return tomlfile.Bad("target", "%v", err)
+			return tomlfile.KeyErrorf("target", "%v", err)
 		}
 	}
 	if fault.Kind == faultDrop && (fault.Share <= 0 || fault.Share > 1) {
-		return tomlfile.Bad("share", "%g is outside 0 to 1", fault.Share)
+		return tomlfile.KeyErrorf("share", "%g is outside 0 to 1", fault.Share)
 	}
 	if fault.Kind == faultDelay && fault.Delay.Duration <= 0 {
 		return errors.New("key \"delay\": missing")
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -53,25 +53,25 @@
 func (soak SoakScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Registries > 0 || scenario.Fleet != nil || scenario.Maintenance != nil || len(scenario.Faults) > 0:
-		return tomlfile.Bad("soak",
+		return tomlfile.KeyErrorf("soak",
 			"a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
 	case soak.Seeds < 1 || soak.Seeds > 100000:
-		return tomlfile.Bad("soak.seeds", "%d is outside 1 to 100000", soak.Seeds)
+		return tomlfile.KeyErrorf("soak.seeds", "%d is outside 1 to 100000", soak.Seeds)
 	case soak.FirstFaultAt.Duration < minReloadAge:
-		return tomlfile.Bad("soak.quiet", "%s is below %s, before which no node may reload its configuration",
+		return tomlfile.KeyErrorf("soak.quiet", "%s is below %s, before which no node may reload its configuration",
 			soak.FirstFaultAt, minReloadAge)
 	case soak.GroupInterval.Duration < groupSpan:
-		return tomlfile.Bad("soak.every", "%s is below %s", soak.GroupInterval, groupSpan)
+		return tomlfile.KeyErrorf("soak.every", "%s is below %s", soak.GroupInterval, groupSpan)
 	case soak.GroupSize < 1 || soak.GroupSize > 8:
-		return tomlfile.Bad("soak.bout", "%d is outside 1 to 8", soak.GroupSize)
+		return tomlfile.KeyErrorf("soak.bout", "%d is outside 1 to 8", soak.GroupSize)
 	case soak.TracedShare < 0 || soak.TracedShare > 1:
-		return tomlfile.Bad("soak.shimmed", "%g is outside 0 to 1", soak.TracedShare)
+		return tomlfile.KeyErrorf("soak.shimmed", "%g is outside 0 to 1", soak.TracedShare)
 	case soak.IdleConnections < 0 || soak.IdleConnections > 10000:
-		return tomlfile.Bad("soak.crowd", "%d is outside 0 to 10000", soak.IdleConnections)
+		return tomlfile.KeyErrorf("soak.crowd", "%d is outside 0 to 10000", soak.IdleConnections)
 	}
 	for _, deadline := range soak.Deadlines {
 		if deadline.Duration < minClientDeadline {
-			return tomlfile.Bad("soak.deadlines", "%s is below %s", deadline, minClientDeadline)
+			return tomlfile.KeyErrorf("soak.deadlines", "%s is below %s", deadline, minClientDeadline)
 		}
 	}
 	return nil
--- a/internal/lab/system_call_plan.go
+++ b/internal/lab/system_call_plan.go
@@ -32,8 +32,8 @@
 	span := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Float64()*float64(to-from))
 	}
-	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt, sysfault.Short,
-		sysfault.Break, sysfault.Open, sysfault.Clock, sysfault.Clock}
+	kinds := []sysfault.Kind{sysfault.Accept, sysfault.Accept, sysfault.Connect, sysfault.Interrupt,
+		sysfault.ShortTransfer, sysfault.BrokenConnection, sysfault.Open, sysfault.Clock, sysfault.Clock}
 	steps := []time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second}
 	var plan sysfault.Plan
 	for range 2 + rng.IntN(4) {
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -92,7 +92,7 @@
 	used, head := c.parser.Parse(data)
 	if head != nil {
 		c.bodyLeft = head.ContentLength
-		c.openEnded = head.Final
+		c.openEnded = head.LastOnConnection
 		c.addHead(*head)
 	}
 	if used < len(data) {
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -129,12 +129,12 @@
 				if i == 0 {
 					continue // its body is to come
 				}
-				if h, _ := c.takeHead(); h.Fault != nil || h.Final || h.ContentLength != []int64{0, 3, 0}[i] {
+				if h, _ := c.takeHead(); h.Err != nil || h.LastOnConnection || h.ContentLength != []int64{0, 3, 0}[i] {
 					t.Errorf("head %+v after %q", h, got)
 				}
 				c.markIdle() // the server reads the next one once it has answered
 			}
-			if h, _ := c.takeHead(); h.Fault == nil {
+			if h, _ := c.takeHead(); h.Err == nil {
 				t.Error("a request without a head passed")
 			}
 		})
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -110,12 +110,12 @@
 	}
 	// Set first of all: the library reads what is left of a body, and would wait for it without end.
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
-	if head.Fault != nil {
-		f.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
-		rejectWithText(w, hr, http.StatusBadRequest, head.Fault.Error()) // the next request's start is unknown
+	if head.Err != nil {
+		f.warnings.Warn("malformed request framing", "fault", head.Err, "from", hr.RemoteAddr)
+		rejectWithText(w, hr, http.StatusBadRequest, head.Err.Error()) // the next request's start is unknown
 		return
 	}
-	if head.Final {
+	if head.LastOnConnection {
 		closeAfterResponse(w)
 	}
 	switch hr.URL.Path {
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -88,11 +88,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase != connOpen {
-		return httpframing.Head{Final: true}, false
+		return httpframing.Head{LastOnConnection: true}, false
 	}
 	s.message = messageServing
 	if len(s.heads) == 0 {
-		return httpframing.Head{Final: true, Fault: errNoHead, Start: time.Now()}, true
+		return httpframing.Head{LastOnConnection: true, Err: errNoHead, Start: time.Now()}, true
 	}
 	head = s.heads[0]
 	s.heads = s.heads[1:]
--- a/internal/node/limit_listener.go
+++ b/internal/node/limit_listener.go
@@ -26,7 +26,7 @@
 	paused   bool
 	closed   bool
 
-	retry accept.Retry
+	retry accept.Retrier
 }
 
 // newLimitListener returns a listener that keeps at most limit connections of the given one open.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,14 +100,14 @@
 // buildDiscovery makes the client of discovery, and connects it with the event loop.
 func (n *Node) buildDiscovery() {
 	n.discovery = discovery.NewClient(discovery.Config{
-		Address:   n.cfg.Discovery,
-		Replicas:  n.cfg.Registry,
-		Settings:  n.cfg.Settings,
-		Known:     n.cfg.Known,
-		Log:       n.log,
-		OnList:    n.onList,
-		OnFailure: func() { n.loop.post(discoveryFailed{}) },
-		OnCall:    n.metrics.observeDiscoveryCall,
+		Address:     n.cfg.Discovery,
+		Replicas:    n.cfg.Registry,
+		Settings:    n.cfg.Settings,
+		InitialList: n.cfg.Known,
+		Log:         n.log,
+		OnList:      n.onList,
+		OnFailure:   func() { n.loop.post(discoveryFailed{}) },
+		OnCall:      n.metrics.observeDiscoveryCall,
 	})
 	n.metrics.listRevision.Set(float64(n.cfg.Known.Revision))
 	n.loop.requestDiscovery = n.discovery.Request
@@ -130,7 +130,7 @@
 	if address == "" {
 		return nil
 	}
-	opened, err := accept.Open(func() (*peers, error) { return listenPeers(&n.cfg) }, n.logOpenRetries(address))
+	opened, err := accept.OpenWithRetry(func() (*peers, error) { return listenPeers(&n.cfg) }, n.logOpenRetries(address))
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
@@ -143,7 +143,7 @@
 func (n *Node) listen() error {
 	if n.cfg.Admin != "" {
 		n.cordons = newCordonFile(n.cfg.StateDir, n.cfg.Name, n.log)
-		server, err := accept.Open(func() (*admin.Server, error) {
+		server, err := accept.OpenWithRetry(func() (*admin.Server, error) {
 			return admin.Listen(n.cfg.Admin, adminView{n}, n.log)
 		}, n.logOpenRetries(n.cfg.Admin))
 		if err != nil {
@@ -160,7 +160,7 @@
 	if n.handover != nil {
 		listenConfig.Control = sharePort // with a predecessor that does not hand over
 	}
-	listener, err := accept.Open(func() (net.Listener, error) {
+	listener, err := accept.OpenWithRetry(func() (net.Listener, error) {
 		return listenConfig.Listen(context.Background(), "tcp", n.cfg.Listen)
 	}, n.logOpenRetries(n.cfg.Listen))
 	if err != nil {
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -137,7 +137,7 @@
 	switch {
 	case errors.Is(err, connpool.ErrExhausted):
 		return balance.StatusNotSent
-	case accept.IsShortage(err):
+	case accept.IsTransientOpenError(err):
 		t.logFailure(ctx, request, to, "no connection for want of resources", err)
 		return balance.StatusNotSent
 	}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -109,10 +109,10 @@
 // Validate reports missing keys, bad addresses, values out of range, and peers that do not include this replica.
 func (c Config) Validate() error {
 	if c.ID == "" {
-		return tomlfile.Bad("id", "missing")
+		return tomlfile.KeyErrorf("id", "missing")
 	}
 	if c.DataDir == "" {
-		return tomlfile.Bad("data_dir", "missing")
+		return tomlfile.KeyErrorf("data_dir", "missing")
 	}
 	if err := c.validateAddresses(); err != nil {
 		return err
@@ -125,16 +125,16 @@
 
 func (c Config) validateAddresses() error {
 	if _, err := netip.ParseAddrPort(c.HTTPAddr); err != nil {
-		return tomlfile.Bad("http", "%q is not an address with a port", c.HTTPAddr)
+		return tomlfile.KeyErrorf("http", "%q is not an address with a port", c.HTTPAddr)
 	}
 	if _, err := netip.ParseAddrPort(c.RaftAddr); err != nil {
-		return tomlfile.Bad("raft", "%q is not an address with a port", c.RaftAddr)
+		return tomlfile.KeyErrorf("raft", "%q is not an address with a port", c.RaftAddr)
 	}
 	if _, err := netip.ParseAddrPort(c.RaftListenAddr); c.RaftListenAddr != "" && err != nil {
-		return tomlfile.Bad("raft_listen", "%q is not an address with a port", c.RaftListenAddr)
+		return tomlfile.KeyErrorf("raft_listen", "%q is not an address with a port", c.RaftListenAddr)
 	}
 	if _, err := netip.ParseAddr(c.RaftDialHost); c.RaftDialHost != "" && err != nil {
-		return tomlfile.Bad("raft_from", "%q is not an address", c.RaftDialHost)
+		return tomlfile.KeyErrorf("raft_from", "%q is not an address", c.RaftDialHost)
 	}
 	return nil
 }
@@ -143,22 +143,22 @@
 	t := c.Timing
 	switch {
 	case c.ChangeLogSize < minChangeLogSize:
-		return tomlfile.Bad("ring", "%d is below %d", c.ChangeLogSize, minChangeLogSize)
+		return tomlfile.KeyErrorf("ring", "%d is below %d", c.ChangeLogSize, minChangeLogSize)
 	case c.MaxConcurrentCalls < minMaxConcurrentCalls:
-		return tomlfile.Bad("max_calls", "%d is below %d", c.MaxConcurrentCalls, minMaxConcurrentCalls)
+		return tomlfile.KeyErrorf("max_calls", "%d is below %d", c.MaxConcurrentCalls, minMaxConcurrentCalls)
 	case t.Heartbeat.Duration < minHeartbeat:
-		return tomlfile.Bad("raft_timing.heartbeat", "%s is below %s", t.Heartbeat, minHeartbeat)
+		return tomlfile.KeyErrorf("raft_timing.heartbeat", "%s is below %s", t.Heartbeat, minHeartbeat)
 	case t.Election.Duration < t.Heartbeat.Duration:
-		return tomlfile.Bad("raft_timing.election", "%s is below the heartbeat's %s", t.Election, t.Heartbeat)
+		return tomlfile.KeyErrorf("raft_timing.election", "%s is below the heartbeat's %s", t.Election, t.Heartbeat)
 	case t.LeaderLease.Duration <= 0 || t.LeaderLease.Duration > t.Heartbeat.Duration:
-		return tomlfile.Bad("raft_timing.leader_lease", "%s is not within 0 and the heartbeat's %s",
+		return tomlfile.KeyErrorf("raft_timing.leader_lease", "%s is not within 0 and the heartbeat's %s",
 			t.LeaderLease, t.Heartbeat)
 	case t.Commit.Duration <= 0:
-		return tomlfile.Bad("raft_timing.commit", "must be above 0")
+		return tomlfile.KeyErrorf("raft_timing.commit", "must be above 0")
 	case c.FleetInterval.Duration < minFleetInterval:
-		return tomlfile.Bad("fleet_interval", "%s is below %s", c.FleetInterval, minFleetInterval)
+		return tomlfile.KeyErrorf("fleet_interval", "%s is below %s", c.FleetInterval, minFleetInterval)
 	case c.MaxStaleness.Duration < 0:
-		return tomlfile.Bad("stale_read", "negative")
+		return tomlfile.KeyErrorf("stale_read", "negative")
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 		}
 	}
 	if !listed {
-		return tomlfile.Bad("peer", "this replica (%s) is not among the peers", c.ID)
+		return tomlfile.KeyErrorf("peer", "this replica (%s) is not among the peers", c.ID)
 	}
 	return nil
 }
--- a/internal/sysfault/filter_linux_amd64.go
+++ b/internal/sysfault/filter_linux_amd64.go
@@ -71,9 +71,9 @@
 		waits := &condition{offset: offsetSecond, mask: futexOperation, values: []uint32{futexWait, futexWaitBitset}}
 		return append(stopAt(unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_NANOSLEEP),
 			stop{number: unix.SYS_FUTEX, where: waits})
-	case Short:
+	case ShortTransfer:
 		return stopAt(unix.SYS_READ, unix.SYS_WRITE)
-	case Break:
+	case BrokenConnection:
 		return stopAt(unix.SYS_CONNECT, unix.SYS_READ, unix.SYS_CLOSE)
 	case Open:
 		return stopAt(unix.SYS_OPENAT)
@@ -140,9 +140,9 @@
 	return append(code, verdict(unix.SECCOMP_RET_ALLOW), verdict(unix.SECCOMP_RET_TRACE))
 }
 
-// EnterChild has to be called first of all by a program that calls Run. In the process that Run starts it sets the
+// ExecIfChild has to be called first of all by a program that calls Run. In the process that Run starts it sets the
 // filter and becomes the traced program, and does not return; in others it does nothing.
-func EnterChild() {
+func ExecIfChild() {
 	text, ok := os.LookupEnv(stageVariable)
 	if !ok {
 		return
--- a/internal/sysfault/plan.go
+++ b/internal/sysfault/plan.go
@@ -21,10 +21,10 @@
 	Connect Kind = "connect"
 	// Interrupt has waits end with EINTR.
 	Interrupt Kind = "interrupt"
-	// Short has reads and writes of connections transfer a part of what they could.
-	Short Kind = "short"
-	// Break has a read of a connection that the program has dialed end with an error, as a broken network has.
-	Break Kind = "break"
+	// ShortTransfer has reads and writes of connections transfer a part of what they could.
+	ShortTransfer Kind = "short"
+	// BrokenConnection has a read of a connection that the program has dialed end with an error, as a broken network has.
+	BrokenConnection Kind = "break"
 	// Open has the opening of files fail for want of descriptors.
 	Open Kind = "open"
 	// Disk has writes and syncs of files fail.
@@ -54,7 +54,7 @@
 	for i, fault := range plan {
 		switch fault.Kind {
 		case Clock:
-		case Accept, Connect, Interrupt, Short, Break, Open, Disk:
+		case Accept, Connect, Interrupt, ShortTransfer, BrokenConnection, Open, Disk:
 			if fault.Share <= 0 || fault.Share > 1 || fault.For <= 0 {
 				return nil, fmt.Errorf("plan: fault %d (%s): share %g for %v", i+1, fault.Kind, fault.Share, fault.For)
 			}
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -19,7 +19,7 @@
 
 // TestMain also is the shim and the program that a test runs under it.
 func TestMain(m *testing.M) {
-	EnterChild()
+	ExecIfChild()
 	switch os.Getenv("SHIM_TEST") {
 	case "shim":
 		plan, err := ParsePlan(os.Getenv("SHIM_PLAN"))
@@ -104,7 +104,7 @@
 		"nothing": {nil, []string{"dial 0 open 0\n", "stepped 0s spent true", "echoed 100000 <nil>"}},
 		"clock": {Plan{{Kind: Clock, From: 500 * time.Millisecond, Step: -time.Hour}},
 			[]string{"stepped -1h0m0s spent true"}},
-		"short":     {Plan{{Kind: Short, For: all, Share: 0.5}}, []string{"echoed 100000 <nil>"}},
+		"short":     {Plan{{Kind: ShortTransfer, For: all, Share: 0.5}}, []string{"echoed 100000 <nil>"}},
 		"interrupt": {Plan{{Kind: Interrupt, For: all, Share: 0.2}}, []string{"dial 0 open 0\n", "echoed 100000 <nil>"}},
 		"windows":   {Plan{{Kind: Open, From: time.Hour, For: all, Share: 1}}, []string{"open 0\n"}},
 	} {
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -199,7 +199,7 @@
 	case unix.SYS_CLOSE:
 		delete(t.dialed, th.args[0])
 	case unix.SYS_CONNECT:
-		th.awaitsExit = t.plan.has(Break)
+		th.awaitsExit = t.plan.has(BrokenConnection)
 	case unix.SYS_CLOCK_GETTIME:
 		th.awaitsExit = t.plan.step(time.Since(t.start)) != 0
 	case unix.SYS_READ, unix.SYS_WRITE:
@@ -226,7 +226,7 @@
 		}
 	case unix.SYS_READ:
 		if t.dialed[th.args[0]] {
-			return t.drawErrorOf(Break, breakErrors)
+			return t.drawErrorOf(BrokenConnection, breakErrors)
 		}
 	case unix.SYS_OPENAT:
 		return t.drawErrorOf(Open, openErrors)
@@ -246,7 +246,7 @@
 
 // drawShort draws whether a read or a write is cut short.
 func (t *tracer) drawShort(th *thread) bool {
-	return th.args[2] >= minShortTransfer && t.hits(Short) && t.isSocket(th.args[0])
+	return th.args[2] >= minShortTransfer && t.hits(ShortTransfer) && t.isSocket(th.args[0])
 }
 
 // hits draws whether a kind of fault hits a call now.
--- a/internal/sysfault/tracer_other.go
+++ b/internal/sysfault/tracer_other.go
@@ -4,8 +4,8 @@
 
 import "errors"
 
-// EnterChild does nothing on this machine.
-func EnterChild() {}
+// ExecIfChild does nothing on this machine.
+func ExecIfChild() {}
 
 // Run is not to be had on this machine.
 func Run(Plan, uint64, []string) (int, error) {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -65,8 +65,8 @@
 // Error returns the key and the message.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %q: %s", e.Key, e.Msg) }
 
-// Bad returns a KeyError; the arguments are those of fmt.Sprintf.
-func Bad(key, format string, args ...any) error {
+// KeyErrorf returns a KeyError; the arguments are those of fmt.Sprintf.
+func KeyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Msg: fmt.Sprintf(format, args...)}
 }
 
