--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// listURL is the URL of the endpoint list at an address of discovery.
+// listURL returns the URL of the endpoint list at an address of discovery.
 func listURL(address string) string { return "http://" + address + "/registry/instances" }
 
-// Address returns the address of discovery, or of the replica that is used now.
+// Address returns the address of discovery, or of the replica in use.
 func (c *Client) Address() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.address
 }
 
-// SetAddress has discovery called at another address from now on. A call under way at the old address is cancelled:
-// its answer would be of no use.
+// SetAddress replaces the address of discovery. A call in progress at the old address is cancelled, because its answer
+// would not be used.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +27,7 @@
 	c.addressChanged = make(chan struct{})
 }
 
-// useNextReplica fails over to the replica after the one in use, where there are replicas.
+// useNextReplica fails over to the replica after the one in use. It does nothing if there is no other replica.
 func (c *Client) useNextReplica() {
 	if len(c.replicas) < 2 {
 		return
@@ -36,7 +36,7 @@
 	c.SetAddress(c.replicas[next])
 }
 
-// location returns the URL of the list, and a channel that is closed when the URL changes.
+// location returns the URL of the list and a channel that is closed when the URL changes.
 func (c *Client) location() (url string, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -11,9 +11,9 @@
 	"hitchvale/balance"
 )
 
-// Where discovery moves while no call is under way, after the last one failed, the complete list is read at the new
-// address at once: the lists may be numbered in another way there.
-func TestMoveBetweenCalls(t *testing.T) {
+// If the address of discovery changes while no call is open, because the last call failed, the client reads the complete
+// list at the new address immediately. Discovery at the new address may use other revision numbers.
+func TestAddressChangeBetweenCalls(t *testing.T) {
 	for _, polled := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			failures := make(chan struct{}, 64)
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -8,27 +8,27 @@
 
 const (
 	minBackoff = 50 * time.Millisecond
-	maxBackoff = time.Second // short against the 6 s after which a change counts as notified
+	maxBackoff = time.Second // much shorter than the 6 s within which a node must learn of a change (see watch.go)
 )
 
-// backoff is the delay after failed calls: it doubles from minBackoff to maxBackoff with each round of failures, where
-// a round is one failure at each replica. Within a round the next replica is tried after minBackoff, or a change would
-// be late by a delay for each replica that is down.
+// backoff computes the delay after a failed call. A round is one failure at each replica. The delay doubles from
+// minBackoff to maxBackoff with each round. Within a round the next replica is tried after minBackoff: with the longer
+// delay, each replica that is down would delay the news of a change by that much.
 type backoff struct {
-	replicas int // 0: one discovery
-	failures int
-	delay    time.Duration
+	replicas int           // 0 if discovery is not replicated
+	failures int           // since the last success
+	delay    time.Duration // after the next round
 }
 
 func newBackoff(replicas int) *backoff { return &backoff{replicas: replicas, delay: minBackoff} }
 
-// reset starts over after a call that succeeded.
+// reset sets the delay back to minBackoff. It is called after a call has succeeded.
 func (b *backoff) reset() {
 	b.failures = 0
 	b.delay = minBackoff
 }
 
-// next returns the delay after one more failure.
+// next counts a failure and returns the delay after it.
 func (b *backoff) next() time.Duration {
 	b.failures++
 	if b.replicas > 0 && b.failures%b.replicas != 0 {
@@ -39,8 +39,8 @@
 	return delay
 }
 
-// sleep waits between half and one and a half of a delay, as nodes that lost discovery together must not come back to
-// it in step. It ends early when discovery moves.
+// sleep waits for 0.5 to 1.5 times the delay, drawn at random, so that nodes that lost discovery at the same time don't
+// call it again at the same time. It returns early when ctx ends or the address of discovery changes.
 func (c *Client) sleep(ctx context.Context, delay time.Duration) {
 	_, addressChanged := c.location()
 	timer := time.NewTimer(delay/2 + rand.N(delay))
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// All nodes share one discovery, which serves calls in turn: a call that is abandoned while it is queued has cost its
-// place all the same, and the next one waits behind it. So the timeouts leave time for the queue; connecting needs no
-// turn.
+// All nodes share one discovery service, which serves one call after the other. It also serves queued calls that were
+// abandoned, so a repeated call waits until the abandoned one has been served. The timeouts of calls therefore include
+// time in the queue. Connecting does not wait in the queue.
 const (
 	dialTimeout = time.Second
-	// responseSlack is how long an answer may take beyond the wait that the call asks for.
+	// responseSlack is how long an answer may take in addition to the wait that the call asks for.
 	responseSlack = 2500 * time.Millisecond
-	// defaultFullListTimeout is the time for a complete list.
+	// defaultFullListTimeout is the timeout of a call for the complete list.
 	defaultFullListTimeout = 5 * time.Second
 
 	idleConnTimeout        = 10 * time.Second
-	maxConnections         = 4 // two calls, and abandoned dials
+	maxConnections         = 4 // two calls at the same time, and dials that were abandoned
 	maxResponseHeaderBytes = 16 << 10
 	maxListBytes           = 4 << 20
 )
 
-// newHTTPClient returns the client for calls to discovery, which follows no redirects; a nil transport is TCP.
+// newHTTPClient returns the HTTP client for calls to discovery. It follows no redirects. A nil transport means TCP.
 func newHTTPClient(transport http.RoundTripper) *http.Client {
 	if transport == nil {
 		transport = &http.Transport{
@@ -43,7 +43,7 @@
 	}
 }
 
-// get makes one call. The error wraps ErrMalformed where an answer came that can't be decoded.
+// get makes one call. The error wraps ErrMalformed if the answer can't be decoded as a list.
 func (c *Client) get(ctx context.Context, url string, timeout time.Duration) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -52,31 +52,31 @@
 		return List{}, err
 	}
 	c.callCount.Add(1)
-	begun := time.Now()
+	start := time.Now()
 	list, err := c.do(request)
 	if c.onCall != nil {
-		c.onCall(time.Since(begun), err)
+		c.onCall(time.Since(start), err)
 	}
 	return list, err
 }
 
-// do sends a request and decodes the answer.
+// do sends a request and decodes the list in the response.
 func (c *Client) do(request *http.Request) (List, error) {
 	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return List{}, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return List{}, err
 	case response.StatusCode != http.StatusOK:
-		return List{}, fmt.Errorf("status %d", response.StatusCode)
-	case len(text) > maxListBytes:
+		return List{}, fmt.Errorf("discovery answered with status %d", response.StatusCode)
+	case len(body) > maxListBytes:
 		return List{}, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, maxListBytes)
 	}
-	list, err := ParseList(text, c.settings)
+	list, err := ParseList(body, c.settings)
 	if err != nil {
 		return List{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,22 +13,22 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// Config is what a Client needs. OnList and OnFailure are called from Run's goroutine, one at a time.
+// Config configures a Client. Run's goroutine calls OnList and OnFailure, one at a time.
 type Config struct {
-	Address     string   // of discovery, or of the replica to begin with
-	Replicas    []string // every replica of a replicated registry, in the order of failover; nil: one discovery
+	Address     string   // host and port of discovery, or of the first replica to call
+	Replicas    []string // all replicas of a replicated registry, in failover order; nil if discovery is not replicated
 	Settings    siteconfig.Settings
-	InitialList List              // the list held at the start; a watch goes on from it if it has members
-	Transport   http.RoundTripper // nil: TCP
+	InitialList List              // the list held at the start; if it has members, the client watches from its revision
+	Transport   http.RoundTripper // nil means TCP
 	Log         *slog.Logger
 
-	OnList    func(List)                          // receives each list
-	OnFailure func()                              // is called when a call has failed
-	OnCall    func(took time.Duration, err error) // receives the time of each call, from any goroutine; may be nil
+	OnList    func(List)                              // receives each list
+	OnFailure func()                                  // is called after each failed call
+	OnCall    func(duration time.Duration, err error) // is called after each call, from any goroutine; may be nil
 }
 
-// Client keeps its owner up to date with the endpoint list. NewClient makes one, Run does the work; the other methods
-// may be called from any goroutine.
+// Client passes the endpoint list and its changes to the caller. NewClient creates a Client, and Run makes its calls.
+// The other methods may be called from any goroutine.
 type Client struct {
 	settings   siteconfig.Settings
 	httpClient *http.Client
@@ -36,35 +36,35 @@
 	onList     func(List)
 	onFailure  func()
 	onCall     func(time.Duration, error)
-	callCount  atomic.Int64 // since TakeCallCount
+	callCount  atomic.Int64 // calls since the last TakeCallCount
 
 	watchWait       time.Duration // how long discovery may hold a watch open
 	fullListTimeout time.Duration
 
-	// The replicas of one registry number their lists alike. So a watch goes on from one to the next, and a list older
-	// than the one held is refused.
+	// All replicas of a registry use the same revision numbers. A watch therefore continues at the next replica from
+	// the revision held, and a list with a lower revision than the one held is rejected.
 	replicas []string
 
-	// requests has the calls that the module asks for; nil where lists are pushed.
+	// requests queues the calls that the balancer asks for. It is nil where lists are pushed.
 	requests chan balance.ActionKind
 
-	position position // for Run's goroutine alone
+	position position // used by Run's goroutine only
 
 	mu             sync.Mutex
 	address        string
 	url            string
-	addressChanged chan struct{} // closed when url changes, and replaced
+	addressChanged chan struct{} // closed and replaced when url changes
 }
 
-// position is how far the list has been read.
+// position says how far the client has read the list.
 type position struct {
-	resumable    bool  // nothing up to revision is missing: a watch may go on from there
-	revision     int64 // of the last list
-	url          string
-	listReceived bool // since the start of the process
+	resumable    bool   // all changes up to revision have been received, so a watch may continue from revision
+	revision     int64  // of the last list received
+	url          string // from which the list is read
+	listReceived bool   // whether discovery has sent a list since NewClient
 }
 
-// NewClient returns a Client that Run starts.
+// NewClient returns a Client. It makes no calls until Run is called.
 func NewClient(cfg Config) *Client {
 	c := &Client{
 		settings:        cfg.Settings,
@@ -88,26 +88,26 @@
 	return c
 }
 
-// Run reads the list and follows its changes until ctx ends.
+// Run reads the list and its changes until ctx ends. Only one call of Run may be active at a time.
 func (c *Client) Run(ctx context.Context) {
 	defer c.httpClient.CloseIdleConnections()
-	complaints := lograte.Limited{Log: c.log}
+	warnings := lograte.Limited{Log: c.log}
 	delays := newBackoff(len(c.replicas))
 	for ctx.Err() == nil {
 		watch, wanted := c.awaitRequest(ctx)
 		if !wanted {
 			continue
 		}
-		received, err := c.followAcrossMoves(ctx, watch)
+		received, err := c.follow(ctx, watch)
 		if ctx.Err() != nil || err == nil {
 			continue
 		}
-		complaints.Warn("discovery call failed", "error", err)
-		c.takeRequests() // those made during the call have failed with it
+		warnings.Warn("discovery call failed", "error", err)
+		c.takeRequests() // requests made during the failed call count as failed too
 		c.onFailure()
 		c.useNextReplica()
 		if c.polls() {
-			continue // the module says when to call again
+			continue // the balancer asks for the next call
 		}
 		if received {
 			delays.reset()
@@ -116,5 +116,5 @@
 	}
 }
 
-// TakeCallCount returns the number of calls since it was last called.
+// TakeCallCount returns the number of calls to discovery since the last TakeCallCount, and resets the count.
 func (c *Client) TakeCallCount() int64 { return c.callCount.Swap(0) }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,8 @@
 	"hitchvale/internal/discovery/discoverytest"
 )
 
-func TestDiscoveryListsAndThenWatches(t *testing.T) {
+// The client reads the complete list, then watches for changes and continues from the revision of each change.
+func TestReadsCompleteListAndWatches(t *testing.T) {
 	started := member("ready")
 	started.UpSinceMillis = 1700000000000
 	server := discoverytest.NewServer(t, discoverytest.FormatList(41, true, started))
@@ -32,13 +33,13 @@
 		t.Fatalf("%+v", l)
 	}
 	resumed := func(query string) bool { return strings.HasPrefix(query, "after=43&wait_ms=") }
-	eventually(t, "a watch that goes on from there", func() bool {
+	eventually(t, "a watch from the revision of the change", func() bool {
 		return slices.ContainsFunc(server.Queries(), resumed)
 	})
 }
 
-// A list may come indented, and may be spread over any white space.
-func TestListsMayComeIndented(t *testing.T) {
+// A list may contain any white space between JSON tokens.
+func TestParseIndentedList(t *testing.T) {
 	started := member("ready")
 	started.UpSinceMillis = 5
 	text := discoverytest.FormatList(41, true, started)
@@ -53,7 +54,7 @@
 	}
 }
 
-// A malformed list is not passed on, and the complete list is read again.
+// A malformed list is not passed to the caller, and the client reads the complete list again.
 func TestMalformedListIsDropped(t *testing.T) {
 	for name, text := range map[string]string{
 		"not JSON":      `{"revision":2,`,
@@ -61,7 +62,7 @@
 		"no id":         `{"revision":2,"members":[{"host_port":"127.0.0.1:1","phase":"ready"}]}`,
 		"unknown phase": `{"revision":2,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"asleep"}]}`,
 		"no address":    `{"revision":2,"members":[{"id":"s","host_port":"here","phase":"ready"}]}`,
-		"time gone by": `{"revision":2,"members":
+		"negative up_since_ms": `{"revision":2,"members":
 			[{"id":"s","host_port":"127.0.0.1:1","phase":"ready","up_since_ms":-5}]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,8 +78,8 @@
 	}
 }
 
-// A discovery that is silent, or down, or back at an older version, holds nothing up for good.
-func TestDiscoveryIsReachedAgain(t *testing.T) {
+// The client receives the list after a call without an answer, a reset connection and a call that was rejected.
+func TestRecoversAfterFailedCalls(t *testing.T) {
 	var calls atomic.Int64
 	text := discoverytest.FormatList(7, true, member("ready"))
 	addr := serveConnections(t, func(c net.Conn, br *bufio.Reader) {
@@ -87,7 +88,7 @@
 				return
 			}
 			switch calls.Add(1) {
-			case 1: // silent
+			case 1: // no answer
 				br.ReadByte()
 				return
 			case 2:
@@ -106,14 +107,14 @@
 	}
 }
 
-// When more than the life of a watch has passed between two calls, what changed may be missing.
+// If the time between two calls exceeds maxWatchGap, changes may have been missed, so the complete list is read again.
 func TestLateWatchReadsTheCompleteList(t *testing.T) {
 	server := discoverytest.NewServer(t, discoverytest.FormatList(1, true))
-	var slow atomic.Bool
-	slow.Store(true)
+	var firstList atomic.Bool
+	firstList.Store(true)
 	startClient(t, server.Addr, func(c *Client) {
 		c.onList = func(List) {
-			if slow.Swap(false) {
+			if firstList.Swap(false) {
 				time.Sleep(2 * maxWatchGap)
 			}
 		}
@@ -124,7 +125,7 @@
 	})
 }
 
-// Where lists are polled, calls are made only on the module's request.
+// Where lists are polled, the client makes a call only after a request.
 func TestPollingCallsOnRequestOnly(t *testing.T) {
 	server := discoverytest.NewServer(t, discoverytest.FormatList(1, true, member("ready")))
 	requests := make(chan balance.ActionKind, 16)
@@ -143,19 +144,19 @@
 	eventually(t, "a watch", func() bool { return len(server.Queries()) > 2 })
 }
 
-// When discovery moves, the complete list is read at the new address at once, though the old one holds a call open,
-// and what comes from there is watched. The old one is not called again.
-func TestDiscoveryMoves(t *testing.T) {
+// When the address of discovery changes, the client reads the complete list at the new address immediately, even if a
+// call is open at the old address. It then watches at the new address and makes no more calls to the old one.
+func TestAddressChangeDuringCall(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		before := discoverytest.NewServer(t, discoverytest.FormatList(90, true, member("ready")))
-		elsewhere := discoverytest.Member{ID: "s", Address: "127.0.0.1:2", Phase: "ready"}
-		after := discoverytest.NewServer(t, discoverytest.FormatList(3, true, elsewhere))
+		movedMember := discoverytest.Member{ID: "s", Address: "127.0.0.1:2", Phase: "ready"}
+		after := discoverytest.NewServer(t, discoverytest.FormatList(3, true, movedMember))
 		var c *Client
-		lists, failures := startClient(t, before.Addr, func(made *Client) {
-			c = made
+		lists, failures := startClient(t, before.Addr, func(client *Client) {
+			c = client
 			if polled {
-				made.requests = make(chan balance.ActionKind, 16)
-				made.requests <- balance.WatchEndpoints
+				client.requests = make(chan balance.ActionKind, 16)
+				client.requests <- balance.WatchEndpoints
 			}
 		})
 		receive(t, "the first list", lists)
@@ -166,16 +167,17 @@
 			t.Errorf("got %+v", l)
 		}
 		calls := len(before.Queries())
-		elsewhere.Phase = "draining"
-		after.Changes <- discoverytest.FormatList(4, false, elsewhere)
-		awaitList(t, "a change there", lists, func(l List) bool { return l.Revision == 4 })
+		movedMember.Phase = "draining"
+		after.Changes <- discoverytest.FormatList(4, false, movedMember)
+		awaitList(t, "a change at the new address", lists, func(l List) bool { return l.Revision == 4 })
 		if n := len(before.Queries()); n != calls || failures.Load() != 0 {
-			t.Errorf("the old address was called %d times more, %d calls failed", n-calls, failures.Load())
+			t.Errorf("%d more calls to the old address, %d calls failed; want none", n-calls, failures.Load())
 		}
 	}
 }
 
-// A call that is queued at discovery keeps its place: discovery serves one that was abandoned all the same.
+// The client does not abandon a call that waits 1.5 s in discovery's queue. Discovery would serve the abandoned call
+// anyway, and a new call would wait behind it.
 func TestQueuedCallIsNotAbandoned(t *testing.T) {
 	var calls atomic.Int64
 	text := discoverytest.FormatList(7, true, member("ready"))
@@ -196,9 +198,9 @@
 	}
 }
 
-// With replicas, a failed call moves to the next one and the watch goes on from the revision held; a lagging
-// replica's older list is refused, never taken.
-func TestReplicaFailoverNeverGoesBack(t *testing.T) {
+// With replicas, the client calls the next replica after a failed call and continues the watch from the revision held.
+// It rejects the list of a lagging replica that has a lower revision.
+func TestReplicaFailoverRejectsOlderList(t *testing.T) {
 	first := discoverytest.NewServer(t, discoverytest.FormatList(41, true, member("ready")))
 	lagging := discoverytest.NewServer(t, discoverytest.FormatList(30, true))
 	lagging.Changes <- discoverytest.FormatList(30, false)
@@ -210,7 +212,7 @@
 	first.Server.Close()
 	l := awaitList(t, "the change at the other replica", lists, func(l List) bool {
 		if l.Revision < 41 {
-			t.Fatalf("went back to %d", l.Revision)
+			t.Fatalf("revision went back to %d", l.Revision)
 		}
 		return len(l.Members) > 0
 	})
@@ -218,7 +220,7 @@
 		t.Fatalf("%+v", l)
 	}
 	if failures.Load() < 2 {
-		t.Fatalf("%d failed calls: the first replica's end and the lagging answer", failures.Load())
+		t.Fatalf("%d failed calls, want one at the closed replica and one for the lagging answer", failures.Load())
 	}
 	if queries := lagging.Queries(); len(queries) == 0 || !strings.HasPrefix(queries[0], "after=41&") {
 		t.Fatalf("the other replica was called with %q", queries)
--- a/internal/discovery/discoverytest/server.go
+++ b/internal/discovery/discoverytest/server.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// maxWatchWait is how long a watch is held open when nothing changes.
+// maxWatchWait is how long the server holds a watch open when nothing changes.
 const maxWatchWait = 500 * time.Millisecond
 
 // Member is one entry of a list.
@@ -24,7 +24,7 @@
 	UpSinceMillis int64
 }
 
-// FormatList returns a list, or a set of changes, in the wire's form.
+// FormatList encodes a list, or a set of changes if complete is false, in the wire format.
 func FormatList(revision int, complete bool, members ...Member) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"revision":%d,"complete":%t,"members":[`, revision, complete)
@@ -39,12 +39,12 @@
 	return b.String()
 }
 
-// Server answers each call for the complete list with the text it was made with, and each watch with the next of
-// Changes.
+// Server is a discovery service. It answers each call for the complete list with the text given to NewServer, and each
+// watch with the next text from Changes.
 type Server struct {
 	*http.Server
 	Addr    string
-	Changes chan string
+	Changes chan string // answers of watches; a test sends encoded lists
 
 	completeList string
 
@@ -52,7 +52,7 @@
 	queries []string
 }
 
-// NewServer starts a Server that ends with the test.
+// NewServer starts a Server that runs until the test ends.
 func NewServer(t *testing.T, completeList string) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return s
 }
 
-// Queries returns the query of each call so far.
+// Queries returns the URL queries of all calls so far, in their order.
 func (s *Server) Queries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,8 +1,8 @@
-// Package discovery is the client of the discovery service: it reads the endpoint list of a site, watches it for
-// changes, and passes each one on in the order of arrival. It owns the connection to discovery, the revision up to
-// which the list has been read, the backoff after failed calls and the choice among replicas. What the list means for
-// requests is the caller's business.
+// Package discovery is the client of the discovery service. It reads the endpoint list of a site, watches the list for
+// changes, and passes each list to the caller in the order of arrival. It manages the connection to discovery, the
+// revision that has been read, the backoff after failed calls and the failover between replicas. The caller decides
+// what a list means for requests.
 //
-// A site's settings say how the list comes. Where it is pushed the client watches on its own, from Run to its end.
-// Where it is polled the client makes a call only when the caller's Request asks for one.
+// The settings of a site say how lists arrive. Where lists are pushed, the client watches discovery for as long as Run
+// runs. Where lists are polled, the client makes a call only after the caller has asked for a call with Request.
 package discovery
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// silenceTimeout is how long the answer to a watch may be overdue before a hedged call is made. The first one may
-	// be on a broken connection, or stand in discovery's queue; it keeps its place.
+	// silenceTimeout is how long the answer to a watch may be overdue before a hedged call is made. The first call may
+	// be on a broken connection or in discovery's queue. It is not cancelled, so it keeps its place in the queue.
 	silenceTimeout = time.Second
-	// fullListHedgeDelay is how long the complete list may take before a hedged call is made.
+	// fullListHedgeDelay is how long a call for the complete list may take before a hedged call is made.
 	fullListHedgeDelay = 3 * time.Second
 )
 
-// listRead is one way to read the list: the call, and the hedged call beside it when no answer comes.
+// listRead describes a call, and the hedged call that is made if the first call has no answer after hedgeDelay.
 type listRead struct {
-	query      string        // "": the complete list
+	query      string        // of the first call; "" reads the complete list
 	timeout    time.Duration // of the first call
-	hedgeQuery string        // of the hedged call, whose timeout is responseSlack as it waits for nothing
-	hedgeDelay time.Duration
+	hedgeQuery string        // of the hedged call, whose timeout is responseSlack because it asks for no wait
+	hedgeDelay time.Duration // from the start of the first call
 }
 
-// fullRead reads the complete list, which costs discovery work for each entry.
+// fullRead returns the read of the complete list. It costs discovery work for each entry.
 func (c *Client) fullRead() listRead {
 	return listRead{timeout: c.fullListTimeout, hedgeDelay: fullListHedgeDelay}
 }
 
-// watchRead waits for a change after the revision that is known. Where lists are pushed, the first call of a process
-// does not wait: it must not serve on an older list than discovery's.
+// watchRead returns the read that waits for a change after the revision held. Where lists are pushed, the first call of
+// a client does not wait, because the node must not serve requests with a list that is older than discovery's.
 func (c *Client) watchRead() listRead {
 	wait := c.watchWait
 	if !c.polls() && !c.position.listReceived {
@@ -44,11 +44,13 @@
 	}
 }
 
+// watchQuery returns the query of a call that discovery answers at the latest after wait.
 func (c *Client) watchQuery(wait time.Duration) string {
 	return fmt.Sprintf("?after=%d&wait_ms=%d", c.position.revision, wait.Milliseconds())
 }
 
-// readList reads the list at a URL. Among replicas no call is hedged: a silent one is abandoned for the next.
+// readList reads the list at a URL. With several replicas no call is hedged: a replica that does not answer in time is
+// given up for the next replica.
 func (c *Client) readList(ctx context.Context, url string, r listRead) (List, error) {
 	if len(c.replicas) > 1 {
 		return c.get(ctx, url+r.query, r.timeout)
@@ -56,8 +58,8 @@
 	return c.hedgedGet(ctx, url, r)
 }
 
-// hedgedGet makes a call, and a hedged one beside it if the first has no answer after the delay. The first answer
-// counts; an error counts once no other call is open, or if it wraps ErrMalformed.
+// hedgedGet makes a call, and a hedged call in addition if the first has no answer after hedgeDelay. It returns the
+// first list. It returns an error if no other call is open or the error wraps ErrMalformed.
 func (c *Client) hedgedGet(ctx context.Context, url string, r listRead) (List, error) {
 	type result struct {
 		list List
@@ -77,17 +79,17 @@
 		})
 	}
 	start(url+r.query, r.timeout)
-	silent := time.NewTimer(r.hedgeDelay)
-	defer silent.Stop()
+	hedgeTimer := time.NewTimer(r.hedgeDelay)
+	defer hedgeTimer.Stop()
 	for {
 		select {
-		case got := <-results:
+		case received := <-results:
 			open--
-			if got.err == nil || open == 0 || errors.Is(got.err, ErrMalformed) {
-				return got.list, got.err
+			if received.err == nil || open == 0 || errors.Is(received.err, ErrMalformed) {
+				return received.list, received.err
 			}
-		case <-silent.C:
-			c.log.Info("discovery silent", "hedged_url", url+r.hedgeQuery)
+		case <-hedgeTimer.C:
+			c.log.Info("discovery has not answered; making a hedged call", "hedged_url", url+r.hedgeQuery)
 			start(url+r.hedgeQuery, responseSlack)
 		}
 	}
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -16,47 +16,48 @@
 	"hitchvale/internal/discovery/discoverytest"
 )
 
-// scripted is discovery as a function of each call's number and query; an answer "" never comes.
-type scripted struct {
+// scriptedTransport is a transport to a discovery whose answers a function computes from the number and the query of
+// each call. If the text is "", the call has no answer.
+type scriptedTransport struct {
 	mu      sync.Mutex
 	queries []string
-	answer  func(call int, query string) (after time.Duration, text string)
+	answer  func(call int, query string) (delay time.Duration, text string)
 }
 
-func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	n := len(s.queries)
 	s.queries = append(s.queries, r.URL.RawQuery)
 	s.mu.Unlock()
-	after, text := s.answer(n, r.URL.RawQuery)
+	delay, text := s.answer(n, r.URL.RawQuery)
 	if text == "" {
-		after = time.Hour
+		delay = time.Hour
 	}
 	select {
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
-	case <-time.After(after):
+	case <-time.After(delay):
 	}
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// A change that a silent watch misses counts as notified 6 s after the silence began, or 2 s after the end of its wait
-// if that is later; the drain below is one. It must be passed on by then, whichever way lists come. A watch that is
-// only late is not hedged.
-func TestSilentWatchIsHedged(t *testing.T) {
+// A node must know of a change 6 s after a watch stopped answering, or 2 s after the end of the watch's wait if that is
+// later. The client must pass the drain of this test to the caller by then, both where lists are pushed and where they
+// are polled. A watch whose answer is less than silenceTimeout late is not hedged.
+func TestUnansweredWatchIsHedged(t *testing.T) {
 	const drained = `{"revision":9,"complete":false,"members":
 		[{"id":"s","host_port":"127.0.0.1:1","phase":"draining"}]}`
 	first := discoverytest.FormatList(7, true, member("ready"))
 	for name, tc := range map[string]struct {
 		polled bool
-		late   time.Duration // of the watch's answer, past its wait; 0: never
-		within time.Duration // from the watch's start, when its silence began
+		late   time.Duration // delay of the watch's answer after its wait; 0 means no answer
+		within time.Duration // limit for passing on the drain, from the start of the watch
 		hedged int           // hedged calls
 	}{
-		"pushed, silent": {within: 6 * time.Second, hedged: 1},
-		"polled, silent": {polled: true, within: pollWatchWait + 2*time.Second, hedged: 1},
-		"pushed, late":   {late: silenceTimeout - time.Millisecond},
-		"polled, late":   {polled: true, late: silenceTimeout - time.Millisecond},
+		"pushed, no answer": {within: 6 * time.Second, hedged: 1},
+		"polled, no answer": {polled: true, within: pollWatchWait + 2*time.Second, hedged: 1},
+		"pushed, late":      {late: silenceTimeout - time.Millisecond},
+		"polled, late":      {polled: true, late: silenceTimeout - time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -64,15 +65,15 @@
 				cfg.Settings.Config.PollDiscovery = tc.polled
 				var notified time.Duration
 				var start time.Time
-				service := &scripted{}
-				cfg.Transport = service
+				transport := &scriptedTransport{}
+				cfg.Transport = transport
 				cfg.OnList = func(l List) {
 					if len(l.Members) == 1 && l.Members[0].Phase == balance.Draining && notified == 0 {
 						notified = time.Since(start)
 					}
 				}
 				c := NewClient(cfg)
-				service.answer = func(call int, query string) (time.Duration, string) {
+				transport.answer = func(call int, query string) (time.Duration, string) {
 					switch {
 					case call == 0:
 						return 0, first
@@ -100,25 +101,25 @@
 				cancel()
 				<-done
 				hedged := 0
-				for _, q := range service.queries {
+				for _, q := range transport.queries {
 					if q == "after=7&wait_ms=0" {
 						hedged++
 					}
 				}
 				if notified == 0 || tc.late == 0 && notified > tc.within || hedged != tc.hedged {
 					t.Errorf("notified of the drain after %v, want %v at most; %d hedged calls, want %d: %q",
-						notified, tc.within, hedged, tc.hedged, service.queries)
+						notified, tc.within, hedged, tc.hedged, transport.queries)
 				}
 			})
 		})
 	}
 }
 
-// A discovery that answers nothing fails a call once, for the watch and the hedged call together.
-func TestSilentDiscoveryFailsTheCall(t *testing.T) {
+// If discovery answers neither the watch nor the hedged call, the two calls return one error together.
+func TestUnansweredHedgedCallFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, "127.0.0.1:1")
-		cfg.Transport = &scripted{answer: func(int, string) (time.Duration, string) { return 0, "" }}
+		cfg.Transport = &scriptedTransport{answer: func(int, string) (time.Duration, string) { return 0, "" }}
 		cfg.InitialList = List{Revision: 1, Members: []Member{{ID: "s"}}}
 		c := NewClient(cfg)
 		c.position.listReceived = true
@@ -131,22 +132,22 @@
 	})
 }
 
-// Through a long outage the client calls all replicas, backs off, and calls all again: once one is back its list comes
-// after one backoff at the most, and not after one for each replica that is still down.
+// During an outage the client calls all replicas, backs off, and calls all of them again. When a replica has recovered,
+// its list arrives after one backoff at most, and not after one backoff for each replica that is still down.
 func TestRecoveredReplicaIsFoundAfterOneBackoff(t *testing.T) {
-	for range 20 { // waits are drawn
+	for range 20 { // the delays are random
 		synctest.Test(t, func(t *testing.T) {
-			var notified atomic.Int64 // since the replica is back, in nanoseconds
-			back := time.Now().Add(time.Minute)
+			var notified atomic.Int64 // time of the first list after the replica's recovery, in nanoseconds
+			recovery := time.Now().Add(time.Minute)
 			replicas := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"}
 			cfg := testConfig(t, replicas[0])
 			cfg.Replicas = replicas
-			cfg.OnList = func(List) { notified.CompareAndSwap(0, int64(time.Since(back))) }
+			cfg.OnList = func(List) { notified.CompareAndSwap(0, int64(time.Since(recovery))) }
 			cfg.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
-				if time.Now().Before(back) || r.URL.Host != replicas[4] {
+				if time.Now().Before(recovery) || r.URL.Host != replicas[4] {
 					return nil, errors.New("refused")
 				}
-				if r.URL.RawQuery != "" { // a watch: nothing is new
+				if r.URL.RawQuery != "" { // a watch without changes
 					<-r.Context().Done()
 					return nil, r.Context().Err()
 				}
@@ -165,7 +166,7 @@
 			<-done
 			most := maxBackoff*3/2 + time.Duration(len(replicas))*minBackoff*3/2
 			if took := time.Duration(notified.Load()); took == 0 || took > most {
-				t.Errorf("notified %v after a replica was back", took)
+				t.Errorf("first list %v after the recovery of a replica, want at most %v", took, most)
 			}
 		})
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,7 +16,7 @@
 // List is an endpoint list, or a set of changes to one.
 type List struct {
 	Revision int64
-	Complete bool // the list names every endpoint there is; otherwise Members are those that changed
+	Complete bool // whether Members holds all endpoints; otherwise it holds those that changed
 	Members  []Member
 }
 
@@ -24,21 +24,21 @@
 type Member struct {
 	ID      string          // discovery's name of the endpoint
 	Address string          // host and port; may be empty for an endpoint that was removed
-	Raw     json.RawMessage // the entry in the wire's form, to pass on unchanged
+	Raw     json.RawMessage // the entry as received, for forwarding it unchanged
 	balance.Endpoint
 }
 
-// ErrMalformed is the error of an answer that can't be decoded as a list.
+// ErrMalformed says that an answer of discovery can't be decoded as a list.
 var ErrMalformed = errors.New("malformed list")
 
-// listMessage is a list in the wire's form.
+// listMessage is the wire format of a list.
 type listMessage struct {
 	Revision *int64            `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
 }
 
-// memberMessage is an entry of a list in the wire's form.
+// memberMessage is the wire format of an entry.
 type memberMessage struct {
 	ID            string   `json:"id"`
 	HostPort      string   `json:"host_port"`
@@ -50,18 +50,18 @@
 	UpSinceMillis int64    `json:"up_since_ms"`
 }
 
-// phaseNames are the wire's names of the phases, in the order of balance.Phase.
+// phaseNames are the names of the phases in the wire format, in the order of balance.Phase.
 var phaseNames = []string{"ready", "draining", "gone"}
 
-// ParseList decodes a list from the wire's form. One malformed entry makes the complete list malformed: the rest of it
-// could lack a drain.
+// ParseList decodes a list from the wire format. One malformed entry makes the whole list malformed, because a list
+// without that entry might miss the drain of an endpoint.
 func ParseList(text []byte, settings siteconfig.Settings) (List, error) {
 	var message listMessage
 	if err := json.Unmarshal(text, &message); err != nil {
 		return List{}, err
 	}
 	if message.Revision == nil {
-		return List{}, errors.New("revision: missing")
+		return List{}, errors.New("revision is missing")
 	}
 	list := List{Revision: *message.Revision, Complete: message.Complete}
 	for i, raw := range message.Members {
@@ -70,7 +70,7 @@
 			return List{}, fmt.Errorf("member %d: %w", i, err)
 		}
 		if entry.ID == "" {
-			return List{}, fmt.Errorf("member %d: no id", i)
+			return List{}, fmt.Errorf("member %d: id is missing", i)
 		}
 		endpoint, err := entry.endpoint(settings)
 		if err != nil {
@@ -86,24 +86,24 @@
 	return list, nil
 }
 
-// endpoint returns the entry in the Balancer's terms; its ID is left zero, as the node numbers endpoints.
+// endpoint converts the entry to a balance.Endpoint. The endpoint's ID stays zero, because the node numbers endpoints.
 func (m *memberMessage) endpoint(settings siteconfig.Settings) (balance.Endpoint, error) {
 	phase := slices.Index(phaseNames, m.Phase)
 	_, addressErr := netip.ParseAddrPort(m.HostPort)
 	switch {
 	case phase < 0:
-		return balance.Endpoint{}, fmt.Errorf("phase %q", m.Phase)
+		return balance.Endpoint{}, fmt.Errorf("phase %q is unknown", m.Phase)
 	case addressErr != nil && balance.Phase(phase) != balance.Removed:
-		return balance.Endpoint{}, fmt.Errorf("host_port %q", m.HostPort)
+		return balance.Endpoint{}, fmt.Errorf("host_port %q is not an IP address and a port", m.HostPort)
 	case m.UpSinceMillis < 0 || m.UpSinceMillis > math.MaxInt64/int64(time.Millisecond):
-		return balance.Endpoint{}, fmt.Errorf("up_since_ms %d", m.UpSinceMillis)
+		return balance.Endpoint{}, fmt.Errorf("up_since_ms %d is out of range", m.UpSinceMillis)
 	}
 	weight := 1.0
 	if m.Size != nil {
 		weight = *m.Size
 	}
 	return balance.Endpoint{
-		Zone:        slices.Index(settings.Zones, m.Locality), // -1, a zone other than ours, where it is unknown
+		Zone:        slices.Index(settings.Zones, m.Locality), // -1 for an unknown zone, which differs from the node's zone
 		Cell:        m.Cell,
 		MachineKind: slices.Index(settings.MachineKinds, m.Flavor),
 		Weight:      weight,
@@ -112,12 +112,12 @@
 	}, nil
 }
 
-// FormatList encodes a complete list in the wire's form. The members are entries as ParseList has read them.
+// FormatList encodes a complete list in the wire format. The members are Raw entries of a list that ParseList returned.
 func FormatList(revision int64, members []json.RawMessage) []byte {
 	if members == nil {
 		members = []json.RawMessage{}
 	}
 	message := listMessage{Revision: &revision, Complete: true, Members: members}
-	text, _ := json.Marshal(message) // no error: the entries were decoded from JSON
+	text, _ := json.Marshal(message) // cannot fail, because the entries were decoded from JSON
 	return text
 }
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -6,15 +6,15 @@
 	"hitchvale/balance"
 )
 
-// maxQueuedRequests bounds the requests that wait for Run. More than one waits only while a call is under way, which
-// answers them all.
+// maxQueuedRequests is how many requests may wait for Run. More than one request waits only during a call, and the
+// result of the call answers all of them.
 const maxQueuedRequests = 16
 
-// polls reports whether calls are made only when the module requests one.
+// polls reports whether lists are polled, so that calls are made only on request.
 func (c *Client) polls() bool { return c.requests != nil }
 
-// Request passes on what the module wants of discovery: WatchEndpoints, UnwatchEndpoints or FetchEndpoints. It never
-// blocks. Where lists are pushed it does nothing.
+// Request asks for a call, or for the end of a watch. The kind is WatchEndpoints, UnwatchEndpoints or FetchEndpoints.
+// Request never blocks. Where lists are pushed it does nothing.
 func (c *Client) Request(kind balance.ActionKind) {
 	select {
 	case c.requests <- kind:
@@ -22,8 +22,9 @@
 	}
 }
 
-// awaitRequest waits until a call is wanted, and reports whether the call is to watch or to read the list once. A call
-// is always wanted where lists are pushed, and where discovery has moved: a change there counts as notified soon after.
+// awaitRequest waits until a call is wanted. It reports whether the call watches the list or reads it once; wanted is
+// false if ctx has ended or the request only ends a watch. A call is always wanted where lists are pushed. It is also
+// always wanted after discovery has moved, because the node must learn in time of changes at the new address.
 func (c *Client) awaitRequest(ctx context.Context) (watch, wanted bool) {
 	url, addressChanged := c.location()
 	moved := c.position.url != "" && c.position.url != url && c.replicas == nil
@@ -40,7 +41,7 @@
 	}
 }
 
-// drainRequests takes the requests made meanwhile, and reports whether the last of them ends the watch.
+// takeRequests removes all queued requests, and reports whether the last of them ends the watch.
 func (c *Client) takeRequests() (unwatch bool) {
 	for {
 		select {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,31 +8,33 @@
 	"time"
 )
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever became of calls meanwhile. So a
-// watch that stays silent is hedged (hedge.go) after its wait and silenceTimeout: 3 s where lists are pushed, 4 s where
-// they are polled. Among replicas it is not hedged: the next replica is called after the wait and responseSlack, 4.5 s
-// or 5.5 s.
+// A node must know of a change 6 s after discovery has the change and can be reached, even if calls fail or hang in the
+// meantime. A watch without an answer is therefore hedged (hedge.go) after its wait plus silenceTimeout, which is 3 s
+// where lists are pushed and 4 s where they are polled. With several replicas calls are not hedged. Instead the next
+// replica is called after the wait plus responseSlack, which is 4.5 s or 5.5 s.
 const (
 	// pushWatchWait is how long discovery may hold a watch open where lists are pushed.
 	pushWatchWait = 2 * time.Second
-	// pollWatchWait is the same where lists are polled: each call costs discovery work.
+	// pollWatchWait is how long discovery may hold a watch open where lists are polled. It is longer than pushWatchWait
+	// because each call costs discovery work.
 	pollWatchWait = 3 * time.Second
-	// maxWatchGap is the longest time between two calls of a watch in which no change can be missed. Discovery ends a
-	// watch that has no call open for 200 ms.
+	// maxWatchGap is how long a watch may have no open call without the risk of a missed change. Discovery ends a watch
+	// that has no open call for 200 ms.
 	maxWatchGap = 150 * time.Millisecond
 )
 
 var (
-	errIncomplete   = errors.New("the complete list was requested and changes came")
-	errStaleReplica = errors.New("replica is behind the list held")
+	errIncomplete   = errors.New("discovery answered a call for the complete list with changes")
+	errStaleReplica = errors.New("the replica's list is older than the list held")
 )
 
-// followAcrossMoves follows the list from one address of discovery to the next until a call fails. It reports whether
-// any list was received.
-func (c *Client) followAcrossMoves(ctx context.Context, watch bool) (received bool, err error) {
+// follow reads the list, and its changes if watch is set. It returns when a call fails, when ctx ends or when the watch
+// is no longer wanted. When the address of discovery changes it continues at the new address. It reports whether any
+// list was received.
+func (c *Client) follow(ctx context.Context, watch bool) (received bool, err error) {
 	for {
-		receivedHere, moved, err := c.followUntilMove(ctx, watch)
-		received = received || receivedHere
+		receivedList, moved, err := c.followUntilMove(ctx, watch)
+		received = received || receivedList
 		if !moved || ctx.Err() != nil {
 			return received, err
 		}
@@ -40,29 +42,30 @@
 	}
 }
 
-// followUntilMove follows the list at the present address until a call fails or discovery moves.
+// followUntilMove does the work of follow at the current address, and returns with moved set when the address changes.
 func (c *Client) followUntilMove(ctx context.Context, watch bool) (received, moved bool, err error) {
 	url, addressChanged := c.location()
-	here, leave := context.WithCancel(ctx)
-	defer leave()
+	addressCtx, cancel := context.WithCancel(ctx) // ends when the address changes
+	defer cancel()
 	stop := make(chan struct{})
-	var watcher sync.WaitGroup
-	watcher.Go(func() {
+	var canceller sync.WaitGroup
+	canceller.Go(func() {
 		select {
 		case <-addressChanged:
-			leave()
+			cancel()
 		case <-stop:
 		}
 	})
-	received, err = c.follow(here, url, watch)
+	received, err = c.followURL(addressCtx, url, watch)
 	close(stop)
-	watcher.Wait()
-	return received, here.Err() != nil, err
+	canceller.Wait()
+	return received, addressCtx.Err() != nil, err
 }
 
-// follow reads the list, from the start or from the revision that is known, and then watches it if it is to. It ends
-// when a call fails, when ctx ends or when the watch is no longer wanted, and reports whether any list was received.
-func (c *Client) follow(ctx context.Context, url string, watch bool) (received bool, err error) {
+// followURL reads the complete list or the changes since the revision held, and continues with watches if watch is set.
+// It returns when a call fails, when ctx ends or when the watch is no longer wanted. It reports whether any list was
+// received.
+func (c *Client) followURL(ctx context.Context, url string, watch bool) (received bool, err error) {
 	c.switchURL(url)
 	for ctx.Err() == nil {
 		list, err := c.readNext(ctx, url, watch)
@@ -84,23 +87,25 @@
 	return received, nil
 }
 
-// enter begins to read at a URL. Another discovery may number its lists in another way, so the list is read anew there;
-// replicas are of one registry, and a watch goes on.
+// switchURL sets the URL to read from. Another discovery may use other revision numbers, so the complete list is read
+// after a change of the URL. Replicas of one registry use the same numbers, so a watch continues.
 func (c *Client) switchURL(url string) {
 	if c.position.url != "" && c.position.url != url && c.replicas == nil {
 		c.position.resumable = false
-		c.log.Info("discovery moved", "url", url)
+		c.log.Info("discovery moved; reading the complete list at the new address", "url", url)
 	}
 	c.position.url = url
 }
 
-// advance takes in a list. Where revisions go back, or a watch has ended, what changed in between may be missing.
+// advance moves the position to the revision of a list that was received. If the revision went back, changes may have
+// been missed, so the next call reads the complete list.
 func (p *position) advance(list List) {
 	p.resumable = list.Complete || list.Revision >= p.revision
 	p.revision = list.Revision
 }
 
-// readNext makes the next call: a watch from the position, or of the complete list.
+// readNext makes the next call: a watch from the revision held, or a call for the complete list if there is no watch or
+// the position is not resumable.
 func (c *Client) readNext(ctx context.Context, url string, watch bool) (List, error) {
 	next := c.fullRead()
 	if watch && c.position.resumable {
@@ -109,7 +114,7 @@
 	list, err := c.readList(ctx, url, next)
 	switch {
 	case errors.Is(err, ErrMalformed):
-		c.position.resumable = false // the changes in it are lost
+		c.position.resumable = false // the changes in the malformed answer are lost
 		return List{}, err
 	case err != nil:
 		return List{}, err
