--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,6 +1,5 @@
-// Package accept keeps a server accepting connections while accept(2) fails for a moment, and opens listening sockets
-// that are not free yet. It owns the decision which errors are transient, and no socket: the listener stays its
-// caller's.
+// Package accept retries accept(2) after transient errors, and retries opening a socket whose address is still in use.
+// It decides which errors are transient. It owns no socket: the caller closes its listener.
 package accept
 
 import (
@@ -16,47 +15,48 @@
 	"hitchvale/internal/lograte"
 )
 
-// The delay after a failed call doubles from minRetryDelay to maxRetryDelay. The longest is far below a request's
-// deadline, and long enough that a lasting shortage costs little processor time.
+// The delay after a failed call doubles from minRetryDelay to maxRetryDelay. maxRetryDelay is much shorter than the
+// deadline of a request, and long enough that retries cost little processor time during a long shortage of resources.
 const (
 	minRetryDelay = time.Millisecond
 	maxRetryDelay = 20 * time.Millisecond
 )
 
-// permanentErrors tell of the listening socket itself: no later call can succeed. Every other error is of one
-// connection that has broken already, or of a shortage that passes.
+// permanentErrors are errors of the listening socket itself, after which no later call can succeed. All other errors
+// concern one connection that has already failed, or a temporary shortage of resources.
 var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// IsPermanent tells whether every later call of accept will fail too. An error that is not known counts as transient.
+// IsPermanent reports whether all later calls of accept will fail too. An unknown error counts as transient.
 func IsPermanent(err error) bool {
 	return slices.ContainsFunc(permanentErrors, func(target error) bool { return errors.Is(err, target) })
 }
 
-// LogRetries returns a function for Retrier.OnRetry and NewListener that logs errors, with what the listener is for, at
-// a bounded rate.
+// LogRetries returns a function for Retrier.OnRetry and NewListener. It logs errors with the name of the listener, at a
+// bounded rate.
 func LogRetries(log *slog.Logger, listener string) func(error) {
-	limited := &lograte.Limited{Log: log}
+	warnings := &lograte.Limited{Log: log}
 	return func(err error) {
-		limited.Warn("accept failed, retrying", "listener", listener, "error", err)
+		warnings.Warn("accept failed, retrying", "listener", listener, "error", err)
 	}
 }
 
-// Retrier calls accept until it succeeds. The zero value is ready. It may be used by one goroutine at a time; Failing
-// may be called from any.
+// Retrier calls accept until it succeeds. The zero value is ready for use. Accept may be called by one goroutine at a
+// time. Failing may be called from any goroutine.
 type Retrier struct {
-	// OnRetry is called with each transient error before the delay. It may be nil.
+	// OnRetry is called with each transient error, before the delay. It may be nil.
 	OnRetry func(error)
 
 	failing atomic.Bool
 }
 
-// Failing tells whether the last call failed, so that connections may wait in the backlog.
+// Failing reports whether the last call of accept failed with a transient error. Connections may then wait in the
+// backlog.
 func (r *Retrier) Failing() bool { return r.failing.Load() }
 
-// Accept returns the next connection. Its error is permanent, or os.ErrDeadlineExceeded where the listener's own
-// deadline has passed.
+// Accept calls accept until it returns a connection. The error is permanent, or os.ErrDeadlineExceeded if the deadline
+// of the listener has passed.
 func (r *Retrier) Accept(accept func() (net.Conn, error)) (net.Conn, error) {
-	for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		conn, err := accept()
 		transient := err != nil && !IsPermanent(err) && !errors.Is(err, os.ErrDeadlineExceeded)
 		r.failing.Store(transient)
@@ -66,7 +66,7 @@
 		if r.OnRetry != nil {
 			r.OnRetry(err)
 		}
-		time.Sleep(wait)
+		time.Sleep(delay)
 	}
 }
 
@@ -81,5 +81,5 @@
 	return &Listener{Listener: l, retry: Retrier{OnRetry: onRetry}}
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) { return l.retry.Accept(l.Listener.Accept) }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Errors of one connection and of a shortage pass, those of the listening socket do not, and a listener's own deadline
-// is its caller's to judge.
-func TestWhichErrorsPass(t *testing.T) {
+// Accept retries after errors of one connection and after shortages of resources. It returns errors of the listening
+// socket, and the error of a deadline that the caller has set on the listener.
+func TestTransientErrorsAreRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 		syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EINTR, syscall.ESOCKTNOSUPPORT} {
@@ -29,11 +29,11 @@
 			t.Errorf("%v: connection %v, error %v after %d calls, failing %v, then %v", errno, c, err, calls, failing, r.Failing())
 		}
 	}
-	for _, final := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT, os.ErrDeadlineExceeded} {
+	for _, returned := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT, os.ErrDeadlineExceeded} {
 		r := Retrier{}
-		_, err := r.Accept(func() (net.Conn, error) { return nil, fmt.Errorf("accept: %w", final) })
-		if !errors.Is(err, final) || r.Failing() {
-			t.Errorf("%v: got %v, failing %v", final, err, r.Failing())
+		_, err := r.Accept(func() (net.Conn, error) { return nil, fmt.Errorf("accept: %w", returned) })
+		if !errors.Is(err, returned) || r.Failing() {
+			t.Errorf("%v: got %v, failing %v", returned, err, r.Failing())
 		}
 	}
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is a node's second address, for its operators: readiness, statistics, and calls that cordon a backend
-// or put it back. It owns the HTTP server and the bounds on its connections; what the calls do is the node's. Each
-// connection carries one call.
+// Package admin serves the admin address of a node, a second HTTP address for operators. It has calls for readiness,
+// statistics and the fleet's state, and calls that cordon or uncordon a backend. The package runs the HTTP server and
+// limits its connections. The node does the work of the calls. Each connection carries one call.
 package admin
 
 import (
@@ -16,23 +16,23 @@
 )
 
 const (
-	// readTimeout is how long a caller may take to send its call.
+	// readTimeout is how long a client may take to send a call.
 	readTimeout = 3 * time.Second
-	// writeTimeout is how long the call and its answer may take together.
+	// writeTimeout is how long a call and its answer may take in total.
 	writeTimeout = 5 * time.Second
-	// maxHeaderBytes bounds the head of a call. Calls have no body.
+	// maxHeaderBytes limits the head of a call. Calls have no body.
 	maxHeaderBytes = 8 << 10
-	// MaxConns is how many connections are open at once.
+	// MaxConns is how many connections may be open at the same time.
 	MaxConns = 12
 )
 
-// Server serves the second address. Listen makes one, and either Run or Close ends it.
+// Server serves the admin address. Listen creates a Server. The caller must call Run, or Close if it does not call Run.
 type Server struct {
 	listener *boundedListener
 	http     *http.Server
 }
 
-// Listen opens the second address of a node. The error is that of the socket.
+// Listen opens the admin address of a node. It fails only if the socket can't be opened.
 func Listen(address string, node Node, log *slog.Logger) (*Server, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,7 +56,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run answers calls until ctx ends. The error is that of a listener which can't accept any more.
+// Run answers calls until ctx ends. It returns an error only if the listener can no longer accept connections.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
@@ -66,5 +66,5 @@
 	return nil
 }
 
-// Close closes the socket of a server that does not run.
+// Close closes the socket of a server that is not running.
 func (s *Server) Close() error { return s.listener.Close() }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// patience bounds every wait for something that must happen.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait for an expected event.
+const waitTimeout = 20 * time.Second
 
 type fakeNode struct{ ready bool }
 
@@ -26,7 +26,7 @@
 func (f *fakeNode) Metrics() http.Handler { return http.NotFoundHandler() }
 func (f *fakeNode) Fleet() (any, bool)    { return nil, false }
 
-func (f *fakeNode) Cordon(_ context.Context, id string, out bool) error {
+func (f *fakeNode) Cordon(_ context.Context, id string, cordoned bool) error {
 	switch id {
 	case "s-known":
 		return nil
@@ -54,7 +54,8 @@
 	return s.Addr().String()
 }
 
-// call writes a call and returns the status of the answer and its body. The connection has to end with it.
+// call sends a call and returns the status and the body of the answer. It fails the test unless the answer closes the
+// connection.
 func call(t *testing.T, addr, text string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -62,8 +63,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	go io.WriteString(c, text) // a long one may be cut short
+	c.SetDeadline(time.Now().Add(waitTimeout))
+	go io.WriteString(c, text) // the server may answer before it has read a long call
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -73,20 +74,20 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Errorf("the connection goes on after %q", text)
+		t.Errorf("the connection stays open after %q", text)
 	}
 	return resp.StatusCode, string(body)
 }
 
-func TestCallsAndTheirStatus(t *testing.T) {
-	ready, not := start(t, &fakeNode{ready: true}), start(t, &fakeNode{})
+func TestStatusOfCalls(t *testing.T) {
+	ready, notReady := start(t, &fakeNode{ready: true}), start(t, &fakeNode{})
 	for _, c := range []struct {
 		addr, line string
 		status     int
 		body       string
 	}{
 		{ready, "GET /admin/health", 200, "ok"},
-		{not, "GET /admin/health", 503, ""},
+		{notReady, "GET /admin/health", 503, ""},
 		{ready, "GET /admin/stats", 200, "edge_balancer.pending=14\n"},
 		{ready, "GET /admin/statistics", 404, ""},
 		{ready, "GET /", 404, ""},
@@ -108,14 +109,14 @@
 	}
 }
 
-// A call that is too long is an error or a close; nobody reads it to its end.
-func TestOversizedCallEnds(t *testing.T) {
+// The server does not read an endless call. It answers with an error or closes the connection.
+func TestOversizedCallIsNotServed(t *testing.T) {
 	c, err := net.Dial("tcp", start(t, &fakeNode{ready: true}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	go io.Copy(c, io.MultiReader(strings.NewReader("GET /admin/health?"), endless{}))
 	text, err := io.ReadAll(c)
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() || strings.HasPrefix(string(text), "HTTP/1.1 200") {
@@ -123,6 +124,7 @@
 	}
 }
 
+// endless is a reader without an end.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) {
@@ -132,7 +134,7 @@
 	return len(p), nil
 }
 
-// Connections without a complete call are evicted, so that a call is answered however many there are.
+// Connections without a complete call are evicted. A call is therefore answered even if many such connections are open.
 func TestIncompleteCallsAreEvicted(t *testing.T) {
 	addr := start(t, &fakeNode{ready: true})
 	var held []net.Conn
@@ -148,11 +150,11 @@
 		held = append(held, c)
 	}
 	if status, _ := call(t, addr, "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-		t.Errorf("answered %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
-	// The first of them was evicted for the later ones.
-	held[0].SetReadDeadline(time.Now().Add(patience))
+	// The first connection was evicted for later connections.
+	held[0].SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.ReadAll(held[0]); err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("the longest held connection is still open: %v", err)
+		t.Errorf("the oldest connection is still open: %v", err)
 	}
 }
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -10,28 +10,32 @@
 	"time"
 )
 
-// changeTimeout is how long a call that changes something may take to hold; a success that comes later is too late.
+// changeTimeout is how long a cordon or an uncordon may take to be in effect. A success after this
+// time counts as too late.
 const changeTimeout = 900 * time.Millisecond
 
-// ErrUnknownBackend is the error of a call that names a backend which was never listed.
+// ErrUnknownBackend says that a call names a backend that was never in the endpoint list.
 var ErrUnknownBackend = errors.New("no such backend")
 
-// Node is what the second address needs of a node. No method may wait for a busy node beyond its context.
+// Node is the interface between the admin address and the node. If the node is busy, no method may wait for it for
+// longer than the method's context allows.
 type Node interface {
-	// Ready reports whether this process is ready to serve.
+	// Ready reports whether this process is ready to serve requests.
 	Ready() bool
-	// WriteStatistics writes the statistics, a line each.
+	// WriteStatistics writes the statistics, one per line.
 	WriteStatistics(w io.Writer)
-	// Cordon takes a backend out of service, or puts it back. It returns once that holds. The error is
-	// ErrUnknownBackend for a backend that was never listed; after any other error nothing has changed.
+	// Cordon takes a backend out of service if cordoned is true, and puts it back into service otherwise. It returns
+	// when the change is in effect. The error is ErrUnknownBackend for a backend that was never in the endpoint list.
+	// After any other error nothing has changed.
 	Cordon(ctx context.Context, backendID string, cordoned bool) error
-	// Metrics serves the statistics in Prometheus's text form.
+	// Metrics returns a handler that serves the statistics in the text format of Prometheus.
 	Metrics() http.Handler
-	// Fleet returns the state of the node's membership of a fleet, to be encoded as JSON; false where it has none.
+	// Fleet returns the state of the node's membership in a fleet, which is encoded as JSON. ok is false if the node is
+	// not a member of a fleet.
 	Fleet() (status any, ok bool)
 }
 
-// handler answers the calls.
+// handler implements the calls of the admin address.
 type handler struct {
 	node Node
 	log  *slog.Logger
@@ -65,14 +69,14 @@
 func (h *handler) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	status, ok := h.node.Fleet()
 	if !ok {
-		http.Error(w, "no part in a fleet: the configuration has no key fleet", http.StatusNotFound)
+		http.Error(w, "the node is not a member of a fleet: its configuration has no key fleet", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(status)
 }
 
-// serveCordon returns the handler of cordon or uncordon.
+// serveCordon returns the handler of the cordon call, or of the uncordon call if cordoned is false.
 func (h *handler) serveCordon(cordoned bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// boundedListener bounds how many connections are open. A new connection beyond the bound evicts the one that has
-// waited longest without a complete call; where every call is complete, it waits for the end of an answer.
+// boundedListener limits the number of open connections. A new connection beyond the limit evicts the oldest connection
+// without a complete call. If all connections have a complete call, the new connection waits until a connection ends.
 type boundedListener struct {
 	net.Listener
 	maxConns int
 
 	mu         sync.Mutex
-	connEnded  *sync.Cond // with mu; also when the listener is closed
+	connEnded  *sync.Cond // uses mu; signals the end of a connection and the close of the listener
 	openConns  int
-	incomplete map[net.Conn]time.Time // connections without a complete call, and when they were accepted
+	incomplete map[net.Conn]time.Time // connections without a complete call, and the times they were accepted
 	closed     bool
 }
 
@@ -30,7 +30,7 @@
 	return l
 }
 
-// Accept returns the next connection once there is one fewer than the bound. After Close the error is net.ErrClosed.
+// Accept returns the next connection when fewer than maxConns are open. After Close the error is net.ErrClosed.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -51,8 +51,8 @@
 	return counted, nil
 }
 
-// evictOrWait closes the oldest connection without a complete call, or waits until some connection has ended. It is
-// called with mu, which it releases meanwhile.
+// evictOrWait closes the oldest connection without a complete call. If there is none, it waits until a connection has
+// ended or the listener is closed. The caller holds mu, which evictOrWait releases in the meantime.
 func (l *boundedListener) evictOrWait() {
 	var oldest net.Conn
 	for conn, acceptedAt := range l.incomplete {
@@ -78,7 +78,8 @@
 	l.connEnded.Broadcast()
 }
 
-// track is the server's ConnState: a connection with a complete call is not evicted any more.
+// track is the ConnState hook of the server. A connection that leaves StateNew has a complete call or has ended, so it
+// is no longer evicted.
 func (l *boundedListener) track(conn net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		return
@@ -88,7 +89,7 @@
 	delete(l.incomplete, conn)
 }
 
-// Close closes the socket, and ends a wait in Accept.
+// Close closes the socket and ends a waiting Accept.
 func (l *boundedListener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -97,7 +98,7 @@
 	return l.Listener.Close()
 }
 
-// countedConn is a connection that is counted until it is closed.
+// countedConn is a connection that counts as open until it is closed.
 type countedConn struct {
 	net.Conn
 	release func()
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// readBufferSize is the size of a connection's read buffer, in bytes. What is large is read past it.
+// readBufferSize is the size of a connection's read buffer, in bytes. Large reads bypass the buffer.
 const readBufferSize = 2 << 10
 
-// Server identifies one process of a server: one that was restarted under its address is another.
+// Server identifies one process of a server. A server that has restarted at the same address is a different Server.
 type Server struct {
 	Addr      string
-	StartedAt time.Duration // as its process's owner gives it: Unix time
+	StartedAt time.Duration // Unix time at which the process started, as reported for the server
 }
 
-// Conn is a connection to a server. Between Acquire and Release or Discard it belongs to the caller alone.
+// Conn is a connection to a server. From Acquire to Release or Discard only the caller of Acquire may use it.
 type Conn struct {
 	net.Conn
 	Server Server
-	Reader *bufio.Reader // of the connection, up to LimitRead
+	Reader *bufio.Reader // reads from the connection, up to the bound set by LimitRead
 
 	limit     io.LimitedReader
 	idleSince time.Time
@@ -34,8 +34,8 @@
 	return c
 }
 
-// LimitRead bounds what Reader may read of the connection from now on, in bytes; it then returns io.EOF.
+// LimitRead bounds how many more bytes Reader reads from the connection. After them Reader returns io.EOF.
 func (c *Conn) LimitRead(bytes int64) { c.limit.N = bytes }
 
-// UnlimitRead lifts the bound.
+// UnlimitRead removes the bound set by LimitRead.
 func (c *Conn) UnlimitRead() { c.limit.N = math.MaxInt64 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,5 +1,6 @@
-// Package connpool holds connections to servers, each of which carries one request at a time, for reuse. It owns the
-// rules of what is reused, closed and how many there may be; it knows nothing of what the connections carry.
+// Package connpool keeps connections to servers for reuse. Each connection carries one request at a time. The package
+// decides which connections are reused or closed and limits their number. It is independent of the protocol that the
+// connections carry.
 package connpool
 
 import (
@@ -15,61 +16,65 @@
 )
 
 const (
-	// defaultConnectTimeout and defaultIdleTimeout stand for durations that the configuration does not give.
+	// defaultConnectTimeout and defaultIdleTimeout replace durations of 0 in Config.
 	defaultConnectTimeout = time.Second
 	defaultIdleTimeout    = 5 * time.Second
-	// maxIdlePercent is the part of the servers' idle timeout for which a connection may be idle here. A server
-	// closes an idle connection at that timeout at the latest, and a request that crosses the close may have run.
+	// maxIdlePercent is how long a connection may be idle in the pool, in percent of the servers' idle timeout. A
+	// server closes an idle connection at that timeout at the latest. If a request is sent while the server closes
+	// the connection, the pool's user can't tell whether the request has run.
 	maxIdlePercent = 70
-	// sweepsPerMaxIdle is how often within that time the pool looks for connections that have expired.
+	// sweepsPerMaxIdle is how often the pool closes expired connections during the maximum idle time.
 	sweepsPerMaxIdle = 8
-	// QuarantineTime is how long a connection rests between two requests while servers send more than their
-	// responses: a second response that comes a moment late would be read as the next request's. It is at most a
-	// tenth of the idle timeout.
+	// QuarantineTime is how long a connection stays unused between two requests during a quarantine period. Without
+	// the pause, a surplus response that arrives late would be read as the response to the next request. The pause
+	// is at most a tenth of the idle timeout.
 	QuarantineTime = 6 * time.Millisecond
-	// quarantinePeriod is for how long connections are quarantined after a server has sent more than a response. At
-	// other times they are not: a rest costs latency.
+	// quarantinePeriod is how long connections are quarantined between requests after a server has sent bytes beyond
+	// its response. At other times they are not quarantined, because the pause adds latency.
 	quarantinePeriod = 2 * time.Minute
 )
 
-// ErrExhausted is the error of acquiring a connection where there may be no more of them.
+// ErrExhausted is returned by Acquire if the connection limit is reached and no connection is idle.
 var ErrExhausted = errors.New("connection limit reached")
 
-// CloseReason is why the pool closed a connection.
+// CloseReason is the reason why the pool closed a connection.
 type CloseReason uint8
 
 const (
-	// ClosedIdle: it was idle for too long.
+	// ClosedIdle means that the connection was idle for too long.
 	ClosedIdle CloseReason = iota
-	// ClosedStale: before its reuse it had ended or held unexpected bytes.
+	// ClosedStale means that an idle connection had been closed by its server or had unread bytes.
 	ClosedStale
-	// ClosedUnlisted: its server takes no new requests.
+	// ClosedUnlisted means that the server takes no new requests.
 	ClosedUnlisted
-	// ClosedNotReusable: it was discarded after a request.
+	// ClosedNotReusable means that the connection was discarded after a request.
 	ClosedNotReusable
 )
 
-// Config configures a Pool. Durations of 0 stand for defaults.
+// Config configures a Pool. Durations of 0 are replaced by defaults.
 type Config struct {
-	MaxOpen        int           // connections, idle or not
+	MaxOpen        int           // limit of connections, idle or in use
 	ConnectTimeout time.Duration // of a dial
 	IdleTimeout    time.Duration // after which servers close idle connections
-	Quarantine     time.Duration // of a connection between two requests while servers send more than their responses
-	// Inspect says of an idle connection, without reading from it, whether it is open, and whether there are unread
-	// bytes. It is required.
+	Quarantine     time.Duration // pause of a connection between two requests during a quarantine period
+	// Inspect reports whether an idle connection is open and whether it has unread bytes. It must not read from the
+	// connection. It is required.
 	Inspect func(net.Conn) (open, unread bool)
-	// OnClose is called for each connection that the pool closes, but for those that make way at a limit; may be nil.
+	// OnClose is called for each connection that the pool closes, except those closed to keep the connection limit. It
+	// may be nil. It may be called with the pool locked, so it must not call the pool.
 	OnClose func(CloseReason)
 }
 
-// Pool holds the connections to servers: the idle ones, and a count of all.
+// Pool holds the idle connections to servers, and counts all connections.
 //
-// A connection is reused if it is idle for less than maxIdle, has been through its quarantine, is still open and has
-// nothing to be read on it; of those the one used last. It is closed otherwise, and by CloseIdle if it is idle then.
-// There are at most MaxOpen, idle or not, but for those that were in use when SetMaxOpen lowered the limit; at the
-// limit the one that has been idle longest is closed for a new one. All methods may be called from any goroutine.
+// An idle connection is reused if it has been idle for less than the maximum idle time, its quarantine has ended, it is
+// still open and it has no unread bytes. Of several such connections, the most recently used one is reused. Other idle
+// connections are closed, and CloseIdle closes all idle connections to a server. The pool has at most MaxOpen
+// connections, idle or in use. When SetMaxOpen lowers the limit, connections in use may exceed it until they end. At
+// the limit, the connection that has been idle longest is closed for a new connection. All methods may be called from
+// any goroutine.
 type Pool struct {
-	// DialContext opens a connection. It may be replaced while nothing is dialed.
+	// DialContext opens a connection. It may be replaced only while no connection is being dialed.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	maxIdle    time.Duration
@@ -77,13 +82,13 @@
 	inspect    func(net.Conn) (open, unread bool)
 	onClose    func(CloseReason)
 
-	dials           atomic.Int64 // since TakeDials
+	dials           atomic.Int64 // since the last TakeDials
 	quarantineUntil monotime.Atomic
 
 	mu      sync.Mutex
 	maxOpen int
-	open    int                // connections, idle or not, and dials under way
-	idle    map[Server][]*Conn // no empty lists; in the order of idleSince
+	open    int                // connections, idle or in use, and dials in progress
+	idle    map[Server][]*Conn // in the order of idleSince; no slice is empty
 }
 
 // New returns an empty pool.
@@ -104,7 +109,8 @@
 	if onClose == nil {
 		onClose = func(CloseReason) {}
 	}
-	// A silent machine answers no SYN, which Timeout bounds; keep-alive probes would notice it too late.
+	// Timeout bounds a dial to a machine that does not answer. TCP keep-alive is off, because its probes would detect a
+	// dead machine too late.
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	return &Pool{
 		DialContext: dialer.DialContext,
@@ -117,13 +123,13 @@
 	}
 }
 
-// Acquire returns an idle connection to a server, or dials one. The caller has to release or discard it. Its errors
-// are ErrExhausted, the context's, and those of dialing.
-func (p *Pool) Acquire(ctx context.Context, to Server) (*Conn, error) {
+// Acquire returns an idle connection to a server, or dials a new connection. The caller must call Release or Discard
+// with the connection. The error is ErrExhausted, the error of the context or an error of dialing.
+func (p *Pool) Acquire(ctx context.Context, server Server) (*Conn, error) {
 	for {
-		c := p.takeIdle(to)
+		c := p.takeIdle(server)
 		if c == nil {
-			return p.dial(ctx, to)
+			return p.dial(ctx, server)
 		}
 		if err := p.waitQuarantine(ctx, c); err != nil {
 			p.addIdle(c)
@@ -137,34 +143,34 @@
 	}
 }
 
-// dial opens a connection to a server, where there may be one more.
-func (p *Pool) dial(ctx context.Context, to Server) (*Conn, error) {
+// dial opens a new connection to a server if the connection limit allows it.
+func (p *Pool) dial(ctx context.Context, server Server) (*Conn, error) {
 	if !p.reserveSlot() {
 		return nil, ErrExhausted
 	}
 	p.dials.Add(1)
-	conn, err := p.DialContext(ctx, "tcp", to.Addr)
+	conn, err := p.DialContext(ctx, "tcp", server.Addr)
 	if err != nil {
 		p.releaseSlot()
 		return nil, err
 	}
-	return newConn(conn, to), nil
+	return newConn(conn, server), nil
 }
 
-// Release takes back a connection whose last response was read completely.
+// Release returns a connection to the pool for reuse. Its last response must have been read completely.
 func (p *Pool) Release(c *Conn) {
 	c.idleSince = time.Now()
 	p.addIdle(c)
 }
 
-// Discard closes a connection that can't carry another request.
+// Discard closes an acquired connection that can't carry another request.
 func (p *Pool) Discard(c *Conn) {
 	p.onClose(ClosedNotReusable)
 	p.close(c)
 }
 
-// waitQuarantine waits until a connection has been idle for its quarantine. It returns the context's error if that
-// ends first.
+// waitQuarantine waits until the quarantine of an idle connection has ended. If ctx ends first, it returns the error of
+// ctx.
 func (p *Pool) waitQuarantine(ctx context.Context, c *Conn) error {
 	remaining := p.Quarantine() - time.Since(c.idleSince)
 	if remaining > 0 {
@@ -178,7 +184,8 @@
 	return ctx.Err()
 }
 
-// isReusable says whether an idle connection is open and has nothing unread on it, which starts the quarantine.
+// isReusable reports whether an idle connection is open and has no unread bytes. If it has unread bytes, isReusable
+// starts a quarantine period.
 func (p *Pool) isReusable(c *Conn) bool {
 	open, unread := true, c.Reader.Buffered() > 0
 	if !unread {
@@ -191,11 +198,12 @@
 	return open
 }
 
-// StartQuarantine has connections rest between requests for quarantinePeriod. It is called after a server has sent more
-// than a response.
+// StartQuarantine starts a quarantine period, or restarts the present one. It must be called after a server has sent
+// bytes beyond its response.
 func (p *Pool) StartQuarantine() { p.quarantineUntil.Store(monotime.Now().Add(quarantinePeriod)) }
 
-// Quarantine returns how long a connection has to be idle now before it is reused.
+// Quarantine returns how long a connection must currently be idle before it is reused. It is 0 outside of quarantine
+// periods.
 func (p *Pool) Quarantine() time.Duration {
 	if monotime.Now() < p.quarantineUntil.Load() {
 		return p.quarantine
@@ -203,15 +211,16 @@
 	return 0
 }
 
-// takeIdle removes the idle connection to a server that was used last of those through their quarantine, else the
-// one that will be first; nil if there is none.
-func (p *Pool) takeIdle(to Server) *Conn {
+// takeIdle closes the expired connections to a server and removes an idle connection from the pool. It returns the most
+// recently used connection whose quarantine has ended, or else the connection whose quarantine ends first. It returns
+// nil if no connection is idle.
+func (p *Pool) takeIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	conns := p.closeExpired(p.idle[to], now, p.maxIdle)
+	conns := p.closeExpired(p.idle[server], now, p.maxIdle)
 	if len(conns) == 0 {
-		p.setIdle(to, nil)
+		p.setIdle(server, nil)
 		return nil
 	}
 	quarantine := p.Quarantine()
@@ -220,32 +229,32 @@
 		i--
 	}
 	c := conns[i]
-	p.setIdle(to, slices.Delete(conns, i, i+1))
+	p.setIdle(server, slices.Delete(conns, i, i+1))
 	return c
 }
 
-// addIdle enters a connection among the idle ones, in the order of their last use.
+// addIdle inserts a connection into the idle connections to its server, which are in the order of their last use.
 func (p *Pool) addIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[c.Server]
-	at, _ := slices.BinarySearchFunc(conns, c, func(a, b *Conn) int {
+	index, _ := slices.BinarySearchFunc(conns, c, func(a, b *Conn) int {
 		return a.idleSince.Compare(b.idleSince)
 	})
-	p.idle[c.Server] = slices.Insert(conns, at, c)
+	p.idle[c.Server] = slices.Insert(conns, index, c)
 }
 
-// setIdle sets the idle connections to a server. The caller holds mu.
-func (p *Pool) setIdle(to Server, conns []*Conn) {
+// setIdle replaces the idle connections to a server. The caller holds mu.
+func (p *Pool) setIdle(server Server, conns []*Conn) {
 	if len(conns) == 0 {
-		delete(p.idle, to)
+		delete(p.idle, server)
 	} else {
-		p.idle[to] = conns
+		p.idle[server] = conns
 	}
 }
 
-// reserveSlot counts a connection that is about to be dialed. At the limit it closes the one that has been idle
-// longest, and returns false if none is idle.
+// reserveSlot counts a connection that is about to be dialed. At the limit it closes the connection that has been idle
+// longest and reuses its slot. It returns false if the limit is reached and no connection is idle.
 func (p *Pool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,38 +276,39 @@
 	return true
 }
 
+// releaseSlot counts the end of a connection, or of a dial that failed.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// SetMaxOpen sets how many connections there may be from now on, and closes idle ones beyond that.
+// SetMaxOpen sets the connection limit. It closes idle connections beyond the limit.
 func (p *Pool) SetMaxOpen(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxOpen = maxOpen
-	for to, conns := range p.idle {
+	for server, conns := range p.idle {
 		for len(conns) > 0 && p.open > p.maxOpen {
 			conns[0].Close()
 			conns = conns[1:]
 			p.open--
 		}
-		p.setIdle(to, conns)
+		p.setIdle(server, conns)
 	}
 }
 
-// MaxOpen returns how many connections there may be.
+// MaxOpen returns the connection limit.
 func (p *Pool) MaxOpen() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.maxOpen
 }
 
-// TakeDials returns how many connections were dialed since it was last called.
+// TakeDials returns the number of dials since the last TakeDials, and resets the count.
 func (p *Pool) TakeDials() int64 { return p.dials.Swap(0) }
 
-// Size returns how many connections there are, and how many of them are idle.
+// Size returns the number of connections, including dials in progress, and the number of idle connections among them.
 func (p *Pool) Size() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -308,25 +318,25 @@
 	return p.open, idle
 }
 
-// close closes a connection that is not among the idle ones.
+// close closes a connection that is not in p.idle.
 func (p *Pool) close(c *Conn) {
 	c.Close()
 	p.releaseSlot()
 }
 
 // CloseIdle closes the idle connections to a server.
-func (p *Pool) CloseIdle(to Server) {
+func (p *Pool) CloseIdle(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.idle[to] {
+	for _, c := range p.idle[server] {
 		c.Close()
 		p.onClose(ClosedUnlisted)
 		p.open--
 	}
-	delete(p.idle, to)
+	delete(p.idle, server)
 }
 
-// Run closes connections as they expire until ctx ends, and then all idle ones.
+// Run closes connections as they expire. When ctx ends it closes all idle connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(max(p.maxIdle/sweepsPerMaxIdle, time.Millisecond))
 	defer ticker.Stop()
@@ -343,18 +353,18 @@
 // CloseAllIdle closes all idle connections.
 func (p *Pool) CloseAllIdle() { p.sweep(0) }
 
-// sweep closes the connections that have been idle for at least so long.
+// sweep closes the connections that have been idle for at least maxIdle.
 func (p *Pool) sweep(maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for to, conns := range p.idle {
-		p.setIdle(to, p.closeExpired(conns, now, maxIdle))
+	for server, conns := range p.idle {
+		p.setIdle(server, p.closeExpired(conns, now, maxIdle))
 	}
 }
 
-// closeExpired closes those of a list that have been idle for at least so long, and returns the others. The caller
-// holds mu.
+// closeExpired closes the connections of conns that have been idle for at least maxIdle, and returns the others. The
+// caller holds mu.
 func (p *Pool) closeExpired(conns []*Conn, now time.Time, maxIdle time.Duration) []*Conn {
 	for len(conns) > 0 && now.Sub(conns[0].idleSince) >= maxIdle {
 		conns[0].Close()
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -28,7 +28,8 @@
 	return Server{Addr: l.Addr().String()}
 }
 
-// newTestPool returns a pool whose connections are open and have nothing unread, and its counts of closed ones.
+// newTestPool returns a pool whose connections always count as open and without unread bytes. It also returns the
+// number of closed connections by reason.
 func newTestPool(maxOpen int) (*Pool, map[CloseReason]int) {
 	closed := map[CloseReason]int{}
 	return New(Config{
@@ -47,47 +48,50 @@
 	return c
 }
 
-// A connection that has been idle for maxIdle is not reused: a request that crosses its close may have run.
-func TestOldIdleConnectionsAreNotUsed(t *testing.T) {
+// A connection that has been idle for maxIdle is closed and not reused. Its server may close it at the same time, and
+// then it is unknown whether a request on it has run.
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	server := listen(t)
 	p, closed := newTestPool(16)
-	fresh := acquire(t, p, server)
-	p.Release(fresh)
-	if c := acquire(t, p, server); c != fresh {
-		t.Fatal("a fresh idle connection was not reused")
+	conn := acquire(t, p, server)
+	p.Release(conn)
+	if c := acquire(t, p, server); c != conn {
+		t.Fatal("an idle connection was not reused before maxIdle")
 	}
-	p.Release(fresh)
-	fresh.idleSince = time.Now().Add(-p.maxIdle)
+	p.Release(conn)
+	conn.idleSince = time.Now().Add(-p.maxIdle)
 	c := acquire(t, p, server)
-	if c == fresh || closed[ClosedIdle] != 1 {
-		t.Errorf("an old idle connection was used, or not closed as one: %v", closed)
+	if c == conn || closed[ClosedIdle] != 1 {
+		t.Errorf("an expired connection was reused, or not closed as idle; closed by reason: %v", closed)
 	}
 	if open, idle := p.Size(); open != 1 || idle != 0 || p.TakeDials() != 2 {
 		t.Errorf("%d connections, %d idle, want 1 and none after two dials", open, idle)
 	}
 }
 
-// Of the idle connections the one used last is reused; under quarantine the last one of those that have rested.
-func TestConnectionUsedLastIsReused(t *testing.T) {
+// The most recently used idle connection is reused. During a quarantine period it is the most recently used connection
+// whose quarantine has ended.
+func TestMostRecentlyUsedConnectionIsReused(t *testing.T) {
 	server := listen(t)
 	p, _ := newTestPool(16)
 	first, second := acquire(t, p, server), acquire(t, p, server)
 	p.Release(first)
 	p.Release(second)
 	if c := acquire(t, p, server); c != second {
-		t.Error("not the connection used last")
+		t.Error("the reused connection is not the most recently used one")
 	}
 	p.Release(second)
 	p.StartQuarantine()
 	first.idleSince = time.Now().Add(-p.quarantine)
 	second.idleSince = time.Now().Add(time.Minute)
 	if c := acquire(t, p, server); c != first {
-		t.Error("not the connection that has rested")
+		t.Error("the reused connection is not the one whose quarantine has ended")
 	}
 }
 
-// At its limit the pool closes the connection that has been idle longest, whosever it is, and else refuses.
-func TestLimitClosesTheLongestIdle(t *testing.T) {
+// At the connection limit, Acquire closes the connection that has been idle longest, to whichever server it is open. If
+// no connection is idle, Acquire returns ErrExhausted.
+func TestLimitClosesTheLongestIdleConnection(t *testing.T) {
 	a, b := listen(t), listen(t)
 	p, _ := newTestPool(2)
 	older, newer := acquire(t, p, a), acquire(t, p, a)
@@ -99,9 +103,9 @@
 		t.Errorf("%d connections, %d idle, want 2 and 1", open, idle)
 	}
 	if c := acquire(t, p, a); c != newer {
-		t.Error("the newer connection was closed")
+		t.Error("the connection that was idle for less time was closed")
 	}
 	if _, err := p.Acquire(context.Background(), b); !errors.Is(err, ErrExhausted) {
-		t.Errorf("with none idle: %v", err)
+		t.Errorf("error %v without an idle connection, want %v", err, ErrExhausted)
 	}
 }
--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -1,9 +1,9 @@
-// Package httpframing finds where the heads of HTTP/1 requests end on a connection, and judges how each head says where
-// its request ends.
+// Package httpframing finds the end of each HTTP/1 request head on a connection, and checks how the head says where the
+// body ends. It protects a server against request smuggling.
 //
-// It stands in front of net/http, which accepts a head with both Content-Length and Transfer-Encoding, goes by the
-// latter without telling its handler, and takes what the sender meant as the rest of the body for another request. It
-// also ignores Transfer-Encoding in HTTP/1.0.
+// The package is used in front of net/http. The server of net/http accepts a head with both Content-Length and
+// Transfer-Encoding, obeys Transfer-Encoding and does not tell the handler. If the sender obeys Content-Length,
+// net/http reads the rest of the sender's body as another request. net/http also ignores Transfer-Encoding in HTTP/1.0.
 package httpframing
 
 import (
@@ -13,44 +13,44 @@
 	"time"
 )
 
-// The faults of a head, by which parsers of HTTP differ in where the request ends.
+// Errors of a head for which HTTP parsers differ about the end of the request.
 var (
-	ErrLengthAndEncoding = errors.New("both Content-Length and Transfer-Encoding")
-	ErrEncodingInHTTP10  = errors.New("Transfer-Encoding in HTTP/1.0")
-	ErrContentLength     = errors.New("Content-Length is not one number")
-	ErrFoldedLine        = errors.New("a folded line")
+	ErrLengthAndEncoding = errors.New("the request has both Content-Length and Transfer-Encoding")
+	ErrEncodingInHTTP10  = errors.New("the HTTP/1.0 request has Transfer-Encoding")
+	ErrContentLength     = errors.New("Content-Length is not a single number")
+	ErrFoldedLine        = errors.New("a header line is folded")
 )
 
-// Head is what the head of a request says of the request's end.
+// Head holds the fields of a request head that determine the end of the request.
 type Head struct {
-	Start            time.Time // of its first byte; for the first request, of the connection
-	HTTP10           bool
-	TransferEncoding bool  // the field is given
-	HasLength        bool  // Content-Length is given
-	ContentLength    int64 // in bytes; 0 where it is not given
-	// LastOnConnection says that no other request may follow on the connection, as only the reader of the body can tell
-	// where it ends.
+	Start            time.Time // time of the first byte; for the first request, when the connection was opened
+	HTTP10           bool      // whether the request line ends with HTTP/1.0
+	TransferEncoding bool      // whether Transfer-Encoding is given
+	HasLength        bool      // whether Content-Length is given
+	ContentLength    int64     // in bytes; 0 if Content-Length is not given
+	// LastOnConnection says that no other request may follow on the connection, because the head does not tell where the
+	// body ends.
 	LastOnConnection bool
-	Err              error // why the request can't be served; nil if it can
+	Err              error // why the request must be rejected; nil if it can be served
 }
 
-// Parser follows the heads of requests on one connection.
+// Parser parses the request heads on one connection. It must be used by one goroutine at a time.
 type Parser struct {
-	maxLine int
-	line    []byte // of the current head, as far as it has come
-	begun   bool   // the request line has been read
-	head    Head   // the current head
+	maxLine         int
+	line            []byte // the bytes of the current line that have arrived
+	requestLineRead bool
+	head            Head // the current head
 }
 
-// NewParser returns the parser of a connection that was opened at a time. Lines of more than maxLine bytes are split:
-// whoever reads the head has to reject it long before.
+// NewParser returns the parser of a connection that was opened at the given time. The parser splits lines of more than
+// maxLine bytes. The reader of the head must therefore reject a head with much shorter lines than that as too long.
 func NewParser(maxLine int, opened time.Time) *Parser {
 	return &Parser{maxLine: maxLine, head: Head{Start: opened}}
 }
 
-// Parse takes the next bytes of the connection. Where a head ends within them it returns the head and how many of the
-// bytes belong to it; the parser is then ready for the head of the next request, and the caller must not pass it the
-// body. Else it returns nil and the number of all bytes.
+// Parse parses the next bytes of the connection. If a head ends within them, Parse returns the head and the number of
+// bytes up to its end. The parser is then ready for the head of the next request, and the caller must not pass it the
+// body. Otherwise Parse returns nil and the number of all bytes.
 func (p *Parser) Parse(data []byte) (used int, head *Head) {
 	if len(data) > 0 && p.head.Start.IsZero() {
 		p.head.Start = time.Now()
@@ -63,8 +63,8 @@
 		line := strings.TrimSuffix(string(p.line), "\r")
 		p.line = p.line[:0]
 		switch {
-		case !p.begun:
-			p.begun = line != "" // empty lines ahead of a request are skipped
+		case !p.requestLineRead:
+			p.requestLineRead = line != "" // empty lines before a request are skipped
 			p.head.HTTP10 = strings.HasSuffix(line, " HTTP/1.0")
 		case line != "":
 			p.head.parseField(line)
@@ -75,7 +75,7 @@
 	return len(data), nil
 }
 
-// finish judges the current head, which is complete, and resets the parser for the next one.
+// finish checks the current head after its last line, and resets the parser for the next head.
 func (p *Parser) finish() *Head {
 	head := p.head
 	if head.TransferEncoding && head.Err == nil {
@@ -88,12 +88,12 @@
 	}
 	head.LastOnConnection = head.TransferEncoding || head.Err != nil
 	p.head = Head{}
-	p.begun = false
-	p.line = nil // idle connections need no buffer
+	p.requestLineRead = false
+	p.line = nil // frees the buffer while the connection is idle
 	return &head
 }
 
-// parseField takes one line after the request line.
+// parseField parses one line after the request line.
 func (h *Head) parseField(line string) {
 	if line[0] == ' ' || line[0] == '\t' {
 		h.Err = ErrFoldedLine
