--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,5 +1,5 @@
-// Package asynclog keeps a log from blocking its program. Lines wait in a bounded queue for their reader; a line that
-// finds the queue full is dropped and counted.
+// Package asynclog writes a log in the background, so that a blocked output does not block the program. Lines wait in a
+// bounded queue. If the queue is full, lines are dropped and counted.
 package asynclog
 
 import (
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// queueCapacity is how many lines may wait.
+// queueCapacity is how many lines may wait in the queue.
 const queueCapacity = 1024
 
-// Writer is an io.Writer that never waits. It may be used by several goroutines.
+// Writer is an io.Writer whose Write never blocks. It may be used by several goroutines.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
-	dropped atomic.Int64
+	dropped atomic.Int64 // lines dropped since the last report
 	closing chan struct{}
 	done    chan struct{}
 }
 
-// New returns a Writer that writes lines to out, in order. What out fails to write is lost.
+// New returns a Writer that writes lines to out, in order. A line that out fails to write is lost. The caller must call
+// Close.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), closing: make(chan struct{}),
 		done: make(chan struct{})}
@@ -29,7 +30,7 @@
 	return w
 }
 
-// Write queues a line, or drops it where the queue is full. It never fails.
+// Write queues a copy of a line, or drops the line if the queue is full. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -39,8 +40,8 @@
 	return len(line), nil
 }
 
-// Close writes the lines that wait, for timeout at the most. A write that blocks for longer is abandoned. Close is
-// called once; lines that are written after it may be lost.
+// Close writes the queued lines and returns after timeout at the latest. A write that is still blocked then is
+// abandoned. Close must be called once. Lines that are written after it may be lost.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.closing)
 	select {
@@ -49,6 +50,7 @@
 	}
 }
 
+// run writes lines to the output until Close is called, and then the lines that are still queued.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -62,7 +64,7 @@
 	}
 }
 
-// flush writes the lines that wait already.
+// flush writes the queued lines.
 func (w *Writer) flush() {
 	for {
 		select {
@@ -74,9 +76,10 @@
 	}
 }
 
+// writeLine writes a line to the output, and a warning if lines were dropped since the last warning.
 func (w *Writer) writeLine(line []byte) {
 	w.out.Write(line)
 	if n := w.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(w.out, "level=WARN msg=\"log lines dropped, nobody read them\" lines=%d\n", n)
+		fmt.Fprintf(w.out, "level=WARN msg=\"log lines dropped because the output was blocked\" lines=%d\n", n)
 	}
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// gate is an output that takes nothing until it is opened.
+// gate is an output that blocks all writes until open is closed.
 type gate struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -22,38 +22,39 @@
 	return g.text.Write(p)
 }
 
-// A writer never waits for its output: what the queue holds comes in order once that takes it, and the rest is counted.
-func TestWriterNeverWaits(t *testing.T) {
+// Write does not wait for a blocked output. When the output is no longer blocked, it receives the queued lines in order
+// and a warning about the dropped lines.
+func TestWriteDoesNotBlock(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	w := New(g)
 	const lines = 3 * queueCapacity
-	began := time.Now()
+	start := time.Now()
 	for i := range lines {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
-	if spent := time.Since(began); spent > 5*time.Second {
-		t.Errorf("took %v", spent)
+	if spent := time.Since(start); spent > 5*time.Second {
+		t.Errorf("the writes took %v", spent)
 	}
 	close(g.open)
 	w.Close(10 * time.Second)
 	got := strings.Split(strings.TrimSpace(g.text.String()), "\n")
 	if got[0] != "line 0" || !strings.Contains(g.text.String(), "log lines dropped") {
-		t.Errorf("first %q of %d lines, no word of those dropped", got[0], len(got))
+		t.Errorf("first of %d lines is %q, or there is no warning about dropped lines", len(got), got[0])
 	}
 	if n := len(got); n < queueCapacity || n > queueCapacity+2 {
-		t.Errorf("%d lines passed on", n)
+		t.Errorf("%d lines written, want %d to %d", n, queueCapacity, queueCapacity+2)
 	}
 }
 
-// Closing waits for an output that is stuck no longer than it may.
-func TestCloseIsBounded(t *testing.T) {
+// Close returns after its timeout if the output is blocked.
+func TestCloseHasATimeout(t *testing.T) {
 	g := &gate{open: make(chan struct{})}
 	defer close(g.open)
 	w := New(g)
 	fmt.Fprintln(w, "line")
-	began := time.Now()
+	start := time.Now()
 	w.Close(50 * time.Millisecond)
-	if spent := time.Since(began); spent > 5*time.Second {
-		t.Errorf("took %v", spent)
+	if spent := time.Since(start); spent > 5*time.Second {
+		t.Errorf("Close took %v", spent)
 	}
 }
--- a/internal/lograte/lograte.go
+++ b/internal/lograte/lograte.go
@@ -1,4 +1,5 @@
-// Package lograte logs warnings at a bounded rate: what comes from outside must not fill the log.
+// Package lograte logs warnings at a limited rate, so that repeated faults of clients, backends or the network can't
+// fill the log.
 package lograte
 
 import (
@@ -7,19 +8,21 @@
 	"time"
 )
 
-// minInterval is the least time between two warnings of one kind.
+// minInterval is the minimum time between two warnings of a Limited.
 const minInterval = time.Second
 
-// Limited logs one kind of warning. Set Log before use. It may be used by several goroutines.
+// Limited logs warnings of one kind, at most one per second. Log must be set before use. A Limited may be used by
+// several goroutines.
 type Limited struct {
 	Log *slog.Logger
 
 	mu         sync.Mutex
 	lastLogged time.Time
-	skipped    int
+	skipped    int // warnings since lastLogged
 }
 
-// Warn logs a warning with the number of those skipped since the last one, or skips it within minInterval of that.
+// Warn logs a warning, or skips it if the last logged warning is less than minInterval old. The attribute "skipped" of
+// a logged warning is the number of warnings that were skipped before it.
 func (l *Limited) Warn(msg string, args ...any) {
 	l.mu.Lock()
 	now := time.Now()
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,8 +1,9 @@
-// Package monotime is the clock for spans of time: deadlines, windows, waits and graces. It follows the monotonic clock
-// alone, which a step of the wall clock does not touch, and its type cannot be mixed with a wall time.
+// Package monotime provides points in time for measuring durations, such as deadlines, windows, waits and grace
+// periods. It uses the monotonic clock only, so a step of the wall clock has no effect. Its type can't be mixed with a
+// wall time.
 //
-// A time.Time holds a monotonic reading too, but loses it where it is turned into a number: time.Unix(0, t.UnixNano())
-// is a wall time. An Instant is a number to begin with, so it can be kept in an atomic.
+// A time.Time has a monotonic reading too, but loses it when it is converted to a number: time.Unix(0, t.UnixNano()) is
+// a wall time. An Instant is a number, so it can be stored in an atomic without a conversion.
 package monotime
 
 import (
@@ -10,34 +11,35 @@
 	"time"
 )
 
-// origin is where instants are counted from. It carries a monotonic reading.
+// origin is the time from which instants are counted. It has a monotonic reading.
 var origin = time.Now()
 
-// Instant is a point on the monotonic clock of this process. The zero value is no point at all. Instants of two
-// processes tell nothing of each other.
+// Instant is a point in time on the monotonic clock of this process, in nanoseconds. The zero value is not a point in
+// time and stands for "not set". Instants of different processes can't be compared.
 type Instant int64
 
-// Now is the present instant.
+// Now returns the current instant.
 func Now() Instant { return At(time.Now()) }
 
-// At is the instant of a time that was read with time.Now in this process, or derived from one with Add.
+// At returns the instant of t. The time must come from time.Now in this process, or be derived from such a time with
+// Add.
 func At(t time.Time) Instant { return Instant(t.Sub(origin)) + 1 }
 
-// IsZero tells whether this is no instant.
+// IsZero reports whether i is the zero value.
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Add returns the instant so much later.
+// Add returns the instant that is d later than i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Time returns the instant as a time.Time with a monotonic reading, for what waits until one: deadlines of connections
-// and contexts. Its wall part means nothing.
+// Time returns the instant as a time.Time with a monotonic reading, for the deadlines of connections and contexts. Its
+// wall clock reading must not be used.
 func (i Instant) Time() time.Time { return origin.Add(time.Duration(i - 1)) }
 
-// Atomic is an Instant that several goroutines use. The zero value holds the zero Instant.
+// Atomic is an Instant that may be used by several goroutines. The zero value holds the zero Instant.
 type Atomic struct{ value atomic.Int64 }
 
-// Load returns the instant.
+// Load returns the stored instant.
 func (a *Atomic) Load() Instant { return Instant(a.value.Load()) }
 
-// Store sets the instant.
+// Store stores an instant.
 func (a *Atomic) Store(i Instant) { a.value.Store(int64(i)) }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// An instant keeps its monotonic reading on the way to a time.Time and back.
+// An instant that is converted to a time.Time and back keeps its monotonic reading.
 func TestInstantKeepsTheMonotonicReading(t *testing.T) {
 	now := time.Now()
 	i := At(now).Add(time.Minute)
 	if i.IsZero() || !(Instant(0)).IsZero() {
-		t.Error("zero is no instant, and nothing else is zero")
+		t.Error("IsZero must be true for the zero Instant and false for any other Instant")
 	}
 	if got := i.Time(); got.Sub(now) != time.Minute || !strings.Contains(got.String(), " m=") {
 		t.Errorf("%v is %v after %v", got, got.Sub(now), now)
 	}
 	if At(i.Time()) != i {
-		t.Errorf("%v came back as %v", i, At(i.Time()))
+		t.Errorf("instant %v is %v after the conversion to a time and back", i, At(i.Time()))
 	}
 }
 
-// wallClockFiles may turn times into figures of the wall clock: what they tell goes to other machines or comes from
-// them.
+// wallClockFiles may convert times to numbers of the wall clock, because they exchange times with other machines.
 var wallClockFiles = map[string]bool{"internal/node/wallclock.go": true}
 
-// wallClockCalls are what loses the monotonic reading of a time.
+// wallClockCalls are the methods that lose the monotonic reading of a time.
 var wallClockCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Round": true, "Truncate": true}
 
-// wallClockPackages are those that serve nobody: they play experiments, or truncate durations only.
+// wallClockPackages are not checked. They serve no requests: they run experiments, or only truncate durations.
 var wallClockPackages = map[string]bool{"lab": true, "monotime": true, "sysfault": true, "timeline": true}
 
-// No span of time in the packages that serve is kept as a figure of the wall clock.
-func TestSpansAreKeptOffTheWallClock(t *testing.T) {
-	checked := map[string]bool{} // by the first folder below internal
+// The packages that serve requests must not store a time as a number of the wall clock, because a step of the wall clock
+// would then change the durations computed from it.
+func TestTimesKeepTheirMonotonicReading(t *testing.T) {
+	checked := map[string]bool{} // keyed by the first folder below internal
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		name, _ := filepath.Rel("..", path)
 		folder, _, _ := strings.Cut(filepath.ToSlash(name), "/")
@@ -65,6 +65,7 @@
 	}
 }
 
+// checkFile reports the calls of wallClockCalls in a file.
 func checkFile(t *testing.T, name, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -88,7 +89,7 @@
 	})
 }
 
-// isMath tells math.Round from a time's.
+// isMath reports whether a selector is of package math, such as math.Round.
 func isMath(sel *ast.SelectorExpr) bool {
 	x, ok := sel.X.(*ast.Ident)
 	return ok && x.Name == "math"
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes the project's TOML files strictly: an unknown key, a wrong type or a malformed value
-// is an error that names the line and the key, so that a typo in a file is refused at start, not ignored.
+// Package tomlfile decodes the project's TOML files strictly. An unknown key, a wrong type or a malformed value is an
+// error that names the line and the key, so that a program rejects a file with a typo at its start.
 package tomlfile
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode fills v from text, refusing unknown keys. Errors read "line N: ..." with the key quoted.
+// Decode decodes text into v. Unknown keys are errors. The text of an error starts with "line N: " and quotes the key.
 func Decode(text []byte, v any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// describe puts the line and the key in front of an error of the decoder.
+// describe adds the line and the key to an error of the decoder.
 func describe(err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
@@ -40,10 +40,10 @@
 	return err
 }
 
-// Duration is a time.Duration written as "2s" or "150ms".
+// Duration is a time.Duration that is written as a string such as "2s" or "150ms".
 type Duration struct{ time.Duration }
 
-// UnmarshalText decodes a Go duration.
+// UnmarshalText decodes a duration in the form of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -53,25 +53,25 @@
 	return nil
 }
 
-// MarshalText encodes a Go duration.
+// MarshalText encodes a duration in the form of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// KeyError is the error of a value that could be decoded and is out of range or inconsistent. Locate adds its line.
+// KeyError says that the value of a key has the right type but is out of range or inconsistent. Locate adds the line.
 type KeyError struct {
-	Key string // dotted, as "load.rate"
+	Key string // dotted, such as "load.rate"
 	Msg string // what is wrong with the value
 }
 
 // Error returns the key and the message.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %q: %s", e.Key, e.Msg) }
 
-// KeyErrorf returns a KeyError; the arguments are those of fmt.Sprintf.
+// KeyErrorf returns a *KeyError with a formatted message.
 func KeyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Msg: fmt.Sprintf(format, args...)}
 }
 
-// Locate adds the line at which text sets the key of a KeyError. Keys inside arrays of tables are not found; the error
-// is then returned as it is, like any other error.
+// Locate adds the line at which text sets the key of a KeyError. It returns other errors unchanged. Keys inside arrays
+// of tables are not found, and the KeyError of such a key is returned unchanged too.
 func Locate(text []byte, err error) error {
 	var keyError *KeyError
 	if !errors.As(err, &keyError) {
@@ -83,9 +83,10 @@
 	return err
 }
 
-// lineOf returns the number of the line that sets a dotted key, which may follow a [table] header; 0 where none does.
+// lineOf returns the number of the line that sets a dotted key, directly or below a [table] header. It returns 0 if
+// there is no such line.
 func lineOf(text []byte, key string) int {
-	const insideArray = "\x00" // no table has this name
+	const insideArray = "\x00" // can't be the name of a table
 	table := ""
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
@@ -99,11 +100,11 @@
 			if !ok || table == insideArray {
 				continue
 			}
-			full := strings.TrimSpace(name)
+			fullKey := strings.TrimSpace(name)
 			if table != "" {
-				full = table + "." + full
+				fullKey = table + "." + fullKey
 			}
-			if full == key {
+			if fullKey == key {
 				return i + 1
 			}
 		}
