--- a/internal/sysfault/filter_linux_amd64.go
+++ b/internal/sysfault/filter_linux_amd64.go
@@ -11,149 +11,158 @@
 	"golang.org/x/sys/unix"
 )
 
-// The traced program stops only at the calls that its plan may change: a seccomp filter that it sets on itself before
-// it starts reports these to the tracer and lets all others pass. It confines nothing.
+// The traced program stops only at the system calls that its plan may change. To this end the child process sets a
+// seccomp filter on itself before it executes the program. The filter reports these calls to the tracer and allows all
+// others. It forbids no call.
 
-// stageVariable is set for the process that sets the filter on itself and then becomes the program. It holds the plan.
-const stageVariable = "HITCHVALE_SHIM_PLAN"
+// planVariable is the environment variable that holds the plan. It is set only for the child process that sets the
+// filter on itself and then executes the program.
+const planVariable = "HITCHVALE_SHIM_PLAN"
 
-// stageFailed is the exit code where the program could not be started.
-const stageFailed = 98
+// execFailedExitCode is the exit code of a child process that could not execute the program.
+const execFailedExitCode = 98
 
-// Offsets in struct seccomp_data (seccomp.h): the call's number and the lower half of its first and second argument.
+// Offsets in struct seccomp_data (seccomp.h) of the call's number and of the lower halves of its first two arguments.
 const (
-	offsetNumber = 0
-	offsetFirst  = 16
-	offsetSecond = 24
+	offsetNumber    = 0
+	offsetFirstArg  = 16
+	offsetSecondArg = 24
 )
 
-// Operations of futex(2) that wait, and the mask of its flags.
+// Operations of futex(2) that wait, and the mask that removes the flags from an operation.
 const (
 	futexWait       = 0
 	futexWaitBitset = 9
 	futexOperation  = 0x7f
 )
 
-// condition limits a stop to calls with an argument whose value, behind a mask, is one of a few.
-type condition struct {
-	offset uint32
+// argumentCondition holds for a call if the masked value of an argument is one of values.
+type argumentCondition struct {
+	offset uint32 // of the argument in struct seccomp_data
 	mask   uint32
 	values []uint32
 }
 
-// stop is a call at which the program stops; without a condition it stops at each.
-type stop struct {
-	number uint32
-	where  *condition
+// tracedCall is a system call at which the program stops.
+type tracedCall struct {
+	number    uint32
+	condition *argumentCondition // nil: the program stops at every call with this number
 }
 
-// stops are the calls that a plan may change, or that the tracer has to see.
-func (p Plan) stops() []stop {
-	var stops []stop
+// tracedCalls returns the system calls that a plan may change, and those that the tracer needs to observe.
+func (p Plan) tracedCalls() []tracedCall {
+	var calls []tracedCall
 	seen := map[Kind]bool{}
 	for _, fault := range p {
 		if !seen[fault.Kind] {
 			seen[fault.Kind] = true
-			stops = append(stops, fault.Kind.stops()...)
+			calls = append(calls, fault.Kind.tracedCalls()...)
 		}
 	}
-	return stops
+	return calls
 }
 
-// stops are the calls of one kind of fault.
-func (kind Kind) stops() []stop {
+// tracedCalls returns the system calls of one kind of fault.
+func (kind Kind) tracedCalls() []tracedCall {
 	switch kind {
 	case Accept:
-		return stopAt(unix.SYS_ACCEPT4, unix.SYS_ACCEPT)
+		return unconditional(unix.SYS_ACCEPT4, unix.SYS_ACCEPT)
 	case Connect:
-		return stopAt(unix.SYS_SOCKET, unix.SYS_CONNECT)
+		return unconditional(unix.SYS_SOCKET, unix.SYS_CONNECT)
 	case Interrupt:
-		waits := &condition{offset: offsetSecond, mask: futexOperation, values: []uint32{futexWait, futexWaitBitset}}
-		return append(stopAt(unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_NANOSLEEP),
-			stop{number: unix.SYS_FUTEX, where: waits})
+		waits := &argumentCondition{
+			offset: offsetSecondArg,
+			mask:   futexOperation,
+			values: []uint32{futexWait, futexWaitBitset},
+		}
+		return append(unconditional(unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_NANOSLEEP),
+			tracedCall{number: unix.SYS_FUTEX, condition: waits})
 	case ShortTransfer:
-		return stopAt(unix.SYS_READ, unix.SYS_WRITE)
+		return unconditional(unix.SYS_READ, unix.SYS_WRITE)
 	case BrokenConnection:
-		return stopAt(unix.SYS_CONNECT, unix.SYS_READ, unix.SYS_CLOSE)
+		return unconditional(unix.SYS_CONNECT, unix.SYS_READ, unix.SYS_CLOSE)
 	case Open:
-		return stopAt(unix.SYS_OPENAT)
+		return unconditional(unix.SYS_OPENAT)
 	case Disk:
-		return stopAt(unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE)
+		return unconditional(unix.SYS_PWRITE64, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_FTRUNCATE)
 	case Clock:
-		wallClock := &condition{offset: offsetFirst, mask: math.MaxUint32, values: []uint32{unix.CLOCK_REALTIME}}
-		return []stop{{number: unix.SYS_CLOCK_GETTIME, where: wallClock}}
+		wallClock := &argumentCondition{offset: offsetFirstArg, mask: math.MaxUint32, values: []uint32{unix.CLOCK_REALTIME}}
+		return []tracedCall{{number: unix.SYS_CLOCK_GETTIME, condition: wallClock}}
 	}
 	return nil
 }
 
-// stopAt are stops without a condition.
-func stopAt(numbers ...uint32) []stop {
-	stops := make([]stop, len(numbers))
+// unconditional returns traced calls without a condition.
+func unconditional(numbers ...uint32) []tracedCall {
+	calls := make([]tracedCall, len(numbers))
 	for i, number := range numbers {
-		stops[i] = stop{number: number}
+		calls[i] = tracedCall{number: number}
 	}
-	return stops
+	return calls
 }
 
-// load is the instruction that loads a word of the call's data.
-func load(offset uint32) unix.SockFilter {
+// loadWord returns the instruction that loads a word of the call's struct seccomp_data.
+func loadWord(offset uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 }
 
-// jumpEqual skips so many instructions where the loaded word is a value, and so many where it is not.
-func jumpEqual(value uint32, equal, other uint8) unix.SockFilter {
-	return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: equal, Jf: other, K: value}
+// jumpEqual returns the instruction that skips ifEqual instructions if the loaded word is value, and ifNot instructions
+// otherwise.
+func jumpEqual(value uint32, ifEqual, ifNot uint8) unix.SockFilter {
+	return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: ifEqual, Jf: ifNot, K: value}
 }
 
-// mask is the instruction that masks the loaded word.
-func mask(bits uint32) unix.SockFilter {
+// maskWord returns the instruction that masks the loaded word.
+func maskWord(bits uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: bits}
 }
 
-// verdict is the instruction that ends the filter.
-func verdict(action uint32) unix.SockFilter {
+// returnAction returns the instruction that ends the filter with an action.
+func returnAction(action uint32) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 }
 
-// filter is the program of the filter for some calls.
-func filter(stops []stop) []unix.SockFilter {
-	code := []unix.SockFilter{load(offsetNumber)}
-	for _, s := range stops {
-		if s.where == nil {
-			code = append(code, jumpEqual(s.number, 0, 1), verdict(unix.SECCOMP_RET_TRACE))
+// filterProgram returns a seccomp filter that traces the given calls and allows all others.
+func filterProgram(calls []tracedCall) []unix.SockFilter {
+	code := []unix.SockFilter{loadWord(offsetNumber)}
+	for _, call := range calls {
+		if call.condition == nil {
+			code = append(code, jumpEqual(call.number, 0, 1), returnAction(unix.SECCOMP_RET_TRACE))
 			continue
 		}
-		body := s.where.code()
-		code = append(code, jumpEqual(s.number, 0, uint8(len(body))))
+		body := call.condition.instructions()
+		code = append(code, jumpEqual(call.number, 0, uint8(len(body))))
 		code = append(code, body...)
 	}
-	return append(code, verdict(unix.SECCOMP_RET_ALLOW))
+	return append(code, returnAction(unix.SECCOMP_RET_ALLOW))
 }
 
-// code stops at a call whose argument has one of the values, and lets others pass.
-func (c *condition) code() []unix.SockFilter {
-	code := []unix.SockFilter{load(c.offset), mask(c.mask)}
+// instructions returns the end of a filter that traces a call for which the condition holds, and allows it otherwise.
+func (c *argumentCondition) instructions() []unix.SockFilter {
+	code := []unix.SockFilter{loadWord(c.offset), maskWord(c.mask)}
 	for i, value := range c.values {
 		otherValues := uint8(len(c.values) - 1 - i)
-		code = append(code, jumpEqual(value, otherValues+1, 0)) // over the other values and the pass, to the stop
+		code = append(code, jumpEqual(value, otherValues+1, 0)) // jumps over the other values and RET_ALLOW
 	}
-	return append(code, verdict(unix.SECCOMP_RET_ALLOW), verdict(unix.SECCOMP_RET_TRACE))
+	return append(code, returnAction(unix.SECCOMP_RET_ALLOW), returnAction(unix.SECCOMP_RET_TRACE))
 }
 
-// ExecIfChild has to be called first of all by a program that calls Run. In the process that Run starts it sets the
-// filter and becomes the traced program, and does not return; in others it does nothing.
+// ExecIfChild must be called at the start of main in a program that calls Run. Run starts the same executable as its
+// child. In the child, ExecIfChild sets the filter, executes the traced program and does not return. In other processes
+// it does nothing.
 func ExecIfChild() {
-	text, ok := os.LookupEnv(stageVariable)
+	text, ok := os.LookupEnv(planVariable)
 	if !ok {
 		return
 	}
-	os.Unsetenv(stageVariable)
-	fmt.Fprintln(os.Stderr, "shim:", becomeProgram(text))
-	os.Exit(stageFailed)
+	os.Unsetenv(planVariable)
+	fmt.Fprintln(os.Stderr, "shim:", execProgram(text))
+	os.Exit(execFailedExitCode)
 }
 
-// becomeProgram replaces the process by the program that its arguments name; it returns only with an error.
-func becomeProgram(text string) error {
+// execProgram sets the filter of a plan and executes the program that the process's arguments name. It returns only if
+// that fails.
+func execProgram(text string) error {
 	plan, err := ParsePlan(text)
 	if err != nil {
 		return err
@@ -162,24 +171,24 @@
 	if err != nil {
 		return err
 	}
-	runtime.LockOSThread() // the filter is this thread's
-	if stops := plan.stops(); len(stops) > 0 {
-		if err := setFilter(filter(stops)); err != nil {
+	runtime.LockOSThread() // setFilter applies to the calling thread only
+	if calls := plan.tracedCalls(); len(calls) > 0 {
+		if err := setFilter(filterProgram(calls)); err != nil {
 			return err
 		}
 	}
 	return unix.Exec(path, os.Args[1:], os.Environ())
 }
 
-// setFilter sets a filter on the calling thread.
+// setFilter sets a seccomp filter on the calling thread.
 func setFilter(code []unix.SockFilter) error {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return fmt.Errorf("no new privileges: %w", err)
+		return fmt.Errorf("setting no_new_privs: %w", err)
 	}
 	program := unix.SockFprog{Len: uint16(len(code)), Filter: &code[0]}
 	pointer := uintptr(unsafe.Pointer(&program))
 	if err := unix.Prctl(unix.PR_SET_SECCOMP, unix.SECCOMP_MODE_FILTER, pointer, 0, 0); err != nil {
-		return fmt.Errorf("filter: %w", err)
+		return fmt.Errorf("setting the seccomp filter: %w", err)
 	}
 	return nil
 }
--- a/internal/sysfault/golden_test.go
+++ b/internal/sysfault/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, keeps its form.
-func TestGoldenForms(t *testing.T) {
+// The JSON form of a plan must not change, because plans are stored and are sent to processes of other versions.
+func TestPlanFormatIsStable(t *testing.T) {
 	goldenfile.RoundTrip[Plan](t, "plan")
 }
--- a/internal/sysfault/plan.go
+++ b/internal/sysfault/plan.go
@@ -1,6 +1,6 @@
-// Package sysfault is system call fault injection: it runs a program and has its system calls fail as Linux documents
-// that they may. It traces its own child with ptrace, which needs no privileges, and knows nothing of what the program
-// does. Which calls fail, when and how often, is a plan.
+// Package sysfault injects faults into system calls: it runs a program and makes its system calls fail with errors that
+// Linux documents for them. It traces its own child with ptrace, which needs no privileges, and works with any program.
+// A plan says which calls fail, when and how often.
 package sysfault
 
 import (
@@ -13,39 +13,41 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those with a share hit that share of the calls in their time.
+// Kinds of faults. Each kind but Clock hits a share of the calls, from the start of the fault to its end.
 const (
-	// Accept has accept fail with a transient error; the connection stays in the backlog.
+	// Accept makes accept fail with a transient error. The connection stays in the backlog.
 	Accept Kind = "accept"
-	// Connect has socket and connect fail with an error of the machine or of the network.
+	// Connect makes socket and connect fail with an error of the machine or of the network.
 	Connect Kind = "connect"
-	// Interrupt has waits end with EINTR.
+	// Interrupt makes waiting calls fail with EINTR.
 	Interrupt Kind = "interrupt"
-	// ShortTransfer has reads and writes of connections transfer a part of what they could.
+	// ShortTransfer makes reads and writes of sockets transfer fewer bytes than they could.
 	ShortTransfer Kind = "short"
-	// BrokenConnection has a read of a connection that the program has dialed end with an error, as a broken network has.
+	// BrokenConnection makes reads fail, on connections that the program has dialed, with the errors of a broken
+	// network.
 	BrokenConnection Kind = "break"
-	// Open has the opening of files fail for want of descriptors.
+	// Open makes the opening of files fail, mostly because no descriptor is left.
 	Open Kind = "open"
-	// Disk has writes and syncs of files fail.
+	// Disk makes writes and syncs of files fail.
 	Disk Kind = "disk"
-	// Clock has the wall clock stepped by Step from then on. The monotonic clock runs on. It has no share.
+	// Clock steps the wall clock by Step at From. The step lasts until the end of the program and does not change the
+	// monotonic clock.
 	Clock Kind = "clock"
 )
 
-// Fault is one step of a plan. Times count from the start of the program.
+// Fault is one fault of a plan.
 type Fault struct {
 	Kind  Kind          `json:"kind"`
-	From  time.Duration `json:"from"`
-	For   time.Duration `json:"for,omitempty"`
-	Share float64       `json:"share,omitempty"` // of the calls, above 0 to 1
-	Step  time.Duration `json:"step,omitempty"`  // of the wall clock
+	From  time.Duration `json:"from"`            // start of the fault, since the start of the program
+	For   time.Duration `json:"for,omitempty"`   // duration of the fault; not used by Clock
+	Share float64       `json:"share,omitempty"` // share of the calls, above 0 and at most 1; not used by Clock
+	Step  time.Duration `json:"step,omitempty"`  // step of the wall clock; used by Clock only
 }
 
-// Plan is the faults of one program's system calls.
+// Plan holds the faults of one program's system calls.
 type Plan []Fault
 
-// ParsePlan reads a plan in the form of Plan.String.
+// ParsePlan decodes a plan from the form of Plan.String, and checks its values.
 func ParsePlan(text string) (Plan, error) {
 	var plan Plan
 	if err := json.Unmarshal([]byte(text), &plan); err != nil {
@@ -56,28 +58,29 @@
 		case Clock:
 		case Accept, Connect, Interrupt, ShortTransfer, BrokenConnection, Open, Disk:
 			if fault.Share <= 0 || fault.Share > 1 || fault.For <= 0 {
-				return nil, fmt.Errorf("plan: fault %d (%s): share %g for %v", i+1, fault.Kind, fault.Share, fault.For)
+				return nil, fmt.Errorf("plan: fault %d (%s): share %g must be above 0 and at most 1, and for %v above 0",
+					i+1, fault.Kind, fault.Share, fault.For)
 			}
 		default:
-			return nil, fmt.Errorf("plan: fault %d: no kind %q", i+1, fault.Kind)
+			return nil, fmt.Errorf("plan: fault %d: kind %q is unknown", i+1, fault.Kind)
 		}
 	}
 	return plan, nil
 }
 
-// String is the plan as JSON.
+// String returns the plan as JSON.
 func (p Plan) String() string {
-	text, _ := json.Marshal(p) // plain values always encode
+	text, _ := json.Marshal(p) // cannot fail for these types
 	return string(text)
 }
 
-// has tells whether a plan has a fault of a kind.
+// has reports whether the plan has a fault of a kind.
 func (p Plan) has(kind Kind) bool {
 	return slices.ContainsFunc(p, func(f Fault) bool { return f.Kind == kind })
 }
 
-// share is the share of calls that a kind hits at a time.
-func (p Plan) share(kind Kind, at time.Duration) float64 {
+// shareAt returns the share of calls that a kind of fault hits at a time since the start of the program.
+func (p Plan) shareAt(kind Kind, at time.Duration) float64 {
 	for _, f := range p {
 		if f.Kind == kind && f.From <= at && at < f.From+f.For {
 			return f.Share
@@ -86,8 +89,8 @@
 	return 0
 }
 
-// step is how far the wall clock is stepped at a time.
-func (p Plan) step(at time.Duration) (sum time.Duration) {
+// stepAt returns the sum of the steps of the wall clock at a time since the start of the program.
+func (p Plan) stepAt(at time.Duration) (sum time.Duration) {
 	for _, f := range p {
 		if f.Kind == Clock && f.From <= at {
 			sum += f.Step
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -17,7 +17,8 @@
 	"time"
 )
 
-// TestMain also is the shim and the program that a test runs under it.
+// TestMain runs the tests. The tests also start this executable as the shim, which calls Run, and as the traced
+// program.
 func TestMain(m *testing.M) {
 	ExecIfChild()
 	switch os.Getenv("SHIM_TEST") {
@@ -39,9 +40,10 @@
 	os.Exit(m.Run())
 }
 
-// program tells what befalls it.
+// program is the traced program. It makes system calls for 1.5 s and prints which of them failed, the step of its wall
+// clock and the length of a response that it read.
 func program() {
-	fails := map[string]int{}
+	failures := map[string]int{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Println("listen", err)
@@ -51,24 +53,24 @@
 		body, _ := io.ReadAll(r.Body)
 		w.Write(body)
 	}))
-	before, began := time.Now().Round(0), time.Now()
-	for time.Since(began) < 1500*time.Millisecond {
+	wallStart, start := time.Now().Round(0), time.Now()
+	for time.Since(start) < 1500*time.Millisecond {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
-			fails["dial"]++
+			failures["dial"]++
 		} else {
 			c.Close()
 		}
 		f, err := os.Open("/dev/null")
 		if err != nil {
-			fails["open"]++
+			failures["open"]++
 		} else {
 			f.Close()
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	fmt.Println("dial", fails["dial"], "open", fails["open"])
-	fmt.Println("stepped", time.Now().Round(0).Sub(before).Round(time.Minute), "spent", time.Since(began) < 10*time.Second)
+	fmt.Println("dial", failures["dial"], "open", failures["open"])
+	fmt.Println("stepped", time.Now().Round(0).Sub(wallStart).Round(time.Minute), "spent", time.Since(start) < 10*time.Second)
 	resp, err := http.Post("http://"+l.Addr().String(), "text/plain", strings.NewReader(strings.Repeat("x", 100_000)))
 	if err != nil {
 		fmt.Println("post", err)
@@ -93,8 +95,8 @@
 	return out.String()
 }
 
-// Calls fail as the plan says and while it lasts, the wall clock alone is stepped, and what is cut short arrives
-// complete.
+// System calls fail as the plan says and only during its faults. A Clock fault steps only the wall clock. Data of
+// shortened reads and writes arrives completely.
 func TestCallsFailAsPlanned(t *testing.T) {
 	const all = time.Minute
 	for name, tc := range map[string]struct {
@@ -117,16 +119,16 @@
 			}
 		})
 	}
-	const quiet, lasts = 400 * time.Millisecond, 800 * time.Millisecond // the program has to be loaded first
-	out := run(t, Plan{{Kind: Connect, From: quiet, For: lasts, Share: 0.5},
-		{Kind: Open, From: quiet, For: lasts, Share: 0.5}})
+	const from, duration = 400 * time.Millisecond, 800 * time.Millisecond // the program is loaded before the faults start
+	out := run(t, Plan{{Kind: Connect, From: from, For: duration, Share: 0.5},
+		{Kind: Open, From: from, For: duration, Share: 0.5}})
 	var dial, open int
 	if _, err := fmt.Sscanf(out, "dial %d open %d", &dial, &open); err != nil || dial == 0 || open == 0 {
 		t.Errorf("%s: dial %s, open %s: %v", out, strconv.Itoa(dial), strconv.Itoa(open), err)
 	}
 }
 
-// A signal to the group reaches the program, and it ends with its shim.
+// The program ends when its shim is killed.
 func TestProgramEndsWithItsShim(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "SHIM_TEST=shim", "SHIM_PLAN=[]")
@@ -143,9 +145,9 @@
 	ended := make(chan struct{})
 	go func() { io.Copy(io.Discard, out); close(ended) }()
 	select {
-	case <-ended: // the program had the other end of the pipe
+	case <-ended: // the program held the other end of the pipe
 	case <-time.After(10 * time.Second):
-		t.Error("the program lives on")
+		t.Error("the program still runs")
 	}
 	cmd.Wait()
 }
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// syscallStop marks a stop at a system call (PTRACE_O_TRACESYSGOOD).
+	// syscallStop is the signal of a stop at the return of a system call (PTRACE_O_TRACESYSGOOD).
 	syscallStop = unix.SIGTRAP | 0x80
-	// atSysinfoEhdr and atIgnore are types of the auxiliary vector: the address of the vDSO, and an entry to be skipped.
+	// atSysinfoEhdr and atIgnore are types of entries of the auxiliary vector (AT_SYSINFO_EHDR, AT_IGNORE): the address
+	// of the vDSO, and an entry without a meaning.
 	atSysinfoEhdr = 33
 	atIgnore      = 1
-	// wordSize is the size of a word on this machine.
+	// wordSize is the size of a word in bytes.
 	wordSize = 8
-	// noCall is a number that no system call has: the kernel makes none.
+	// noCall is not the number of any system call. The kernel skips a call with this number.
 	noCall = ^uint64(0)
-	// shortLeast is the smallest transfer that is cut short: smaller ones are often messages within a process.
+	// minShortTransfer is the size in bytes of the smallest transfer that is shortened. Smaller transfers are often
+	// messages within a process.
 	minShortTransfer = 32
 )
 
@@ -41,10 +43,11 @@
 	diskErrors   = []unix.Errno{unix.ENOSPC, unix.EIO}
 )
 
-// Run runs a program under a plan until it ends, and returns its exit code. Draws come from the seed. The program ends
-// with this process. Signals that end a process are not forwarded: whoever signals the process group reaches both.
+// Run runs a program under a plan until it ends, and returns its exit code. The calling program must call ExecIfChild
+// at its start. The seed determines the random choices. The program is killed when this process ends. Run ignores
+// SIGTERM, SIGHUP and SIGINT and does not forward them, because a signal to the process group also reaches the program.
 func Run(plan Plan, seed uint64, argv []string) (code int, err error) {
-	runtime.LockOSThread() // ptrace knows its tracer by thread
+	runtime.LockOSThread() // all ptrace calls must come from the thread that attached
 	ignored := make(chan os.Signal, 16)
 	signal.Notify(ignored, unix.SIGTERM, unix.SIGHUP, unix.SIGINT)
 	self, err := os.Executable()
@@ -52,7 +55,7 @@
 		return 0, err
 	}
 	cmd := exec.Command(self, argv...)
-	cmd.Env = append(os.Environ(), stageVariable+"="+plan.String())
+	cmd.Env = append(os.Environ(), planVariable+"="+plan.String())
 	cmd.Stdin = os.Stdin
 	cmd.Stdout = os.Stdout
 	cmd.Stderr = os.Stderr
@@ -69,14 +72,14 @@
 	return t.traceUntilExit()
 }
 
-// drawStream sets the tracer's draws apart from others of the same seed.
+// drawStream separates the tracer's random numbers from other random numbers with the same seed.
 const drawStream = 0x5417
 
 // thread is a thread of the program.
 type thread struct {
-	awaitsExit bool      // it stops once more, when its present call has returned
-	call       uint64    // number of the last call that it stopped at
-	args       [3]uint64 // of that call
+	stopsAtReturn bool      // whether it also stops when its current call returns
+	call          uint64    // number of the last call at which it stopped
+	args          [3]uint64 // first arguments of that call
 }
 
 // tracer traces one program.
@@ -86,10 +89,10 @@
 	start   time.Time
 	rng     *rand.Rand
 	threads map[int]*thread // by thread id
-	dialed  map[uint64]bool // descriptors of connections that the program has made itself
+	dialed  map[uint64]bool // descriptors of connections that the program has dialed
 }
 
-// attach sets the trace options of the process that sets the filter, at its first stop.
+// attach waits for the first stop of the child, sets its trace options and continues it.
 func (t *tracer) attach() error {
 	var status unix.WaitStatus
 	if _, err := unix.Wait4(t.pid, &status, unix.WALL, nil); err != nil {
@@ -104,7 +107,7 @@
 	return unix.PtraceCont(t.pid, 0)
 }
 
-// traceUntilExit handles the program's stops until it ends, and returns its exit code.
+// traceUntilExit handles the stops of the program until the program ends, and returns its exit code.
 func (t *tracer) traceUntilExit() (code int, err error) {
 	for {
 		var status unix.WaitStatus
@@ -125,7 +128,7 @@
 	}
 }
 
-// exitCode is a program's exit code as a shell gives it.
+// exitCode returns the exit code as a shell reports it: 128 plus the signal for a program that was killed by a signal.
 func exitCode(status unix.WaitStatus) int {
 	if status.Signaled() {
 		return 128 + int(status.Signal())
@@ -133,29 +136,30 @@
 	return status.ExitStatus()
 }
 
-// resume has a stopped thread continue with a signal, to its call's return where that is awaited. A thread that has
-// ended meanwhile is reported soon, so errors are of no use.
+// resume continues a stopped thread and delivers a signal to it; 0 is no signal. If the thread stops at the return of
+// its call, resume continues it up to there. Errors are ignored: they mean that the thread has ended, which Wait4
+// reports.
 func (t *tracer) resume(id int, signal unix.Signal) {
-	if th := t.threads[id]; th != nil && th.awaitsExit {
+	if th := t.threads[id]; th != nil && th.stopsAtReturn {
 		unix.PtraceSyscall(id, int(signal))
 		return
 	}
 	unix.PtraceCont(id, int(signal))
 }
 
-// handleStop handles a stop of a thread, and returns the signal that the thread is to get.
+// handleStop handles a stop of a thread, and returns the signal to deliver to the thread; 0 is no signal.
 func (t *tracer) handleStop(id int, status unix.WaitStatus) unix.Signal {
 	th := t.threads[id]
 	signal := status.StopSignal()
 	switch {
-	case th == nil: // a new thread begins with a stop
+	case th == nil: // the first stop of a new thread
 		t.threads[id] = &thread{}
 		if signal == unix.SIGSTOP {
 			return 0
 		}
 		return t.handleStop(id, status)
 	case signal == syscallStop:
-		th.awaitsExit = false
+		th.stopsAtReturn = false
 		t.callReturned(id, th)
 		return 0
 	case signal == unix.SIGTRAP && status.TrapCause() == unix.PTRACE_EVENT_SECCOMP:
@@ -165,13 +169,12 @@
 		t.programStarted()
 		return 0
 	case signal == unix.SIGTRAP:
-		return 0 // a clone
+		return 0 // the thread has created a thread
 	}
 	return signal
 }
 
-// programStarted handles the stop before the program's first instruction, when the process that has set the filter has
-// become the program.
+// programStarted handles the stop at which the child has executed the program and has not run its first instruction.
 func (t *tracer) programStarted() {
 	t.threads = map[int]*thread{t.pid: {}}
 	if t.plan.has(Clock) {
@@ -181,7 +184,8 @@
 	}
 }
 
-// callEntered handles a call before it is made: it fails without being made, is changed, or is made as it is.
+// callEntered handles a stop before a system call. It makes the call fail without running it, changes it, or lets it
+// run unchanged.
 func (t *tracer) callEntered(id int, th *thread) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(id, &regs) != nil {
@@ -199,19 +203,19 @@
 	case unix.SYS_CLOSE:
 		delete(t.dialed, th.args[0])
 	case unix.SYS_CONNECT:
-		th.awaitsExit = t.plan.has(BrokenConnection)
+		th.stopsAtReturn = t.plan.has(BrokenConnection)
 	case unix.SYS_CLOCK_GETTIME:
-		th.awaitsExit = t.plan.step(time.Since(t.start)) != 0
+		th.stopsAtReturn = t.plan.stepAt(time.Since(t.start)) != 0
 	case unix.SYS_READ, unix.SYS_WRITE:
 		if t.drawShort(th) {
 			regs.Rdx = 1 + t.rng.Uint64N(th.args[2]-1)
 			unix.PtraceSetRegs(id, &regs)
-			th.awaitsExit = true
+			th.stopsAtReturn = true
 		}
 	}
 }
 
-// drawError draws the error with which a call fails; 0: it does not.
+// drawError draws the error with which a call fails. It returns 0 if the call does not fail.
 func (t *tracer) drawError(th *thread) unix.Errno {
 	switch th.call {
 	case unix.SYS_ACCEPT4, unix.SYS_ACCEPT:
@@ -221,7 +225,7 @@
 	case unix.SYS_CONNECT:
 		return t.drawErrorOf(Connect, connectErrors)
 	case unix.SYS_EPOLL_PWAIT, unix.SYS_EPOLL_WAIT, unix.SYS_FUTEX, unix.SYS_NANOSLEEP:
-		if t.hits(Interrupt) {
+		if t.drawHit(Interrupt) {
 			return unix.EINTR
 		}
 	case unix.SYS_READ:
@@ -236,38 +240,39 @@
 	return 0
 }
 
-// drawErrorOf draws whether a kind of fault hits a call now, and with which of its errors; 0: it does not.
+// drawErrorOf draws whether a kind of fault hits a call now, and with which error. It returns 0 if the fault does not
+// hit the call.
 func (t *tracer) drawErrorOf(kind Kind, errs []unix.Errno) unix.Errno {
-	if !t.hits(kind) {
+	if !t.drawHit(kind) {
 		return 0
 	}
 	return errs[t.rng.IntN(len(errs))]
 }
 
-// drawShort draws whether a read or a write is cut short.
+// drawShort draws whether a read or a write is shortened.
 func (t *tracer) drawShort(th *thread) bool {
-	return th.args[2] >= minShortTransfer && t.hits(ShortTransfer) && t.isSocket(th.args[0])
+	return th.args[2] >= minShortTransfer && t.drawHit(ShortTransfer) && t.isSocket(th.args[0])
 }
 
-// hits draws whether a kind of fault hits a call now.
-func (t *tracer) hits(kind Kind) bool {
-	share := t.plan.share(kind, time.Since(t.start))
+// drawHit draws whether a kind of fault hits a call now.
+func (t *tracer) drawHit(kind Kind) bool {
+	share := t.plan.shareAt(kind, time.Since(t.start))
 	return share > 0 && t.rng.Float64() < share
 }
 
-// isSocket tells whether a descriptor of the program is a socket.
+// isSocket reports whether a descriptor of the program is a socket.
 func (t *tracer) isSocket(fd uint64) bool {
 	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", t.pid, fd))
 	return err == nil && strings.HasPrefix(name, "socket:")
 }
 
-// callReturned handles a call that has been made, and may change its result.
+// callReturned handles a stop after a system call, and may change the result of the call.
 func (t *tracer) callReturned(id int, th *thread) {
 	switch th.call {
 	case unix.SYS_CONNECT:
 		t.dialed[th.args[0]] = true
 	case unix.SYS_CLOCK_GETTIME:
-		if step := t.plan.step(time.Since(t.start)); step != 0 {
+		if step := t.plan.stepAt(time.Since(t.start)); step != 0 {
 			stepClock(id, uintptr(th.args[1]), step)
 		}
 	case unix.SYS_READ, unix.SYS_WRITE:
@@ -275,7 +280,8 @@
 	}
 }
 
-// restoreCount restores the register that a short transfer has changed, which the kernel does not change itself.
+// restoreCount restores the register that callEntered changed for a shortened transfer. The kernel preserves this
+// register across a system call, so the program expects its old value.
 func restoreCount(id int, th *thread) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(id, &regs) != nil || regs.Rdx == th.args[2] {
@@ -285,7 +291,8 @@
 	unix.PtraceSetRegs(id, &regs)
 }
 
-// stepClock adds a step to the seconds of the time that a call has written at an address.
+// stepClock adds a step to the seconds of the time that clock_gettime has written at an address. It ignores the
+// fraction of a second of the step.
 func stepClock(id int, address uintptr, step time.Duration) {
 	var word [wordSize]byte
 	if _, err := unix.PtracePeekData(id, address, word[:]); err != nil {
--- a/internal/sysfault/tracer_other.go
+++ b/internal/sysfault/tracer_other.go
@@ -4,10 +4,10 @@
 
 import "errors"
 
-// ExecIfChild does nothing on this machine.
+// ExecIfChild does nothing on this platform.
 func ExecIfChild() {}
 
-// Run is not to be had on this machine.
+// Run returns an error, because faults are injected on linux/amd64 only.
 func Run(Plan, uint64, []string) (int, error) {
-	return 0, errors.New("shim: system calls can be made to fail on linux/amd64 only")
+	return 0, errors.New("shim: system call faults can be injected on linux/amd64 only")
 }
--- a/internal/sysfault/vdso_linux_amd64.go
+++ b/internal/sysfault/vdso_linux_amd64.go
@@ -7,21 +7,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// hideVDSO has the program read its clocks by system call, which can be traced. At the start the stack holds argc,
-// argv, the environment and the auxiliary vector, each list ended by a zero.
+// hideVDSO hides the vDSO from the program, so that the program reads its clocks by system calls, which can be traced.
+// It must be called before the first instruction of the program. The stack then holds argc, argv, the environment and
+// the auxiliary vector, and each of these lists ends with a zero.
 func (t *tracer) hideVDSO() error {
 	var regs unix.PtraceRegs
 	if err := unix.PtraceGetRegs(t.pid, &regs); err != nil {
-		return fmt.Errorf("registers: %w", err)
+		return fmt.Errorf("reading the program's registers: %w", err)
 	}
 	address := uintptr(regs.Rsp)
-	argc, err := t.word(address)
+	argc, err := t.readWord(address)
 	if err != nil {
 		return err
 	}
 	address += uintptr(argc+2) * wordSize
 	for {
-		entry, err := t.word(address)
+		entry, err := t.readWord(address)
 		if err != nil {
 			return err
 		}
@@ -31,31 +32,31 @@
 		}
 	}
 	for ; ; address += 2 * wordSize {
-		kind, err := t.word(address)
+		kind, err := t.readWord(address)
 		if err != nil || kind == 0 {
 			return err
 		}
 		if kind == atSysinfoEhdr {
-			return t.setWord(address, atIgnore)
+			return t.writeWord(address, atIgnore)
 		}
 	}
 }
 
-// word reads a word of the program's memory.
-func (t *tracer) word(address uintptr) (uint64, error) {
+// readWord reads a word from the program's memory.
+func (t *tracer) readWord(address uintptr) (uint64, error) {
 	var word [wordSize]byte
 	if _, err := unix.PtracePeekData(t.pid, address, word[:]); err != nil {
-		return 0, fmt.Errorf("memory of the program: %w", err)
+		return 0, fmt.Errorf("reading the program's memory: %w", err)
 	}
 	return binary.LittleEndian.Uint64(word[:]), nil
 }
 
-// setWord writes a word of the program's memory.
-func (t *tracer) setWord(address uintptr, value uint64) error {
+// writeWord writes a word to the program's memory.
+func (t *tracer) writeWord(address uintptr, value uint64) error {
 	var word [wordSize]byte
 	binary.LittleEndian.PutUint64(word[:], value)
 	if _, err := unix.PtracePokeData(t.pid, address, word[:]); err != nil {
-		return fmt.Errorf("memory of the program: %w", err)
+		return fmt.Errorf("writing the program's memory: %w", err)
 	}
 	return nil
 }
