--- a/cmd/hitchvale/errors_test.go
+++ b/cmd/hitchvale/errors_test.go
@@ -7,14 +7,14 @@
 	"slices"
 	"testing"
 
-	_ "hitchvale/internal/fleet" // defines errors, as do the next two
+	_ "hitchvale/internal/fleet" // this package and the next two imported without a name define kinds of errors
 	_ "hitchvale/internal/maintenance"
 	"hitchvale/internal/operror"
 	_ "hitchvale/internal/registry"
 )
 
-// Every kind of error has a remedy and a row of its own in docs/oncall.md, and no row is of an error that does not
-// exist.
+// Each kind of error has a unique code, a status, a meaning and a remedy. docs/oncall.md has a row for each kind of
+// error and no other rows.
 func TestEveryErrorIsDocumented(t *testing.T) {
 	text, err := os.ReadFile("../../docs/oncall.md")
 	if err != nil {
@@ -24,7 +24,7 @@
 	seen := map[string]bool{}
 	for _, e := range operror.Kinds() {
 		if e.Remedy == "" || e.Meaning == "" || e.Status < 400 || seen[e.Code] {
-			t.Errorf("%+v: no remedy, no meaning, no status or no code of its own", e)
+			t.Errorf("%+v: the remedy, the meaning or the status is missing, or the code is not unique", e)
 		}
 		seen[e.Code] = true
 		want = append(want, row(e))
@@ -37,12 +37,12 @@
 	}
 	for _, r := range got {
 		if !slices.Contains(want, r) {
-			t.Errorf("docs/oncall.md has a row of no error:\n%s", r)
+			t.Errorf("docs/oncall.md has a row for an error that does not exist:\n%s", r)
 		}
 	}
 }
 
-// row is an error's row of the table.
+// row returns the row of the table for a kind of error.
 func row(e operror.Kind) string {
 	return fmt.Sprintf("| `%s` | %d | %s | %s |", e.Code, e.Status, e.Meaning, e.Remedy)
 }
--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -17,12 +17,17 @@
 	"hitchvale/internal/sysfault"
 )
 
+// labCmd returns the command of the fault lab.
 func labCmd(g *globalFlags) *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "The fault lab: start processes on loopback, break them, check the history"}
+	c := &cobra.Command{
+		Use:   "lab",
+		Short: "The fault lab: start processes on loopback, inject faults, check the recorded events",
+	}
 	c.AddCommand(labRunCmd(g), labCheckCmd(), labBackendCmd(), labShimCmd(), labCandidateCmd())
 	return c
 }
 
+// labCheckCmd returns the command that checks a scenario file.
 func labCheckCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check SCENARIO.toml",
@@ -46,11 +51,12 @@
 	bin string
 }
 
+// labRunCmd returns the command that runs a scenario.
 func labRunCmd(g *globalFlags) *cobra.Command {
 	var flags labRunFlags
 	c := &cobra.Command{
 		Use:   "run SCENARIO.toml",
-		Short: "Play a scenario and write report.json and plots; exit 1 where an invariant fails",
+		Short: "Run a scenario and write report.json and plots; exit 1 if an invariant fails",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			log, err := g.newLogger()
@@ -65,7 +71,8 @@
 	return c
 }
 
-// run plays the scenario of a file, prints a summary as JSON and returns the first check that failed as an error.
+// run runs the scenario of a file and prints a summary as JSON. If checks failed, it returns the first of them as an
+// error.
 func (flags labRunFlags) run(cmd *cobra.Command, path string, log *slog.Logger) error {
 	scenario, err := lab.LoadScenario(path)
 	if err != nil {
@@ -87,13 +94,13 @@
 	fmt.Fprintln(cmd.OutOrStdout(), string(summary))
 	for _, check := range report.Checks {
 		if !check.OK {
-			return failedError(fmt.Errorf("%s: %d violations, first %v", check.Name, check.Violations, check.Examples))
+			return failedError(fmt.Errorf("%s: %d violations, for example %v", check.Name, check.Violations, check.Examples))
 		}
 	}
 	return nil
 }
 
-// options are the programs and the output folder of a run, with the flags' defaults.
+// options returns the programs and the output folder of a run, with defaults for flags that are not set.
 func (flags labRunFlags) options(scenario string, log *slog.Logger) (lab.Options, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -111,47 +118,47 @@
 	return lab.Options{NodeBinary: node, CommandBinary: self, Out: out, Log: log}, nil
 }
 
-// labBackendCmd is the stand-in backend that the lab starts; it is a command of its own so that it can be killed,
-// paused and restarted as a real process.
+// labBackendCmd returns the command of the test backend that the lab starts. The backend has its own command so that
+// the lab can kill, pause and restart it as a separate process.
 func labBackendCmd() *cobra.Command {
 	var id, listen, logPath string
 	var behavior lab.BackendBehavior
 	var seed uint64
 	c := &cobra.Command{
 		Use:    "backend",
-		Short:  "Serve as a stand-in backend (started by the lab)",
+		Short:  "Run a test backend (started by the lab)",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if share := behavior.ErrorShare; share < 0 || share > 1 {
-				return usageError(fmt.Errorf("--errors: %g is outside 0 to 1", share))
+				return usageError(fmt.Errorf("--errors: %g must be from 0 to 1", share))
 			}
-			ln, err := net.Listen("tcp", listen)
+			listener, err := net.Listen("tcp", listen)
 			if err != nil {
 				return failedError(err)
 			}
-			return lab.ServeBackend(cmd.Context(), ln, id, behavior, logPath, seed)
+			return lab.ServeBackend(cmd.Context(), listener, id, behavior, logPath, seed)
 		},
 	}
 	c.Flags().StringVar(&id, "id", "backend", "the backend's id in discovery")
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
-	c.Flags().StringVar(&logPath, "log", "backend.runs", "file that each request run is appended to")
+	c.Flags().StringVar(&logPath, "log", "backend.runs", "file to which a line for each request that ran is appended")
 	c.Flags().DurationVar(&behavior.ServiceTime.Duration, "service", 2*time.Millisecond, "service time of each request")
 	c.Flags().Float64Var(&behavior.ErrorShare, "errors", 0, "share of requests answered 500")
-	c.Flags().BoolVar(&behavior.RunTwice, "twice", false, "planted bug: run every POST twice")
+	c.Flags().BoolVar(&behavior.RunTwice, "twice", false, "deliberate bug for tests: run every POST twice")
 	c.Flags().Float64Var(&behavior.ResetShare, "resets", 0, "share of requests whose connection ends after they have run")
 	c.Flags().Float64Var(&behavior.HangShare, "hangs", 0, "share of requests answered far too late")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random errors")
 	return c
 }
 
-// labShimCmd runs a program of the lab's with system calls that fail by a plan.
+// labShimCmd returns the command that runs a program of the lab with system call faults.
 func labShimCmd() *cobra.Command {
 	var planText string
 	var seed uint64
 	c := &cobra.Command{
 		Use:    "shim -- PROGRAM [ARG...]",
-		Short:  "Run a program with system calls that fail by a plan (started by the lab)",
+		Short:  "Run a program with system call faults from a plan (started by the lab)",
 		Hidden: true,
 		Args:   cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -167,24 +174,25 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&planText, "plan", "[]", "the plan, as JSON")
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the draws")
+	c.Flags().StringVar(&planText, "plan", "[]", "the plan of faults, as JSON")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random choices")
 	return c
 }
 
-// labCandidateCmd is a candidate for a lease that the lab starts, kills, pauses and cuts off (lease scenarios).
+// labCandidateCmd returns the command of a candidate for a lease. In lease scenarios the lab starts candidates, kills
+// them, pauses them and disconnects them from the registry.
 func labCandidateCmd() *cobra.Command {
 	var candidate lab.Candidate
 	var replicas string
 	c := &cobra.Command{
 		Use:    "candidate",
-		Short:  "Hold a duty whenever possible and write under its fencing token (started by the lab)",
+		Short:  "Hold a lease whenever possible and write with its fencing token (started by the lab)",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			candidate.Replicas = strings.Split(replicas, ",")
 			if replicas == "" || candidate.TTL <= 0 || candidate.WorkTime < 0 {
-				return usageError(errors.New("--registry, a --ttl above 0 and a --work of 0 or more are needed"))
+				return usageError(errors.New("--registry must be given, --ttl must be above 0 and --work must not be negative"))
 			}
 			if err := candidate.Run(cmd.Context()); err != nil {
 				return failedError(err)
@@ -192,12 +200,12 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&replicas, "registry", "", "the replicas' HTTP addresses, comma-separated")
-	c.Flags().StringVar(&candidate.LeaseName, "duty", "duty", "the lease's name")
+	c.Flags().StringVar(&replicas, "registry", "", "HTTP addresses of the replicas, comma-separated")
+	c.Flags().StringVar(&candidate.LeaseName, "duty", "duty", "the name of the lease")
 	c.Flags().StringVar(&candidate.ID, "id", "candidate", "the candidate's name")
 	c.Flags().DurationVar(&candidate.TTL, "ttl", time.Second, "the lease's TTL")
 	c.Flags().DurationVar(&candidate.WorkTime, "work", 50*time.Millisecond,
 		"time between the lease check and the fenced write")
-	c.Flags().StringVar(&candidate.Log, "log", "candidate.events", "file that the candidate's events are appended to")
+	c.Flags().StringVar(&candidate.Log, "log", "candidate.events", "file to which the candidate's events are appended")
 	return c
 }
--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -15,37 +15,42 @@
 	"hitchvale/internal/lease"
 )
 
+// leaseCmd returns the command with the operations on leases.
 func leaseCmd(g *globalFlags) *cobra.Command {
 	var replicas []string
-	c := &cobra.Command{Use: "lease", Short: "Leases of the registry: duties one process holds at a time"}
+	c := &cobra.Command{
+		Use:   "lease",
+		Short: "Hold, show and release leases of the registry, each of which has one holder at a time",
+	}
 	c.PersistentFlags().StringSliceVar(&replicas, "registry", nil, "HTTP addresses of the registry's replicas")
-	client := func() (*lease.Client, error) {
+	newClient := func() (*lease.Client, error) {
 		if len(replicas) == 0 {
 			return nil, usageError(errors.New("--registry: no replica named"))
 		}
 		return &lease.Client{Replicas: replicas}, nil
 	}
-	c.AddCommand(leaseAcquireCmd(g, client), leaseShowCmd(&replicas), leaseReleaseCmd(client))
+	c.AddCommand(leaseAcquireCmd(g, newClient), leaseShowCmd(&replicas), leaseReleaseCmd(newClient))
 	return c
 }
 
-func leaseAcquireCmd(g *globalFlags, client func() (*lease.Client, error)) *cobra.Command {
+// leaseAcquireCmd returns the command that acquires a lease and holds it.
+func leaseAcquireCmd(g *globalFlags, newClient func() (*lease.Client, error)) *cobra.Command {
 	var holder string
 	var ttl time.Duration
 	c := &cobra.Command{
 		Use:   "acquire NAME --holder ID",
-		Short: "Wait for the lease, print its token, hold it until SIGTERM (then release) or until it is lost (exit 1)",
+		Short: "Wait for a lease, print its token, hold it until SIGTERM (then release it) or until it is lost (exit 1)",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			log, err := g.newLogger()
 			if err != nil {
 				return err
 			}
-			leases, err := client()
+			client, err := newClient()
 			if err != nil {
 				return err
 			}
-			held, err := leases.Acquire(cmd.Context(), args[0], holder, ttl)
+			held, err := client.Acquire(cmd.Context(), args[0], holder, ttl)
 			if err != nil {
 				return failedError(err)
 			}
@@ -53,21 +58,21 @@
 			return holdLease(cmd.Context(), held, log)
 		},
 	}
-	c.Flags().StringVar(&holder, "holder", "", "this holder's id")
+	c.Flags().StringVar(&holder, "holder", "", "the holder's id")
 	c.Flags().DurationVar(&ttl, "ttl", 2*time.Second, "the lease's TTL")
 	c.MarkFlagRequired("holder")
 	return c
 }
 
-// releaseTimeout bounds the release of a lease at the end of the command.
+// releaseTimeout limits how long the command takes to release its lease at the end.
 const releaseTimeout = 2 * time.Second
 
-// holdLease holds a lease until ctx ends, then releases it; one that is lost before is an error.
+// holdLease holds a lease until ctx ends, and then releases it. It returns an error if the lease is lost before.
 func holdLease(ctx context.Context, held *lease.Lease, log *slog.Logger) error {
 	log.Info("lease held", "component", "lease", "lease", held.Name, "holder", held.Holder, "token", held.Token)
 	select {
 	case <-held.Lost:
-		return failedError(fmt.Errorf("lease %s lost", held.Name))
+		return failedError(fmt.Errorf("lease %s was lost", held.Name))
 	case <-ctx.Done():
 	}
 	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
@@ -79,29 +84,30 @@
 	return nil
 }
 
-// showTimeout bounds the call of one replica.
+// showTimeout limits how long lease show waits for one replica.
 const showTimeout = 2 * time.Second
 
+// leaseShowCmd returns the command that prints the leases. It asks the replicas in their order until one answers.
 func leaseShowCmd(replicas *[]string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
-		Short: "Print the leases held, as JSON",
+		Short: "Print all leases that are held, as JSON",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var last error = usageError(errors.New("--registry: no replica named"))
+			var lastErr error = usageError(errors.New("--registry: no replica named"))
 			for _, addr := range *replicas {
 				leases, err := fetchLeases(addr)
 				if err == nil {
 					return json.NewEncoder(cmd.OutOrStdout()).Encode(leases)
 				}
-				last = failedError(err)
+				lastErr = failedError(err)
 			}
-			return last
+			return lastErr
 		},
 	}
 }
 
-// fetchLeases reads the list of leases of one replica.
+// fetchLeases reads the list of leases from one replica.
 func fetchLeases(addr string) (leases any, err error) {
 	response, err := (&http.Client{Timeout: showTimeout}).Get("http://" + addr + "/registry/leases")
 	if err != nil {
@@ -112,20 +118,21 @@
 	return leases, err
 }
 
-func leaseReleaseCmd(client func() (*lease.Client, error)) *cobra.Command {
+// leaseReleaseCmd returns the command that releases a lease that another process holds.
+func leaseReleaseCmd(newClient func() (*lease.Client, error)) *cobra.Command {
 	var holder string
 	var token uint64
 	c := &cobra.Command{
 		Use:   "release NAME --holder ID --token N",
-		Short: "Release a lease for its holder (an operator's step-down)",
+		Short: "Release a lease in place of its holder",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			cl, err := client()
+			client, err := newClient()
 			if err != nil {
 				return err
 			}
-			h := cl.Adopt(args[0], holder, token)
-			if err := h.Release(cmd.Context()); err != nil {
+			held := client.Adopt(args[0], holder, token)
+			if err := held.Release(cmd.Context()); err != nil {
 				return failedError(err)
 			}
 			return nil
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -1,5 +1,6 @@
-// Command hitchvale is the operators' command: it runs the fault lab and, as they are built, the registry, leases,
-// releases and recovery (docs/ROADMAP.md). Exit codes: 0 ok, 1 a check failed, 2 bad usage or a bad file.
+// Command hitchvale is the command for operators. It runs the fault lab and replicas of the registry, manages leases,
+// and checks and repairs the data of a replica. Commands for releases are planned (docs/ROADMAP.md). Exit codes: 0
+// means success, 1 a failed check or operation, 2 bad usage or an invalid file.
 package main
 
 import (
@@ -29,24 +30,24 @@
 	exitUsage  = 2
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code that it causes.
 type exitError struct {
 	code int
 	err  error
 }
 
-func (f exitError) Error() string { return f.err.Error() }
-func (f exitError) Unwrap() error { return f.err }
+func (e exitError) Error() string { return e.err.Error() }
+func (e exitError) Unwrap() error { return e.err }
 
 func usageError(err error) error  { return exitError{exitUsage, err} }
 func failedError(err error) error { return exitError{exitFailed, err} }
 
-// logFlushTimeout is how long the end of the process waits for the reader of its log.
+// logFlushTimeout is how long the process waits at its end until the rest of its log is written.
 const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
-	sysfault.ExecIfChild() // first of all: it may become another program
-	// A reader of the log that ends, or stops reading, must neither end a replica nor block it.
+	sysfault.ExecIfChild() // must be the first statement: it may replace this program
+	// If the reader of the log ends or stops reading, a replica must neither end nor block.
 	signal.Ignore(syscall.SIGPIPE)
 	log := asynclog.New(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -56,7 +57,7 @@
 	os.Exit(code)
 }
 
-// run executes one command line and gives its exit code.
+// run executes one command line and returns its exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	root := newRoot(stdout, stderr)
 	root.SetArgs(args)
@@ -65,22 +66,22 @@
 		return exitOK
 	}
 	fmt.Fprintln(stderr, "hitchvale:", err)
-	var f exitError
-	if errors.As(err, &f) {
-		return f.code
+	var withCode exitError
+	if errors.As(err, &withCode) {
+		return withCode.code
 	}
-	return exitUsage // cobra's own errors are of usage: an unknown command or flag, a missing argument
+	return exitUsage // errors of cobra itself are usage errors, such as an unknown command or a missing argument
 }
 
-// globalFlags are the flags that every subcommand shares.
+// globalFlags are the flags of all subcommands.
 type globalFlags struct {
 	logFormat string
 	logLevel  string
 	stderr    io.Writer
 }
 
-// newLogger makes the one logger that is passed down; its keys are stable: component, node, revision, term, lease,
-// request.
+// newLogger returns the logger that a command passes to its packages. The attribute keys of log lines are stable:
+// component, node, revision, term, lease, request.
 func (g *globalFlags) newLogger() (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(g.logLevel)); err != nil {
@@ -96,18 +97,19 @@
 	return nil, usageError(fmt.Errorf("--log-format: %q is neither json nor text", g.logFormat))
 }
 
+// newRoot returns the root command with all subcommands.
 func newRoot(stdout, stderr io.Writer) *cobra.Command {
 	g := &globalFlags{stderr: stderr}
 	root := &cobra.Command{
 		Use:           "hitchvale",
-		Short:         "Run, break and check fleets of nodes",
+		Short:         "Run fleets of nodes, inject faults and check the results",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	root.PersistentFlags().StringVar(&g.logFormat, "log-format", "json", "log format on standard error: json or text")
-	root.PersistentFlags().StringVar(&g.logLevel, "log-level", "info", "least level logged: debug, info, warn or error")
+	root.PersistentFlags().StringVar(&g.logLevel, "log-level", "info", "lowest level logged: debug, info, warn or error")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	root.AddCommand(versionCmd(), labCmd(g), registryCmd(g), leaseCmd(g), recoverCmd())
 	return root
--- a/cmd/hitchvale/main_test.go
+++ b/cmd/hitchvale/main_test.go
@@ -12,7 +12,8 @@
 	"hitchvale/internal/registry"
 )
 
-// Scripts rely on the exit codes: 0 ok, 2 for a bad flag, command or file, with the reason on standard error.
+// The exit code is 0 for success, and 2 for a bad flag, command or file, with the reason on standard error. Scripts
+// rely on these codes.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
@@ -20,9 +21,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		args []string
-		code int
-		says string
+		args   []string
+		code   int
+		stderr string // text that standard error must contain
 	}{
 		{[]string{"version"}, 0, ""},
 		{[]string{"--no-such-flag"}, 2, "unknown flag"},
@@ -32,42 +33,42 @@
 		{[]string{"registry", "serve", "--config", bad}, 2, "unknown key"},
 		{[]string{"lab", "run", bad, "--log-format", "yaml"}, 2, "--log-format"},
 	} {
-		var out, errs bytes.Buffer
-		code := run(context.Background(), c.args, &out, &errs)
-		if code != c.code || !strings.Contains(errs.String(), c.says) {
-			t.Errorf("%v: exit %d, said %q", c.args, code, errs.String())
+		var stdout, stderr bytes.Buffer
+		code := run(context.Background(), c.args, &stdout, &stderr)
+		if code != c.code || !strings.Contains(stderr.String(), c.stderr) {
+			t.Errorf("%v: exit code %d, standard error %q", c.args, code, stderr.String())
 		}
 	}
 }
 
-// recover check finds a flipped bit in the newest snapshot (exit 1, file named), repair rewrites the manifest from
-// the older one, and check then passes.
+// If the newest snapshot has a flipped bit, recover check names the file and exits with 1. recover repair rewrites the
+// manifest from the older snapshot, and recover check then succeeds.
 func TestRecoverChecksAndRepairs(t *testing.T) {
 	dir := t.TempDir()
-	s := durable.SnapshotStore{FS: durable.OSFS{}, Dir: filepath.Join(dir, registry.SnapshotDir), Keep: 2}
-	os.MkdirAll(s.Dir, 0o755)
+	store := durable.SnapshotStore{FS: durable.OSFS{}, Dir: filepath.Join(dir, registry.SnapshotDir), Keep: 2}
+	os.MkdirAll(store.Dir, 0o755)
 	for rev := int64(1); rev <= 2; rev++ {
-		if err := s.Write(rev, []byte(strings.Repeat("state;", 50))); err != nil {
+		if err := store.Write(rev, []byte(strings.Repeat("state;", 50))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	newest := filepath.Join(s.Dir, "snap-00000000000000000002.bin")
+	newest := filepath.Join(store.Dir, "snap-00000000000000000002.bin")
 	text, _ := os.ReadFile(newest)
 	text[len(text)-5] ^= 1
 	os.WriteFile(newest, text, 0o644)
 	for _, c := range []struct {
-		verb string
-		code int
-		says string
+		verb   string
+		code   int
+		output string // text that the output must contain
 	}{
 		{"check", 1, "snap-00000000000000000002.bin"},
 		{"repair", 0, `"repaired":true`},
 		{"check", 0, `"revision":1`},
 	} {
-		var out, errs bytes.Buffer
-		if code := run(context.Background(), []string{"recover", c.verb, dir}, &out, &errs); code != c.code ||
-			!strings.Contains(out.String()+errs.String(), c.says) {
-			t.Fatalf("recover %s: exit %d, said %s %s", c.verb, code, out.String(), errs.String())
+		var stdout, stderr bytes.Buffer
+		if code := run(context.Background(), []string{"recover", c.verb, dir}, &stdout, &stderr); code != c.code ||
+			!strings.Contains(stdout.String()+stderr.String(), c.output) {
+			t.Fatalf("recover %s: exit code %d, output %s %s", c.verb, code, stdout.String(), stderr.String())
 		}
 	}
 }
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -12,12 +12,14 @@
 	"hitchvale/internal/registry"
 )
 
+// registryCmd returns the command of the registry.
 func registryCmd(g *globalFlags) *cobra.Command {
-	c := &cobra.Command{Use: "registry", Short: "The replicated list service (PROTOCOL's discovery)"}
+	c := &cobra.Command{Use: "registry", Short: "The replicated registry of endpoints (the protocol's discovery service)"}
 	c.AddCommand(registryServeCmd(g))
 	return c
 }
 
+// registryServeCmd returns the command that runs one replica of the registry.
 func registryServeCmd(g *globalFlags) *cobra.Command {
 	var path string
 	c := &cobra.Command{
@@ -44,7 +46,7 @@
 	return c
 }
 
-// serveReplica runs a replica until ctx ends.
+// serveReplica opens the sockets and the data of a replica, and runs it until ctx ends.
 func serveReplica(ctx context.Context, config registry.Config, log *slog.Logger) error {
 	raftListener, err := listen(config.ListenRaft(), log)
 	if err != nil {
@@ -68,10 +70,10 @@
 	return serveErr
 }
 
-// listen opens an address, and tries again for as long as accept.OpenWithRetry does.
+// listen opens a listener at an address, and retries after transient errors (see accept.OpenWithRetry).
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	open := func() (net.Listener, error) { return net.Listen("tcp", addr) }
 	return accept.OpenWithRetry(open, func(err error) {
-		log.Warn("listen failed, retrying", "address", addr, "error", err)
+		log.Warn("listen failed; retrying", "address", addr, "error", err)
 	})
 }
--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -1,5 +1,5 @@
-// Package codestyle_test checks what gofmt, vet and staticcheck don't: the length of lines and functions, one field and one
-// constant a line, and a doc comment on each exported name.
+// Package codestyle_test checks rules that gofmt, vet and staticcheck don't check: the length of lines and functions,
+// at most one field and one constant per line, and a doc comment on each exported name.
 package codestyle_test
 
 import (
@@ -15,13 +15,14 @@
 )
 
 const (
-	maxLineLength     = 120 // runes; a tab counts as one
-	maxFunctionLength = 60  // lines, with the signature and the closing brace
+	maxLineLength     = 120 // runes; a tab counts as one rune
+	maxFunctionLength = 60  // lines, including the signature and the closing brace
 )
 
-// unfinishedPackages are those whose code has not been brought to these rules yet (docs/ROADMAP.md).
-var unfinishedPackages = map[string]bool{}
+// exemptPackages are the directories whose code does not follow these rules yet (docs/ROADMAP.md).
+var exemptPackages = map[string]bool{}
 
+// All source files of the repository follow the rules. Test files are not checked.
 func TestCodeStyle(t *testing.T) {
 	root := filepath.Join("..", "..")
 	files := 0
@@ -39,7 +40,7 @@
 			return filepath.SkipDir
 		case !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
 			return nil
-		case unfinishedPackages[filepath.ToSlash(filepath.Dir(name))]:
+		case exemptPackages[filepath.ToSlash(filepath.Dir(name))]:
 			return nil
 		}
 		files++
@@ -51,6 +52,7 @@
 	}
 }
 
+// checkFile checks one source file.
 func checkFile(t *testing.T, name, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -67,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	complain := func(node ast.Node, format string, args ...any) {
+	report := func(node ast.Node, format string, args ...any) {
 		t.Helper()
 		t.Errorf("%s: "+format, append([]any{positions.Position(node.Pos())}, args...)...)
 	}
@@ -76,20 +78,20 @@
 		case *ast.FuncDecl:
 			lines := positions.Position(decl.End()).Line - positions.Position(decl.Pos()).Line + 1
 			if lines > maxFunctionLength {
-				complain(decl, "%s has %d lines, %d are allowed", decl.Name.Name, lines, maxFunctionLength)
+				report(decl, "%s has %d lines, %d are allowed", decl.Name.Name, lines, maxFunctionLength)
 			}
 			if decl.Doc == nil && decl.Name.IsExported() && hasExportedReceiver(decl) {
-				complain(decl, "%s has no doc comment", decl.Name.Name)
+				report(decl, "%s has no doc comment", decl.Name.Name)
 			}
 		case *ast.GenDecl:
-			checkDeclaration(decl, complain)
+			checkDeclaration(decl, report)
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
 		if structure, ok := node.(*ast.StructType); ok {
 			for _, field := range structure.Fields.List {
 				if len(field.Names) > 1 {
-					complain(field, "%d fields on one line", len(field.Names))
+					report(field, "%d fields on one line", len(field.Names))
 				}
 			}
 		}
@@ -97,26 +99,27 @@
 	})
 }
 
-// checkDeclaration checks a declaration of constants, variables or types. A group's doc comment stands for its members.
-func checkDeclaration(decl *ast.GenDecl, complain func(ast.Node, string, ...any)) {
+// checkDeclaration checks a declaration of constants, variables or types. The doc comment of a group counts for each
+// name in the group.
+func checkDeclaration(decl *ast.GenDecl, report func(ast.Node, string, ...any)) {
 	for _, spec := range decl.Specs {
 		switch spec := spec.(type) {
 		case *ast.TypeSpec:
 			if spec.Name.IsExported() && decl.Doc == nil && spec.Doc == nil {
-				complain(spec, "%s has no doc comment", spec.Name.Name)
+				report(spec, "%s has no doc comment", spec.Name.Name)
 			}
 		case *ast.ValueSpec:
 			if decl.Tok == token.CONST && len(spec.Names) > 1 {
-				complain(spec, "%d constants on one line", len(spec.Names))
+				report(spec, "%d constants on one line", len(spec.Names))
 			}
 			if spec.Names[0].IsExported() && decl.Doc == nil && spec.Doc == nil && spec.Comment == nil {
-				complain(spec, "%s has no doc comment", spec.Names[0].Name)
+				report(spec, "%s has no doc comment", spec.Names[0].Name)
 			}
 		}
 	}
 }
 
-// hasExportedReceiver tells whether a function is one, or a method of an exported type.
+// hasExportedReceiver reports whether a declaration is a method of an exported type or a function without a receiver.
 func hasExportedReceiver(decl *ast.FuncDecl) bool {
 	if decl.Recv == nil {
 		return true
