--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept retries accept(2) after transient errors, and retries opening a socket whose address is still in use.
-// It decides which errors are transient. It owns no socket: the caller closes its listener.
+// Package accept retries accept(2) after transient errors, and retries opening a socket after errors such as an address
+// in use. It decides which errors are transient. It owns no socket: the caller closes its listener.
 package accept
 
 import (
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,6 +17,7 @@
 // waitTimeout bounds each wait for an expected event.
 const waitTimeout = 20 * time.Second
 
+// fakeNode is a Node with fixed answers.
 type fakeNode struct{ ready bool }
 
 func (f *fakeNode) Ready() bool { return f.ready }
@@ -36,7 +37,8 @@
 	return ErrUnknownBackend
 }
 
-func start(t *testing.T, n Node) string {
+// startServer starts a server that runs until the test ends, and returns its address.
+func startServer(t *testing.T, n Node) string {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", n, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -79,8 +81,10 @@
 	return resp.StatusCode, string(body)
 }
 
+// Each call is answered with the right status: 404 for an unknown path or backend, 405 for a wrong method, 503 for a
+// node that is not ready or fails.
 func TestStatusOfCalls(t *testing.T) {
-	ready, notReady := start(t, &fakeNode{ready: true}), start(t, &fakeNode{})
+	ready, notReady := startServer(t, &fakeNode{ready: true}), startServer(t, &fakeNode{})
 	for _, c := range []struct {
 		addr, line string
 		status     int
@@ -111,7 +115,7 @@
 
 // The server does not read an endless call. It answers with an error or closes the connection.
 func TestOversizedCallIsNotServed(t *testing.T) {
-	c, err := net.Dial("tcp", start(t, &fakeNode{ready: true}))
+	c, err := net.Dial("tcp", startServer(t, &fakeNode{ready: true}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +140,7 @@
 
 // Connections without a complete call are evicted. A call is therefore answered even if many such connections are open.
 func TestIncompleteCallsAreEvicted(t *testing.T) {
-	addr := start(t, &fakeNode{ready: true})
+	addr := startServer(t, &fakeNode{ready: true})
 	var held []net.Conn
 	for i := range 4 * MaxConns {
 		c, err := net.Dial("tcp", addr)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// changeTimeout is how long a cordon or an uncordon may take to be in effect. A success after this
-// time counts as too late.
+// changeTimeout is how long a cordon or an uncordon may take to be in effect. A success after this time counts as too
+// late.
 const changeTimeout = 900 * time.Millisecond
 
 // ErrUnknownBackend says that a call names a backend that was never in the endpoint list.
 var ErrUnknownBackend = errors.New("no such backend")
 
-// Node is the interface between the admin address and the node. If the node is busy, no method may wait for it for
-// longer than the method's context allows.
+// Node is what the admin address needs from a node. No method may block while the node is busy, except Cordon, which
+// may block until its context ends.
 type Node interface {
 	// Ready reports whether this process is ready to serve requests.
 	Ready() bool
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -11,8 +11,8 @@
 	"hitchvale/balance"
 )
 
-// If the address of discovery changes while no call is open, because the last call failed, the client reads the complete
-// list at the new address immediately. Discovery at the new address may use other revision numbers.
+// If the address of discovery changes while no call is open, because the last call failed, the client reads the
+// complete list at the new address immediately. Discovery at the new address may use other revision numbers.
 func TestAddressChangeBetweenCalls(t *testing.T) {
 	for _, polled := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// silenceTimeout is how long the answer to a watch may be overdue before a hedged call is made. The first call may
+	// hedgeSlack is how long the answer to a watch may be overdue before a hedged call is made. The first call may
 	// be on a broken connection or in discovery's queue. It is not cancelled, so it keeps its place in the queue.
-	silenceTimeout = time.Second
+	hedgeSlack = time.Second
 	// fullListHedgeDelay is how long a call for the complete list may take before a hedged call is made.
 	fullListHedgeDelay = 3 * time.Second
 )
@@ -40,7 +40,7 @@
 		query:      c.watchQuery(wait),
 		timeout:    c.watchWait + responseSlack,
 		hedgeQuery: c.watchQuery(0),
-		hedgeDelay: c.watchWait + silenceTimeout,
+		hedgeDelay: c.watchWait + hedgeSlack,
 	}
 }
 
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -43,7 +43,7 @@
 
 // A node must know of a change 6 s after a watch stopped answering, or 2 s after the end of the watch's wait if that is
 // later. The client must pass the drain of this test to the caller by then, both where lists are pushed and where they
-// are polled. A watch whose answer is less than silenceTimeout late is not hedged.
+// are polled. A watch whose answer is less than hedgeSlack late is not hedged.
 func TestUnansweredWatchIsHedged(t *testing.T) {
 	const drained = `{"revision":9,"complete":false,"members":
 		[{"id":"s","host_port":"127.0.0.1:1","phase":"draining"}]}`
@@ -56,8 +56,8 @@
 	}{
 		"pushed, no answer": {within: 6 * time.Second, hedged: 1},
 		"polled, no answer": {polled: true, within: pollWatchWait + 2*time.Second, hedged: 1},
-		"pushed, late":      {late: silenceTimeout - time.Millisecond},
-		"polled, late":      {polled: true, late: silenceTimeout - time.Millisecond},
+		"pushed, late":      {late: hedgeSlack - time.Millisecond},
+		"polled, late":      {polled: true, late: hedgeSlack - time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		c.position.listReceived = true
 		start := time.Now()
 		_, err := c.hedgedGet(t.Context(), "http://127.0.0.1:1/", c.watchRead())
-		want := c.watchWait + silenceTimeout + responseSlack
+		want := c.watchWait + hedgeSlack + responseSlack
 		if spent := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || spent != want {
 			t.Errorf("%v after %v", err, spent)
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,7 +9,7 @@
 )
 
 // A node must know of a change 6 s after discovery has the change and can be reached, even if calls fail or hang in the
-// meantime. A watch without an answer is therefore hedged (hedge.go) after its wait plus silenceTimeout, which is 3 s
+// meantime. A watch without an answer is therefore hedged (hedge.go) after its wait plus hedgeSlack, which is 3 s
 // where lists are pushed and 4 s where they are polled. With several replicas calls are not hedged. Instead the next
 // replica is called after the wait plus responseSlack, which is 4.5 s or 5.5 s.
 const (
--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -28,8 +28,8 @@
 	TransferEncoding bool      // whether Transfer-Encoding is given
 	HasLength        bool      // whether Content-Length is given
 	ContentLength    int64     // in bytes; 0 if Content-Length is not given
-	// LastOnConnection says that no other request may follow on the connection, because the head does not tell where the
-	// body ends.
+	// LastOnConnection says that no other request may follow on the connection, because the head does not tell where
+	// the body ends.
 	LastOnConnection bool
 	Err              error // why the request must be rejected; nil if it can be served
 }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -36,8 +36,8 @@
 // wallClockPackages are not checked. They serve no requests: they run experiments, or only truncate durations.
 var wallClockPackages = map[string]bool{"lab": true, "monotime": true, "sysfault": true, "timeline": true}
 
-// The packages that serve requests must not store a time as a number of the wall clock, because a step of the wall clock
-// would then change the durations computed from it.
+// The packages that serve requests must not store a time as a number of the wall clock, because a step of the wall
+// clock would then change the durations computed from it.
 func TestTimesKeepTheirMonotonicReading(t *testing.T) {
 	checked := map[string]bool{} // keyed by the first folder below internal
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -103,12 +103,12 @@
 		plan Plan
 		want []string
 	}{
-		"nothing": {nil, []string{"dial 0 open 0\n", "stepped 0s spent true", "echoed 100000 <nil>"}},
+		"no faults": {nil, []string{"dial 0 open 0\n", "stepped 0s spent true", "echoed 100000 <nil>"}},
 		"clock": {Plan{{Kind: Clock, From: 500 * time.Millisecond, Step: -time.Hour}},
 			[]string{"stepped -1h0m0s spent true"}},
-		"short":     {Plan{{Kind: ShortTransfer, For: all, Share: 0.5}}, []string{"echoed 100000 <nil>"}},
-		"interrupt": {Plan{{Kind: Interrupt, For: all, Share: 0.2}}, []string{"dial 0 open 0\n", "echoed 100000 <nil>"}},
-		"windows":   {Plan{{Kind: Open, From: time.Hour, For: all, Share: 1}}, []string{"open 0\n"}},
+		"short":       {Plan{{Kind: ShortTransfer, For: all, Share: 0.5}}, []string{"echoed 100000 <nil>"}},
+		"interrupt":   {Plan{{Kind: Interrupt, For: all, Share: 0.2}}, []string{"dial 0 open 0\n", "echoed 100000 <nil>"}},
+		"later fault": {Plan{{Kind: Open, From: time.Hour, For: all, Share: 1}}, []string{"open 0\n"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out := run(t, tc.plan)
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// syscallStop is the signal of a stop at the return of a system call (PTRACE_O_TRACESYSGOOD).
+	// syscallStop is the signal of a stop at a system call (PTRACE_O_TRACESYSGOOD). The tracer requests these stops
+	// only for the return of a call.
 	syscallStop = unix.SIGTRAP | 0x80
 	// atSysinfoEhdr and atIgnore are types of entries of the auxiliary vector (AT_SYSINFO_EHDR, AT_IGNORE): the address
 	// of the vDSO, and an entry without a meaning.
@@ -37,10 +38,10 @@
 		unix.ENOMEM, unix.EINTR}
 	connectErrors = []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EHOSTUNREACH, unix.ETIMEDOUT,
 		unix.ECONNREFUSED}
-	socketErrors = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}
-	breakErrors  = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}
-	openErrors   = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM}
-	diskErrors   = []unix.Errno{unix.ENOSPC, unix.EIO}
+	socketErrors           = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM}
+	brokenConnectionErrors = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET}
+	openErrors             = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOMEM}
+	diskErrors             = []unix.Errno{unix.ENOSPC, unix.EIO}
 )
 
 // Run runs a program under a plan until it ends, and returns its exit code. The calling program must call ExecIfChild
@@ -230,7 +231,7 @@
 		}
 	case unix.SYS_READ:
 		if t.dialed[th.args[0]] {
-			return t.drawErrorOf(BrokenConnection, breakErrors)
+			return t.drawErrorOf(BrokenConnection, brokenConnectionErrors)
 		}
 	case unix.SYS_OPENAT:
 		return t.drawErrorOf(Open, openErrors)
