--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -74,6 +74,6 @@
 func listen(addr string, log *slog.Logger) (net.Listener, error) {
 	open := func() (net.Listener, error) { return net.Listen("tcp", addr) }
 	return accept.OpenWithRetry(open, func(err error) {
-		log.Warn("listen failed; retrying", "address", addr, "error", err)
+		log.Warn("listen failed, retrying", "address", addr, "error", err)
 	})
 }
