--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -11,16 +11,16 @@
 	"hitchvale/balance"
 )
 
-// Where discovery moves while no call is under way, after the last one failed, the complete list is read at the new
-// address at once: the lists may be numbered in another way there.
-func TestMoveBetweenCalls(t *testing.T) {
+// If the address of discovery changes while no call is open, because the last call failed, the client reads the
+// complete list at the new address immediately. Discovery at the new address may use other revision numbers.
+func TestAddressChangeBetweenCalls(t *testing.T) {
 	for _, polled := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			failures := make(chan struct{}, 64)
 			calls := make(chan string, 64)
 			cfg := testConfig(t, "127.0.0.1:1")
 			cfg.Settings.Config.PollDiscovery = polled
-			cfg.Known = List{Revision: 90, Members: []Member{{ID: "s"}}}
+			cfg.InitialList = List{Revision: 90, Members: []Member{{ID: "s"}}}
 			cfg.OnFailure = func() { failures <- struct{}{} }
 			cfg.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 				if r.URL.Host == "127.0.0.1:1" {
--- a/internal/node/limit_listener.go
+++ b/internal/node/limit_listener.go
@@ -27,7 +27,7 @@
 	paused   bool
 	closed   bool
 
-	retry accept.Retry
+	retry accept.Retrier
 }
 
 // newLimitListener returns a listener that accepts from the given one and has at most limit connections open.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -112,10 +112,10 @@
 // not include this replica.
 func (c Config) Validate() error {
 	if c.ID == "" {
-		return tomlfile.Bad("id", "missing")
+		return tomlfile.KeyErrorf("id", "missing")
 	}
 	if c.DataDir == "" {
-		return tomlfile.Bad("data_dir", "missing")
+		return tomlfile.KeyErrorf("data_dir", "missing")
 	}
 	if err := c.validateAddresses(); err != nil {
 		return err
@@ -128,16 +128,16 @@
 
 func (c Config) validateAddresses() error {
 	if _, err := netip.ParseAddrPort(c.HTTPAddr); err != nil {
-		return tomlfile.Bad("http", "%q is not an IP address with a port", c.HTTPAddr)
+		return tomlfile.KeyErrorf("http", "%q is not an IP address with a port", c.HTTPAddr)
 	}
 	if _, err := netip.ParseAddrPort(c.RaftAddr); err != nil {
-		return tomlfile.Bad("raft", "%q is not an IP address with a port", c.RaftAddr)
+		return tomlfile.KeyErrorf("raft", "%q is not an IP address with a port", c.RaftAddr)
 	}
 	if _, err := netip.ParseAddrPort(c.RaftListenAddr); c.RaftListenAddr != "" && err != nil {
-		return tomlfile.Bad("raft_listen", "%q is not an IP address with a port", c.RaftListenAddr)
+		return tomlfile.KeyErrorf("raft_listen", "%q is not an IP address with a port", c.RaftListenAddr)
 	}
 	if _, err := netip.ParseAddr(c.RaftDialHost); c.RaftDialHost != "" && err != nil {
-		return tomlfile.Bad("raft_from", "%q is not an IP address", c.RaftDialHost)
+		return tomlfile.KeyErrorf("raft_from", "%q is not an IP address", c.RaftDialHost)
 	}
 	return nil
 }
@@ -146,22 +146,22 @@
 	t := c.Timing
 	switch {
 	case c.ChangeLogSize < minChangeLogSize:
-		return tomlfile.Bad("ring", "%d is below the minimum of %d", c.ChangeLogSize, minChangeLogSize)
+		return tomlfile.KeyErrorf("ring", "%d is below the minimum of %d", c.ChangeLogSize, minChangeLogSize)
 	case c.MaxConcurrentCalls < minMaxConcurrentCalls:
-		return tomlfile.Bad("max_calls", "%d is below the minimum of %d", c.MaxConcurrentCalls, minMaxConcurrentCalls)
+		return tomlfile.KeyErrorf("max_calls", "%d is below the minimum of %d", c.MaxConcurrentCalls, minMaxConcurrentCalls)
 	case t.Heartbeat.Duration < minHeartbeat:
-		return tomlfile.Bad("raft_timing.heartbeat", "%s is below the minimum of %s", t.Heartbeat, minHeartbeat)
+		return tomlfile.KeyErrorf("raft_timing.heartbeat", "%s is below the minimum of %s", t.Heartbeat, minHeartbeat)
 	case t.Election.Duration < t.Heartbeat.Duration:
-		return tomlfile.Bad("raft_timing.election", "%s is below raft_timing.heartbeat (%s)", t.Election, t.Heartbeat)
+		return tomlfile.KeyErrorf("raft_timing.election", "%s is below raft_timing.heartbeat (%s)", t.Election, t.Heartbeat)
 	case t.LeaderLease.Duration <= 0 || t.LeaderLease.Duration > t.Heartbeat.Duration:
-		return tomlfile.Bad("raft_timing.leader_lease", "%s is not in the range above 0 and up to raft_timing.heartbeat (%s)",
+		return tomlfile.KeyErrorf("raft_timing.leader_lease", "%s is not in the range above 0 and up to raft_timing.heartbeat (%s)",
 			t.LeaderLease, t.Heartbeat)
 	case t.Commit.Duration <= 0:
-		return tomlfile.Bad("raft_timing.commit", "%s is not above 0", t.Commit)
+		return tomlfile.KeyErrorf("raft_timing.commit", "%s is not above 0", t.Commit)
 	case c.FleetInterval.Duration < minFleetInterval:
-		return tomlfile.Bad("fleet_interval", "%s is below the minimum of %s", c.FleetInterval, minFleetInterval)
+		return tomlfile.KeyErrorf("fleet_interval", "%s is below the minimum of %s", c.FleetInterval, minFleetInterval)
 	case c.MaxStaleness.Duration < 0:
-		return tomlfile.Bad("stale_read", "%s is negative", c.MaxStaleness)
+		return tomlfile.KeyErrorf("stale_read", "%s is negative", c.MaxStaleness)
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 		}
 	}
 	if !listed {
-		return tomlfile.Bad("peer", "the list of peers does not include this replica (%s)", c.ID)
+		return tomlfile.KeyErrorf("peer", "the list of peers does not include this replica (%s)", c.ID)
 	}
 	return nil
 }
