--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -47,29 +47,29 @@
 }
 
 // startFlaky starts a node whose calls of accept fail with the given errors, in turn, where fails says so.
-func startFlaky(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
+func startFlaky(t *testing.T, backend string, errs []error, fails func(call int64) bool) *testNode {
 	t.Helper()
-	text := listText(1, true, listed{"s", backend, "ready", 0})
-	n, err := New(testConfig(t, newRegistry(t, text).addr, text), quiet())
+	text := formatList(1, true, listEntry{"s", backend, "ready", 0})
+	n, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.listener.Listener = &flakyListener{Listener: n.listener.Listener, errs: errs, fails: fails}
-	s := running(t, n)
+	s := runNode(t, n)
 	eventually(t, "readiness", s.loop.ready.Load)
 	return s
 }
 
 // A node whose calls of accept fail for a moment, with any error that passes, serves every request.
 func TestServesWhileAcceptFails(t *testing.T) {
-	s := startFlaky(t, echo(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
+	s := startFlaky(t, newEchoBackend(t).Addr().String(), passingErrors, func(call int64) bool { return call%3 != 1 })
 	began := time.Now()
 	for range 2 * len(passingErrors) {
-		if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+		if resp, _ := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
 	}
-	if spent := time.Since(began); spent > patience/2 {
+	if spent := time.Since(began); spent > testTimeout/2 {
 		t.Errorf("took %v", spent)
 	}
 	select {
@@ -83,15 +83,16 @@
 // closed.
 func TestShutdownServesTheBacklogOnceAcceptWorksAgain(t *testing.T) {
 	var failing atomic.Bool
-	s := startFlaky(t, echo(t).Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
+	addr := newEchoBackend(t).Addr().String()
+	s := startFlaky(t, addr, []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that waits already
+	s.dialAndSend(t, "").Close() // ends the call of accept that waits already
 	s.stop()
 	eventually(t, "the drain", s.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
 		tr := &http.Transport{DisableKeepAlives: true}
-		resp, err := tr.RoundTrip(ask(t, s.url+"/api/x", "order"))
+		resp, err := tr.RoundTrip(newClientRequest(t, s.url+"/api/x", "order"))
 		if err != nil {
 			t.Error(err)
 			answered <- 0
@@ -111,7 +112,7 @@
 // A listener that can never accept again ends the node, after every admitted request has been answered.
 func TestLostListenerEndsTheNodeInOrder(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200("done")
@@ -120,12 +121,12 @@
 	s := startFlaky(t, b.Addr().String(), []error{syscall.EBADF}, func(int64) bool { return lost.Load() })
 	answered := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, s.url+"/api/x", "order"))
+		_, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 		answered <- body
 	}()
 	receive(t, "the request at the backend", held)
 	lost.Store(true)
-	s.dialed(t, "").Close()
+	s.dialAndSend(t, "").Close()
 	eventually(t, "the drain", s.server.shutdown.started)
 	close(hold)
 	if body := receive(t, "the answer", answered); body != "done" {
@@ -140,7 +141,7 @@
 // that its backend is given.
 func TestDeadlineCountsTheWaitInTheBacklog(t *testing.T) {
 	told := make(chan string, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/x" {
 			told <- r.Header.Get("X-Expires-In")
 		}
@@ -149,11 +150,11 @@
 	var failing atomic.Bool
 	s := startFlaky(t, b.Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that waits already
+	s.dialAndSend(t, "").Close() // ends the call of accept that waits already
 	const waits, waited = 9500 * time.Millisecond, time.Second
 	time.AfterFunc(waited, func() { failing.Store(false) })
 	began := time.Now()
-	do(t, ask(t, s.url+"/api/x", "order"))
+	roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 	if time.Since(began) < waited {
 		t.Fatal("accept did not fail for as long")
 	}
@@ -162,7 +163,7 @@
 		t.Fatal(err)
 	}
 	left := time.Duration(seconds * float64(time.Second))
-	if left > waits-waited+150*time.Millisecond || left < waits-waited-patience/4 {
+	if left > waits-waited+150*time.Millisecond || left < waits-waited-testTimeout/4 {
 		t.Errorf("told %v of %v after %v in the backlog", left, waits, waited)
 	}
 }
--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -12,9 +12,9 @@
 )
 
 // stats reads the statistics of a node from its second address.
-func stats(t *testing.T, n *started) map[string]int {
+func stats(t *testing.T, n *testNode) map[string]int {
 	t.Helper()
-	resp, body := do(t, adminCall(t, n, "GET", "/admin/stats"))
+	resp, body := roundTrip(t, adminCall(t, n, "GET", "/admin/stats"))
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
@@ -30,7 +30,7 @@
 	return out
 }
 
-func adminCall(t *testing.T, n *started, method, path string) *http.Request {
+func adminCall(t *testing.T, n *testNode, method, path string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+n.admin.Addr().String()+path, nil)
 	if err != nil {
@@ -40,22 +40,22 @@
 }
 
 // startAdmin starts a node with a second address.
-func startAdmin(t *testing.T, list string, change ...func(*Config)) *started {
+func startAdmin(t *testing.T, list string, change ...func(*Config)) *testNode {
 	t.Helper()
-	cfg := testConfig(t, newRegistry(t, list).addr, list)
+	cfg := testConfig(t, newDiscoveryService(t, list).addr, list)
 	for _, f := range change {
 		f(&cfg)
 	}
 	if err := cfg.SetAdmin("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	return start(t, cfg)
+	return startNode(t, cfg)
 }
 
 // Each request counts in one outcome of its class, attempts count when they are written, and nothing stays pending.
 func TestAdminStatistics(t *testing.T) {
 	paths := make(chan string, 64)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		paths <- r.URL.Path
 		switch r.URL.Path {
 		case "/turned-away":
@@ -69,13 +69,13 @@
 		}
 		return ok200("fine")
 	}))
-	n := startAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"},
-		listed{id: "s-b", addr: "127.0.0.1:9", phase: "draining"}))
+	n := startAdmin(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"},
+		listEntry{id: "s-b", addr: "127.0.0.1:9", phase: "draining"}))
 	for _, path := range []string{"/fine", "/fine", "/turned-away", "/error"} {
-		do(t, ask(t, n.url+path, "order"))
+		roundTrip(t, newClientRequest(t, n.url+path, "order"))
 	}
-	do(t, ask(t, n.url+"/fine", "read"))
-	do(t, ask(t, n.url+"/error", "read")) // one backend: nowhere else to go
+	roundTrip(t, newClientRequest(t, n.url+"/fine", "read"))
+	roundTrip(t, newClientRequest(t, n.url+"/error", "read")) // one backend: nowhere else to go
 	// A client that disconnects ends its request, whatever it counts as.
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -83,7 +83,8 @@
 		}
 		cancel()
 	}()
-	if resp, err := http.DefaultTransport.RoundTrip(ask(t, n.url+"/slow", "token").WithContext(ctx)); err == nil {
+	slow := newClientRequest(t, n.url+"/slow", "token").WithContext(ctx)
+	if resp, err := http.DefaultTransport.RoundTrip(slow); err == nil {
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
@@ -113,20 +114,20 @@
 
 // Without a second address there is none.
 func TestNoAdminServerWithoutAddress(t *testing.T) {
-	if n := startOn(t, "127.0.0.1:9"); n.admin != nil {
+	if n := startNodeWith(t, "127.0.0.1:9"); n.admin != nil {
 		t.Error("a second address is open")
 	}
 }
 
 // The second address reports whether the process is ready.
 func TestHealthFollowsReadiness(t *testing.T) {
-	n := startAdmin(t, listText(1, true))
-	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/health")); resp.StatusCode != http.StatusServiceUnavailable {
+	n := startAdmin(t, formatList(1, true))
+	if resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/health")); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answered %d without a backend", resp.StatusCode)
 	}
-	n = startAdmin(t, listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready"}))
+	n = startAdmin(t, formatList(1, true, listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready"}))
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
+		resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/health"))
 		return resp.StatusCode == http.StatusOK
 	})
 }
@@ -134,19 +135,19 @@
 // /metrics has the same outcomes as the statistics, attempts by status, the list's revision and the calls to discovery,
 // in Prometheus's text form.
 func TestMetricsEqualStatistics(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/error" {
 			return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 		}
 		return ok200("fine")
 	}))
-	n := startAdmin(t, listText(7, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
-	do(t, ask(t, n.url+"/fine", "order"))
-	do(t, ask(t, n.url+"/error", "read"))
+	n := startAdmin(t, formatList(7, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
+	roundTrip(t, newClientRequest(t, n.url+"/fine", "order"))
+	roundTrip(t, newClientRequest(t, n.url+"/error", "read"))
 	var body string
 	eventually(t, "a call of discovery and nothing pending", func() bool {
 		var resp *http.Response
-		resp, body = do(t, adminCall(t, n, "GET", "/metrics"))
+		resp, body = roundTrip(t, adminCall(t, n, "GET", "/metrics"))
 		return resp.StatusCode == http.StatusOK && strings.Contains(body, "glencart_pending_requests 0") &&
 			strings.Contains(body, `glencart_discovery_call_seconds_count{result="ok"}`)
 	})
--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -25,7 +25,7 @@
 			}
 			seen <- r.Header.Get("X-Trace-Id")
 			if i > 0 {
-				reset(c) // the second request on a connection breaks it
+				resetConn(c) // the second request on a connection breaks it
 				return
 			}
 			io.WriteString(c, ok200("x"))
@@ -46,7 +46,7 @@
 
 // A backend restarted under its address leaves connections that look open here. No request is lost on one.
 func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
-	serve := answering(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
+	serve := respondWith(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
@@ -55,7 +55,7 @@
 		t.Fatalf("%v", r.status)
 	}
 	b.Close()
-	reset(receive(t, "the old connection", conns))
+	resetConn(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
 	r := attemptOnce(t, transport, to, newTestRequest("new"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "new" {
@@ -65,7 +65,7 @@
 
 // A connection is not reused after surplus bytes: they would be read as the response to the next request.
 func TestSurplusAfterResponseReachesNobody(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
 	}))
 	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
@@ -144,7 +144,7 @@
 
 // The pool has at most MaxOpen connections, and closes an idle one for a new one.
 func TestPoolIsBounded(t *testing.T) {
-	serve := answering(func(*http.Request) string { return ok200("x") })
+	serve := respondWith(func(*http.Request) string { return ok200("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
 	transport := newTestTransport(t)
 	transport.pool.SetMaxOpen(1)
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -53,9 +53,9 @@
 }
 
 // startLarge starts a node that streams, and buffers at most maxBodyBytes of a request.
-func startLarge(t *testing.T, b *rawBackend) *started {
+func startLarge(t *testing.T, b *rawBackend) *testNode {
 	t.Helper()
-	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	return startAdmin(t, list, func(c *Config) {
 		c.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
 	})
@@ -75,18 +75,18 @@
 				}
 				body, _ := io.ReadAll(r.Body)
 				if r.URL.Path == "/x" && heads.Add(1) == 1 {
-					reset(c)
+					resetConn(c)
 					return
 				}
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body)
 			})
-			reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"},
-				listed{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
-			n := start(t, testConfig(t, reg.addr, reg.whole))
+			reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"},
+				listEntry{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
+			n := startNode(t, testConfig(t, reg.addr, reg.completeList))
 			for range 12 { // these pay for another attempt
-				do(t, ask(t, n.url+"/paying", "read"))
+				roundTrip(t, newClientRequest(t, n.url+"/paying", "read"))
 			}
-			resp, body := do(t, ask(t, n.url+"/x", "token", func(r *http.Request) {
+			resp, body := roundTrip(t, newClientRequest(t, n.url+"/x", "token", func(r *http.Request) {
 				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(text)), size
 				r.Header.Set("Idempotency-Key", "k")
 			}))
@@ -104,12 +104,12 @@
 // longer.
 func TestLongestBufferedBody(t *testing.T) {
 	addr := newRawBackend(t, "127.0.0.1:0", hashing).Addr().String()
-	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: addr, phase: "ready"}))
-	cfg := testConfig(t, reg.addr, reg.whole)
+	reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: addr, phase: "ready"}))
+	cfg := testConfig(t, reg.addr, reg.completeList)
 	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	for _, size := range []int64{maxBodyBytes, -1} {
-		resp, body := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
+		resp, body := roundTrip(t, newClientRequest(t, n.url+"/x", "order", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(maxBodyBytes))), size
 		}))
 		if resp.StatusCode != 200 || !strings.HasPrefix(body, fmt.Sprint(maxBodyBytes, " ")) {
@@ -126,7 +126,7 @@
 			text := noise(size)
 			sum := sha256.Sum256(text)
 			want := fmt.Sprintf("%d %s", size, hex.EncodeToString(sum[:]))
-			r := ask(t, n.url+"/x", "order", func(r *http.Request) {
+			r := newClientRequest(t, n.url+"/x", "order", func(r *http.Request) {
 				r.Body, r.ContentLength = io.NopCloser(iotest.HalfReader(bytes.NewReader(text))), int64(size)
 				if size == 0 {
 					r.Body = http.NoBody
@@ -134,7 +134,7 @@
 					r.ContentLength = -1
 				}
 			})
-			resp, body := do(t, r)
+			resp, body := roundTrip(t, r)
 			if resp.StatusCode != 200 || body != want {
 				t.Errorf("%d bytes, chunked %v: %d %q, want %q", size, chunked, resp.StatusCode, body, want)
 			}
@@ -194,7 +194,7 @@
 				}
 				io.WriteString(c, text)
 			}))
-			resp, body := do(t, ask(t, n.url+"/x", "order"))
+			resp, body := roundTrip(t, newClientRequest(t, n.url+"/x", "order"))
 			if resp.StatusCode != 200 || body != tc.want {
 				t.Errorf("%d with %d bytes, want %d", resp.StatusCode, len(body), len(tc.want))
 			}
@@ -228,7 +228,7 @@
 					t.Fatal(err)
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				io.WriteString(c, orderHead(version, "a", 0))
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil {
@@ -250,7 +250,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
 		}
 	}))
-	if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusBadGateway {
+	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "order")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	if got := stats(t, n)["failed.order"]; got != 1 {
@@ -266,13 +266,13 @@
 		if r, err := http.ReadRequest(br); err == nil && r.URL.Path == "/x" {
 			heads.Add(1)
 			io.CopyN(io.Discard, r.Body, 1<<20)
-			reset(c)
+			resetConn(c)
 		}
 	}
 	a, b := newRawBackend(t, "127.0.0.1:0", breaking), newRawBackend(t, "127.0.0.1:0", breaking)
-	n := startAdmin(t, listText(1, true, listed{id: "s-a", addr: a.Addr().String(), phase: "ready"},
-		listed{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
-	resp, _ := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
+	n := startAdmin(t, formatList(1, true, listEntry{id: "s-a", addr: a.Addr().String(), phase: "ready"},
+		listEntry{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "order", func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(8<<20))), 8<<20
 	}))
 	if resp.StatusCode != http.StatusServiceUnavailable {
@@ -300,7 +300,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // nothing of the body has been sent
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
@@ -330,7 +330,7 @@
 	if err := receive(t, "the end at the backend", seen); err == nil {
 		t.Error("the backend took the request for whole")
 	}
-	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.server.inFlight.Load() == 0 })
+	eventually(t, "nothing is open", func() bool { return n.openRequests(t) == 0 && n.server.inFlight.Load() == 0 })
 	if got := stats(t, n); got["upstream_requests"] != 0 || got["pending"] != 0 {
 		t.Errorf("figures %v", got)
 	}
@@ -447,7 +447,7 @@
 	}
 	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
 	n.server.bodyMemory.acquire(n.server.bodyMemory.available.Load())
-	resp, body := do(t, ask(t, n.url+"/x", "order")) // "payload"
+	resp, body := roundTrip(t, newClientRequest(t, n.url+"/x", "order")) // "payload"
 	if sum := sha256.Sum256([]byte("payload")); resp.StatusCode != 200 || body != fmt.Sprintf("7 %x", sum) {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -15,11 +15,11 @@
 // What stands inside the body of a request is never taken for a request, however the head gives the body's end.
 func TestNothingInsideABodyReachesABackend(t *testing.T) {
 	ids := make(chan string, 64)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		ids <- r.Header.Get("X-Trace-Id")
 		return ok200("")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	inner := "POST /api/x HTTP/1.1\r\nHost: x\r\n" +
 		"X-Trace-Id: inner\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: 0\r\n\r\n"
 	outer := func(version, fields, body string) string {
@@ -58,14 +58,14 @@
 
 // exchange writes text to a node on one connection, and returns the status of the first response and what follows it
 // until the node closes the connection.
-func exchange(t *testing.T, n *started, text string) (status int, rest string) {
+func exchange(t *testing.T, n *testNode, text string) (status int, rest string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -84,11 +84,11 @@
 
 // Well-formed bodies of either kind are served, and the connection is closed after a chunked one.
 func TestProperFramingIsServed(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		text, _ := io.ReadAll(r.Body)
 		return ok200(string(text))
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	head := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: order\r\nX-Customer: acme\r\n"
 	sized := fmt.Sprintf(head+"Content-Length: 5\r\n\r\nhello", "one")
 	chunked := fmt.Sprintf(head+"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", "two")
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -206,7 +206,7 @@
 		end = response.kind
 	case <-hr.Context().Done():
 		if c, ok := clientConnOf(hr.Context()); ok && c.isClosedOrRejected() {
-			f.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
+			f.loop.guard.reportViolation(invariantConnectionKept, r.id, "fault", "connection closed under a request")
 		}
 		f.loop.post(clientDisconnected{r})
 		// After a return the library would write an empty 200.
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -14,13 +14,13 @@
 // A served response is the backend's own, and the request reaches the backend with its end-to-end headers.
 func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		got <- r
 		return "HTTP/1.1 200 OK\r\nContent-Type: text/x-menu\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 	}))
-	n := startOn(t, b.Addr().String())
-	resp, body := do(t, ask(t, n.url+"/api/a%2Fb/7f3a?x=1&y=%20", "token", func(r *http.Request) {
+	n := startNodeWith(t, b.Addr().String())
+	resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/a%2Fb/7f3a?x=1&y=%20", "token", func(r *http.Request) {
 		r.Header.Set("X-Trace-Id", "trace-1")
 		r.Header.Set("Connection", "X-Trace-Id, X-Hop")
 		r.Header.Set("X-Hop", "1")
@@ -46,11 +46,11 @@
 
 // A malformed request is rejected with a 4xx at once and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
-	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
-	cfg := testConfig(t, reg.addr, reg.whole)
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("") }))
+	reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
+	cfg := testConfig(t, reg.addr, reg.completeList)
 	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -80,7 +80,7 @@
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if resp, _ := do(t, ask(t, n.url+"/api/x", tc.class, tc.change)); resp.StatusCode != tc.want {
+			if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", tc.class, tc.change)); resp.StatusCode != tc.want {
 				t.Errorf("answered %d, want %d", resp.StatusCode, tc.want)
 			}
 		})
@@ -97,7 +97,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			go io.WriteString(c, text)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode >= 500) {
@@ -124,9 +124,10 @@
 			ended <- err
 		}
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	began := time.Now()
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order", func(r *http.Request) { r.Header.Set("X-Expires-In", "0.300") }))
+	short := func(r *http.Request) { r.Header.Set("X-Expires-In", "0.300") }
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order", short))
 	if resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
@@ -135,7 +136,7 @@
 	}
 	// The attempt given up has really ended its connection.
 	receive(t, "the end of the backend's connection", ended)
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty table", func() bool { return n.openRequests(t) == 0 })
 }
 
 // A disconnected client leaves no request, attempt or connection behind.
@@ -148,7 +149,7 @@
 			ended <- struct{}{}
 		}
 	})
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -163,12 +164,12 @@
 		t.Errorf("the attempt went on for %v", d)
 	}
 	// No backend has made an answer, so none may be read, not even an empty one of the library's.
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 	c.Close()
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "an empty table", func() bool { return n.openRequests(t) == 0 })
 	eventually(t, "no request in flight and no connection", func() bool {
 		return n.server.inFlight.Load() == 0 && n.server.conns.open() == 0
 	})
@@ -177,20 +178,21 @@
 // A request is rejected whose id is that of an open one: a backend could not tell the two apart.
 func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200("once")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	same := func(r *http.Request) { r.Header.Set("X-Trace-Id", "same") }
 	first := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/x", "order", same))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order", same))
 		first <- body
 	}()
 	receive(t, "the first at the backend", held)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order", same))
+	if resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %d", resp.StatusCode)
 	}
 	close(hold)
@@ -202,21 +204,21 @@
 // A node at its limit of requests rejects further ones with 503 and a Retry-After.
 func TestFullNodeRejects(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200("x")
 	}))
-	n := startOn(t, b.Addr().String())
-	n.onLoop(t, func() {})
+	n := startNodeWith(t, b.Addr().String())
+	n.runOnLoop(t, func() {})
 	n.server.inFlight.Store(n.server.maxInFlight - 1) // all places but one are taken
 	first := make(chan int, 1)
 	go func() {
-		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+		resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 		first <- resp.StatusCode
 	}()
 	receive(t, "the last place taken", held)
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -229,16 +231,16 @@
 
 // Idle connections are evicted for clients that send requests.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	text := listText(1, true, listed{"s", b.Addr().String(), "ready", 0})
-	cfg := testConfig(t, newRegistry(t, text).addr, text)
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	text := formatList(1, true, listEntry{"s", b.Addr().String(), "ready", 0})
+	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 	cfg.Limits.Sockets = minDescriptors
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.divideDescriptors(false)
 	for range 2 * clients {
 		tr := &http.Transport{} // its connection stays open
 		defer tr.CloseIdleConnections()
-		resp, err := tr.RoundTrip(ask(t, n.url+"/api/x", "read"))
+		resp, err := tr.RoundTrip(newClientRequest(t, n.url+"/api/x", "read"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -278,9 +280,9 @@
 	}
 	addr := l.Addr().String()
 	l.Close() // nobody is there: connections are refused
-	n := startOn(t, addr)
+	n := startNodeWith(t, addr)
 	began := time.Now()
-	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 	var after float64
 	_, err = fmt.Sscan(resp.Header.Get("Retry-After"), &after)
 	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -17,11 +17,11 @@
 // However many connections are idle or within a head, requests on new ones are served, and so are those of clients
 // that use theirs.
 func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
-	cfg := testConfig(t, newRegistry(t, list).addr, list)
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	cfg := testConfig(t, newDiscoveryService(t, list).addr, list)
 	cfg.Admin, cfg.StateDir, cfg.Limits.Sockets = "127.0.0.1:0", t.TempDir(), 128
-	n := start(t, cfg)
-	dial := func(text string) { n.dialed(t, text) }
+	n := startNode(t, cfg)
+	dial := func(text string) { n.dialAndSend(t, text) }
 	reused := &http.Transport{}
 	defer reused.CloseIdleConnections()
 	for i := range 8 * n.maxClientConns {
@@ -34,7 +34,7 @@
 			continue
 		}
 		for name, tr := range map[string]*http.Transport{"new": {DisableKeepAlives: true}, "kept": reused} {
-			resp, err := tr.RoundTrip(ask(t, n.url+"/x", "read"))
+			resp, err := tr.RoundTrip(newClientRequest(t, n.url+"/x", "read"))
 			if err != nil {
 				t.Fatalf("connection %d, a %s one: %v", i, name, err)
 			}
@@ -54,7 +54,7 @@
 // quarter.
 func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), nopLog()), oneClassSettings(), 64, nopLog())
 		f.streaming = true
 		conn := func() *limitedConn {
 			client := newClientConn(nil, time.Now())
@@ -120,7 +120,7 @@
 	}
 	for name, end := range enders {
 		synctest.Test(t, func(t *testing.T) {
-			f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+			f := newClientServer(newEventLoop(nil, nil, newCounters(nil), nopLog()), oneClassSettings(), 64, nopLog())
 			client, server := net.Pipe()
 			defer client.Close()
 			duringRead := func() {}
@@ -167,7 +167,7 @@
 // good.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), nopLog()), oneClassSettings(), 64, nopLog())
 		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -14,32 +14,32 @@
 
 // startWithRecord starts a node on two backends, with its record in dir. served sends a request and returns the
 // backend.
-func startWithRecord(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
+func startWithRecord(t *testing.T, dir string) (n *testNode, reg *discoveryService, served func() string) {
 	t.Helper()
-	var members []listed
+	var members []listEntry
 	for _, id := range []string{"s-a", "s-b"} {
-		b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			if r.URL.Path == "/stats" {
 				return ok200("TEXT inflight=0")
 			}
 			return ok200(id)
 		}))
-		members = append(members, listed{id: id, addr: b.Addr().String(), phase: "ready"})
+		members = append(members, listEntry{id: id, addr: b.Addr().String(), phase: "ready"})
 	}
-	list := listText(1, true, members...)
-	reg = newRegistry(t, list)
+	list := formatList(1, true, members...)
+	reg = newDiscoveryService(t, list)
 	cfg := testConfig(t, reg.addr, list)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
-	n = start(t, cfg)
+	n = startNode(t, cfg)
 	return n, reg, func() string {
-		_, body := do(t, ask(t, n.url+"/x", "read"))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/x", "read"))
 		return body
 	}
 }
 
-func adminPost(t *testing.T, n *started, path string) int {
+func adminPost(t *testing.T, n *testNode, path string) int {
 	t.Helper()
-	resp, _ := do(t, adminCall(t, n, "POST", path))
+	resp, _ := roundTrip(t, adminCall(t, n, "POST", path))
 	return resp.StatusCode
 }
 
@@ -70,8 +70,9 @@
 	if got := stats(t, n); got["members"] != 2 || got["members_unavailable"] != 1 {
 		t.Errorf("statistics: %v", got)
 	}
-	reg.next <- listText(2, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
-		listed{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
+	reg.changes <- formatList(2, true,
+		listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
+		listEntry{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
 	eventually(t, "the list is taken in", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
 	if !neverServes(served, "s-a") {
 		t.Error("served by a cordoned backend, after a list that names it")
@@ -91,8 +92,8 @@
 }
 
 // backendAddr returns the address of a backend as the node has it.
-func (s *started) backendAddr(t *testing.T, id string) (addr string) {
-	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
+func (s *testNode) backendAddr(t *testing.T, id string) (addr string) {
+	s.runOnLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
 	return addr
 }
 
@@ -124,7 +125,7 @@
 			if !neverServes(served, "s-a") {
 				t.Error("served by a cordoned backend")
 			}
-			c, err := newCordonFile(dir, "n1", quiet()).load()
+			c, err := newCordonFile(dir, "n1", nopLog()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
 				t.Errorf("the record: %v, %v", c, err)
 			}
@@ -142,7 +143,7 @@
 
 // The record that a process has outlives its file, and no older one replaces it.
 func TestUpdateStartsFromTheKnownRecord(t *testing.T) {
-	f := newCordonFile(t.TempDir(), "n/1", quiet())
+	f := newCordonFile(t.TempDir(), "n/1", nopLog())
 	if strings.Contains(filepath.Base(f.path), "/") {
 		t.Errorf("path %q", f.path)
 	}
@@ -185,19 +186,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	dir := t.TempDir()
-	out, err := newCordonFile(dir, "n1", quiet()).update(ctx, cordonRecord{}, "a", true, time.Second)
+	out, err := newCordonFile(dir, "n1", nopLog()).update(ctx, cordonRecord{}, "a", true, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	starts := newCordonFile(dir, "n1", quiet())
+	starts := newCordonFile(dir, "n1", nopLog())
 	starts.readFile = failingRead(3)
 	if c := starts.loadAtStart(); !c.Backends["a"].Cordoned {
 		t.Errorf("a process that starts has %+v", c)
 	}
-	follows := newCordonFile(dir, "n1", quiet())
+	follows := newCordonFile(dir, "n1", nopLog())
 	follows.loadAtStart()
 	follows.readFile = failingRead(3)
-	if _, err := newCordonFile(dir, "n1", quiet()).update(ctx, out, "b", true, 2*time.Second); err != nil {
+	if _, err := newCordonFile(dir, "n1", nopLog()).update(ctx, out, "b", true, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	records := make(chan cordonRecord, 16)
@@ -207,15 +208,15 @@
 		if !c.Backends["b"].Cordoned {
 			t.Errorf("received %+v", c)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("a process that watches does not receive the change")
 	}
-	changes := newCordonFile(dir, "n1", quiet())
+	changes := newCordonFile(dir, "n1", nopLog())
 	changes.readFile = failingRead(1)
 	if _, err := changes.update(ctx, cordonRecord{}, "c", true, 3*time.Second); err == nil {
 		t.Error("a change took the place of a record that could not be read")
 	}
-	c, err := newCordonFile(dir, "n1", quiet()).load()
+	c, err := newCordonFile(dir, "n1", nopLog()).load()
 	if err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
 		t.Errorf("the record has %+v, %v", c, err)
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -44,8 +44,8 @@
 	return b.Addr().String(), came, ended
 }
 
-// dialed returns a connection to the node on which text has been sent.
-func (s *started) dialed(t *testing.T, text string) net.Conn {
+// dialAndSend returns a connection to the node on which text has been sent.
+func (s *testNode) dialAndSend(t *testing.T, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
@@ -58,11 +58,11 @@
 
 // nothingElse checks that no request reaches the backends but those that are expected: what a node does for a client
 // that has disconnected it does before it serves the next one.
-func (s *started) nothingElse(t *testing.T, came chan string) {
+func (s *testNode) nothingElse(t *testing.T, came chan string) {
 	t.Helper()
 	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
-	last := ask(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
-	if _, body := do(t, last); body != "last" {
+	last := newClientRequest(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
+	if _, body := roundTrip(t, last); body != "last" {
 		t.Errorf("the last one got %q", body)
 	}
 	for id := receive(t, "the last one", came); id != "last"; id = receive(t, "the last one", came) {
@@ -72,12 +72,12 @@
 
 // Nothing is forwarded for a client that disconnected before the node read its request.
 func TestDisconnectInTheBacklog(t *testing.T) {
-	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": reset} {
+	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": resetConn} {
 		for _, more := range []int{0, 1, 3} {
 			t.Run(fmt.Sprintf("%s,more=%d", name, more), func(t *testing.T) {
 				addr, came, _ := hanging(t)
-				text := listText(1, true, listed{"s", addr, "ready", 0})
-				made, err := New(testConfig(t, newRegistry(t, text).addr, text), quiet())
+				text := formatList(1, true, listEntry{"s", addr, "ready", 0})
+				made, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -89,7 +89,7 @@
 					io.WriteString(c, strings.Repeat(reading(fmt.Sprintf("left-%d", i)), 1+more))
 					leave(c)
 				}
-				n := running(t, made)
+				n := runNode(t, made)
 				eventually(t, "readiness", n.loop.ready.Load)
 				n.nothingElse(t, came)
 			})
@@ -109,8 +109,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, came, ended := hanging(t)
-			n := startOn(t, addr)
-			c := n.dialed(t, reading("hangs")+behind)
+			n := startNodeWith(t, addr)
+			c := n.dialAndSend(t, reading("hangs")+behind)
 			receive(t, "the attempt", came)
 			c.Close()
 			receive(t, "the end of the attempt", ended)
@@ -122,8 +122,8 @@
 // The connection of a client that sends without end behind a request is closed, and takes a bounded amount of memory.
 func TestFloodBehindARequestIsEnded(t *testing.T) {
 	addr, came, ended := hanging(t)
-	n := startOn(t, addr)
-	c := n.dialed(t, reading("hangs"))
+	n := startNodeWith(t, addr)
+	c := n.dialAndSend(t, reading("hangs"))
 	receive(t, "the attempt", came)
 	go io.Copy(c, strings.NewReader(strings.Repeat(reading("behind"), 1<<15)))
 	receive(t, "the end of the attempt", ended)
@@ -133,17 +133,17 @@
 // Nothing is written for a client that disconnects while the connection to the backend is being dialed.
 func TestDisconnectDuringADial(t *testing.T) {
 	addr, came, _ := hanging(t)
-	n := startOn(t, addr)
+	n := startNodeWith(t, addr)
 	dialing, dial := make(chan struct{}, 8), make(chan struct{})
 	n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
 		<-dial
 		return nil
 	})
-	c := n.dialed(t, reading("left"))
+	c := n.dialAndSend(t, reading("left"))
 	receive(t, "a dial", dialing)
 	c.Close()
-	eventually(t, "the node to know", func() bool { return n.server.inFlight.Load() == 0 && n.open(t) == 0 })
+	eventually(t, "the node to know", func() bool { return n.server.inFlight.Load() == 0 && n.openRequests(t) == 0 })
 	close(dial)
 	n.nothingElse(t, came)
 }
@@ -153,13 +153,13 @@
 func TestResponseOutlivesTheCloseOverUnreadBytes(t *testing.T) {
 	const size = 60 << 10
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200(strings.Repeat("x", size))
 	}))
-	n := startOn(t, b.Addr().String())
-	c := n.dialed(t, reading("one")+strings.Repeat("y", 40<<10))
+	n := startNodeWith(t, b.Addr().String())
+	c := n.dialAndSend(t, reading("one")+strings.Repeat("y", 40<<10))
 	c.(*net.TCPConn).SetReadBuffer(4 << 10) // so that most of the answer waits at the node when it closes
 	receive(t, "the attempt", held)
 	n.server.shutdown.start()
@@ -247,18 +247,18 @@
 					}
 					io.Copy(io.Discard, r.Body)
 					if r.Header.Get("X-Trace-Id") == "repeat" && came.Add(1) == 1 {
-						reset(c)
+						resetConn(c)
 						return
 					}
 					io.WriteString(c, ok200(""))
 				}
 			}
-			text := listText(1, true, listed{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
-				listed{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
+			text := formatList(1, true, listEntry{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
+				listEntry{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
 			windowSetting := fmt.Sprintf(`"window":%d`, tc.window)
-			n := start(t, testConfig(t, newRegistry(t, text).addr, text, `"window":5000000000`, windowSetting))
+			n := startNode(t, testConfig(t, newDiscoveryService(t, text).addr, text, `"window":5000000000`, windowSetting))
 			for range 15 { // so that the node may repeat any
-				do(t, ask(t, n.url+"/api/x", "read"))
+				roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 			}
 			n.pool.CloseAllIdle()
 			dialing, dial := make(chan struct{}), make(chan struct{})
@@ -271,7 +271,7 @@
 			})
 			answered := make(chan int, 1)
 			go func() {
-				resp, _ := do(t, ask(t, n.url+"/api/x", "token", func(r *http.Request) {
+				resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "token", func(r *http.Request) {
 					r.Header.Set("X-Trace-Id", "repeat")
 					r.Header.Set("X-Expires-In", tc.expires)
 				}))
@@ -286,7 +286,7 @@
 			if tc.hold == 0 {
 				close(dial)
 			}
-			eventually(t, "an end of the attempts", func() bool { return n.open(t) == 0 })
+			eventually(t, "an end of the attempts", func() bool { return n.openRequests(t) == 0 })
 			if again := int(came.Load()); got != tc.status || again != tc.again {
 				t.Errorf("answered %d, at a backend %d times", got, again)
 			}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -17,13 +17,13 @@
 func TestDrainCancelsAttemptsThatDial(t *testing.T) {
 	served := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return answering(func(*http.Request) string { served <- name; return ok200(name) })
+		return respondWith(func(*http.Request) string { served <- name; return ok200(name) })
 	}
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
-	text := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
-	reg := newRegistry(t, text)
-	n, err := New(testConfig(t, reg.addr, text), quiet())
+	text := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
+	reg := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, reg.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,17 +39,17 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	s := &started{Node: n, url: "http://" + n.Addr().String()}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String()}
 	answered := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, s.url+"/api/x", "order"))
+		_, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 		answered <- body
 	}()
 	receive(t, "a dial", dialing)
-	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0},
-		listed{"new", other.Addr().String(), "ready", 0})
+	reg.changes <- formatList(2, false, listEntry{"old", old.Addr().String(), "draining", 0},
+		listEntry{"new", other.Addr().String(), "ready", 0})
 	eventually(t, "the watch event", func() (draining bool) {
-		s.onLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
+		s.runOnLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
 		return draining
 	})
 	close(dial)
@@ -58,7 +58,7 @@
 		t.Errorf("answered %q", body)
 	}
 	for range 3 {
-		if _, body := do(t, ask(t, s.url+"/api/x", "order")); body != "other" {
+		if _, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); body != "other" {
 			t.Errorf("answered %q", body)
 		}
 	}
@@ -76,9 +76,9 @@
 
 // A node with a known list watches from its revision: reading the list again costs discovery work for each entry.
 func TestWatchStartsFromTheKnownList(t *testing.T) {
-	text := listText(41, true, listed{"s", "127.0.0.1:1", "ready", 0})
-	reg := newRegistry(t, text)
-	n, err := New(testConfig(t, reg.addr, text), quiet())
+	text := formatList(41, true, listEntry{"s", "127.0.0.1:1", "ready", 0})
+	reg := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, reg.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,8 +86,8 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	eventually(t, "the first call", func() bool { return len(reg.asked()) > 0 })
-	if first := reg.asked()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
+	eventually(t, "the first call", func() bool { return len(reg.queries()) > 0 })
+	if first := reg.queries()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
 		t.Errorf("the first call has the query %q", first)
 	}
 }
@@ -96,16 +96,16 @@
 // once it has read the agent's, which its first call does without waiting. An agent that does not answer delays it for
 // a while only.
 func TestNotReadyBeforeTheFirstPushedList(t *testing.T) {
-	known := listText(1, true, listed{"s", "127.0.0.1:9", "ready", 0})
+	known := formatList(1, true, listEntry{"s", "127.0.0.1:9", "ready", 0})
 	for _, answers := range []bool{true, false} {
 		release, queries := make(chan struct{}), make(chan string, 64)
-		b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			queries <- r.URL.RawQuery
 			<-release
-			return ok200(listText(2, false,
-				listed{"s", "127.0.0.1:9", "draining", 0}, listed{"u", "127.0.0.1:9", "ready", 0}))
+			return ok200(formatList(2, false,
+				listEntry{"s", "127.0.0.1:9", "draining", 0}, listEntry{"u", "127.0.0.1:9", "ready", 0}))
 		}))
-		n, err := New(testConfig(t, b.Addr().String(), known), quiet())
+		n, err := New(testConfig(t, b.Addr().String(), known), nopLog())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -16,12 +16,12 @@
 func TestIdleClientsFillANodeWhileDiscoveryIsDown(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
-			old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("old") }))
-			fresh := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("fresh") }))
-			before := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
-			after := listText(2, false,
-				listed{"old", old.Addr().String(), "draining", 0},
-				listed{"fresh", fresh.Addr().String(), "ready", 0})
+			old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("old") }))
+			fresh := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("fresh") }))
+			before := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
+			after := formatList(2, false,
+				listEntry{"old", old.Addr().String(), "draining", 0},
+				listEntry{"fresh", fresh.Addr().String(), "ready", 0})
 			down, back := make(chan struct{}), make(chan struct{})
 			over := func(c chan struct{}) bool {
 				select {
@@ -46,7 +46,7 @@
 					case !over(down):
 						io.WriteString(c, ok200(before))
 					case !over(back):
-						reset(c)
+						resetConn(c)
 						return
 					case query == "":
 						io.WriteString(c, ok200(strings.Replace(after, `"complete":false`, `"complete":true`, 1)))
@@ -59,7 +59,7 @@
 			})
 			cfg := testConfig(t, disco.Addr().String(), before, `"zones"`, `"membershipMode":"`+mode+`","zones"`)
 			cfg.Limits.Sockets = minDescriptors
-			n := start(t, cfg)
+			n := startNode(t, cfg)
 			eventually(t, "readiness", n.loop.ready.Load)
 			close(down)
 			for i := range 4 * n.maxClientConns {
@@ -67,15 +67,15 @@
 				if i%2 == 0 {
 					text = "GET /api/x HTTP/1.1\r\nHost: x\r\nX-Tr"
 				}
-				n.dialed(t, text)
+				n.dialAndSend(t, text)
 			}
 			eventually(t, "a node full of idle clients", func() bool { return n.server.conns.open() >= n.maxClientConns*3/4 })
 			close(back)
 			eventually(t, "the drain", func() (heard bool) {
-				n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
+				n.runOnLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 				return heard
 			})
-			resp, body := do(t, ask(t, n.url+"/api/x", "read"))
+			resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 			if resp.StatusCode != http.StatusOK || body != "fresh" {
 				t.Errorf("a new client: %d %q", resp.StatusCode, body)
 			}
@@ -90,18 +90,18 @@
 
 // A backend that a complete list does not name is removed, though it still answers: requests go to those named.
 func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
-	before := listText(1, true, listed{"old", echo(t).Addr().String(), "ready", 0})
-	reg := newRegistry(t, before)
-	n := start(t, testConfig(t, reg.addr, before))
-	reg.next <- listText(2, true, listed{"new", echo(t).Addr().String(), "ready", 0})
+	before := formatList(1, true, listEntry{"old", newEchoBackend(t).Addr().String(), "ready", 0})
+	reg := newDiscoveryService(t, before)
+	n := startNode(t, testConfig(t, reg.addr, before))
+	reg.changes <- formatList(2, true, listEntry{"new", newEchoBackend(t).Addr().String(), "ready", 0})
 	eventually(t, "the end of what is left out", func() (gone bool) {
-		n.onLoop(t, func() {
+		n.runOnLoop(t, func() {
 			old, fresh := n.loop.backendsByID["old"], n.loop.backendsByID["new"]
 			gone = fresh != nil && fresh.available() && !old.available() && old.phase == balance.Removed
 		})
 		return gone
 	})
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
@@ -109,28 +109,29 @@
 // A draining backend finishes its requests, and their responses are passed on; later requests go elsewhere.
 func TestDrainingBackendFinishesItsRequests(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 8)
-	old := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200("old")
 	}))
-	before := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
-	reg := newRegistry(t, before)
-	n := start(t, testConfig(t, reg.addr, before))
+	before := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
+	reg := newDiscoveryService(t, before)
+	n := startNode(t, testConfig(t, reg.addr, before))
 	first := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/x", "order"))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 		first <- body
 	}()
 	receive(t, "the request at the backend", held)
-	reg.next <- listText(2, false,
-		listed{"old", old.Addr().String(), "draining", 0},
-		listed{"new", echo(t).Addr().String(), "ready", 0})
+	reg.changes <- formatList(2, false,
+		listEntry{"old", old.Addr().String(), "draining", 0},
+		listEntry{"new", newEchoBackend(t).Addr().String(), "ready", 0})
 	eventually(t, "the drain", func() (heard bool) {
-		n.onLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
+		n.runOnLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
 		return heard
 	})
-	if resp, body := do(t, ask(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK || body == "old" {
+	resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
+	if resp.StatusCode != http.StatusOK || body == "old" {
 		t.Errorf("after the drain: %d %q", resp.StatusCode, body)
 	}
 	close(hold)
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -14,10 +14,10 @@
 
 // Without the key a node is in no fleet: it has no agent, no hook, no goroutine, no connection, no call.
 func TestNoFleetMemberWithoutTheKey(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	n := startAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	n := startAdmin(t, formatList(1, true, listEntry{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
-	do(t, ask(t, n.url+"/api/x", "read"))
+	roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 	if n.fleet != nil || n.server.fleet != nil || n.loop.onServed != nil {
 		t.Error("a fleet member without the key")
 	}
@@ -25,7 +25,7 @@
 	if stacks = stacks[:runtime.Stack(stacks, true)]; strings.Contains(string(stacks), "hitchvale/internal/fleet.") {
 		t.Error("a goroutine of the fleet runs")
 	}
-	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/fleet")); resp.StatusCode != http.StatusNotFound {
+	if resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/fleet")); resp.StatusCode != http.StatusNotFound {
 		t.Errorf("/admin/fleet answers %d", resp.StatusCode)
 	}
 }
@@ -53,22 +53,22 @@
 
 // A report has the connections and the backends' work by tenant, and the module's estimates of the endpoints.
 func TestFleetReport(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		time.Sleep(5 * time.Millisecond)
 		return ok200("x")
 	}))
-	text := listText(1, true, listed{"s-a", b.Addr().String(), "ready", 0})
-	cfg := testConfig(t, newRegistry(t, text).addr, text)
+	text := formatList(1, true, listEntry{"s-a", b.Addr().String(), "ready", 0})
+	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 	cfg.Fleet = &FleetConfig{Registry: []string{"127.0.0.1:1"}, Site: "a"}
 	if err := cfg.check(); err != nil {
 		t.Fatal(err)
 	}
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	eventually(t, "readiness", n.loop.ready.Load)
 	clients := make([]*http.Client, 3)
 	for i := range clients {
 		clients[i] = &http.Client{Transport: &http.Transport{}}
-		resp, err := clients[i].Do(ask(t, n.url+"/api/x", "read"))
+		resp, err := clients[i].Do(newClientRequest(t, n.url+"/api/x", "read"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -122,11 +122,12 @@
 	}
 }
 
-// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of ruleShutdown.
+// checkAllResponded reports every request that SIGKILL would find unanswered as a violation of
+// invariantShutdownAnswered.
 func (l *eventLoop) checkAllResponded() {
 	for id, r := range l.requests {
 		if r.isOpen() {
-			l.guard.reportViolation(ruleShutdown, id, "attempts", len(r.attempts), "last", r.lastStatus())
+			l.guard.reportViolation(invariantShutdownAnswered, id, "attempts", len(r.attempts), "last", r.lastStatus())
 		}
 	}
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -9,34 +9,34 @@
 	"hitchvale/internal/lograte"
 )
 
-// rule is an invariant of the node. It holds whatever the Balancer decides and in whatever order events arrive.
-type rule uint8
+// invariant is an invariant of the node. It holds whatever the Balancer decides and in whatever order events arrive.
+type invariant uint8
 
 const (
-	// ruleRecipient: no attempt starts at a backend that stopped taking requests longer than the drain grace ago.
-	ruleRecipient rule = iota
-	// ruleOwner: no attempt starts for a client that disconnected longer than disconnectGrace ago.
-	ruleOwner
-	// ruleEffect: no effect happens twice. A non-idempotent request is not retried once an attempt may have run, and
-	// one with an idempotency key not after its key's window.
-	ruleEffect
-	// ruleAttempts: a request has no more attempts than the settings allow.
-	ruleAttempts
-	// ruleAnswer: the node closes no connection under a request that it has read.
-	ruleAnswer
-	// ruleShutdown: a process has answered all that it admitted before SIGKILL may come.
-	ruleShutdown
-	ruleCount
+	// invariantBackendAvailable: no attempt starts at a backend that became unavailable longer than the drain grace ago.
+	invariantBackendAvailable invariant = iota
+	// invariantClientConnected: no attempt starts for a client that disconnected longer than disconnectGrace ago.
+	invariantClientConnected
+	// invariantEffectOnce: no effect happens twice. A non-idempotent request is not retried once an attempt may have
+	// run, and a request with an idempotency key is not retried after its key's window.
+	invariantEffectOnce
+	// invariantMaxAttempts: a request has no more attempts than the settings allow.
+	invariantMaxAttempts
+	// invariantConnectionKept: the node closes no connection under a request that it has read.
+	invariantConnectionKept
+	// invariantShutdownAnswered: a process has answered all that it admitted before SIGKILL may come.
+	invariantShutdownAnswered
+	invariantCount
 )
 
-// ruleNames are the names in the log and the values of the metrics' label.
-var ruleNames = [ruleCount]string{
-	ruleRecipient: "recipient",
-	ruleOwner:     "owner",
-	ruleEffect:    "effect",
-	ruleAttempts:  "attempts",
-	ruleAnswer:    "answer",
-	ruleShutdown:  "shutdown",
+// invariantNames are the names in the log and the values of the metrics' label.
+var invariantNames = [invariantCount]string{
+	invariantBackendAvailable: "recipient",
+	invariantClientConnected:  "owner",
+	invariantEffectOnce:       "effect",
+	invariantMaxAttempts:      "attempts",
+	invariantConnectionKept:   "answer",
+	invariantShutdownAnswered: "shutdown",
 }
 
 // disconnectGrace is how long after a client's disconnect an attempt for it may still start.
@@ -49,7 +49,7 @@
 	classes     []balance.Class
 	drainGrace  time.Duration
 	maxAttempts int // of a request
-	violations  [ruleCount]atomic.Int64
+	violations  [invariantCount]atomic.Int64
 	warnings    *lograte.Limited
 }
 
@@ -64,9 +64,9 @@
 }
 
 // reportViolation counts and logs a violation, with further attributes for the log.
-func (g *guard) reportViolation(r rule, request string, args ...any) {
+func (g *guard) reportViolation(r invariant, request string, args ...any) {
 	g.violations[r].Add(1)
-	g.warnings.Warn("invariant violated", append([]any{"rule", ruleNames[r], "request", request}, args...)...)
+	g.warnings.Warn("invariant violated", append([]any{"rule", invariantNames[r], "request", request}, args...)...)
 }
 
 // maySend reports whether another attempt for a request may go to a backend. It is no violation where the Balancer
@@ -76,10 +76,10 @@
 	case !target.available() || !r.isOpen():
 		return false
 	case len(r.attempts) >= g.maxAttempts:
-		g.reportViolation(ruleAttempts, r.id, "attempts", len(r.attempts))
+		g.reportViolation(invariantMaxAttempts, r.id, "attempts", len(r.attempts))
 		return false
 	case g.mayRunTwice(r, now):
-		g.reportViolation(ruleEffect, r.id, "class", r.class, "attempts", len(r.attempts))
+		g.reportViolation(invariantEffectOnce, r.id, "class", r.class, "attempts", len(r.attempts))
 		return false
 	}
 	return true
@@ -105,9 +105,9 @@
 // checkStart checks that an attempt which began to be written at a time had a backend and a client then.
 func (g *guard) checkStart(r *request, sent *attempt, startedAt time.Duration) {
 	if stopped := sent.backend.unavailableSince; stopped > 0 && startedAt > stopped+g.drainGrace {
-		g.reportViolation(ruleRecipient, r.id, "backend", sent.backend.id, "after", startedAt-stopped)
+		g.reportViolation(invariantBackendAvailable, r.id, "backend", sent.backend.id, "after", startedAt-stopped)
 	}
 	if r.disconnectedAt > 0 && startedAt > r.disconnectedAt+disconnectGrace {
-		g.reportViolation(ruleOwner, r.id, "backend", sent.backend.id, "after", startedAt-r.disconnectedAt)
+		g.reportViolation(invariantClientConnected, r.id, "backend", sent.backend.id, "after", startedAt-r.disconnectedAt)
 	}
 }
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -40,6 +40,7 @@
 		late     = balance.StatusTimedOut
 		rejected = balance.StatusRejected
 	)
+	inFlight := &request{class: unsafe, attempts: []*attempt{{}}}
 	ready := &backend{phase: balance.Ready}
 	draining := &backend{phase: balance.Draining}
 	for name, tc := range map[string]struct {
@@ -47,27 +48,27 @@
 		to       *backend
 		now      time.Duration
 		may      bool
-		violated rule // ruleCount: none
+		violated invariant // invariantCount: none
 	}{
-		"first":                      {sent(unsafe), ready, 0, true, ruleCount},
-		"to one that drains":         {sent(safe), draining, 0, false, ruleCount},
-		"answered":                   {&request{class: safe, state: requestResponded}, ready, 0, false, ruleCount},
-		"unsafe, may have run":       {sent(unsafe, mayRun), ready, 0, false, ruleEffect},
-		"unsafe, in flight":          {&request{class: unsafe, attempts: []*attempt{{}}}, ready, 0, false, ruleEffect},
-		"unsafe, never ran":          {sent(unsafe, neverRan), ready, 0, true, ruleCount},
-		"keyed, within its window":   {sent(keyed, late), ready, 1900 * time.Millisecond, true, ruleCount},
-		"keyed, after its window":    {sent(keyed, late), ready, 2 * time.Second, false, ruleEffect},
-		"safe, may have run":         {sent(safe, mayRun), ready, time.Hour, true, ruleCount},
-		"more often than is allowed": {sent(safe, rejected, rejected, rejected), ready, 0, false, ruleAttempts},
+		"first":                      {sent(unsafe), ready, 0, true, invariantCount},
+		"to one that drains":         {sent(safe), draining, 0, false, invariantCount},
+		"answered":                   {&request{class: safe, state: requestResponded}, ready, 0, false, invariantCount},
+		"unsafe, may have run":       {sent(unsafe, mayRun), ready, 0, false, invariantEffectOnce},
+		"unsafe, in flight":          {inFlight, ready, 0, false, invariantEffectOnce},
+		"unsafe, never ran":          {sent(unsafe, neverRan), ready, 0, true, invariantCount},
+		"keyed, within its window":   {sent(keyed, late), ready, 1900 * time.Millisecond, true, invariantCount},
+		"keyed, after its window":    {sent(keyed, late), ready, 2 * time.Second, false, invariantEffectOnce},
+		"safe, may have run":         {sent(safe, mayRun), ready, time.Hour, true, invariantCount},
+		"more often than is allowed": {sent(safe, rejected, rejected, rejected), ready, 0, false, invariantMaxAttempts},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newGuard(cfg, quiet())
+			g := newGuard(cfg, nopLog())
 			if may := g.maySend(tc.r, tc.to, tc.now); may != tc.may {
 				t.Errorf("may be sent: %v", may)
 			}
-			for r := range ruleCount {
+			for r := range invariantCount {
 				if n := g.violations[r].Load(); (n > 0) != (r == tc.violated) {
-					t.Errorf("%s: %d violations", ruleNames[r], n)
+					t.Errorf("%s: %d violations", invariantNames[r], n)
 				}
 			}
 		})
@@ -76,15 +77,15 @@
 
 // An attempt that started too long after its client's disconnect, or after its backend became unavailable, is counted.
 func TestGuardCountsWhatBeganTooLate(t *testing.T) {
-	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, quiet())
+	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, nopLog())
 	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
 	g.checkStart(&request{disconnectedAt: time.Second}, stopped, time.Second+disconnectGrace)
 	g.checkStart(&request{}, stopped, 0)
-	if g.violations[ruleOwner].Load()+g.violations[ruleRecipient].Load() > 0 {
+	if g.violations[invariantClientConnected].Load()+g.violations[invariantBackendAvailable].Load() > 0 {
 		t.Error("what began in time counts")
 	}
 	g.checkStart(&request{disconnectedAt: time.Second}, stopped, 2*time.Second)
-	if g.violations[ruleOwner].Load() != 1 || g.violations[ruleRecipient].Load() != 1 {
+	if g.violations[invariantClientConnected].Load() != 1 || g.violations[invariantBackendAvailable].Load() != 1 {
 		t.Error("what began late does not count")
 	}
 }
@@ -92,16 +93,16 @@
 // A connection that this side closes under a request that it has read is counted.
 func TestGuardCountsAConnectionEndedUnderARequest(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
 		return ok200("late")
 	}))
 	defer close(hold)
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	eventually(t, "readiness", n.loop.ready.Load)
 	go func() {
-		if resp, err := (&http.Transport{}).RoundTrip(ask(t, n.url+"/api/x", "order")); err == nil {
+		if resp, err := (&http.Transport{}).RoundTrip(newClientRequest(t, n.url+"/api/x", "order")); err == nil {
 			resp.Body.Close()
 		}
 	}()
@@ -111,5 +112,5 @@
 		c.Close() // the planted fault
 	}
 	n.server.conns.mu.Unlock()
-	eventually(t, "the violation", func() bool { return n.loop.guard.violations[ruleAnswer].Load() == 1 })
+	eventually(t, "the violation", func() bool { return n.loop.guard.violations[invariantConnectionKept].Load() == 1 })
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -18,23 +18,23 @@
 )
 
 // process starts a process of the node whose files are in dir; another one may run already.
-func process(t *testing.T, dir, listen, list string, change ...string) *started {
+func process(t *testing.T, dir, listen, list string, change ...string) *testNode {
 	t.Helper()
-	cfg := testConfig(t, newRegistry(t, list).addr, list, change...)
+	cfg := testConfig(t, newDiscoveryService(t, list).addr, list, change...)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
 	if listen != "" {
 		cfg.Listen = listen
 	}
-	return start(t, cfg)
+	return startNode(t, cfg)
 }
 
-func healthy(t *testing.T, n *started) bool {
-	resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
+func healthy(t *testing.T, n *testNode) bool {
+	resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
-func echo(t *testing.T) *rawBackend {
-	return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+func newEchoBackend(t *testing.T) *rawBackend {
+	return newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/stats" {
 			return ok200("TEXT inflight=0")
 		}
@@ -58,7 +58,7 @@
 					return
 				default:
 				}
-				r := ask(t, url+"/x", "read")
+				r := newClientRequest(t, url+"/x", "read")
 				sent.Add(1)
 				resp, err := tr.RoundTrip(r)
 				if err != nil {
@@ -81,17 +81,17 @@
 // One process replaces another while clients go on asking: nothing is lost, and the old one ends.
 func TestReplacedWithoutLoss(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(7, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(7, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
 	var sent, unanswered atomic.Int64
 	stop := sendUntilStopped(t, predecessor.url, &sent, &unanswered)
 	eventually(t, "the predecessor has estimates", func() bool { return stats(t, predecessor)["completed.read"] > 50 })
 	// The configuration of the successor has an old list; it uses the predecessor's.
-	successor := process(t, dir, predecessor.Addr().String(), listText(1, true))
+	successor := process(t, dir, predecessor.Addr().String(), formatList(1, true))
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 	var meanLatency float64
-	successor.onLoop(t, func() {
+	successor.runOnLoop(t, func() {
 		for _, s := range successor.loop.balancer.HandoverState().Endpoints {
 			meanLatency += s.MeanLatency
 		}
@@ -120,7 +120,7 @@
 // What waits in the queue of the predecessor's listener is served by the new one.
 func TestBacklogOutlivesThePredecessor(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
 	predecessor.setHandedOver(true) // it accepts nothing
@@ -134,7 +134,7 @@
 	successor := process(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 	predecessor.stop()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	text := make([]byte, 1<<10)
 	n, err := c.Read(text)
 	if !strings.HasPrefix(string(text[:n]), "HTTP/1.1 200") {
@@ -143,15 +143,15 @@
 }
 
 // startHandover starts a process with one backend, and inherits its listener as a successor does.
-func startHandover(t *testing.T) (predecessor *started, h *handover) {
+func startHandover(t *testing.T) (predecessor *testNode, h *handover) {
 	t.Helper()
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor = process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
 	cfg := predecessor.cfg
 	cfg.Listen = predecessor.Addr().String()
-	h = newHandover(cfg, quiet())
+	h = newHandover(cfg, nopLog())
 	eventually(t, "the predecessor hands over", func() bool {
 		h.connectToPredecessor()
 		return h.inheritedListener != nil
@@ -171,13 +171,13 @@
 		t.Fatalf("%+v, %+v, %v", state, usage, err)
 	}
 	var handed bool
-	predecessor.onLoop(t, func() { handed = predecessor.server.handedOver.Load() })
+	predecessor.runOnLoop(t, func() { handed = predecessor.server.handedOver.Load() })
 	if !handed {
 		t.Error("the predecessor goes on accepting")
 	}
 	h.discard()
 	eventually(t, "the predecessor serves again", func() bool {
-		resp, _ := do(t, ask(t, predecessor.url+"/x", "read"))
+		resp, _ := roundTrip(t, newClientRequest(t, predecessor.url+"/x", "read"))
 		return resp.StatusCode == http.StatusOK && !predecessor.server.handedOver.Load()
 	})
 }
@@ -193,7 +193,7 @@
 	eventually(t, "the shutdown of the predecessor", predecessor.server.shutdown.started)
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, predecessor.url+"/x", "read"))
+		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newClientRequest(t, predecessor.url+"/x", "read"))
 		if err != nil {
 			t.Error(err)
 			answered <- 0
@@ -216,21 +216,21 @@
 // although the successor still has a request in flight. (Regression test: for 1.7 s neither of them accepted.)
 func TestTerminatedSuccessorReturnsTheNode(t *testing.T) {
 	dir, hold, held := t.TempDir(), make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/slow" {
 			held <- struct{}{}
 			<-hold
 		}
 		return ok200("done")
 	}))
-	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
 	successor := process(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the successor is ready", func() bool { return healthy(t, successor) })
 	answered := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, successor.url+"/slow", "order"))
+		_, body := roundTrip(t, newClientRequest(t, successor.url+"/slow", "order"))
 		answered <- body
 	}()
 	receive(t, "the slow request", held)
@@ -238,7 +238,8 @@
 	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	if predecessor.server.handedOver.Load() {
 		t.Error("the predecessor does not serve, though the successor shuts down")
-	} else if resp, _ := do(t, ask(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
+	} else if resp, _ := roundTrip(
+		t, newClientRequest(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	close(hold)
@@ -252,7 +253,7 @@
 
 // A predecessor that does not run, or does not answer, keeps no process from serving.
 func TestStartsWithoutAnswerOfPredecessor(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	for name, prepare := range map[string]func(path string){
 		"nobody": func(string) {},
 		"a file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
@@ -279,7 +280,7 @@
 			prepare(filepath.Join(dir, "glencart-n1.sock"))
 			n := process(t, dir, "", list)
 			eventually(t, "the process is ready", func() bool { return healthy(t, n) })
-			if resp, _ := do(t, ask(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
+			if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
 			successor := process(t, dir, n.Addr().String(), list)
@@ -325,12 +326,12 @@
 
 // While a successor accepts, this process sends nothing to endpoints in slow start.
 func TestHandoverSharesOneSlowStartBudget(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
-		listed{id: "s-b", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
+		listEntry{id: "s-b", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	n := process(t, t.TempDir(), "", list)
-	n.onLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
+	n.runOnLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
 	for range 20 {
-		if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
+		if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
@@ -348,11 +349,11 @@
 			io.WriteString(c, strings.Repeat("x", 50000))
 		}
 	})
-	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	const deadline = 200 * time.Millisecond
 	predecessor := process(t, dir, "", list, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline))
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
-	resp, err := http.DefaultTransport.RoundTrip(ask(t, predecessor.url+"/x", "order"))
+	resp, err := http.DefaultTransport.RoundTrip(newClientRequest(t, predecessor.url+"/x", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -380,7 +381,7 @@
 // requests.
 func TestPredecessorShedsConnections(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: echo(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return healthy(t, predecessor) })
 	for range predecessor.maxClientConns / 2 {
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -13,7 +13,7 @@
 func TestHealthChecks(t *testing.T) {
 	var body atomic.Value // a probe of the module's own may come at any time
 	body.Store("TEXT inflight=7, util=0.5")
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.Method != "GET" || r.URL.Path != "/stats" {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"
 		}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -60,7 +60,7 @@
 func inMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
 	names := oneClassSettings()
-	f := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), quiet()), names, 64, quiet())
+	f := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), nopLog()), names, 64, nopLog())
 	l := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
 	srv := f.httpServer()
 	ended := make(chan struct{})
@@ -154,8 +154,8 @@
 
 // "OPTIONS *" is rejected like any other malformed request; the library would answer it itself.
 func TestNoResponseIsTheLibrarysOwn(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
-	status, _ := exchange(t, startOn(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("") }))
+	status, _ := exchange(t, startNodeWith(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status < 400 {
 		t.Errorf("answered %d", status)
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -96,7 +96,7 @@
 	for reason, name := range closeReasonNames {
 		ch <- counterMetric(closesDesc, c.closes[reason].Load(), name)
 	}
-	for rule, name := range ruleNames {
+	for rule, name := range invariantNames {
 		ch <- counterMetric(violationsDesc, m.guard.violations[rule].Load(), name)
 	}
 	listed := c.listedEndpoints.Load()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,22 +11,22 @@
 // with their responses, and ends by itself.
 func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			held <- struct{}{}
 			<-hold
 		}
 		return ok200("done")
 	}))
-	n := startOn(t, b.Addr().String())
+	n := startNodeWith(t, b.Addr().String())
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
 	client := &http.Client{Transport: &http.Transport{}}
 	slow := make(chan *http.Response, 1)
 	go func() {
-		resp, err := client.Do(ask(t, n.url+"/api/slow", "order"))
+		resp, err := client.Do(newClientRequest(t, n.url+"/api/slow", "order"))
 		if err != nil {
 			t.Error(err)
 			resp = &http.Response{}
@@ -37,10 +37,10 @@
 	began := time.Now()
 	n.stop()
 	eventually(t, "leaving", func() bool { return n.server.shutdown.started() })
-	if resp, _ := do(t, ask(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
+	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
 		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
 	}
-	late, body := do(t, ask(t, n.url+"/api/late", "order"))
+	late, body := roundTrip(t, newClientRequest(t, n.url+"/api/late", "order"))
 	if late.StatusCode != 200 || body != "done" || !late.Close {
 		t.Errorf("a new connection while leaving: %d %q, closed: %t", late.StatusCode, body, late.Close)
 	}
@@ -66,24 +66,24 @@
 // A request in the listener's backlog counts as accepted: a full node that shuts down still serves it.
 func TestLeavingServesTheBacklog(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 64)
-	serve := answering(func(r *http.Request) string {
+	serve := respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			held <- struct{}{}
 			<-hold
 		}
 		return ok200("done")
 	})
-	text := listText(1, true, // while one has a slow request, the other is idle
-		listed{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
-		listed{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
-	cfg := testConfig(t, newRegistry(t, text).addr, text)
+	text := formatList(1, true, // while one has a slow request, the other is idle
+		listEntry{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
+		listEntry{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
+	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 	cfg.Limits.Sockets = minDescriptors
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.divideDescriptors(false)
 	n.server.conns.setLimit(2 * clients) // else the silent ones would give way
 	slow := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/slow", "order"))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
 	receive(t, "the slow request at the backend", held)
@@ -99,7 +99,7 @@
 	eventually(t, "a full node", n.listener.backlogged)
 	waits := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, n.url+"/api/waits", "order"))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/waits", "order"))
 		waits <- body
 	}()
 	n.stop()
@@ -121,19 +121,19 @@
 
 // A node without backends is not ready, and becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	reg := newRegistry(t, listText(1, true))
-	n := start(t, testConfig(t, reg.addr, "null"))
-	resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	reg := newDiscoveryService(t, formatList(1, true))
+	n := startNode(t, testConfig(t, reg.addr, "null"))
+	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
 	if resp.StatusCode != 503 {
 		t.Fatalf("no backend, and readiness says %d", resp.StatusCode)
 	}
-	reg.next <- listText(2, false, listed{"s", b.Addr().String(), "ready", 0})
+	reg.changes <- formatList(2, false, listEntry{"s", b.Addr().String(), "ready", 0})
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, ask(t, n.url+"/health/ready", "read"))
+		resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
 	})
-	if resp, body := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
+	if resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
 		t.Fatalf("%d %q", resp.StatusCode, body)
 	}
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -54,7 +54,7 @@
 	if !time.Now().Before(o.until) {
 		revision, phase = 8, "draining"
 	}
-	text := listText(revision, r.URL.RawQuery == "", listed{"s", "127.0.0.1:1", phase, 0})
+	text := formatList(revision, r.URL.RawQuery == "", listEntry{"s", "127.0.0.1:1", phase, 0})
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	pool := newBackendPool(1, balance.Limits{}, new(closeCounters))
-	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), quiet()), newCounters(nil), quiet())
+	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), nopLog()), newCounters(nil), nopLog())
 	var notified atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	service := &outage{from: from, until: from.Add(lasts), fault: fault}
@@ -106,7 +106,7 @@
 		Address:   "127.0.0.1:1",
 		Settings:  settings,
 		Transport: service,
-		Log:       quiet(),
+		Log:       nopLog(),
 		OnList: func(list discovery.List) {
 			if list.Members[0].Phase == balance.Draining {
 				notified.CompareAndSwap(0, int64(time.Since(service.until)))
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -9,7 +9,7 @@
 	"hitchvale/balance"
 )
 
-func udp(t *testing.T) *net.UDPConn {
+func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -20,7 +20,7 @@
 }
 
 func TestGossip(t *testing.T) {
-	peer, stranger := udp(t), udp(t)
+	peer, stranger := listenUDP(t), listenUDP(t)
 	p, err := listenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
 		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}})
 	if err != nil {
--- a/internal/node/response_count_test.go
+++ b/internal/node/response_count_test.go
@@ -63,8 +63,8 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			loop := newEventLoop(nil, nil, newCounters([]string{"order"}), quiet())
-			f := newClientServer(loop, siteconfig.Settings{}, 64, quiet())
+			loop := newEventLoop(nil, nil, newCounters([]string{"order"}), nopLog())
+			f := newClientServer(loop, siteconfig.Settings{}, 64, nopLog())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
 				r.forwarded.upload = &requestStream{source: bytes.NewReader(nil), err: io.EOF}
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -15,20 +15,20 @@
 	for _, tc := range []struct{ nodes, backends int }{{350, 500}, {1024, 1024}} {
 		t.Run(fmt.Sprintf("%d nodes, %d backends", tc.nodes, tc.backends), func(t *testing.T) {
 			before := heapInUse()
-			b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("yes") }))
-			peer := udp(t)
-			var members []listed
+			b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("yes") }))
+			peer := listenUDP(t)
+			var members []listEntry
 			for i := range tc.backends {
-				members = append(members, listed{id: fmt.Sprintf("s-%08x", i), addr: b.Addr().String(), phase: "ready"})
+				members = append(members, listEntry{id: fmt.Sprintf("s-%08x", i), addr: b.Addr().String(), phase: "ready"})
 			}
-			list := listText(1, true, members...)
+			list := formatList(1, true, members...)
 			instances := fmt.Sprintf(`"nInstances":%d`, tc.nodes)
-			cfg := testConfig(t, newRegistry(t, list).addr, list, `"nInstances":1`, instances)
+			cfg := testConfig(t, newDiscoveryService(t, list).addr, list, `"nInstances":1`, instances)
 			cfg.PeerListen = "127.0.0.1:0"
 			for range tc.nodes {
 				cfg.Peers = append(cfg.Peers, peer.LocalAddr().String())
 			}
-			n, err := New(cfg, quiet())
+			n, err := New(cfg, nopLog())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,10 +38,10 @@
 			if got := len(n.peers.outgoing); got != tc.nodes {
 				t.Errorf("%d datagrams wait for %d peers", got, tc.nodes)
 			}
-			s := running(t, n)
+			s := runNode(t, n)
 			eventually(t, "ready", s.loop.ready.Load)
 			var known, ready int
-			s.onLoop(t, func() {
+			s.runOnLoop(t, func() {
 				for _, x := range s.loop.backendsByID {
 					if known++; x.phase == balance.Ready {
 						ready++
@@ -51,7 +51,8 @@
 			if known != tc.backends || ready != tc.backends {
 				t.Errorf("%d of %d backends known, %d ready", known, tc.backends, ready)
 			}
-			if resp, body := do(t, ask(t, s.url+"/x", "read")); resp.StatusCode != http.StatusOK || body != "yes" {
+			resp, body := roundTrip(t, newClientRequest(t, s.url+"/x", "read"))
+			if resp.StatusCode != http.StatusOK || body != "yes" {
 				t.Errorf("%d %q", resp.StatusCode, body)
 			}
 			t.Logf("heap in use: %d KiB more than before, the test's own parts included", (heapInUse()-before)>>10)
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -13,13 +13,13 @@
 func TestStartWaitsForItsAddress(t *testing.T) {
 	for _, what := range []string{"listen", "admin", "peer_listen"} {
 		t.Run(what, func(t *testing.T) {
-			text := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
-			cfg := testConfig(t, newRegistry(t, text).addr, text)
+			text := formatList(1, true, listEntry{"s", newEchoBackend(t).Addr().String(), "ready", 0})
+			cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 			cfg.StateDir = t.TempDir()
 			var held interface{ Close() error }
 			switch what {
 			case "peer_listen":
-				c := udp(t)
+				c := listenUDP(t)
 				cfg.PeerListen, held = c.LocalAddr().String(), c
 			default:
 				l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,14 +33,14 @@
 				}
 			}
 			time.AfterFunc(300*time.Millisecond, func() { held.Close() })
-			n, err := New(cfg, quiet())
+			n, err := New(cfg, nopLog())
 			if err != nil {
 				held.Close()
 				t.Fatalf("not started: %v", err)
 			}
-			s := running(t, n)
+			s := runNode(t, n)
 			eventually(t, "readiness", s.loop.ready.Load)
-			if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+			if resp, _ := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
 		})
@@ -54,10 +54,10 @@
 		t.Errorf("a pushed list is waited for for %v", firstListTimeout)
 	}
 	silent := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { io.Copy(io.Discard, br) })
-	known := listText(1, true, listed{"s", echo(t).Addr().String(), "ready", 0})
-	n := start(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
+	known := formatList(1, true, listEntry{"s", newEchoBackend(t).Addr().String(), "ready", 0})
+	n := startNode(t, testConfig(t, silent.Addr().String(), known, `"zones"`, `"membershipMode":"ask","zones"`))
 	eventually(t, "readiness", n.loop.ready.Load)
-	if resp, _ := do(t, ask(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
+	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read")); resp.StatusCode != http.StatusOK {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -61,8 +61,8 @@
 	return b
 }
 
-// answering returns a function that serves the requests on a connection until that ends.
-func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
+// respondWith returns a function that serves the requests on a connection until that ends.
+func respondWith(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -82,18 +82,18 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// reset closes a connection with an RST.
-func reset(c net.Conn) {
+// resetConn closes a connection with an RST.
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-type listed struct {
+type listEntry struct {
 	id, addr, phase string
 	up              int64
 }
 
-func listText(revision int, complete bool, members ...listed) string {
+func formatList(revision int, complete bool, members ...listEntry) string {
 	var entries []discoverytest.Member
 	for _, m := range members {
 		entries = append(entries, discoverytest.Member{ID: m.id, Address: m.addr, Phase: m.phase, UpSinceMillis: m.up})
@@ -101,18 +101,18 @@
 	return discoverytest.FormatList(revision, complete, entries...)
 }
 
-// registry is a discovery service with a fixed list, and changes that the test sends on next.
-type registry struct {
+// discoveryService is a discovery service with a fixed list, and changes that the test sends on next.
+type discoveryService struct {
 	*discoverytest.Server
-	addr  string
-	next  chan string // answers to watches
-	whole string      // the complete list
+	addr         string
+	changes      chan string // answers to watches
+	completeList string      // the complete list
 }
 
-func newRegistry(t *testing.T, whole string) *registry {
+func newDiscoveryService(t *testing.T, whole string) *discoveryService {
 	t.Helper()
 	server := discoverytest.NewServer(t, whole)
-	return &registry{Server: server, addr: server.Addr, next: server.Changes, whole: whole}
+	return &discoveryService{Server: server, addr: server.Addr, changes: server.Changes, completeList: whole}
 }
 
-func (r *registry) asked() []string { return r.Queries() }
+func (r *discoveryService) queries() []string { return r.Queries() }
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// patience bounds every wait for something that must happen.
-const patience = 20 * time.Second
+// testTimeout bounds every wait for something that must happen.
+const testTimeout = 20 * time.Second
 
 const testSettings = `{"nInstances":1,"zones":["a","b"],"skus":["m"],
  "classes":[
@@ -29,25 +29,25 @@
   "fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func nopLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // eventually waits until ok holds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never came about: %s", what)
 		}
 	}
 }
 
-// receive receives from a channel, and fails the test after patience.
+// receive receives from a channel, and fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("never came: %s", what)
 		panic("unreachable")
 	}
@@ -71,28 +71,28 @@
 	return cfg
 }
 
-// started is a node under test.
-type started struct {
+// testNode is a node under test.
+type testNode struct {
 	*Node
 	url  string
 	stop context.CancelFunc
 	err  chan error
 }
 
-func start(t *testing.T, cfg Config) *started {
+func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
-	n, err := New(cfg, quiet())
+	n, err := New(cfg, nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return running(t, n)
+	return runNode(t, n)
 }
 
-// running runs a node until the test ends.
-func running(t *testing.T, n *Node) *started {
+// runNode runs a node until the test ends.
+func runNode(t *testing.T, n *Node) *testNode {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &started{Node: n, url: "http://" + n.Addr().String(), stop: cancel, err: make(chan error, 1)}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String(), stop: cancel, err: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() {
 		s.err <- n.Run(ctx)
@@ -105,15 +105,15 @@
 	return s
 }
 
-// startOn starts a node with these backends, which its discovery lists and never changes.
-func startOn(t *testing.T, addrs ...string) *started {
+// startNodeWith starts a node with these backends, which its discovery lists and never changes.
+func startNodeWith(t *testing.T, addrs ...string) *testNode {
 	t.Helper()
-	var members []listed
+	var members []listEntry
 	for i, a := range addrs {
-		members = append(members, listed{id: fmt.Sprintf("s-%d", i), addr: a, phase: "ready"})
+		members = append(members, listEntry{id: fmt.Sprintf("s-%d", i), addr: a, phase: "ready"})
 	}
-	text := listText(1, true, members...)
-	return start(t, testConfig(t, newRegistry(t, text).addr, text))
+	text := formatList(1, true, members...)
+	return startNode(t, testConfig(t, newDiscoveryService(t, text).addr, text))
 }
 
 // loopFunc is a message of the tests' own: a function that the event loop runs.
@@ -121,8 +121,8 @@
 
 func (f loopFunc) handle(*eventLoop) { f() }
 
-// onLoop runs f on the node's loop and waits for it.
-func (s *started) onLoop(t *testing.T, f func()) {
+// runOnLoop runs f on the node's loop and waits for it.
+func (s *testNode) runOnLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	if !s.loop.post(loopFunc(func() { f(); close(done) })) {
@@ -131,16 +131,16 @@
 	receive(t, "the loop", done)
 }
 
-// open counts the requests in the loop's table.
-func (s *started) open(t *testing.T) (n int) {
-	s.onLoop(t, func() { n = len(s.loop.requests) })
+// openRequests counts the requests in the loop's table.
+func (s *testNode) openRequests(t *testing.T) (n int) {
+	s.runOnLoop(t, func() { n = len(s.loop.requests) })
 	return n
 }
 
 var lastID atomic.Int64
 
-// ask returns a client's request of a class, with all the headers that the protocol demands.
-func ask(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
+// newClientRequest returns a client's request of a class, with all the headers that the protocol demands.
+func newClientRequest(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
 	if class == "read" {
@@ -163,7 +163,7 @@
 	return r
 }
 
-func do(t *testing.T, r *http.Request) (*http.Response, string) {
+func roundTrip(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
 	resp, err := tr.RoundTrip(r)
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go pool.Run(ctx)
 	t.Cleanup(cancel)
-	return newUpstreamTransport(pool, true, new(atomic.Int64), quiet())
+	return newUpstreamTransport(pool, true, new(atomic.Int64), nopLog())
 }
 
 // testConnectTimeout is that of testSettings.
@@ -53,7 +53,7 @@
 func attemptOnce(t *testing.T, transport *upstreamTransport, to connpool.Server, m *forwardedRequest) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 1)
-	transport.start(new(upstreamCall), to, m, time.Now().Add(patience/2), func(r attemptResult) { done <- r })
+	transport.start(new(upstreamCall), to, m, time.Now().Add(testTimeout/2), func(r attemptResult) { done <- r })
 	return receive(t, "the outcome", done)
 }
 
@@ -204,7 +204,7 @@
 			return
 		}
 		io.ReadFull(c, make([]byte, 1000))
-		reset(c)
+		resetConn(c)
 	}()
 	transport := newTestTransport(t)
 	transport.pool.DialContext = dialWithControl(small)
@@ -230,7 +230,7 @@
 	transport, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
 	to := connpool.Server{Addr: b.Addr().String()}
-	transport.start(c, to, newTestRequest("id"), time.Now().Add(patience), func(r attemptResult) { done <- r })
+	transport.start(c, to, newTestRequest("id"), time.Now().Add(testTimeout), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -244,7 +244,7 @@
 
 // An attempt that fails for want of this machine's resources says nothing of its backend; an unreachable network does.
 func TestShortageIsNoFailureOfABackend(t *testing.T) {
-	b := echo(t)
+	b := newEchoBackend(t)
 	for errno, want := range map[syscall.Errno]balance.Status{
 		syscall.EADDRNOTAVAIL: balance.StatusNotSent,
 		syscall.ENFILE:        balance.StatusNotSent,
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -38,7 +38,7 @@
 					}
 					io.WriteString(c, text)
 					if how == "reset" {
-						reset(c)
+						resetConn(c)
 					}
 					br.ReadByte()
 					ended <- struct{}{}
@@ -91,7 +91,7 @@
 		end  func(net.Conn)
 		want balance.Status
 	}{
-		{"reset", reset, balance.StatusConnectionLost},
+		{"reset", resetConn, balance.StatusConnectionLost},
 		{"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -10,24 +10,24 @@
 
 // The deadline of a request during a shutdown is on the monotonic clock: a step of the wall clock does not change it.
 func TestDrainDeadlineIsMonotonic(t *testing.T) {
-	n := startOn(t, echo(t).Addr().String())
+	n := startNodeWith(t, newEchoBackend(t).Addr().String())
 	eventually(t, "readiness", n.loop.ready.Load)
 	deadlines := make(chan time.Time, 1)
-	n.onLoop(t, func() {
+	n.runOnLoop(t, func() {
 		n.loop.onServed = func(r *request, _ time.Duration) { deadlines <- r.deadline }
 	})
 	n.stop()
 	eventually(t, "the drain", n.server.shutdown.started)
-	do(t, ask(t, n.url+"/api/x", "order"))
+	roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 	if deadline := receive(t, "a request", deadlines); !strings.Contains(deadline.String(), " m=") {
 		t.Errorf("the deadline %v is a wall time", deadline)
 	}
 }
 
 // startTimeOf returns the start time of a backend as the module has it.
-func (s *started) startTimeOf(t *testing.T, id string) (launched time.Duration, ok bool) {
+func (s *testNode) startTimeOf(t *testing.T, id string) (launched time.Duration, ok bool) {
 	t.Helper()
-	s.onLoop(t, func() {
+	s.runOnLoop(t, func() {
 		b := s.loop.backendsByID[id]
 		if b == nil {
 			return
@@ -50,23 +50,23 @@
 		"a minute back": -time.Minute,
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := echo(t).Addr().String()
-			list := listText(1, true, listed{"old", addr, "ready", 0}, listed{"again", addr, "ready", 1000})
-			reg := newRegistry(t, list)
-			n := start(t, testConfig(t, reg.addr, list))
+			addr := newEchoBackend(t).Addr().String()
+			list := formatList(1, true, listEntry{"old", addr, "ready", 0}, listEntry{"again", addr, "ready", 1000})
+			reg := newDiscoveryService(t, list)
+			n := startNode(t, testConfig(t, reg.addr, list))
 			eventually(t, "readiness", n.loop.ready.Load)
 			listedStart := time.Now().Add(shift).UnixMilli()
 			var before time.Duration
-			n.onLoop(t, func() { before = n.loop.now() })
-			reg.next <- listText(2, false,
-				listed{"fresh", addr, "ready", listedStart}, listed{"again", addr, "ready", listedStart})
+			n.runOnLoop(t, func() { before = n.loop.now() })
+			reg.changes <- formatList(2, false,
+				listEntry{"fresh", addr, "ready", listedStart}, listEntry{"again", addr, "ready", listedStart})
 			for _, id := range []string{"fresh", "again"} {
 				var startedAt time.Duration
 				eventually(t, id, func() (ok bool) {
 					startedAt, ok = n.startTimeOf(t, id)
 					return ok && startedAt != 1000*time.Millisecond
 				})
-				if age := before - startedAt; age > 10*time.Second || age < -patience {
+				if age := before - startedAt; age > 10*time.Second || age < -testTimeout {
 					t.Errorf("%s counts as started %v before it was listed", id, age)
 				}
 			}
@@ -82,11 +82,11 @@
 func testUncordoned(t *testing.T) {
 	for name, shift := range map[string]time.Duration{"an hour back": -time.Hour, "an hour ahead": time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			n := startOn(t, echo(t).Addr().String())
+			n := startNodeWith(t, newEchoBackend(t).Addr().String())
 			eventually(t, "readiness", n.loop.ready.Load)
 			stamp := time.Now().Add(shift).UnixNano()
 			var at []time.Duration
-			n.onLoop(t, func() {
+			n.runOnLoop(t, func() {
 				before := n.loop.now()
 				cordoned := cordon{Cordoned: true, CordonedAt: stamp}
 				n.loop.applyCordons(cordonRecord{Version: 1, Backends: map[string]cordon{"s-0": cordoned}})
