--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -115,7 +115,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("done")
+		return okResponse("done")
 	}))
 	var lost atomic.Bool
 	s := startFlaky(t, b.Addr().String(), []error{syscall.EBADF}, func(int64) bool { return lost.Load() })
@@ -145,7 +145,7 @@
 		if r.URL.Path == "/api/x" {
 			told <- r.Header.Get("X-Expires-In")
 		}
-		return ok200("done")
+		return okResponse("done")
 	}))
 	var failing atomic.Bool
 	s := startFlaky(t, b.Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -63,11 +63,11 @@
 		case "/error":
 			return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 		case "/stats":
-			return ok200("TEXT inflight=0")
+			return okResponse("TEXT inflight=0")
 		case "/slow":
 			time.Sleep(50 * time.Millisecond)
 		}
-		return ok200("fine")
+		return okResponse("fine")
 	}))
 	n := startAdmin(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"},
 		listEntry{id: "s-b", addr: "127.0.0.1:9", phase: "draining"}))
@@ -139,7 +139,7 @@
 		if r.URL.Path == "/error" {
 			return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 		}
-		return ok200("fine")
+		return okResponse("fine")
 	}))
 	n := startAdmin(t, formatList(7, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
 	roundTrip(t, newClientRequest(t, n.url+"/fine", "order"))
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -77,7 +77,7 @@
 	l.statistics.attempts[res.status]++
 	l.counters.attempts[res.status].Add(1)
 	if res.status == balance.StatusSucceeded && r.isOpen() {
-		l.passOn(r, a, res)
+		l.deliverResponse(r, a, res)
 	}
 	l.releaseRequest(r)
 	l.handle(balance.AttemptEnded{
@@ -92,14 +92,14 @@
 	})
 }
 
-// passOn makes a backend's response the final one of its request.
-func (l *eventLoop) passOn(r *request, a *attempt, res attemptResult) {
+// deliverResponse makes a backend's response the final one of its request.
+func (l *eventLoop) deliverResponse(r *request, a *attempt, res attemptResult) {
 	r.apply(finalResponseGiven)
 	l.statistics.responses[responseServed]++
 	if l.onServed != nil {
 		l.onServed(r, l.now()-a.sentAt)
 	}
-	if res.stream != nil && l.openStreams != nil {
+	if res.stream != nil && l.openResponseStreams != nil {
 		l.trackStream(a.backend.id, res.stream)
 	}
 	r.response <- finalResponse{
@@ -122,7 +122,7 @@
 
 // trackStream counts a streamed response as open at its backend until all of it has been passed on.
 func (l *eventLoop) trackStream(backendID string, s *responseStream) {
-	l.openStreams[backendID]++
+	l.openResponseStreams[backendID]++
 	end := s.release
 	s.release = func(complete bool) {
 		end(complete)
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -9,9 +9,9 @@
 // gaugeInterval is the least time between two counts of the endpoints that the Balancer avoids.
 const gaugeInterval = 50 * time.Millisecond
 
-// availabilityChanged follows a change of phases or cordons: connections to backends that are unavailable are closed,
+// updateAvailability follows a change of phases or cordons: connections to backends that are unavailable are closed,
 // attempts that wait for one are cancelled, and the node's readiness is set anew.
-func (l *eventLoop) availabilityChanged() {
+func (l *eventLoop) updateAvailability() {
 	ready := false
 	for _, b := range l.backendsByID {
 		if b.available() {
@@ -29,14 +29,14 @@
 	l.publishGauges(l.now())
 }
 
-// stopAwaitingList has the node serve on the cached list, where discovery has pushed none in time.
-func (l *eventLoop) stopAwaitingList() {
+// stopAwaitingFirstList has the node serve on the cached list, where discovery has pushed none in time.
+func (l *eventLoop) stopAwaitingFirstList() {
 	if !l.awaitingFirstList {
 		return
 	}
 	l.log.Warn("no endpoint list from discovery yet, serving on the cached one")
 	l.awaitingFirstList = false
-	l.availabilityChanged()
+	l.updateAvailability()
 }
 
 // applyCordons takes in the record of cordons. One that is no newer than the last changes nothing.
@@ -49,7 +49,7 @@
 	for id, b := range l.backendsByID {
 		l.applyCordon(b, record.Backends[id])
 	}
-	l.availabilityChanged()
+	l.updateAvailability()
 }
 
 // applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is
--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -28,15 +28,15 @@
 				resetConn(c) // the second request on a connection breaks it
 				return
 			}
-			io.WriteString(c, ok200("x"))
+			io.WriteString(c, okResponse("x"))
 		}
 	})
 	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
-	r := attemptOnce(t, transport, to, newTestRequest("first"))
+	r := attemptOnce(t, transport, to, newForwardedRequest("first"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "x" {
 		t.Fatalf("the first: %v", r)
 	}
-	if r := attemptOnce(t, transport, to, newTestRequest("second")); r.status != balance.StatusConnectionLost {
+	if r := attemptOnce(t, transport, to, newForwardedRequest("second")); r.status != balance.StatusConnectionLost {
 		t.Errorf("the second: status %v, want connection lost: it may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
@@ -46,31 +46,31 @@
 
 // A backend restarted under its address leaves connections that look open here. No request is lost on one.
 func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
-	serve := respondWith(func(r *http.Request) string { return ok200(r.Header.Get("X-Trace-Id")) })
+	serve := respondWith(func(r *http.Request) string { return okResponse(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) { conns <- c; serve(c, br) })
 	addr := b.Addr().String()
 	transport, to := newTestTransport(t), connpool.Server{Addr: addr}
-	if r := attemptOnce(t, transport, to, newTestRequest("old")); r.status != balance.StatusSucceeded {
+	if r := attemptOnce(t, transport, to, newForwardedRequest("old")); r.status != balance.StatusSucceeded {
 		t.Fatalf("%v", r.status)
 	}
 	b.Close()
 	resetConn(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
-	r := attemptOnce(t, transport, to, newTestRequest("new"))
+	r := attemptOnce(t, transport, to, newForwardedRequest("new"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "new" {
 		t.Errorf("after the restart: %v %q", r.status, r.body)
 	}
 }
 
 // A connection is not reused after surplus bytes: they would be read as the response to the next request.
-func TestSurplusAfterResponseReachesNobody(t *testing.T) {
+func TestSurplusBytesAreNotReadAsAResponse(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
-		return ok200(r.Header.Get("X-Trace-Id")) + ok200("surplus")
+		return okResponse(r.Header.Get("X-Trace-Id")) + okResponse("surplus")
 	}))
 	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		r := attemptOnce(t, transport, to, newTestRequest(id))
+		r := attemptOnce(t, transport, to, newForwardedRequest(id))
 		if r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: %v %q", id, r.status, r.body)
 		}
@@ -79,23 +79,23 @@
 
 // A second response that comes a moment late reaches nobody either: once a backend has sent more than a response,
 // with it or while the connection was idle, connections are quarantined before they carry another request.
-func TestLateSecondResponseReachesNobody(t *testing.T) {
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		first, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		io.WriteString(c, ok200(first.Header.Get("X-Trace-Id")))
+		io.WriteString(c, okResponse(first.Header.Get("X-Trace-Id")))
 		c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		br.Peek(1) // the next request may come first
-		io.WriteString(c, ok200(first.Header.Get("X-Trace-Id")))
+		io.WriteString(c, okResponse(first.Header.Get("X-Trace-Id")))
 		c.SetReadDeadline(time.Time{})
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
+			io.WriteString(c, okResponse(r.Header.Get("X-Trace-Id")))
 		}
 	})
 	transport := newTestTransportOn(t, connpool.New(connpool.Config{
@@ -106,7 +106,7 @@
 	transport.pool.StartQuarantine()
 	to := connpool.Server{Addr: b.Addr().String()}
 	for _, id := range []string{"one", "two"} {
-		r := attemptOnce(t, transport, to, newTestRequest(id))
+		r := attemptOnce(t, transport, to, newForwardedRequest(id))
 		if r.status != balance.StatusSucceeded || string(r.body) != id {
 			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
 		}
@@ -121,10 +121,10 @@
 				return
 			}
 			if late {
-				io.WriteString(c, ok200(""))
+				io.WriteString(c, okResponse(""))
 				io.WriteString(c, "x")
 			} else {
-				io.WriteString(c, ok200("")+"x")
+				io.WriteString(c, okResponse("")+"x")
 			}
 			wrote <- struct{}{}
 			br.ReadByte()
@@ -133,10 +133,10 @@
 		if transport.pool.Quarantine() != 0 {
 			t.Error("quarantine from the start")
 		}
-		attemptOnce(t, transport, to, newTestRequest("one"))
+		attemptOnce(t, transport, to, newForwardedRequest("one"))
 		<-wrote
 		eventually(t, name+": quarantine", func() bool {
-			attemptOnce(t, transport, to, newTestRequest("another"))
+			attemptOnce(t, transport, to, newForwardedRequest("another"))
 			return transport.pool.Quarantine() == connpool.QuarantineTime
 		})
 	}
@@ -144,12 +144,12 @@
 
 // The pool has at most MaxOpen connections, and closes an idle one for a new one.
 func TestPoolIsBounded(t *testing.T) {
-	serve := respondWith(func(*http.Request) string { return ok200("x") })
+	serve := respondWith(func(*http.Request) string { return okResponse("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
 	transport := newTestTransport(t)
 	transport.pool.SetMaxOpen(1)
 	for _, l := range []*rawBackend{a, b} {
-		r := attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, newTestRequest("id"))
+		r := attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, newForwardedRequest("id"))
 		if r.status != balance.StatusSucceeded {
 			t.Errorf("%v", r.status)
 		}
@@ -158,7 +158,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := attemptOnce(t, transport, connpool.Server{Addr: a.Addr().String()}, newTestRequest("id"))
+	r := attemptOnce(t, transport, connpool.Server{Addr: a.Addr().String()}, newForwardedRequest("id"))
 	if r.status != balance.StatusNotSent {
 		t.Errorf("with no room: %v", r.status)
 	}
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.WriteString(c, ok200(fmt.Sprintf("%d %x", n, h.Sum(nil)))); err != nil {
+		if _, err := io.WriteString(c, okResponse(fmt.Sprintf("%d %x", n, h.Sum(nil)))); err != nil {
 			return
 		}
 	}
@@ -166,8 +166,8 @@
 		want   string
 		slow   bool // it comes in two parts
 	}{
-		"sized":       {answer: ok200(big), want: big},
-		"sized, slow": {answer: ok200(big), want: big, slow: true},
+		"sized":       {answer: okResponse(big), want: big},
+		"sized, slow": {answer: okResponse(big), want: big, slow: true},
 		"chunked":     {answer: chunkedHead + "Trailer: X-Sum\r\n\r\n" + chunks(big, 70_001), want: big},
 		"chunked, slow": {
 			answer: chunkedHead + "\r\n" + chunks(big[:40<<10], 999),
@@ -177,8 +177,8 @@
 		"small chunks":       {answer: chunkedHead + "\r\n" + chunks("hello there", 3), want: "hello there"},
 		"ends with its end":  {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, want: big},
 		"small, to its end":  {answer: "HTTP/1.0 200 OK\r\n\r\nhello", want: "hello"},
-		"1xx ahead":          {answer: interim + ok200(big), want: big},
-		"beyond the largest": {answer: ok200(strings.Repeat(big, 7)), want: strings.Repeat(big, 7)},
+		"1xx ahead":          {answer: interim + okResponse(big), want: big},
+		"beyond the largest": {answer: okResponse(strings.Repeat(big, 7)), want: strings.Repeat(big, 7)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -17,7 +17,7 @@
 	ids := make(chan string, 64)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		ids <- r.Header.Get("X-Trace-Id")
-		return ok200("")
+		return okResponse("")
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	inner := "POST /api/x HTTP/1.1\r\nHost: x\r\n" +
@@ -86,7 +86,7 @@
 func TestProperFramingIsServed(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		text, _ := io.ReadAll(r.Body)
-		return ok200(string(text))
+		return okResponse(string(text))
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	head := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: order\r\nX-Customer: acme\r\n"
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -46,7 +46,7 @@
 
 // A malformed request is rejected with a 4xx at once and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("") }))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("") }))
 	reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.completeList)
 	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
@@ -181,7 +181,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("once")
+		return okResponse("once")
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	same := func(r *http.Request) { r.Header.Set("X-Trace-Id", "same") }
@@ -207,7 +207,7 @@
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("x")
+		return okResponse("x")
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	n.runOnLoop(t, func() {})
@@ -231,7 +231,7 @@
 
 // Idle connections are evicted for clients that send requests.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("x") }))
 	text := formatList(1, true, listEntry{"s", b.Addr().String(), "ready", 0})
 	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 	cfg.Limits.Sockets = minDescriptors
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -20,9 +20,9 @@
 	for _, id := range []string{"s-a", "s-b"} {
 		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			if r.URL.Path == "/stats" {
-				return ok200("TEXT inflight=0")
+				return okResponse("TEXT inflight=0")
 			}
-			return ok200(id)
+			return okResponse(id)
 		}))
 		members = append(members, listEntry{id: id, addr: b.Addr().String(), phase: "ready"})
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// reading returns a request of the class "read" as it is sent on a connection.
-func reading(id string) string {
+// encodedReadRequest returns a request of the class "read" as it is sent on a connection.
+func encodedReadRequest(id string) string {
 	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\n" +
 		"X-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
 }
 
-// hanging starts a backend that answers all requests but those with the id "hangs". It reports which requests arrive,
-// and which hanging ones are cancelled.
-func hanging(t *testing.T) (addr string, came, ended chan string) {
+// newHangingBackend starts a backend that answers all requests except those with the id "hangs". It sends the id of
+// each request that arrives on came, and "hangs" on ended for each hanging request whose connection the node closes.
+func newHangingBackend(t *testing.T) (addr string, came, ended chan string) {
 	came, ended = make(chan string, 1<<10), make(chan string, 1<<10)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -38,7 +38,7 @@
 				ended <- id
 				return
 			}
-			io.WriteString(c, ok200(id))
+			io.WriteString(c, okResponse(id))
 		}
 	})
 	return b.Addr().String(), came, ended
@@ -56,9 +56,9 @@
 	return c
 }
 
-// nothingElse checks that no request reaches the backends but those that are expected: what a node does for a client
-// that has disconnected it does before it serves the next one.
-func (s *testNode) nothingElse(t *testing.T, came chan string) {
+// expectNoOtherRequest waits until all clients are disconnected, sends one more request, and checks that no other
+// request reaches a backend. A node that still forwarded a request of a disconnected client would do so before.
+func (s *testNode) expectNoOtherRequest(t *testing.T, came chan string) {
 	t.Helper()
 	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
 	last := newClientRequest(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
@@ -71,11 +71,11 @@
 }
 
 // Nothing is forwarded for a client that disconnected before the node read its request.
-func TestDisconnectInTheBacklog(t *testing.T) {
+func TestDisconnectWhileInBacklog(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": resetConn} {
 		for _, more := range []int{0, 1, 3} {
 			t.Run(fmt.Sprintf("%s,more=%d", name, more), func(t *testing.T) {
-				addr, came, _ := hanging(t)
+				addr, came, _ := newHangingBackend(t)
 				text := formatList(1, true, listEntry{"s", addr, "ready", 0})
 				made, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
 				if err != nil {
@@ -86,12 +86,12 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					io.WriteString(c, strings.Repeat(reading(fmt.Sprintf("left-%d", i)), 1+more))
+					io.WriteString(c, strings.Repeat(encodedReadRequest(fmt.Sprintf("left-%d", i)), 1+more))
 					leave(c)
 				}
 				n := runNode(t, made)
 				eventually(t, "readiness", n.loop.ready.Load)
-				n.nothingElse(t, came)
+				n.expectNoOtherRequest(t, came)
 			})
 		}
 	}
@@ -99,40 +99,40 @@
 
 // The disconnect of a client that has sent more behind its request is noticed: its request is cancelled, and what came
 // behind is not started.
-func TestDisconnectBehindPipelinedBytes(t *testing.T) {
+func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	for name, behind := range map[string]string{
 		"nothing":   "",
 		"a byte":    "G",
-		"a request": reading("behind"),
-		"many":      strings.Repeat(reading("behind"), 200),
+		"a request": encodedReadRequest("behind"),
+		"many":      strings.Repeat(encodedReadRequest("behind"), 200),
 		"noise":     strings.Repeat("x", 4000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, came, ended := hanging(t)
+			addr, came, ended := newHangingBackend(t)
 			n := startNodeWith(t, addr)
-			c := n.dialAndSend(t, reading("hangs")+behind)
+			c := n.dialAndSend(t, encodedReadRequest("hangs")+behind)
 			receive(t, "the attempt", came)
 			c.Close()
 			receive(t, "the end of the attempt", ended)
-			n.nothingElse(t, came)
+			n.expectNoOtherRequest(t, came)
 		})
 	}
 }
 
 // The connection of a client that sends without end behind a request is closed, and takes a bounded amount of memory.
-func TestFloodBehindARequestIsEnded(t *testing.T) {
-	addr, came, ended := hanging(t)
+func TestEndlessPipelinedBytesCloseTheConnection(t *testing.T) {
+	addr, came, ended := newHangingBackend(t)
 	n := startNodeWith(t, addr)
-	c := n.dialAndSend(t, reading("hangs"))
+	c := n.dialAndSend(t, encodedReadRequest("hangs"))
 	receive(t, "the attempt", came)
-	go io.Copy(c, strings.NewReader(strings.Repeat(reading("behind"), 1<<15)))
+	go io.Copy(c, strings.NewReader(strings.Repeat(encodedReadRequest("behind"), 1<<15)))
 	receive(t, "the end of the attempt", ended)
-	n.nothingElse(t, came)
+	n.expectNoOtherRequest(t, came)
 }
 
 // Nothing is written for a client that disconnects while the connection to the backend is being dialed.
-func TestDisconnectDuringADial(t *testing.T) {
-	addr, came, _ := hanging(t)
+func TestDisconnectDuringDial(t *testing.T) {
+	addr, came, _ := newHangingBackend(t)
 	n := startNodeWith(t, addr)
 	dialing, dial := make(chan struct{}, 8), make(chan struct{})
 	n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
@@ -140,26 +140,26 @@
 		<-dial
 		return nil
 	})
-	c := n.dialAndSend(t, reading("left"))
+	c := n.dialAndSend(t, encodedReadRequest("left"))
 	receive(t, "a dial", dialing)
 	c.Close()
 	eventually(t, "the node to know", func() bool { return n.server.inFlight.Load() == 0 && n.openRequests(t) == 0 })
 	close(dial)
-	n.nothingElse(t, came)
+	n.expectNoOtherRequest(t, came)
 }
 
 // A client that sent more behind its request gets its complete response from a node that shuts down: a close over
 // unread bytes would reset the connection, and lose the response.
-func TestResponseOutlivesTheCloseOverUnreadBytes(t *testing.T) {
+func TestShutdownSendsCompleteResponseDespiteUnreadBytes(t *testing.T) {
 	const size = 60 << 10
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200(strings.Repeat("x", size))
+		return okResponse(strings.Repeat("x", size))
 	}))
 	n := startNodeWith(t, b.Addr().String())
-	c := n.dialAndSend(t, reading("one")+strings.Repeat("y", 40<<10))
+	c := n.dialAndSend(t, encodedReadRequest("one")+strings.Repeat("y", 40<<10))
 	c.(*net.TCPConn).SetReadBuffer(4 << 10) // so that most of the answer waits at the node when it closes
 	receive(t, "the attempt", held)
 	n.server.shutdown.start()
@@ -250,7 +250,7 @@
 						resetConn(c)
 						return
 					}
-					io.WriteString(c, ok200(""))
+					io.WriteString(c, okResponse(""))
 				}
 			}
 			text := formatList(1, true, listEntry{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -17,7 +17,7 @@
 func TestDrainCancelsAttemptsThatDial(t *testing.T) {
 	served := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return respondWith(func(*http.Request) string { served <- name; return ok200(name) })
+		return respondWith(func(*http.Request) string { served <- name; return okResponse(name) })
 	}
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
@@ -102,7 +102,7 @@
 		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			queries <- r.URL.RawQuery
 			<-release
-			return ok200(formatList(2, false,
+			return okResponse(formatList(2, false,
 				listEntry{"s", "127.0.0.1:9", "draining", 0}, listEntry{"u", "127.0.0.1:9", "ready", 0}))
 		}))
 		n, err := New(testConfig(t, b.Addr().String(), known), nopLog())
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -28,7 +28,7 @@
 		l.lastListAt = l.now()
 	}
 	l.handle(balance.EndpointsListed{Kind: kind, Endpoints: endpoints})
-	l.availabilityChanged()
+	l.updateAvailability()
 }
 
 // updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock.
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -13,11 +13,11 @@
 
 // An endpoint list takes effect while idle clients occupy all connections for clients, after discovery was down, and
 // whether lists are pushed or polled: a drain is noticed, and the new backend serves a new client.
-func TestIdleClientsFillANodeWhileDiscoveryIsDown(t *testing.T) {
+func TestEndpointListIsAppliedWhileIdleClientsFillTheNode(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
-			old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("old") }))
-			fresh := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("fresh") }))
+			old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("old") }))
+			fresh := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("fresh") }))
 			before := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
 			after := formatList(2, false,
 				listEntry{"old", old.Addr().String(), "draining", 0},
@@ -44,16 +44,16 @@
 					}
 					switch {
 					case !over(down):
-						io.WriteString(c, ok200(before))
+						io.WriteString(c, okResponse(before))
 					case !over(back):
 						resetConn(c)
 						return
 					case query == "":
-						io.WriteString(c, ok200(strings.Replace(after, `"complete":false`, `"complete":true`, 1)))
+						io.WriteString(c, okResponse(strings.Replace(after, `"complete":false`, `"complete":true`, 1)))
 					case strings.HasPrefix(query, "after=2") && waits:
 						br.ReadByte()
 					default:
-						io.WriteString(c, ok200(after))
+						io.WriteString(c, okResponse(after))
 					}
 				}
 			})
@@ -112,7 +112,7 @@
 	old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("old")
+		return okResponse("old")
 	}))
 	before := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
 	reg := newDiscoveryService(t, before)
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -19,19 +19,19 @@
 	messages chan loopMessage
 	done     chan struct{} // closed when the loop has ended
 
-	balancer  *balance.Balancer
-	upstream  *upstreamTransport
-	guard     *guard
-	shutdown  *shutdownSchedule
-	log       *slog.Logger
-	startedAt time.Time
-	origin    time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
-
-	requestDiscovery   func(balance.ActionKind)              // passes on that endpoints are to be watched or polled
-	sendToPeer         func(peer int, payload []byte)        // sends a gossip datagram
-	takeDiscoveryCalls func() int64                          // calls of discovery since it was last called
-	onServed           func(r *request, spent time.Duration) // notified of each request served; nil: nobody is
-	openStreams        map[string]int                        // open streamed responses by backend; nil: not counted
+	balancer    *balance.Balancer
+	upstream    *upstreamTransport
+	guard       *guard
+	shutdown    *shutdownSchedule
+	log         *slog.Logger
+	startedAt   time.Time
+	clockOrigin time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
+
+	requestDiscovery    func(balance.ActionKind)              // passes on that endpoints are to be watched or polled
+	sendToPeer          func(peer int, payload []byte)        // sends a gossip datagram
+	takeDiscoveryCalls  func() int64                          // calls of discovery since it was last called
+	onServed            func(r *request, spent time.Duration) // notified of each request served; nil: nobody is
+	openResponseStreams map[string]int                        // open streamed responses by backend; nil: not counted
 
 	requests             map[string]*request
 	backendsByID         map[string]*backend // by discovery's id
@@ -49,10 +49,10 @@
 	handling     bool            // the Balancer handles an event now
 	actions      []balance.Action
 
-	statistics        statistics
-	counters          *counters
-	gaugesPublishedAt time.Duration
-	unservedLog       *lograte.Limited
+	statistics         statistics
+	counters           *counters
+	gaugesPublishedAt  time.Duration
+	unservedRequestLog *lograte.Limited
 }
 
 // messageBacklog is how many messages may wait for the loop before their senders do.
@@ -71,7 +71,7 @@
 		guard:              newGuard(balance.Config{}, log),
 		log:                log,
 		startedAt:          startedAt,
-		origin:             wallClock(),
+		clockOrigin:        wallClock(),
 		requestDiscovery:   func(balance.ActionKind) {},
 		sendToPeer:         func(int, []byte) {},
 		takeDiscoveryCalls: func() int64 { return 0 },
@@ -79,7 +79,7 @@
 		backendsByID:       map[string]*backend{},
 		cordonTimes:        map[string]cordonTimes{},
 		counters:           counters,
-		unservedLog:        &lograte.Limited{Log: log},
+		unservedRequestLog: &lograte.Limited{Log: log},
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // now returns the loop's clock: Unix time when the loop was made, and by the monotonic clock since, so it never steps
 // back.
-func (l *eventLoop) now() time.Duration { return l.origin + time.Since(l.startedAt) }
+func (l *eventLoop) now() time.Duration { return l.clockOrigin + time.Since(l.startedAt) }
 
 // run handles messages and timers until quit is closed.
 func (l *eventLoop) run(quit <-chan struct{}) {
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -76,7 +76,7 @@
 	m.agent = fleet.NewAgent(agentConfig, rand.Text(), client, m.report, n.log)
 	n.server.fleet = m
 	n.loop.onServed = m.requestServed
-	n.loop.openStreams = map[string]int{}
+	n.loop.openResponseStreams = map[string]int{}
 	return m
 }
 
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -14,7 +14,7 @@
 
 // Without the key a node is in no fleet: it has no agent, no hook, no goroutine, no connection, no call.
 func TestNoFleetMemberWithoutTheKey(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("x") }))
 	n := startAdmin(t, formatList(1, true, listEntry{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
 	roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
@@ -55,7 +55,7 @@
 func TestFleetReport(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		time.Sleep(5 * time.Millisecond)
-		return ok200("x")
+		return okResponse("x")
 	}))
 	text := formatList(1, true, listEntry{"s-a", b.Addr().String(), "ready", 0})
 	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -46,27 +46,27 @@
 // attempt that would violate one, and counts violations: a count above zero is a fault of the program. It belongs to
 // the loop, but for reportViolation, which may be called from any goroutine.
 type guard struct {
-	classes     []balance.Class
-	drainGrace  time.Duration
-	maxAttempts int // of a request
-	violations  [invariantCount]atomic.Int64
-	warnings    *lograte.Limited
+	classes      []balance.Class
+	drainGrace   time.Duration
+	maxAttempts  int // of a request
+	violations   [invariantCount]atomic.Int64
+	violationLog *lograte.Limited
 }
 
 // newGuard returns the guard for a site's settings.
 func newGuard(config balance.Config, log *slog.Logger) *guard {
 	return &guard{
-		classes:     config.Classes,
-		drainGrace:  config.Rules.DrainGrace,
-		maxAttempts: max(config.Limits.MaxAttempts, 1),
-		warnings:    &lograte.Limited{Log: log},
+		classes:      config.Classes,
+		drainGrace:   config.Rules.DrainGrace,
+		maxAttempts:  max(config.Limits.MaxAttempts, 1),
+		violationLog: &lograte.Limited{Log: log},
 	}
 }
 
 // reportViolation counts and logs a violation, with further attributes for the log.
 func (g *guard) reportViolation(r invariant, request string, args ...any) {
 	g.violations[r].Add(1)
-	g.warnings.Warn("invariant violated", append([]any{"rule", invariantNames[r], "request", request}, args...)...)
+	g.violationLog.Warn("invariant violated", append([]any{"rule", invariantNames[r], "request", request}, args...)...)
 }
 
 // maySend reports whether another attempt for a request may go to a backend. It is no violation where the Balancer
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -10,7 +10,7 @@
 
 // The guard prevents an attempt that would violate an invariant and counts it; one that the Balancer could not know to
 // be impossible is prevented and not counted.
-func TestGuardRefusesWhatWouldBreakARule(t *testing.T) {
+func TestGuardPreventsViolations(t *testing.T) {
 	const (
 		unsafe = iota
 		keyed
@@ -76,7 +76,7 @@
 }
 
 // An attempt that started too long after its client's disconnect, or after its backend became unavailable, is counted.
-func TestGuardCountsWhatBeganTooLate(t *testing.T) {
+func TestGuardCountsLateAttempts(t *testing.T) {
 	g := newGuard(balance.Config{Rules: balance.Rules{DrainGrace: 500 * time.Millisecond}}, nopLog())
 	stopped := &attempt{backend: &backend{unavailableSince: time.Second}}
 	g.checkStart(&request{disconnectedAt: time.Second}, stopped, time.Second+disconnectGrace)
@@ -91,12 +91,12 @@
 }
 
 // A connection that this side closes under a request that it has read is counted.
-func TestGuardCountsAConnectionEndedUnderARequest(t *testing.T) {
+func TestGuardCountsConnectionClosedBeforeResponse(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("late")
+		return okResponse("late")
 	}))
 	defer close(hold)
 	n := startNodeWith(t, b.Addr().String())
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -121,7 +121,7 @@
 		pause(ctx, shutdownPollInterval)
 	}
 	state, usage, err := h.takeOver()
-	n.loop.post(nodeTakenOver{state})
+	n.loop.post(handoverStateReceived{state})
 	n.shareDescriptors(usage)
 	n.listener.setPaused(false)
 	n.log.Info("took over from predecessor", "clients", usage.ClientConns, "backends", usage.BackendConns,
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -36,10 +36,10 @@
 func newEchoBackend(t *testing.T) *rawBackend {
 	return newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/stats" {
-			return ok200("TEXT inflight=0")
+			return okResponse("TEXT inflight=0")
 		}
 		time.Sleep(time.Millisecond)
-		return ok200(r.Header.Get("X-Trace-Id"))
+		return okResponse(r.Header.Get("X-Trace-Id"))
 	}))
 }
 
@@ -221,7 +221,7 @@
 			held <- struct{}{}
 			<-hold
 		}
-		return ok200("done")
+		return okResponse("done")
 	}))
 	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	predecessor := process(t, dir, "", list)
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -17,7 +17,7 @@
 		if r.Method != "GET" || r.URL.Path != "/stats" {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"
 		}
-		return ok200(body.Load().(string))
+		return okResponse(body.Load().(string))
 	}))
 	transport, done := newTestTransport(t), make(chan attemptResult, 1)
 	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -77,8 +77,8 @@
 func (d *maintenanceDriver) nodeState(
 	ctx context.Context, view fleet.View, incarnation uint64,
 ) (maintenance.NodeState, error) {
-	reply := make(chan openWork, 1)
-	open, err := query(ctx, d.node.loop, openWorkQuery{reply}, reply)
+	reply := make(chan workInFlight, 1)
+	open, err := query(ctx, d.node.loop, workInFlightQuery{reply}, reply)
 	if err != nil {
 		return maintenance.NodeState{}, err
 	}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -154,7 +154,7 @@
 
 // "OPTIONS *" is rejected like any other malformed request; the library would answer it itself.
 func TestNoResponseIsTheLibrarysOwn(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("") }))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("") }))
 	status, _ := exchange(t, startNodeWith(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status < 400 {
 		t.Errorf("answered %d", status)
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -72,7 +72,7 @@
 // responseStreamEnded says that a streamed response of a backend has been passed on, or has broken off.
 type responseStreamEnded struct{ backendID string }
 
-func (m responseStreamEnded) handle(l *eventLoop) { l.openStreams[m.backendID]-- }
+func (m responseStreamEnded) handle(l *eventLoop) { l.openResponseStreams[m.backendID]-- }
 
 // healthCheckFinished is the result of a health check.
 type healthCheckFinished struct {
@@ -99,7 +99,7 @@
 // firstListOverdue says that discovery has had its time to push a first endpoint list.
 type firstListOverdue struct{}
 
-func (firstListOverdue) handle(l *eventLoop) { l.stopAwaitingList() }
+func (firstListOverdue) handle(l *eventLoop) { l.stopAwaitingFirstList() }
 
 // cordonsChanged is the record of cordons as it stands in the file now.
 type cordonsChanged struct {
@@ -131,10 +131,10 @@
 	l.handle(balance.HandoverChanged{HandedOver: m.handedOver})
 }
 
-// nodeTakenOver has the state of the predecessor.
-type nodeTakenOver struct{ state handoverState }
+// handoverStateReceived has the state of the predecessor.
+type handoverStateReceived struct{ state handoverState }
 
-func (m nodeTakenOver) handle(l *eventLoop) {
+func (m handoverStateReceived) handle(l *eventLoop) {
 	l.handle(balance.TookOver{State: l.importState(m.state)})
 }
 
@@ -186,17 +186,17 @@
 	m.reply <- loads
 }
 
-// openWork is what this node still has in flight, by backend.
-type openWork struct {
+// workInFlight is what this node still has in flight, by backend.
+type workInFlight struct {
 	revision int64          // of the endpoint list that the node holds
 	inFlight map[string]int // attempts and streamed responses, by the backend's id
 }
 
-// openWorkQuery asks for what is in flight at each backend.
-type openWorkQuery struct{ reply chan<- openWork }
+// workInFlightQuery asks for what is in flight at each backend.
+type workInFlightQuery struct{ reply chan<- workInFlight }
 
-func (m openWorkQuery) handle(l *eventLoop) {
-	inFlight := maps.Clone(l.openStreams)
+func (m workInFlightQuery) handle(l *eventLoop) {
+	inFlight := maps.Clone(l.openResponseStreams)
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
 			if !a.ended() {
@@ -204,5 +204,5 @@
 			}
 		}
 	}
-	m.reply <- openWork{revision: l.listRevision, inFlight: inFlight}
+	m.reply <- workInFlight{revision: l.listRevision, inFlight: inFlight}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -9,14 +9,14 @@
 
 // A node that shuts down accepts requests for a while yet, responds to all that it has accepted, closes connections
 // with their responses, and ends by itself.
-func TestLeavingAnswersAllThatWasTaken(t *testing.T) {
+func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 16)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			held <- struct{}{}
 			<-hold
 		}
-		return ok200("done")
+		return okResponse("done")
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	eventually(t, "readiness", func() bool {
@@ -64,14 +64,14 @@
 }
 
 // A request in the listener's backlog counts as accepted: a full node that shuts down still serves it.
-func TestLeavingServesTheBacklog(t *testing.T) {
+func TestShutdownServesTheBacklog(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 64)
 	serve := respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
 			held <- struct{}{}
 			<-hold
 		}
-		return ok200("done")
+		return okResponse("done")
 	})
 	text := formatList(1, true, // while one has a slow request, the other is idle
 		listEntry{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
@@ -121,7 +121,7 @@
 
 // A node without backends is not ready, and becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
-	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("x") }))
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("x") }))
 	reg := newDiscoveryService(t, formatList(1, true))
 	n := startNode(t, testConfig(t, reg.addr, "null"))
 	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -18,14 +18,14 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// outage is a discovery that fails from one time to another, and lists a drain from the end on. A watch that is open
-// when it begins fails with it.
-type outage struct {
+// discoveryOutage is a discovery service that fails from one time until another. From the end of the outage on, it lists
+// its backend as draining. A watch that is open when the outage begins fails too.
+type discoveryOutage struct {
 	from, until time.Time
 	fault       string // silent: calls meanwhile are never answered; refused; busy
 }
 
-func (o *outage) RoundTrip(r *http.Request) (*http.Response, error) {
+func (o *discoveryOutage) RoundTrip(r *http.Request) (*http.Response, error) {
 	const slow = 100 * time.Millisecond
 	sleep(r.Context(), slow)
 	open := time.Now().Before(o.from)
@@ -68,7 +68,7 @@
 // A change counts as notified 6 s after discovery had it and could be reached, however long it was away, whatever
 // became of calls meanwhile and however large the fleet: the module's backoff and the client's timeouts together have
 // to hold that.
-func TestChangeIsNotifiedSoonAfterAnOutage(t *testing.T) {
+func TestEndpointChangeArrivesSoonAfterOutage(t *testing.T) {
 	for _, fault := range []string{"silent", "refused", "busy"} {
 		for _, polled := range []bool{true, false} {
 			for _, instances := range []int{1, 300} {
@@ -76,7 +76,7 @@
 					for seed := range uint64(4) {
 						for _, lasts := range []time.Duration{0, 4 * time.Second, 11 * time.Second, 63 * time.Second} {
 							synctest.Test(t, func(t *testing.T) {
-								notifiedAfterOutage(t, fault, polled, instances, seed, lasts)
+								testListAfterOutage(t, fault, polled, instances, seed, lasts)
 							})
 						}
 					}
@@ -86,7 +86,7 @@
 	}
 }
 
-func notifiedAfterOutage(t *testing.T, fault string, polled bool, instances int, seed uint64, lasts time.Duration) {
+func testListAfterOutage(t *testing.T, fault string, polled bool, instances int, seed uint64, lasts time.Duration) {
 	settings, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), nopLog()), newCounters(nil), nopLog())
 	var notified atomic.Int64
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
-	service := &outage{from: from, until: from.Add(lasts), fault: fault}
+	service := &discoveryOutage{from: from, until: from.Add(lasts), fault: fault}
 	client := discovery.NewClient(discovery.Config{
 		Address:   "127.0.0.1:1",
 		Settings:  settings,
--- a/internal/node/peers_spin_test.go
+++ b/internal/node/peers_spin_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// brokenConn fails each read at once, like a socket on a machine without free buffers.
-type brokenConn struct {
+// failingConn fails each read at once, like a socket on a machine without free buffers.
+type failingConn struct {
 	reads  atomic.Int64
 	closed atomic.Bool
 }
 
-func (c *brokenConn) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
+func (c *failingConn) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
 	c.reads.Add(1)
 	if c.closed.Load() {
 		return 0, netip.AddrPort{}, net.ErrClosed
@@ -24,20 +24,20 @@
 	return 0, netip.AddrPort{}, syscall.ENOBUFS
 }
 
-func (c *brokenConn) WriteToUDPAddrPort([]byte, netip.AddrPort) (int, error) {
+func (c *failingConn) WriteToUDPAddrPort([]byte, netip.AddrPort) (int, error) {
 	return 0, syscall.ENOBUFS
 }
 
-func (c *brokenConn) LocalAddr() net.Addr { return &net.UDPAddr{} }
+func (c *failingConn) LocalAddr() net.Addr { return &net.UDPAddr{} }
 
-func (c *brokenConn) Close() error {
+func (c *failingConn) Close() error {
 	c.closed.Store(true)
 	return nil
 }
 
 // A node whose gossip socket fails retries, at a rate that costs little processor time.
 func TestBrokenPeerSocketDoesNotSpin(t *testing.T) {
-	c := &brokenConn{}
+	c := &failingConn{}
 	p := &peers{conn: c, outgoing: make(chan datagram, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -15,7 +15,7 @@
 	for _, tc := range []struct{ nodes, backends int }{{350, 500}, {1024, 1024}} {
 		t.Run(fmt.Sprintf("%d nodes, %d backends", tc.nodes, tc.backends), func(t *testing.T) {
 			before := heapInUse()
-			b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return ok200("yes") }))
+			b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("yes") }))
 			peer := listenUDP(t)
 			var members []listEntry
 			for i := range tc.backends {
--- a/internal/node/streamed_request.go
+++ b/internal/node/streamed_request.go
@@ -59,7 +59,7 @@
 func (e *upstreamExchange) brokenUploadStatus(ctx context.Context, sent <-chan uploadEnd, err error) balance.Status {
 	if e.request.upload.complete.Load() {
 		if end := <-sent; end.complete {
-			return unansweredStatus(ctx, err)
+			return statusWithoutResponse(ctx, err)
 		}
 		return balance.StatusNotDelivered
 	}
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func ok200(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -31,24 +31,24 @@
 // buffer: neither says whether the last byte has been written, which decides if the backend may have run the request.
 // Here a request is written in one call. net/http still encodes its header and parses the response.
 type upstreamTransport struct {
-	pool              *connpool.Pool
-	inlineLoadReports bool             // responses carry load reports
-	writtenRequests   *atomic.Int64    // counts requests that were written completely, health checks aside
-	bodyMemory        *memoryBudget    // of responses that are read completely before they are passed on
-	loadReportLog     *lograte.Limited // of malformed load reports
-	failureLog        *lograte.Limited // of exchanges without a complete response
+	pool               *connpool.Pool
+	inlineLoadReports  bool             // responses carry load reports
+	writtenRequests    *atomic.Int64    // counts requests that were written completely, health checks aside
+	bodyMemory         *memoryBudget    // of responses that are read completely before they are passed on
+	loadReportLog      *lograte.Limited // of malformed load reports
+	exchangeFailureLog *lograte.Limited // of exchanges without a complete response
 }
 
 func newUpstreamTransport(
 	pool *connpool.Pool, inlineLoadReports bool, writtenRequests *atomic.Int64, log *slog.Logger,
 ) *upstreamTransport {
 	return &upstreamTransport{
-		pool:              pool,
-		inlineLoadReports: inlineLoadReports,
-		writtenRequests:   writtenRequests,
-		bodyMemory:        newMemoryBudget(0),
-		loadReportLog:     &lograte.Limited{Log: log},
-		failureLog:        &lograte.Limited{Log: log},
+		pool:               pool,
+		inlineLoadReports:  inlineLoadReports,
+		writtenRequests:    writtenRequests,
+		bodyMemory:         newMemoryBudget(0),
+		loadReportLog:      &lograte.Limited{Log: log},
+		exchangeFailureLog: &lograte.Limited{Log: log},
 	}
 }
 
@@ -113,7 +113,7 @@
 ) attemptResult {
 	conn, err := t.pool.Acquire(ctx, to)
 	if err != nil {
-		return attemptResult{status: t.unconnectedStatus(ctx, request, to, err)}
+		return attemptResult{status: t.statusWithoutConnection(ctx, request, to, err)}
 	}
 	if ctx.Err() != nil || !call.beginWrite() {
 		t.pool.Discard(conn)
@@ -129,9 +129,9 @@
 	return e.sendRequest(ctx, deadline)
 }
 
-// unconnectedStatus is the status of an exchange that got no connection. What this machine is short of says nothing
-// of the backend.
-func (t *upstreamTransport) unconnectedStatus(
+// statusWithoutConnection returns the status of an exchange that got no connection. A shortage of resources on this
+// machine is no failure of the backend.
+func (t *upstreamTransport) statusWithoutConnection(
 	ctx context.Context, request *forwardedRequest, to connpool.Server, err error,
 ) balance.Status {
 	switch {
@@ -145,10 +145,10 @@
 	return balance.StatusNotDelivered
 }
 
-// unansweredStatus is the status of an exchange whose request was written completely and that got no complete
+// statusWithoutResponse is the status of an exchange whose request was written completely and that got no complete
 // response: the backend may have run it. A timeout within a line of the head comes as a parse error, so ctx is looked
 // at too.
-func unansweredStatus(ctx context.Context, err error) balance.Status {
+func statusWithoutResponse(ctx context.Context, err error) balance.Status {
 	deadline, hasDeadline := ctx.Deadline()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(ctx.Err(), context.DeadlineExceeded),
@@ -167,7 +167,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	t.failureLog.Warn("attempt failed",
+	t.exchangeFailureLog.Warn("attempt failed",
 		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.Addr, "error", err)
 }
 
@@ -190,7 +190,7 @@
 		if written < int64(len(head)+len(e.request.body)) {
 			return attemptResult{status: balance.StatusNotDelivered} // it can't have run
 		}
-		return attemptResult{status: unansweredStatus(ctx, err)}
+		return attemptResult{status: statusWithoutResponse(ctx, err)}
 	}
 	if !e.request.healthCheck {
 		e.transport.writtenRequests.Add(1)
@@ -198,7 +198,7 @@
 	result, err := e.readResponse()
 	if err != nil {
 		e.discard(ctx, "no complete response", err)
-		return attemptResult{status: unansweredStatus(ctx, err)}
+		return attemptResult{status: statusWithoutResponse(ctx, err)}
 	}
 	return result
 }
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -44,7 +44,7 @@
 	return dialer.DialContext
 }
 
-func newTestRequest(id string) *forwardedRequest {
+func newForwardedRequest(id string) *forwardedRequest {
 	return &forwardedRequest{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
 }
@@ -66,12 +66,12 @@
 		body   string
 	}{
 		"served": {
-			answer: ok200("abc"),
+			answer: okResponse("abc"),
 			want:   balance.StatusSucceeded,
 			body:   "abc",
 		},
 		"largest body": {
-			answer: ok200(big),
+			answer: okResponse(big),
 			want:   balance.StatusSucceeded,
 			body:   big,
 		},
@@ -81,7 +81,7 @@
 			body:   "ab",
 		},
 		"1xx ahead": {
-			answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ok200("abc"),
+			answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse("abc"),
 			want:   balance.StatusSucceeded,
 			body:   "abc",
 		},
@@ -159,7 +159,7 @@
 					io.WriteString(c, tc.answer)
 				}
 			})
-			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, newTestRequest("id"))
+			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, newForwardedRequest("id"))
 			if r.stream != nil {
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status, r.body = balance.StatusConnectionLost, nil // its client can tell
@@ -173,14 +173,14 @@
 }
 
 // A request whose connection is refused, or breaks before the last byte is written, has not been run.
-func TestUnwrittenRequestNeverRan(t *testing.T) {
+func TestRequestNotFullyWrittenIsNotDelivered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	l.Close()
-	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, newTestRequest("refused"))
+	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, newForwardedRequest("refused"))
 	if r.status != balance.StatusNotDelivered {
 		t.Errorf("refused connection: %v", r.status)
 	}
@@ -208,7 +208,7 @@
 	}()
 	transport := newTestTransport(t)
 	transport.pool.DialContext = dialWithControl(small)
-	m := newTestRequest("partial")
+	m := newForwardedRequest("partial")
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
 	r = attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, m)
 	if r.status != balance.StatusNotDelivered {
@@ -223,14 +223,14 @@
 		if _, err := http.ReadRequest(br); err == nil {
 			begun <- struct{}{}
 			io.Copy(io.Discard, br)
-			io.WriteString(c, ok200("late"))
+			io.WriteString(c, okResponse("late"))
 			ended <- struct{}{}
 		}
 	})
 	transport, done := newTestTransport(t), make(chan attemptResult, 2)
 	c := new(upstreamCall)
 	to := connpool.Server{Addr: b.Addr().String()}
-	transport.start(c, to, newTestRequest("id"), time.Now().Add(testTimeout), func(r attemptResult) { done <- r })
+	transport.start(c, to, newForwardedRequest("id"), time.Now().Add(testTimeout), func(r attemptResult) { done <- r })
 	receive(t, "the request at the backend", begun)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
@@ -243,7 +243,7 @@
 }
 
 // An attempt that fails for want of this machine's resources says nothing of its backend; an unreachable network does.
-func TestShortageIsNoFailureOfABackend(t *testing.T) {
+func TestLocalResourceShortageIsNotABackendFailure(t *testing.T) {
 	b := newEchoBackend(t)
 	for errno, want := range map[syscall.Errno]balance.Status{
 		syscall.EADDRNOTAVAIL: balance.StatusNotSent,
@@ -258,7 +258,7 @@
 		transport.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 			return os.NewSyscallError("connect", errno)
 		})
-		r := attemptOnce(t, transport, connpool.Server{Addr: b.Addr().String()}, newTestRequest("id"))
+		r := attemptOnce(t, transport, connpool.Server{Addr: b.Addr().String()}, newForwardedRequest("id"))
 		if r.status != want {
 			t.Errorf("%v: status %v, want %v", errno, r.status, want)
 		}
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -46,7 +46,7 @@
 				transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
-				transport.start(new(upstreamCall), to, newTestRequest("id"), deadline, func(r attemptResult) { done <- r })
+				transport.start(new(upstreamCall), to, newForwardedRequest("id"), deadline, func(r attemptResult) { done <- r })
 				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
@@ -64,7 +64,7 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
+			io.WriteString(c, okResponse(r.Header.Get("X-Trace-Id")))
 			if r.Header.Get("X-Trace-Id") == "one" {
 				io.WriteString(c, "HTTP/1.1 2")
 				close(wrote)
@@ -73,7 +73,7 @@
 		})
 		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
-			r := attemptOnce(t, transport, to, newTestRequest(id))
+			r := attemptOnce(t, transport, to, newForwardedRequest(id))
 			if r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
 			}
@@ -109,9 +109,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
+			held := &hookedConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitRemoteClose(t, nc) }}
 			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
-			r := attemptOnce(t, transport, to, newTestRequest("id"))
+			r := attemptOnce(t, transport, to, newForwardedRequest("id"))
 			if r.stream != nil { // the rest is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
@@ -124,22 +124,22 @@
 	}
 }
 
-// heldConn calls between before its second read.
-type heldConn struct {
+// hookedConn calls between before its second read.
+type hookedConn struct {
 	*net.TCPConn
 	between func()
 	reads   int
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	if c.reads++; c.reads == 2 {
 		c.between()
 	}
 	return c.TCPConn.Read(p)
 }
 
-// awaitEnd waits until the other side's close or reset of a connection has arrived, without reading it.
-func awaitEnd(t *testing.T, c net.Conn) {
+// awaitRemoteClose waits until the other side's close or reset of a connection has arrived, without reading it.
+func awaitRemoteClose(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -9,7 +9,7 @@
 )
 
 // The deadline of a request during a shutdown is on the monotonic clock: a step of the wall clock does not change it.
-func TestDrainDeadlineIsMonotonic(t *testing.T) {
+func TestShutdownDeadlineIsMonotonic(t *testing.T) {
 	n := startNodeWith(t, newEchoBackend(t).Addr().String())
 	eventually(t, "readiness", n.loop.ready.Load)
 	deadlines := make(chan time.Time, 1)
@@ -43,7 +43,7 @@
 
 // Start times are wall times of other machines. Where the two clocks differ by an hour, a backend that joins or
 // restarts while the node runs is in slow start, for no longer than one that has started just now.
-func TestSlowStartSurvivesAWallClockStep(t *testing.T) {
+func TestSlowStartDespiteWallClockDifference(t *testing.T) {
 	for name, shift := range map[string]time.Duration{
 		"an hour back":  -time.Hour,
 		"an hour ahead": time.Hour,
@@ -75,11 +75,11 @@
 			}
 		})
 	}
-	t.Run("uncordoned", testUncordoned)
+	t.Run("uncordoned", testSlowStartAfterUncordon)
 }
 
 // A backend that was uncordoned is in slow start from then on, whatever the wall time in the record is.
-func testUncordoned(t *testing.T) {
+func testSlowStartAfterUncordon(t *testing.T) {
 	for name, shift := range map[string]time.Duration{"an hour back": -time.Hour, "an hour ahead": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			n := startNodeWith(t, newEchoBackend(t).Addr().String())
