--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,19 +7,19 @@
 	"hitchvale/internal/monotime"
 )
 
-// attempt is one copy of a request on its way to a backend. Its state is in call.lifecycle.
+// attempt is one attempt to get a response to a request from a backend. Its state is in call.lifecycle.
 type attempt struct {
 	call    upstreamCall
 	backend *backend
-	sentAt  time.Duration  // when it was started, or a streamed request was written completely; on the loop's clock
-	status  balance.Status // how it ended; meaningful once ended
+	sentAt  time.Duration  // when the attempt started or its streamed request was fully written, on the loop's clock
+	status  balance.Status // how the attempt ended; valid once ended returns true
 }
 
-// ended says whether the result of the attempt has been recorded.
+// ended reports whether the result of the attempt has been recorded.
 func (a *attempt) ended() bool { return a.call.lifecycle.current() == attemptEnded }
 
-// startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard
-// forbids ends at once as not sent.
+// startAttempt carries out the Balancer's decision to send a request to an endpoint. An attempt that the guard does not
+// allow ends immediately with StatusNotSent.
 func (l *eventLoop) startAttempt(action *balance.Action) {
 	r := l.requests[action.Request]
 	b := l.backendFor(action.Endpoint)
@@ -49,8 +49,9 @@
 	})
 }
 
-// attemptDeadline returns the earlier of the request's deadline and the end of the attempt's own timeout. A timeout
-// of 0 is none, and a zero deadline none yet: that of a streamed request begins with its last byte.
+// attemptDeadline returns the earlier of the request's deadline and the end of the attempt's own timeout. A timeout of
+// 0 means no timeout. A zero deadline means that the request has no deadline yet, because the deadline of a streamed
+// request is set when its last byte is written.
 func attemptDeadline(deadline time.Time, timeout time.Duration) time.Time {
 	if timeout <= 0 {
 		return deadline
@@ -62,8 +63,9 @@
 	return deadline
 }
 
-// finishAttempt records the result of an attempt, once, and notifies the Balancer. The first success of an open
-// request is its final response. Results of attempts that have ended already, such as cancelled ones, are dropped.
+// finishAttempt records the result of an attempt and notifies the Balancer. The first successful response to an open
+// request becomes its final response. The result of an attempt that has already ended, for example by cancellation, is
+// ignored.
 func (l *eventLoop) finishAttempt(r *request, number int, res attemptResult) {
 	a := r.attempts[number]
 	if res.stream != nil && (a.ended() || !r.isOpen()) {
@@ -92,7 +94,7 @@
 	})
 }
 
-// deliverResponse makes a backend's response the final one of its request.
+// deliverResponse makes the response of a backend the final response to the request.
 func (l *eventLoop) deliverResponse(r *request, a *attempt, res attemptResult) {
 	r.apply(finalResponseGiven)
 	l.statistics.responses[responseServed]++
@@ -110,8 +112,8 @@
 	}
 }
 
-// firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if it never
-// was.
+// firstByteAt returns when the first byte of an attempt was about to be written, on the loop's clock; 0 if no byte was
+// about to be written.
 func (l *eventLoop) firstByteAt(a *attempt) time.Duration {
 	startedAt := a.call.startedAt.Load()
 	if startedAt.IsZero() {
@@ -120,18 +122,18 @@
 	return l.now() - time.Duration(monotime.Now()-startedAt)
 }
 
-// trackStream counts a streamed response as open at its backend until all of it has been passed on.
+// trackStream counts a streamed response as open at its backend until the stream is released.
 func (l *eventLoop) trackStream(backendID string, s *responseStream) {
 	l.openResponseStreams[backendID]++
-	end := s.release
+	release := s.release
 	s.release = func(complete bool) {
-		end(complete)
+		release(complete)
 		l.post(responseStreamEnded{backendID})
 	}
 }
 
-// cancelAttempt ends an attempt, and closes its connection. It ends with the given status, or as not sent if nothing
-// of it had been written.
+// cancelAttempt ends an attempt and closes its connection. The attempt ends with the given status, or with
+// StatusNotSent if none of its bytes had been written.
 func (l *eventLoop) cancelAttempt(r *request, number int, status balance.Status) {
 	a := r.attempts[number]
 	if a.ended() {
@@ -144,7 +146,7 @@
 	l.finishAttempt(r, number, attemptResult{status: status})
 }
 
-// cancelAttempts ends all attempts of a request, which is over.
+// cancelAttempts ends all attempts of a request that is over.
 func (l *eventLoop) cancelAttempts(r *request, status balance.Status) {
 	for number := range r.attempts {
 		l.cancelAttempt(r, number, status)
@@ -152,8 +154,8 @@
 	l.releaseRequest(r)
 }
 
-// cancelUnsentAttempts ends attempts that have not begun to write to a backend which must not get anything new. One
-// whose dial takes long would otherwise be written after the drain's grace.
+// cancelUnsentAttempts ends the attempts to unavailable backends that have not begun to write. An attempt whose dial
+// takes long could otherwise be written after the drain grace of the backend.
 func (l *eventLoop) cancelUnsentAttempts() {
 	type cancelled struct {
 		request *request
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -6,11 +6,11 @@
 	"hitchvale/balance"
 )
 
-// gaugeInterval is the least time between two counts of the endpoints that the Balancer avoids.
+// gaugeInterval is how often the event loop publishes the gauges, at most.
 const gaugeInterval = 50 * time.Millisecond
 
-// updateAvailability follows a change of phases or cordons: connections to backends that are unavailable are closed,
-// attempts that wait for one are cancelled, and the node's readiness is set anew.
+// updateAvailability is called after a change of phases or cordons. It closes idle connections to unavailable backends,
+// cancels the attempts to them that have not begun to write, and updates the readiness of the node.
 func (l *eventLoop) updateAvailability() {
 	ready := false
 	for _, b := range l.backendsByID {
@@ -29,7 +29,7 @@
 	l.publishGauges(l.now())
 }
 
-// stopAwaitingFirstList has the node serve on the cached list, where discovery has pushed none in time.
+// stopAwaitingFirstList makes the node ready on the cached list if discovery has not pushed a list in time.
 func (l *eventLoop) stopAwaitingFirstList() {
 	if !l.awaitingFirstList {
 		return
@@ -39,7 +39,7 @@
 	l.updateAvailability()
 }
 
-// applyCordons takes in the record of cordons. One that is no newer than the last changes nothing.
+// applyCordons applies the record of cordons. It ignores a record that is no newer than the current record.
 func (l *eventLoop) applyCordons(record cordonRecord) {
 	if record.Version <= l.cordons.Version {
 		return
@@ -52,8 +52,8 @@
 	l.updateAvailability()
 }
 
-// applyCordon notifies the Balancer of a backend's cordon. One that is put back was out before, so the Balancer is
-// notified of both: the record may have changed twice since it was last read.
+// applyCordon notifies the Balancer of a change of a backend's cordon. For an uncordoned backend, the Balancer is
+// notified of both the cordon and the uncordon, because the record may have changed twice since it was last read.
 func (l *eventLoop) applyCordon(b *backend, c cordon) {
 	neverCordoned := c.CordonedAt == 0
 	unchanged := c.Cordoned == b.cordoned && (c.Cordoned || c.UncordonedAt == b.uncordonedAt)
@@ -70,7 +70,7 @@
 	}
 }
 
-// publishGauges publishes the counts of backends that the second address shows.
+// publishGauges publishes the numbers of listed and unavailable backends that the admin address reports.
 func (l *eventLoop) publishGauges(now time.Duration) {
 	l.gaugesPublishedAt = now
 	listed := int64(0)
--- a/internal/node/backend_pool.go
+++ b/internal/node/backend_pool.go
@@ -8,7 +8,7 @@
 	"hitchvale/internal/connpool"
 )
 
-// poolCloseReasons maps the pool's reasons for closing a connection to those of the metrics.
+// poolCloseReasons maps the pool's reasons for closing a connection to the reasons in the metrics.
 var poolCloseReasons = [...]closeReason{
 	connpool.ClosedIdle:        closedIdle,
 	connpool.ClosedStale:       closedStale,
@@ -16,7 +16,8 @@
 	connpool.ClosedNotReusable: closedNotReusable,
 }
 
-// newBackendPool returns the pool of at most maxOpen connections to backends, which counts those that it closes.
+// newBackendPool returns a pool of at most maxOpen connections to backends. The pool counts the connections that it
+// closes in closeCounts.
 func newBackendPool(maxOpen int, limits balance.Limits, closeCounts *closeCounters) *connpool.Pool {
 	return connpool.New(connpool.Config{
 		MaxOpen:        maxOpen,
@@ -27,8 +28,8 @@
 	})
 }
 
-// inspectSocket says whether a connection is open, and whether bytes wait on it. One that can't be inspected counts
-// as closed.
+// inspectSocket reports whether a connection is open and whether it has unread bytes. A connection that cannot be
+// inspected counts as closed.
 func inspectSocket(conn net.Conn) (open, unread bool) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/node/close_reasons.go
+++ b/internal/node/close_reasons.go
@@ -2,33 +2,33 @@
 
 import "sync/atomic"
 
-// closeReason is why the node itself closed a connection.
+// closeReason is the reason why the node itself closed a connection.
 type closeReason uint8
 
-// The reasons. The first five are of connections of clients, the others of connections to backends.
+// The first five reasons apply to connections of clients, the others to connections to backends.
 const (
-	// closedEvicted: the node had waited for its client longest, and it made way for a new connection.
+	// closedEvicted: the node needed room for a new connection, and had waited for this client the longest.
 	closedEvicted closeReason = iota
-	// closedForHandOver: it was idle at a process that hands over.
+	// closedForHandOver: the connection was idle at a process that hands over to its successor.
 	closedForHandOver
-	// closedDraining: it became idle at a draining node.
+	// closedDraining: the connection became idle at a draining node.
 	closedDraining
-	// closedShutdown: nothing had come on it when the node stopped admitting requests.
+	// closedShutdown: nothing had been received on the connection when the node stopped admitting requests.
 	closedShutdown
-	// closedIncomplete: its request was incomplete when the last responses were due, and was rejected.
+	// closedIncomplete: the request was incomplete when the last responses were due, and was rejected.
 	closedIncomplete
-	// closedIdle: it was idle for too long.
+	// closedIdle: the connection was idle for too long.
 	closedIdle
-	// closedStale: before its reuse it had ended or held unexpected bytes.
+	// closedStale: before its reuse, the connection was found closed by the backend or had unexpected bytes.
 	closedStale
-	// closedUnlisted: its backend takes no new requests.
+	// closedUnlisted: the backend takes no new requests.
 	closedUnlisted
-	// closedNotReusable: its response was incomplete, or was declared its last.
+	// closedNotReusable: the response was incomplete, or the backend declared it the last on the connection.
 	closedNotReusable
 	closeReasonCount
 )
 
-// closeReasonNames are the values of the metrics' label.
+// closeReasonNames are the values of the metric's label.
 var closeReasonNames = [closeReasonCount]string{
 	closedEvicted:     "room",
 	closedForHandOver: "hand_over",
@@ -41,7 +41,7 @@
 	closedNotReusable: "backend_used",
 }
 
-// closeCounters counts the connections that the node closed, by reason.
+// closeCounters counts the connections that the node closed, by reason. Any goroutine may use it.
 type closeCounters [closeReasonCount]atomic.Int64
 
 // add counts one connection.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// drainIdleTime is how long nothing may be in flight before a drain closes connections that never had a request: their
-// clients have no more than connected, and may still send one.
+// drainIdleTime is how long no request must have been in flight before a drain closes connections that never had a
+// request. Their clients have only connected so far, and may still send a request.
 const drainIdleTime = 300 * time.Millisecond
 
-// drain closes connections as they become idle, until none is left. Those that never had a request are closed when
-// nothing was in flight for drainIdleTime, or when requests are not admitted any more; incomplete requests are rejected
-// when the last responses are due. It returns early when ctx ends, or when only clients are left that do not close.
+// drain closes the connections of clients as they become idle, and returns when none is left. Connections that never
+// had a request are closed when no request was in flight for drainIdleTime, or when requests are no longer admitted.
+// Incomplete requests are rejected when the last responses are due. drain returns early when ctx ends, or when only
+// connections are left whose clients do not close them.
 func (f *clientServer) drain(ctx context.Context) {
-	for still := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; still += shutdownPollInterval {
+	for idle := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; idle += shutdownPollInterval {
 		f.conns.closeIdle(0, closedDraining)
 		if f.handedOver.Load() || f.conns.busy() > 0 {
-			// After a hand-over nobody new connects here, and a client that has connected may still send a request.
-			still = 0
+			// After a hand-over no client connects to this process, but connected clients may still send a request.
+			idle = 0
 		}
-		if still >= drainIdleTime || !f.shutdown.admits() {
+		if idle >= drainIdleTime || !f.shutdown.admits() {
 			f.conns.closeWaiting()
 			if f.conns.busy() == 0 {
 				return
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -6,8 +6,8 @@
 	"hitchvale/internal/discovery"
 )
 
-// updateEndpoints applies an endpoint list, or changes to the last one, and notifies the Balancer. Backends that a
-// complete list does not name count as removed.
+// updateEndpoints applies an endpoint list, or changes to the previous list, and notifies the Balancer. Backends that
+// are missing from a complete list become removed.
 func (l *eventLoop) updateEndpoints(kind balance.ListKind, list discovery.List) {
 	if len(list.Members) > 0 {
 		l.log.Info("endpoint list received",
@@ -31,8 +31,9 @@
 	l.updateAvailability()
 }
 
-// updateBackend takes in one entry of an endpoint list, and returns it with the Balancer's id and the loop's clock.
-// Idle connections to a process that the entry replaces are closed.
+// updateBackend applies one entry of an endpoint list. It returns the entry with the Balancer's id and with the start
+// time on the loop's clock. If the entry has a new process for the backend, idle connections to the old process are
+// closed.
 func (l *eventLoop) updateBackend(member discovery.Member) balance.Endpoint {
 	b := l.backendsByID[member.ID]
 	isNew := b == nil
@@ -41,7 +42,7 @@
 	}
 	process := connpool.Server{Addr: member.Address, StartedAt: member.StartedAt}
 	if member.Phase == balance.Removed {
-		process = b.process // the entry of a removed one need not have an address
+		process = b.process // the entry of a removed backend may lack an address
 	}
 	if b.process != process {
 		l.upstream.pool.CloseIdle(b.process)
@@ -59,8 +60,7 @@
 	return endpoint
 }
 
-// addBackend enters a backend that was never listed before in the tables, with the cordon that an operator may have
-// set.
+// addBackend adds a newly listed backend to the tables, and applies its cordon if an operator has set one.
 func (l *eventLoop) addBackend(member discovery.Member) *backend {
 	b := &backend{id: member.ID, endpointID: balance.EndpointID(len(l.backendsByEndpointID))}
 	l.backendsByID[b.id] = b
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -9,12 +9,13 @@
 	"hitchvale/internal/lograte"
 )
 
-// eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends it
-// messages; it turns them into events for the Balancer and carries out the actions that this returns.
+// eventLoop owns the Balancer, the tables of requests and backends, and the timers. The rest of the node sends messages
+// to the event loop. The loop turns them into events for the Balancer and carries out the actions that the Balancer
+// returns.
 //
-// Invariants: one goroutine runs it, in run, and from then on it alone touches the Balancer, the tables, the timers and
-// the statistics; any goroutine may read ready. It never blocks: what may block runs in a goroutine of its own that
-// sends its result as a message. So a sender may wait for the loop, and the loop never waits for a sender.
+// Once run has been called, only its goroutine may access the Balancer, the tables, the timers and the statistics; any
+// goroutine may read ready. The loop never blocks: an operation that may block runs in its own goroutine, which sends
+// the result as a message. A sender may therefore wait for the loop, but the loop never waits for a sender.
 type eventLoop struct {
 	messages chan loopMessage
 	done     chan struct{} // closed when the loop has ended
@@ -25,28 +26,28 @@
 	shutdown    *shutdownSchedule
 	log         *slog.Logger
 	startedAt   time.Time
-	clockOrigin time.Duration // the loop's clock at startedAt: Unix time, as discovery gives starts of backends in it
+	clockOrigin time.Duration // the loop's clock at startedAt: Unix time, like the start times in endpoint lists
 
-	requestDiscovery    func(balance.ActionKind)              // passes on that endpoints are to be watched or polled
+	requestDiscovery    func(balance.ActionKind)              // asks the discovery client to watch or poll
 	sendToPeer          func(peer int, payload []byte)        // sends a gossip datagram
-	takeDiscoveryCalls  func() int64                          // calls of discovery since it was last called
-	onServed            func(r *request, spent time.Duration) // notified of each request served; nil: nobody is
-	openResponseStreams map[string]int                        // open streamed responses by backend; nil: not counted
+	takeDiscoveryCalls  func() int64                          // returns the discovery calls since it was last called
+	onServed            func(r *request, spent time.Duration) // called for each served request; may be nil
+	openResponseStreams map[string]int                        // open streamed responses by backend id; nil: not counted
 
 	requests             map[string]*request
-	backendsByID         map[string]*backend // by discovery's id
-	backendsByEndpointID []*backend          // by the Balancer's id
+	backendsByID         map[string]*backend // by the id in the endpoint list
+	backendsByEndpointID []*backend          // the index is the Balancer's id
 	cordons              cordonRecord
-	cordonTimes          map[string]cordonTimes // of cordons, on the loop's clock, by discovery's id
+	cordonTimes          map[string]cordonTimes // on the loop's clock, by the backend's id
 	listRevision         int64                  // of the last endpoint list
-	lastListAt           time.Duration          // when discovery last sent a list to this process; 0: not yet
-	awaitingFirstList    bool                   // the node is not ready until discovery has pushed a list
-	running              bool                   // set by run; what was applied before it is older than this process
-	ready                atomic.Bool            // some backend may be sent requests
+	lastListAt           time.Duration          // when this process last received a list from discovery; 0: never
+	awaitingFirstList    bool                   // the node is not ready before discovery has pushed a list
+	running              bool                   // set by run; state applied before run is older than this process
+	ready                atomic.Bool            // the node is ready: some backend may be sent requests
 
 	timers       timerQueue
-	queuedEvents []balance.Event // of the current message
-	handling     bool            // the Balancer handles an event now
+	queuedEvents []balance.Event // by the current message
+	handling     bool            // the Balancer is handling an event
 	actions      []balance.Action
 
 	statistics         statistics
@@ -55,10 +56,11 @@
 	unservedRequestLog *lograte.Limited
 }
 
-// messageBacklog is how many messages may wait for the loop before their senders do.
+// messageBacklog is how many messages may be queued for the loop before their senders block.
 const messageBacklog = 1024
 
-// newEventLoop returns an event loop that has no guard rules, no discovery and no peers yet.
+// newEventLoop returns an event loop without settings for its guard, without discovery and without peers. A caller that
+// needs them sets the fields before run.
 func newEventLoop(
 	balancer *balance.Balancer, upstream *upstreamTransport, counters *counters, log *slog.Logger,
 ) *eventLoop {
@@ -83,8 +85,8 @@
 	}
 }
 
-// post sends a message to the loop, which handles it after all that were sent before. It waits while the backlog is
-// full, and returns false if the loop has ended. Any goroutine but the loop's own may call it.
+// post sends a message to the loop, which handles messages in the order of sending. It blocks while the backlog is
+// full, and returns false if the loop has ended. Any goroutine except the loop's own may call it.
 func (l *eventLoop) post(message loopMessage) bool {
 	select {
 	case <-l.done:
@@ -94,8 +96,8 @@
 	}
 }
 
-// now returns the loop's clock: Unix time when the loop was made, and by the monotonic clock since, so it never steps
-// back.
+// now returns the loop's clock. It starts at the Unix time of newEventLoop and advances with the monotonic clock, so it
+// never steps back.
 func (l *eventLoop) now() time.Duration { return l.clockOrigin + time.Since(l.startedAt) }
 
 // run handles messages and timers until quit is closed.
@@ -117,7 +119,7 @@
 			began = l.now()
 		}
 		l.fireTimers()
-		l.report(began)
+		l.publishStatistics(began)
 	}
 }
 
@@ -133,8 +135,9 @@
 	}
 }
 
-// report publishes gauges and logs statistics where they are due, after a turn of the loop that began at a time.
-func (l *eventLoop) report(began time.Duration) {
+// publishStatistics publishes gauges and logs statistics if they are due. It is called after each iteration of the
+// loop, with the time at which the iteration began.
+func (l *eventLoop) publishStatistics(began time.Duration) {
 	now := l.now()
 	l.statistics.longestTurn = max(l.statistics.longestTurn, now-began)
 	if now-l.gaugesPublishedAt >= gaugeInterval {
@@ -147,8 +150,8 @@
 	}
 }
 
-// handle gives an event to the Balancer and carries out its actions. Events that these cause are handled after it, in
-// order.
+// handle passes an event to the Balancer and carries out the actions that the Balancer returns. Events that these
+// actions cause are queued and handled afterwards, in order.
 func (l *eventLoop) handle(event balance.Event) {
 	l.queuedEvents = append(l.queuedEvents, event)
 	if l.handling {
@@ -166,8 +169,8 @@
 	l.handling = false
 }
 
-// execute carries out one action of the Balancer. Actions on requests and endpoints that the loop does not know are
-// dropped.
+// execute carries out one action of the Balancer. It ignores actions on requests and endpoints that are not in the
+// loop's tables.
 func (l *eventLoop) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.Forward:
@@ -197,7 +200,7 @@
 	}
 }
 
-// backendFor returns the backend that the Balancer knows as an endpoint; nil if there is none.
+// backendFor returns the backend that has an endpoint id; nil if there is none.
 func (l *eventLoop) backendFor(id balance.EndpointID) *backend {
 	if int(id) >= len(l.backendsByEndpointID) {
 		return nil
--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// typicalHeadBytes is the size of the buffer that most heads fit in.
+// typicalHeadBytes is the initial size of the buffer for a head. Most heads fit in it.
 const typicalHeadBytes = 1 << 10
 
-// forwardedRequest is a client's request as it is forwarded to backends, or a health check.
+// forwardedRequest is a client's request as the node forwards it to backends, or a health check.
 type forwardedRequest struct {
 	method      string
 	url         *url.URL
 	host        string // the Host header; empty: the backend's address
 	header      http.Header
-	body        []byte // where upload is nil
+	body        []byte // the complete body, if upload is nil
 	healthCheck bool
 
-	// Of a request whose body is streamed:
-	upload    *requestStream   // the body; nil: it is complete
-	timeLeft  time.Duration    // how long its client waits from the last byte on
-	onWritten func() time.Time // called when the last byte has been written; returns the deadline
+	// The following fields are set if the body is streamed.
+	upload    *requestStream   // the body; nil: the body is complete
+	timeLeft  time.Duration    // how long the client waits for the response after the last byte of the request
+	onWritten func() time.Time // called when the last byte has been written; returns the request's deadline
 }
 
-// rewrittenHeaders are left out of the client's header: the node sets them itself.
+// rewrittenHeaders are the headers of a client that are not forwarded because the node sets its own values.
 var rewrittenHeaders = map[string]bool{"X-Expires-In": true, "Host": true}
 
-// encodeHead returns the request line and the header for a backend. timeLeft is how long the client still waits,
-// which the backend is notified of in seconds.
+// encodeHead returns the request line and the header for a backend. timeLeft is how long the client still waits. It is
+// sent to the backend in seconds, in X-Expires-In.
 func (m *forwardedRequest) encodeHead(addr string, timeLeft time.Duration) []byte {
 	var head bytes.Buffer
 	head.Grow(typicalHeadBytes)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -9,7 +9,8 @@
 	"hitchvale/internal/lograte"
 )
 
-// invariant is an invariant of the node. It holds whatever the Balancer decides and in whatever order events arrive.
+// invariant identifies an invariant of the node. Invariants hold for every decision of the Balancer and for every order
+// of events.
 type invariant uint8
 
 const (
@@ -22,14 +23,14 @@
 	invariantEffectOnce
 	// invariantMaxAttempts: a request has no more attempts than the settings allow.
 	invariantMaxAttempts
-	// invariantConnectionKept: the node closes no connection under a request that it has read.
+	// invariantConnectionKept: the node does not close the connection of a request that it has read and not answered.
 	invariantConnectionKept
-	// invariantShutdownAnswered: a process has answered all that it admitted before SIGKILL may come.
+	// invariantShutdownAnswered: a process that shuts down has answered all admitted requests before SIGKILL may come.
 	invariantShutdownAnswered
 	invariantCount
 )
 
-// invariantNames are the names in the log and the values of the metrics' label.
+// invariantNames are the values of the log attribute and of the metric's label.
 var invariantNames = [invariantCount]string{
 	invariantBackendAvailable: "recipient",
 	invariantClientConnected:  "owner",
@@ -42,18 +43,18 @@
 // disconnectGrace is how long after a client's disconnect an attempt for it may still start.
 const disconnectGrace = 100 * time.Millisecond
 
-// guard checks the invariants on attempts and connections, apart from the code that decides on them. It prevents an
-// attempt that would violate one, and counts violations: a count above zero is a fault of the program. It belongs to
-// the loop, but for reportViolation, which may be called from any goroutine.
+// guard checks the invariants on attempts and connections, independently of the code that decides on them. It prevents
+// attempts that would violate an invariant, and counts violations. A count above zero means that the program has a
+// fault. Only the event loop may call the methods of guard, except reportViolation, which any goroutine may call.
 type guard struct {
 	classes      []balance.Class
 	drainGrace   time.Duration
-	maxAttempts  int // of a request
+	maxAttempts  int // per request
 	violations   [invariantCount]atomic.Int64
 	violationLog *lograte.Limited
 }
 
-// newGuard returns the guard for a site's settings.
+// newGuard returns a guard with the limits of a site's settings.
 func newGuard(config balance.Config, log *slog.Logger) *guard {
 	return &guard{
 		classes:      config.Classes,
@@ -63,14 +64,14 @@
 	}
 }
 
-// reportViolation counts and logs a violation, with further attributes for the log.
-func (g *guard) reportViolation(r invariant, request string, args ...any) {
-	g.violations[r].Add(1)
-	g.violationLog.Warn("invariant violated", append([]any{"rule", invariantNames[r], "request", request}, args...)...)
+// reportViolation counts and logs a violation. args are further attributes for the log.
+func (g *guard) reportViolation(i invariant, request string, args ...any) {
+	g.violations[i].Add(1)
+	g.violationLog.Warn("invariant violated", append([]any{"rule", invariantNames[i], "request", request}, args...)...)
 }
 
-// maySend reports whether another attempt for a request may go to a backend. It is no violation where the Balancer
-// could not know yet that it may not, as when a drain of the backend is just being announced.
+// maySend reports whether another attempt for a request may be sent to a backend. It counts no violation if the backend
+// is unavailable or the request is over, because the Balancer may not have been notified yet, for example of a drain.
 func (g *guard) maySend(r *request, target *backend, now time.Duration) bool {
 	switch {
 	case !target.available() || !r.isOpen():
@@ -85,29 +86,30 @@
 	return true
 }
 
-// mayRunTwice reports whether the effect of a request could happen twice with another attempt. It goes by the class and
-// the key window alone; that a retry stays within its key's scope is balance's repeatAllowed.
+// mayRunTwice reports whether another attempt could repeat the effect of a request. It considers only the class and the
+// window of the idempotency key. The scope of the key is checked by repeatAllowed in package balance.
 func (g *guard) mayRunTwice(r *request, now time.Duration) bool {
 	if r.class >= len(g.classes) || g.classes[r.class].Repeatability == balance.Idempotent {
 		return false
 	}
-	for _, at := range r.attempts {
-		if at.ended() && at.status.NeverRan() {
+	for _, a := range r.attempts {
+		if a.ended() && a.status.NeverRan() {
 			continue
 		}
-		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= at.sentAt+c.KeyWindow {
+		if c := &g.classes[r.class]; c.Repeatability == balance.NonIdempotent || now >= a.sentAt+c.KeyWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// checkStart checks that an attempt which began to be written at a time had a backend and a client then.
-func (g *guard) checkStart(r *request, sent *attempt, startedAt time.Duration) {
-	if stopped := sent.backend.unavailableSince; stopped > 0 && startedAt > stopped+g.drainGrace {
-		g.reportViolation(invariantBackendAvailable, r.id, "backend", sent.backend.id, "after", startedAt-stopped)
+// checkStart checks that the backend was available and the client connected when an attempt began to be written.
+// startedAt is that time on the loop's clock.
+func (g *guard) checkStart(r *request, a *attempt, startedAt time.Duration) {
+	if since := a.backend.unavailableSince; since > 0 && startedAt > since+g.drainGrace {
+		g.reportViolation(invariantBackendAvailable, r.id, "backend", a.backend.id, "after", startedAt-since)
 	}
 	if r.disconnectedAt > 0 && startedAt > r.disconnectedAt+disconnectGrace {
-		g.reportViolation(invariantClientConnected, r.id, "backend", sent.backend.id, "after", startedAt-r.disconnectedAt)
+		g.reportViolation(invariantClientConnected, r.id, "backend", a.backend.id, "after", startedAt-r.disconnectedAt)
 	}
 }
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -9,11 +9,11 @@
 	"hitchvale/internal/connpool"
 )
 
-// healthCheckTimeout is how long a health check may take: a later load report would be of the past.
+// healthCheckTimeout is how long a health check may take. A load report that arrives later is outdated.
 const healthCheckTimeout = 150 * time.Millisecond
 
-// startHealthCheck carries out the Balancer's decision to check an endpoint. The check of one that is unavailable
-// ends at once as not sent.
+// startHealthCheck carries out the Balancer's decision to check an endpoint. The check of an unavailable backend ends
+// immediately with StatusNotSent.
 func (l *eventLoop) startHealthCheck(id balance.EndpointID) {
 	b := l.backendFor(id)
 	if b == nil {
@@ -40,8 +40,8 @@
 	})
 }
 
-// checkHealth asks a backend for its load report and calls done, from another goroutine, with the result. A backend
-// that refuses to answer counts as one that rejects requests.
+// checkHealth asks a backend for its load report and calls done with the result from another goroutine. A backend that
+// answers with an error counts as rejecting the request.
 func (t *upstreamTransport) checkHealth(to connpool.Server, done func(attemptResult)) {
 	request := &forwardedRequest{
 		method:      http.MethodGet,
--- a/internal/node/load_report.go
+++ b/internal/node/load_report.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// loadReportHeader carries a load report on a response.
+	// loadReportHeader is the response header with a backend's load report.
 	loadReportHeader = "Endpoint-Load-Metrics"
-	// maxLoadValue bounds the values of a load report; a larger one is a backend's mistake.
+	// maxLoadValue limits the values in a load report. A larger value is a mistake of the backend.
 	maxLoadValue = 1e9
 )
 
-// loadReportNames maps the names in load reports to those in the settings, where they differ.
+// loadReportNames maps the names in load reports to the names in the settings, where the two differ.
 var loadReportNames = map[string]string{
 	"inflight":   "active",
 	"queue":      "waiting",
@@ -27,8 +27,8 @@
 	"eps":        "err_rps",
 }
 
-// readLoadReport returns a backend's load report, or an empty one if it is malformed, which is logged at a bounded
-// rate.
+// readLoadReport parses a backend's load report. If the report is malformed, it logs this at a bounded rate and returns
+// an empty report.
 func (t *upstreamTransport) readLoadReport(text string) balance.Load {
 	load, err := parseLoadReport(text)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return load
 }
 
-// parseLoadReport parses "TEXT name=value, name=value". Values of unknown names are skipped. One malformed value
-// makes the entire report malformed; an empty report, as of a backend that has just started, is not.
+// parseLoadReport parses a report of the form "TEXT name=value, name=value". Unknown names are skipped. One malformed
+// value makes the entire report malformed. An empty report is valid; a backend that has just started may send it.
 func parseLoadReport(text string) (balance.Load, error) {
 	var load balance.Load
 	text = strings.TrimSpace(text)
@@ -54,7 +54,7 @@
 	return load, nil
 }
 
-// parseLoadValue parses "name=value" into a load report.
+// parseLoadValue parses "name=value" and sets the value in a load report.
 func parseLoadValue(load *balance.Load, pair string) error {
 	name, value, ok := strings.Cut(pair, "=")
 	if !ok {
@@ -63,7 +63,7 @@
 	if settingsName, ok := loadReportNames[name]; ok {
 		name = settingsName
 	}
-	// In the order of siteconfig.LoadFieldNames, which is that of the bits of Has.
+	// The order is that of siteconfig.LoadFieldNames, and of the bits of Has.
 	fields := [...]*float64{&load.Active, &load.Waiting, &load.CPU, &load.AvgMs, &load.RPS, &load.ErrRPS}
 	index := slices.Index(siteconfig.LoadFieldNames, name)
 	if index < 0 {
@@ -71,7 +71,7 @@
 	}
 	parsed, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(parsed >= 0 && parsed < maxLoadValue) {
-		return fmt.Errorf("%s: %.40q is not a number from 0 to %g", name, value, maxLoadValue)
+		return fmt.Errorf("%s: %.40q is not a number from 0 to below %g", name, value, maxLoadValue)
 	}
 	*fields[index] = parsed
 	load.Has |= 1 << index
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -11,18 +11,19 @@
 	"hitchvale/internal/fleet"
 )
 
-// loopMessage is what the rest of the node sends to the event loop: something that has happened, or a query with a
-// channel for its reply. The loop handles one message at a time, in the order in which they were sent.
+// loopMessage is a message to the event loop: it reports an event, or it is a query with a channel for the reply. The
+// loop handles one message at a time, in the order of sending.
 type loopMessage interface {
-	// handle runs on the event loop, which owns all of l, and must not block.
+	// handle runs on the goroutine of the event loop and must not block. It may access all fields of l.
 	handle(l *eventLoop)
 }
 
-// errLoopEnded is the error of a query that the event loop has not answered before it ended.
-var errLoopEnded = errors.New("the node is ending")
+// errLoopEnded is the error of a query that the event loop did not answer before it ended.
+var errLoopEnded = errors.New("event loop has ended: the node is shutting down")
 
-// query sends a message to the event loop and waits for its reply, which the message's handler sends on a buffered
-// channel. It returns the context's error if that ends first, and errLoopEnded if the loop does.
+// query sends a message to the event loop and waits for the reply, which the message's handler sends on reply. The
+// channel must be buffered. query returns the context's error if the context ends first, and errLoopEnded if the loop
+// ends first.
 func query[T any](ctx context.Context, l *eventLoop, message loopMessage, reply <-chan T) (T, error) {
 	var none T
 	select {
@@ -42,48 +43,48 @@
 	}
 }
 
-// requestArrived is a client's request that has been read: all of it, or its head where the body is streamed.
+// requestArrived reports that a client's request has been read: completely, or only its head if its body is streamed.
 type requestArrived struct{ request *request }
 
 func (m requestArrived) handle(l *eventLoop) { l.startRequest(m.request) }
 
-// clientDisconnected says that a client has closed its connection before the final response.
+// clientDisconnected reports that a client has closed its connection before the final response.
 type clientDisconnected struct{ request *request }
 
 func (m clientDisconnected) handle(l *eventLoop) { l.disconnectClient(m.request) }
 
-// requestWritten says that the last byte of a streamed request has been written to its backend.
+// requestWritten reports that the last byte of a streamed request has been written to its backend.
 type requestWritten struct {
 	request  *request
-	deadline time.Time // of the request, which begins with that byte
+	deadline time.Time // of the request; its time starts with the last byte
 }
 
 func (m requestWritten) handle(l *eventLoop) { l.recordWritten(m.request, m.deadline) }
 
-// attemptFinished is the result of one attempt of a request.
+// attemptFinished reports the result of one attempt of a request.
 type attemptFinished struct {
 	request *request
-	attempt int // its index in the request's attempts
+	attempt int // the index in the request's attempts
 	result  attemptResult
 }
 
 func (m attemptFinished) handle(l *eventLoop) { l.finishAttempt(m.request, m.attempt, m.result) }
 
-// responseStreamEnded says that a streamed response of a backend has been passed on, or has broken off.
+// responseStreamEnded reports that a streamed response of a backend was forwarded completely or was aborted.
 type responseStreamEnded struct{ backendID string }
 
 func (m responseStreamEnded) handle(l *eventLoop) { l.openResponseStreams[m.backendID]-- }
 
-// healthCheckFinished is the result of a health check.
+// healthCheckFinished reports the result of a health check.
 type healthCheckFinished struct {
 	endpoint balance.EndpointID
-	sent     time.Duration // when it was sent, on the loop's clock
+	sent     time.Duration // when the check was sent, on the loop's clock
 	result   attemptResult
 }
 
 func (m healthCheckFinished) handle(l *eventLoop) { l.finishHealthCheck(m.endpoint, m.sent, m.result) }
 
-// endpointListReceived is an endpoint list from discovery, or changes to the last one.
+// endpointListReceived reports an endpoint list, or changes to the previous list.
 type endpointListReceived struct {
 	kind balance.ListKind
 	list discovery.List
@@ -91,20 +92,20 @@
 
 func (m endpointListReceived) handle(l *eventLoop) { l.updateEndpoints(m.kind, m.list) }
 
-// discoveryFailed says that a call of discovery has failed.
+// discoveryFailed reports that a call of discovery has failed.
 type discoveryFailed struct{}
 
 func (discoveryFailed) handle(l *eventLoop) { l.handle(balance.DiscoveryFailed{}) }
 
-// firstListOverdue says that discovery has had its time to push a first endpoint list.
+// firstListOverdue reports that the time is over in which discovery should have pushed a first endpoint list.
 type firstListOverdue struct{}
 
 func (firstListOverdue) handle(l *eventLoop) { l.stopAwaitingFirstList() }
 
-// cordonsChanged is the record of cordons as it stands in the file now.
+// cordonsChanged reports the current contents of the cordon file.
 type cordonsChanged struct {
 	record  cordonRecord
-	applied chan<- struct{} // buffered; receives when the Balancer has been notified; nil: nobody waits
+	applied chan<- struct{} // buffered; the loop sends on it once the Balancer has been notified; may be nil
 }
 
 func (m cordonsChanged) handle(l *eventLoop) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// peerMessageReceived is a gossip datagram of another node.
+// peerMessageReceived reports a gossip datagram from another node.
 type peerMessageReceived struct {
 	peer    int
 	payload []byte
@@ -124,37 +125,37 @@
 	l.handle(balance.PeerMessage{Peer: m.peer, Payload: m.payload})
 }
 
-// handoverChanged says whether another process of the node accepts its connections now.
+// handoverChanged reports whether another process of the node now accepts the node's connections.
 type handoverChanged struct{ handedOver bool }
 
 func (m handoverChanged) handle(l *eventLoop) {
 	l.handle(balance.HandoverChanged{HandedOver: m.handedOver})
 }
 
-// handoverStateReceived has the state of the predecessor.
+// handoverStateReceived reports the state that this process takes over from its predecessor.
 type handoverStateReceived struct{ state handoverState }
 
 func (m handoverStateReceived) handle(l *eventLoop) {
 	l.handle(balance.TookOver{State: l.importState(m.state)})
 }
 
-// finalResponsesDue says that, in a shutdown, every request has to have its final response now.
+// finalResponsesDue reports that, during a shutdown, every open request must get its final response now.
 type finalResponsesDue struct{}
 
 func (finalResponsesDue) handle(l *eventLoop) { l.failAllOpen() }
 
-// shutdownCheckDue says that the process may soon be killed: no request may be without its final response.
+// shutdownCheckDue reports that the process may soon be killed. Every request must have its final response by now.
 type shutdownCheckDue struct{}
 
 func (shutdownCheckDue) handle(l *eventLoop) { l.checkAllResponded() }
 
-// cordonState is what the event loop knows of cordons.
+// cordonState is the reply to a cordonQuery.
 type cordonState struct {
 	record cordonRecord
-	known  bool // the backend that was asked for has been listed, or cordoned, before
+	known  bool // the backend of the query has been listed or cordoned before
 }
 
-// cordonQuery asks for the cordons, and whether a backend is known.
+// cordonQuery asks for the record of cordons and whether a backend is known.
 type cordonQuery struct {
 	backendID string
 	reply     chan<- cordonState
@@ -165,12 +166,12 @@
 	m.reply <- cordonState{record: l.cordons, known: known}
 }
 
-// handoverStateQuery asks for the state that a successor of this process takes over.
+// handoverStateQuery asks for the state that is passed to a successor of this process.
 type handoverStateQuery struct{ reply chan<- handoverState }
 
 func (m handoverStateQuery) handle(l *eventLoop) { m.reply <- l.exportState() }
 
-// endpointListQuery asks for the endpoint list in discovery's form.
+// endpointListQuery asks for the endpoint list in the format of the discovery service.
 type endpointListQuery struct{ reply chan<- []byte }
 
 func (m endpointListQuery) handle(l *eventLoop) { m.reply <- l.encodeList() }
@@ -186,13 +187,13 @@
 	m.reply <- loads
 }
 
-// workInFlight is what this node still has in flight, by backend.
+// workInFlight is the reply to a workInFlightQuery.
 type workInFlight struct {
 	revision int64          // of the endpoint list that the node holds
-	inFlight map[string]int // attempts and streamed responses, by the backend's id
+	inFlight map[string]int // number of attempts and streamed responses in flight, by the backend's id
 }
 
-// workInFlightQuery asks for what is in flight at each backend.
+// workInFlightQuery asks for the number of attempts and streamed responses in flight at each backend.
 type workInFlightQuery struct{ reply chan<- workInFlight }
 
 func (m workInFlightQuery) handle(l *eventLoop) {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -18,8 +18,8 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// discoveryOutage is a discovery service that fails from one time until another. From the end of the outage on, it lists
-// its backend as draining. A watch that is open when the outage begins fails too.
+// discoveryOutage is a discovery service that fails from one time until another. From the end of the outage on, it
+// lists its backend as draining. A watch that is open when the outage begins fails too.
 type discoveryOutage struct {
 	from, until time.Time
 	fault       string // silent: calls meanwhile are never answered; refused; busy
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pause waits for d or until ctx ends.
+// pause waits until d has passed or ctx ends. It returns immediately if d is zero or negative.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxDatagramBytes is the size of the longest datagram between nodes; longer ones are dropped.
+	// maxDatagramBytes is the maximum size of a datagram between nodes. Longer datagrams are dropped.
 	maxDatagramBytes = 256
-	// minQueuedDatagrams is how many datagrams may be queued in a small fleet.
+	// minQueuedDatagrams is the length of the queue of outgoing datagrams in a fleet with fewer peers than this.
 	minQueuedDatagrams = 64
-	// peerReadRetryDelay is the delay after a failed read: an ICMP error that an earlier datagram caused, or a shortage
-	// that may last.
+	// peerReadRetryDelay is the delay after a failed read. A read fails with an ICMP error that an earlier datagram
+	// caused, or for a shortage of resources that may last.
 	peerReadRetryDelay = 2 * time.Millisecond
 )
 
-// peers exchanges gossip datagrams with the other nodes. Any datagram may be lost.
+// peers exchanges gossip datagrams with the other nodes. Any datagram may be lost without notice.
 type peers struct {
 	conn      datagramConn
 	addresses []netip.AddrPort // by the peer's index
-	broadcast netip.AddrPort   // reaches every peer; invalid: there is none
+	broadcast netip.AddrPort   // the address that reaches every peer; invalid if there is none
 	outgoing  chan datagram
 }
 
@@ -37,15 +37,16 @@
 	Close() error
 }
 
-// datagram is one that is queued for writing.
+// datagram is an outgoing datagram in the queue.
 type datagram struct {
 	to      netip.AddrPort
 	payload []byte
 }
 
-// listenPeers opens the node's socket for datagrams.
+// listenPeers opens the node's socket for gossip. run closes the socket when it ends; a caller that does not call run
+// must close the socket itself.
 func listenPeers(cfg *Config) (*peers, error) {
-	// A turn of the event loop may queue one for each peer before any is written.
+	// One iteration of the event loop may queue a datagram for each peer before any is written.
 	p := &peers{outgoing: make(chan datagram, max(len(cfg.Peers), minQueuedDatagrams))}
 	for _, text := range cfg.Peers {
 		address, err := netip.ParseAddrPort(text)
@@ -62,7 +63,7 @@
 	}
 	listenConfig := net.ListenConfig{}
 	if cfg.Admin != "" {
-		listenConfig.Control = sharePort // with a predecessor or successor
+		listenConfig.Control = sharePort // the predecessor or successor uses the same port
 	}
 	conn, err := listenConfig.ListenPacket(context.Background(), "udp", cfg.PeerListen)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return p, nil
 }
 
-// enqueue queues a datagram for one peer, or for all where peer is balance.AllPeers. It never blocks: when the queue is
-// full the datagram is dropped.
+// enqueue queues a datagram for one peer, or for all peers if peer is balance.AllPeers. It never blocks. If the queue
+// is full, the datagram is dropped.
 func (p *peers) enqueue(peer int, payload []byte) {
 	to := p.broadcast
 	if peer != balance.AllPeers {
@@ -98,13 +99,13 @@
 		case <-ctx.Done():
 			return
 		case d := <-p.outgoing:
-			p.conn.WriteToUDPAddrPort(d.payload, d.to) // one that fails is lost
+			p.conn.WriteToUDPAddrPort(d.payload, d.to) // a datagram that cannot be written is lost
 		}
 	}
 }
 
-// run writes what is queued, and calls onMessage with each datagram of a peer, until ctx ends. Datagrams that are too
-// long or of unknown senders are dropped.
+// run writes queued datagrams and calls onMessage with each datagram from a peer, until ctx ends. It drops datagrams
+// that are too long or come from unknown senders. It closes the socket when ctx ends.
 func (p *peers) run(ctx context.Context, onMessage func(peer int, payload []byte)) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -6,37 +6,37 @@
 	"hitchvale/balance"
 )
 
-// request is a client's request. The client side fills in what the client sent; the fields from attempts on belong to
-// the event loop.
+// request is a client's request. The client side sets the fields up to response. The fields from state on belong to the
+// event loop.
 type request struct {
 	id            string
-	class         int    // by its number in the settings
-	tenant        int    // likewise
-	routingKey    uint64 // where hasRoutingKey
+	class         int    // index of the class in the settings
+	tenant        int    // index of the tenant in the settings
+	routingKey    uint64 // valid if hasRoutingKey is set
 	hasRoutingKey bool
 	expectedWork  time.Duration
-	clientRetry   bool      // the client has sent it before
-	deadline      time.Time // zero while the body of a streamed request is still coming in
+	clientRetry   bool      // the client has sent the request before
+	deadline      time.Time // zero until the body of a streamed request has been written completely
 	forwarded     forwardedRequest
-	bodyBytes     int64              // what its body takes of the memory for bodies
-	response      chan finalResponse // buffered; receives the one final response
+	bodyBytes     int64              // how much of the memory for bodies the body occupies
+	response      chan finalResponse // buffered; the event loop sends the one final response on it
 
 	state          requestState
 	attempts       []*attempt
-	disconnectedAt time.Duration // when the client's close was noticed, on the loop's clock; 0: never
+	disconnectedAt time.Duration // when the client's disconnect was noticed, on the loop's clock; 0: not disconnected
 }
 
-// isOpen says whether the request still waits for its final response.
+// isOpen reports whether the request still waits for its final response.
 func (r *request) isOpen() bool { return r.state == requestOpen }
 
-// apply makes the transition of an event, and returns false if there is none from the current state.
+// apply makes the state transition for an event. It returns false if the current state has no transition for the event.
 func (r *request) apply(event requestEvent) bool {
 	state, ok := r.state.next(event)
 	r.state = state
 	return ok
 }
 
-// inFlight says whether an attempt of the request has not ended.
+// inFlight reports whether any attempt of the request has not ended.
 func (r *request) inFlight() bool {
 	for _, a := range r.attempts {
 		if !a.ended() {
@@ -46,7 +46,7 @@
 	return false
 }
 
-// lastStatus names how the last attempt ended; "" where there was none, or it is in flight.
+// lastStatus returns the name of the status of the last attempt; "" if there was no attempt or the last is in flight.
 func (r *request) lastStatus() string {
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].ended() {
 		return statusNames[r.attempts[n-1].status]
@@ -54,8 +54,8 @@
 	return ""
 }
 
-// startRequest gives a request to the Balancer. One whose id is in use already is rejected: a backend could not tell
-// the two apart.
+// startRequest passes a request to the Balancer. A request whose id is already in the table is rejected, because a
+// backend could not tell the two requests apart.
 func (l *eventLoop) startRequest(r *request) {
 	if l.requests[r.id] != nil {
 		r.response <- finalResponse{kind: responseDuplicate}
@@ -86,8 +86,8 @@
 	})
 }
 
-// recordWritten takes in that the last byte of a streamed request has been written, and the deadline that follows
-// from it.
+// recordWritten records that the last byte of a streamed request has been written, and the deadline that starts with
+// this byte.
 func (l *eventLoop) recordWritten(r *request, deadline time.Time) {
 	r.deadline = deadline
 	last := len(r.attempts) - 1
@@ -102,7 +102,7 @@
 	})
 }
 
-// disconnectClient ends a request whose client has closed its connection, and cancels its attempts.
+// disconnectClient ends a request whose client has closed the connection, and cancels the attempts of the request.
 func (l *eventLoop) disconnectClient(r *request) {
 	select {
 	case unread := <-r.response:
@@ -120,7 +120,8 @@
 	l.cancelAttempts(r, balance.StatusCancelled)
 }
 
-// respond gives an open request a final response that does not come from a backend, and cancels its attempts.
+// respond gives an open request a final response that does not come from a backend, and cancels the attempts of the
+// request.
 func (l *eventLoop) respond(r *request, response finalResponse) {
 	if r == nil || !r.apply(finalResponseGiven) {
 		return
@@ -141,7 +142,7 @@
 	l.cancelAttempts(r, status)
 }
 
-// releaseRequest removes a request from the table once it is over and none of its attempts is in flight.
+// releaseRequest removes a request from the table if the request is over and none of its attempts is in flight.
 func (l *eventLoop) releaseRequest(r *request) {
 	if !r.inFlight() && r.apply(noneInFlight) {
 		delete(l.requests, r.id)
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -6,23 +6,23 @@
 type responseKind uint8
 
 const (
-	// responseServed: a backend's response.
+	// responseServed: the response comes from a backend.
 	responseServed responseKind = iota
-	// responseRejected: the node sheds the request; trying again is harmless.
+	// responseRejected: the node sheds the request. The client may safely send it again.
 	responseRejected
-	// responseFailed: no attempt has succeeded, and none is left.
+	// responseFailed: no attempt has succeeded, and no further attempt is made.
 	responseFailed
-	// responseDuplicate: another request with this id is in the table.
+	// responseDuplicate: another request with the same id is in the table.
 	responseDuplicate
 	responseKinds
 )
 
-// finalResponse is the one response that the event loop gives to a request.
+// finalResponse is the only response that the event loop gives to a request.
 type finalResponse struct {
 	kind             responseKind
-	deadlineExceeded bool          // it came at or after the request's deadline
-	retryAfter       time.Duration // of a rejected one: when the client may try again; 0: not given
+	deadlineExceeded bool          // the response was given at or after the request's deadline
+	retryAfter       time.Duration // for responseRejected: when the client may try again; 0: not given
 	body             []byte
 	contentType      string
-	stream           *responseStream // the part of a served one that is still coming; nil: none
+	stream           *responseStream // for responseServed: set if the response is not complete in body
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// idleWait is how long the event loop waits for a message where no timer is set.
+// idleWait is how long the event loop waits for a message when no timer is set.
 const idleWait = time.Hour
 
 // timerQueue holds the timers that the Balancer has set. Timers that are due at the same time fire in the order in
-// which they were added. The zero value is empty.
+// which they were added. The zero value is an empty queue.
 type timerQueue struct {
 	heap  timerHeap
-	added uint64 // how many timers were ever added
+	added uint64 // number of timers ever added
 }
 
-// add sets a timer that is due at a time of the loop's clock.
+// add sets a timer that is due at the given time on the loop's clock.
 func (q *timerQueue) add(at time.Duration, id uint64) {
 	q.added++
 	heap.Push(&q.heap, timer{at: at, sequence: q.added, id: id})
 }
 
-// wait returns how long it is until the next timer is due; idleWait if there is none. It is not positive for one that
-// is due already.
+// wait returns the time until the next timer is due, or idleWait if there is no timer. The result is zero or negative
+// if a timer is already due.
 func (q *timerQueue) wait(now time.Duration) time.Duration {
 	if len(q.heap) == 0 {
 		return idleWait
@@ -30,7 +30,7 @@
 	return q.heap[0].at - now
 }
 
-// popDue removes the next timer that is due and returns the id under which it was set.
+// popDue removes the next timer that is due and returns its id. It returns false if no timer is due.
 func (q *timerQueue) popDue(now time.Duration) (id uint64, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return 0, false
@@ -38,14 +38,14 @@
 	return heap.Pop(&q.heap).(timer).id, true
 }
 
-// timer is a balance.TimerFired event to come.
+// timer is a timer that has not fired yet.
 type timer struct {
-	at       time.Duration
-	sequence uint64
-	id       uint64
+	at       time.Duration // when the timer is due, on the loop's clock
+	sequence uint64        // orders timers that are due at the same time
+	id       uint64        // the Balancer's id, for balance.TimerFired
 }
 
-// timerHeap implements heap.Interface, the earliest timer first.
+// timerHeap implements heap.Interface with the earliest timer first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// maxBodyBytes bounds a body that is read completely before it is passed on, a request's or a response's.
+	// maxBodyBytes limits the body of a request or response that is read completely before it is forwarded.
 	maxBodyBytes = 64 << 10
-	// maxHeadBytes bounds the head of a request or a response.
+	// maxHeadBytes limits the head of a request or response.
 	maxHeadBytes = 16 << 10
 )
 
-// upstreamTransport sends requests and health checks to backends. Each is one exchange: it runs in a goroutine of its
-// own, on one connection, and is never repeated here.
+// upstreamTransport sends requests and health checks to backends. Each request and health check is one exchange. An
+// exchange runs in its own goroutine on one connection, and the transport never repeats it.
 //
-// The connections are not net/http's own. Its Transport sends a request again when a reused connection breaks, and
-// its ClientConn, which does not, reports a request as written (httptrace.WroteRequest) while it is still in a
-// buffer: neither says whether the last byte has been written, which decides if the backend may have run the request.
-// Here a request is written in one call. net/http still encodes its header and parses the response.
+// The transport does not use the connections of net/http. http.Transport sends a request again when a reused connection
+// breaks. http.ClientConn does not, but it reports a request as written (httptrace.WroteRequest) while the request is
+// still in a buffer. Neither tells whether the last byte has been written, and this decides whether the backend may
+// have run the request. The transport writes a request in one call, and uses net/http only to encode the header and to
+// parse the response.
 type upstreamTransport struct {
 	pool               *connpool.Pool
 	inlineLoadReports  bool             // responses carry load reports
-	writtenRequests    *atomic.Int64    // counts requests that were written completely, health checks aside
-	bodyMemory         *memoryBudget    // of responses that are read completely before they are passed on
-	loadReportLog      *lograte.Limited // of malformed load reports
-	exchangeFailureLog *lograte.Limited // of exchanges without a complete response
+	writtenRequests    *atomic.Int64    // counts completely written requests, without health checks
+	bodyMemory         *memoryBudget    // for responses that are read completely before they are forwarded
+	loadReportLog      *lograte.Limited // logs malformed load reports
+	exchangeFailureLog *lograte.Limited // logs exchanges without a complete response
 }
 
 func newUpstreamTransport(
@@ -52,30 +53,31 @@
 	}
 }
 
-// attemptResult is how an exchange ended.
+// attemptResult is the result of an exchange.
 type attemptResult struct {
 	status        balance.Status
-	load          balance.Load // the backend's load report, if there was one
+	load          balance.Load // the backend's load report; empty if there was none
 	elapsed       time.Duration
 	body          []byte
 	contentType   string
-	stream        *responseStream // the part of the response that is still coming; nil: none
-	notReplayable bool            // the request's body was streamed and can't be sent again
+	stream        *responseStream // the response, if it was not read completely; nil: body is complete
+	notReplayable bool            // the request's body was streamed and cannot be sent again
 }
 
-// upstreamCall is an exchange under way. The zero value may be started.
+// upstreamCall is the state that the event loop and the goroutine of an exchange share. The zero value is ready to be
+// passed to upstreamTransport.start.
 type upstreamCall struct {
 	cancel    context.CancelFunc // ends the exchange and closes its connection; set by start
-	startBy   time.Time          // the latest at which its first byte may be written; zero: any
+	startBy   time.Time          // the latest time at which the first byte may be written; zero: no limit
 	lifecycle attemptLifecycle
-	startedAt monotime.Atomic // when its first byte was about to be written; zero: it never was
+	startedAt monotime.Atomic // when the first byte was about to be written; zero: not yet or never
 }
 
-// cancelUnsent cancels the call if its first byte has not been written, and returns whether that came in time. A
-// drain counts a request as sent from its first byte, and a dial may outlast the drain's grace.
+// cancelUnsent cancels the call if its first byte has not been written, and reports whether it did. An unavailable
+// backend must not get the first byte of a request after its drain grace, and a dial may take longer than the grace.
 func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledUnsent) }
 
-// beginWrite says whether the first byte may be written now, and counts it as written from here on.
+// beginWrite reports whether the first byte may be written now. If so, the call counts as being written from now on.
 func (c *upstreamCall) beginWrite() bool {
 	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
 	if late || !c.lifecycle.apply(firstByteDue) {
@@ -85,9 +87,9 @@
 	return true
 }
 
-// start sends a request to a backend and calls done, from another goroutine, with the result. A call that has not
-// begun to write by call.startBy never does; one that is not over by the deadline is ended then, and its connection
-// with it. A streamed request has no deadline before its last byte.
+// start sends a request to a backend and calls done with the result from another goroutine. If the first byte has not
+// been written by call.startBy, the request is not sent. At the deadline, the exchange is cancelled and its connection
+// closed. The deadline is ignored for a streamed request, whose deadline is only known when its last byte is written.
 func (t *upstreamTransport) start(
 	call *upstreamCall, to connpool.Server, request *forwardedRequest, deadline time.Time, done func(attemptResult),
 ) {
@@ -119,7 +121,7 @@
 		t.pool.Discard(conn)
 		return attemptResult{status: balance.StatusNotSent}
 	}
-	// A cancelled exchange closes its connection at once: nothing that comes later can reach a client.
+	// A cancelled exchange closes its connection immediately, so that no later response can reach a client.
 	detach := context.AfterFunc(ctx, func() { conn.Close() })
 	defer detach()
 	e := &upstreamExchange{transport: t, conn: conn, request: request, detach: detach}
@@ -138,16 +140,16 @@
 	case errors.Is(err, connpool.ErrExhausted):
 		return balance.StatusNotSent
 	case accept.IsShortage(err):
-		t.logFailure(ctx, request, to, "no connection for want of resources", err)
+		t.logFailure(ctx, request, to, "no connection: this machine is short of resources", err)
 		return balance.StatusNotSent
 	}
 	t.logFailure(ctx, request, to, "no connection", err)
 	return balance.StatusNotDelivered
 }
 
-// statusWithoutResponse is the status of an exchange whose request was written completely and that got no complete
-// response: the backend may have run it. A timeout within a line of the head comes as a parse error, so ctx is looked
-// at too.
+// statusWithoutResponse returns the status of an exchange whose request was written completely and that got no complete
+// response. The backend may have run the request. If the deadline passes within a line of the head, err is a parse
+// error, so ctx is checked in addition.
 func statusWithoutResponse(ctx context.Context, err error) balance.Status {
 	deadline, hasDeadline := ctx.Deadline()
 	switch {
@@ -160,7 +162,7 @@
 	return balance.StatusConnectionLost
 }
 
-// logFailure logs, at a bounded rate, why an exchange got no complete response; cancelled ones are not logged.
+// logFailure logs, at a bounded rate, why an exchange got no complete response. Cancelled exchanges are not logged.
 func (t *upstreamTransport) logFailure(
 	ctx context.Context, request *forwardedRequest, to connpool.Server, reason string, err error,
 ) {
@@ -171,12 +173,12 @@
 		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.Addr, "error", err)
 }
 
-// upstreamExchange is an exchange on its connection.
+// upstreamExchange is an exchange that has a connection.
 type upstreamExchange struct {
 	transport *upstreamTransport
 	conn      *connpool.Conn
 	request   *forwardedRequest
-	detach    func() bool // keeps the end of the context from closing the connection; false if it has
+	detach    func() bool // stops the context from closing the connection; returns false if it has closed it already
 }
 
 // sendRequest writes a request whose body is complete, and reads the response.
@@ -188,7 +190,7 @@
 	if err != nil {
 		e.discard(ctx, "request not written", err)
 		if written < int64(len(head)+len(e.request.body)) {
-			return attemptResult{status: balance.StatusNotDelivered} // it can't have run
+			return attemptResult{status: balance.StatusNotDelivered} // the backend cannot have run the request
 		}
 		return attemptResult{status: statusWithoutResponse(ctx, err)}
 	}
--- a/internal/node/upstream_response.go
+++ b/internal/node/upstream_response.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// neverRanHeader is set to 1 on a backend's response to a request that it has not run.
+	// neverRanHeader is set to 1 by a backend on the response to a request that the backend has not run.
 	neverRanHeader = "X-Never-Ran"
-	// maxInformational is how many 1xx responses may precede the final one.
+	// maxInformational is how many 1xx responses may precede the final response.
 	maxInformational = 8
-	// maxResponseBytes bounds a response as it comes over the connection: small chunks take several times their body.
+	// maxResponseBytes limits the bytes of a response on the connection. A body in small chunks takes several times its
+	// own size.
 	maxResponseBytes = maxHeadBytes + 4*maxBodyBytes
 )
 
-// readResponse reads a response. One that is large or long in coming is read in part, and the rest is left to be
-// streamed. The connection is given back, or closed, when all of the response has been read. After an error the
-// caller discards it.
+// readResponse reads a response. If the body is large, or its length is unknown and the body does not end soon, it
+// reads only a part and returns a stream for the client. The connection is released or closed once the complete
+// response has been read. After an error the caller must discard the connection.
 func (e *upstreamExchange) readResponse() (attemptResult, error) {
 	resp, err := readResponseHead(e.conn, e.request.method)
 	if err != nil {
@@ -60,8 +61,8 @@
 	return result, nil
 }
 
-// readResponseHead reads the head of the response to a request, past any 1xx responses. At most maxResponseBytes can
-// be read of the response.
+// readResponseHead reads the head of the final response to a request and skips 1xx responses. It limits the bytes that
+// can be read from the connection to maxResponseBytes.
 func readResponseHead(conn *connpool.Conn, method string) (*http.Response, error) {
 	conn.LimitRead(maxResponseBytes)
 	request := &http.Request{Method: method}
@@ -78,8 +79,8 @@
 	return nil, errors.New("too many 1xx responses")
 }
 
-// finishResponse gives the connection back to the pool if it can carry another request, and otherwise closes it. A
-// backend that sends more than its response starts the pool's quarantine.
+// finishResponse releases the connection to the pool if it can carry another request, and closes it otherwise. If the
+// backend has sent more bytes than its response, the pool's quarantine starts.
 func (e *upstreamExchange) finishResponse(resp *http.Response, complete bool) {
 	surplus := complete && e.conn.Reader.Buffered() > 0
 	if surplus {
@@ -94,9 +95,9 @@
 	e.transport.pool.Release(e.conn)
 }
 
-// readBody reads the body of a response, completely if it may be held in memory. Of one that may be streamed it
-// returns at least the first byte: until something has been passed on, a failure can still be answered in another
-// way. One that may not be streamed has to be short.
+// readBody reads the body of a response, completely if there is memory for it. Of a body that is to be streamed it
+// reads at least the first byte, because the node can still give another response to the client if the read fails
+// before any byte has been forwarded. A body that may not be streamed must not exceed maxBodyBytes.
 func (t *upstreamTransport) readBody(resp *http.Response, mayStream bool) (body []byte, complete bool, err error) {
 	size := resp.ContentLength
 	switch {
@@ -116,7 +117,7 @@
 	return t.readUnsizedBody(resp.Body)
 }
 
-// readShortBody reads a body of at most maxBodyBytes.
+// readShortBody reads a body of at most maxBodyBytes. It returns errBodyTooLong for a longer body.
 func readShortBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength > maxBodyBytes {
 		return nil, errBodyTooLong
@@ -128,15 +129,15 @@
 	return body, err
 }
 
-// readUnsizedBody reads a body whose length is not given: up to its end or pieceSize, or what comes first where
-// memory for bodies is short. What has not been passed on can be answered in another way, if the response breaks off
-// or never ends.
+// readUnsizedBody reads a body of unknown length up to its end or streamBufferSize, or only the first bytes if memory
+// for bodies is short. While no byte has been forwarded, the node can still give another response if this one breaks
+// off or does not end.
 func (t *upstreamTransport) readUnsizedBody(body io.Reader) (read []byte, complete bool, err error) {
-	enough := streamBufferSize
+	minRead := streamBufferSize
 	if t.bodyMemory.tryAcquire(streamBufferSize) {
 		defer t.bodyMemory.release(streamBufferSize)
 	} else {
-		enough = 1
+		minRead = 1
 	}
 	read = make([]byte, 0, streamBufferSize)
 	for {
@@ -147,14 +148,14 @@
 			return read, true, nil
 		case err != nil:
 			return nil, false, err
-		case len(read) >= enough:
+		case len(read) >= minRead:
 			return read, false, nil
 		}
 	}
 }
 
-// responseStatus returns the status of a complete response. Only a 503 or 504 with neverRanHeader says that the
-// request was not run.
+// responseStatus returns the status of an attempt by the head of its response. Only a 503 or 504 with neverRanHeader
+// means that the backend has not run the request.
 func responseStatus(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// This file is the only one of the package that reads the wall clock as a figure, and converts wall times of other
-// machines to the event loop's clock. All else is measured on the monotonic clock (package monotime).
+// Only this file uses the wall clock for calculations, and converts wall clock times of other machines to the event
+// loop's clock. The rest of the package measures time on the monotonic clock (package monotime).
 
-// wallClock returns Unix time.
+// wallClock returns the current Unix time.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// localStartTime converts the start time of a backend's process, a wall time of another machine, to the event loop's
-// clock; 0 is long ago. It is called when a start time is listed that the loop did not know.
+// localStartTime converts the start time of a backend's process from the wall clock of another machine to the event
+// loop's clock. 0 means that the process started long ago. It is called for a start time that the loop does not know
+// yet, when it appears in an endpoint list.
 //
-// Either wall clock may have been stepped. A start time in the future becomes now: otherwise the backend would stay in
-// slow start for as long as the clocks differ. One in the past is no earlier than the last list that this process
-// received, which did not have it: a backend that joins or restarts while the node runs is in slow start, whatever the
-// clocks say. That is late by as much as discovery is, and errs on the side of sending less. The first list of a
-// process has only the wall clock to go by.
+// Either wall clock may have been stepped. A start time in the future is replaced by now; otherwise the backend would
+// stay in slow start for as long as the clocks differ. A start time in the past is no earlier than the previous list
+// that this process received, because that list did not have it. A backend that joins or restarts while the node runs
+// is therefore always in slow start. The result is late by the delay of discovery, so the backend gets fewer requests
+// rather than more. For the first list of a process, only the wall clock is available.
 func (l *eventLoop) localStartTime(wallStart time.Duration) time.Duration {
 	if wallStart == 0 {
 		return 0
@@ -23,15 +24,15 @@
 	return max(min(wallStart, l.now()), l.lastListAt)
 }
 
-// cordonTimes are when a backend was last cordoned and uncordoned, on the event loop's clock.
+// cordonTimes holds the times when a backend was last cordoned and uncordoned, on the event loop's clock.
 type cordonTimes struct {
 	cordonedAt   time.Duration
 	uncordonedAt time.Duration
 }
 
-// updateCordonTimes converts the times of a record that the loop is about to apply. A change since the record that the
-// loop has is of this moment, as the file is checked many times a second. The first record has only the wall clock to
-// go by; none of its times is in the future.
+// updateCordonTimes converts the times of a record that the loop is about to apply. A change since the current record
+// counts as made now, because the file is checked many times a second. For the first record, only the wall clock is
+// available. Times in the future are replaced by now.
 func (l *eventLoop) updateCordonTimes(record cordonRecord) {
 	now := l.now()
 	for id, changed := range record.Backends {
@@ -47,7 +48,7 @@
 	}
 }
 
-// localCordonTime converts a Unix time in nanoseconds.
+// localCordonTime converts a Unix time in nanoseconds to the event loop's clock.
 func (l *eventLoop) localCordonTime(wallNanos int64, now time.Duration) time.Duration {
 	if l.running {
 		return now
