--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -13,17 +13,17 @@
 	"hitchvale/internal/connpool"
 )
 
-// Each attempt is written to one connection, once. http.Transport would send these again by itself when the reused
-// connection breaks, as they are GETs with an Idempotency-Key.
+// Each attempt is written to one connection only once. http.Transport would send these requests again when the reused
+// connection breaks, because they are GET requests with an Idempotency-Key.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
-	seen := make(chan string, 8)
+	arrived := make(chan string, 8)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			seen <- r.Header.Get("X-Trace-Id")
+			arrived <- r.Header.Get("X-Trace-Id")
 			if i > 0 {
 				resetConn(c) // the second request on a connection breaks it
 				return
@@ -34,17 +34,18 @@
 	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	r := attemptOnce(t, transport, to, newForwardedRequest("first"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "x" {
-		t.Fatalf("the first: %v", r)
+		t.Fatalf("first attempt: %v", r)
 	}
 	if r := attemptOnce(t, transport, to, newForwardedRequest("second")); r.status != balance.StatusConnectionLost {
-		t.Errorf("the second: status %v, want connection lost: it may have run", r.status)
+		t.Errorf("second attempt: status %v, want connection lost, because the request may have run", r.status)
 	}
-	if n := b.accepted.Load(); n != 1 || len(seen) != 2 {
-		t.Errorf("%d connections, %d requests", n, len(seen))
+	if n := b.accepted.Load(); n != 1 || len(arrived) != 2 {
+		t.Errorf("%d connections, %d requests", n, len(arrived))
 	}
 }
 
-// A backend restarted under its address leaves connections that look open here. No request is lost on one.
+// Idle connections to a backend that has restarted at the same address look open. No request is lost on such a
+// connection.
 func TestRestartedBackendLeavesNoDeadConnections(t *testing.T) {
 	serve := respondWith(func(r *http.Request) string { return okResponse(r.Header.Get("X-Trace-Id")) })
 	conns := make(chan net.Conn, 8)
@@ -63,7 +64,7 @@
 	}
 }
 
-// A connection is not reused after surplus bytes: they would be read as the response to the next request.
+// A connection with surplus bytes is not reused, because these bytes would be read as the response to the next request.
 func TestSurplusBytesAreNotReadAsAResponse(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		return okResponse(r.Header.Get("X-Trace-Id")) + okResponse("surplus")
@@ -77,8 +78,8 @@
 	}
 }
 
-// A second response that comes a moment late reaches nobody either: once a backend has sent more than a response,
-// with it or while the connection was idle, connections are quarantined before they carry another request.
+// A second response that arrives a little later is not read as the response to the next request either. After a backend
+// has sent more than one response to a request, each connection is quarantined before it carries another request.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		first, err := http.ReadRequest(br)
@@ -87,7 +88,7 @@
 		}
 		io.WriteString(c, okResponse(first.Header.Get("X-Trace-Id")))
 		c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		br.Peek(1) // the next request may come first
+		br.Peek(1) // waits until the next request arrives, or 20 ms
 		io.WriteString(c, okResponse(first.Header.Get("X-Trace-Id")))
 		c.SetReadDeadline(time.Time{})
 		for {
@@ -108,13 +109,14 @@
 	for _, id := range []string{"one", "two"} {
 		r := attemptOnce(t, transport, to, newForwardedRequest(id))
 		if r.status != balance.StatusSucceeded || string(r.body) != id {
-			t.Errorf("%s: status %v, answer %q", id, r.status, r.body)
+			t.Errorf("%s: status %v, body %q", id, r.status, r.body)
 		}
 	}
 }
 
+// Surplus bytes start the quarantine, whether they arrive with the response or while the connection is idle.
 func TestSurplusStartsQuarantine(t *testing.T) {
-	for name, late := range map[string]bool{"with the answer": false, "while idle": true} {
+	for name, late := range map[string]bool{"with the response": false, "while idle": true} {
 		wrote := make(chan struct{}, 1)
 		b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 			if _, err := http.ReadRequest(br); err != nil {
@@ -131,7 +133,7 @@
 		})
 		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		if transport.pool.Quarantine() != 0 {
-			t.Error("quarantine from the start")
+			t.Error("quarantine before any surplus bytes")
 		}
 		attemptOnce(t, transport, to, newForwardedRequest("one"))
 		<-wrote
@@ -142,7 +144,7 @@
 	}
 }
 
-// The pool has at most MaxOpen connections, and closes an idle one for a new one.
+// The pool has at most MaxOpen connections, and closes an idle connection to make room for a new one.
 func TestPoolIsBounded(t *testing.T) {
 	serve := respondWith(func(*http.Request) string { return okResponse("x") })
 	a, b := newRawBackend(t, "127.0.0.1:0", serve), newRawBackend(t, "127.0.0.1:0", serve)
@@ -151,7 +153,7 @@
 	for _, l := range []*rawBackend{a, b} {
 		r := attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, newForwardedRequest("id"))
 		if r.status != balance.StatusSucceeded {
-			t.Errorf("%v", r.status)
+			t.Errorf("status %v, want succeeded", r.status)
 		}
 	}
 	c, err := transport.pool.Acquire(context.Background(), connpool.Server{Addr: b.Addr().String()})
@@ -160,7 +162,7 @@
 	}
 	r := attemptOnce(t, transport, connpool.Server{Addr: a.Addr().String()}, newForwardedRequest("id"))
 	if r.status != balance.StatusNotSent {
-		t.Errorf("with no room: %v", r.status)
+		t.Errorf("without room for a connection: status %v", r.status)
 	}
 	transport.pool.Discard(c)
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// encodedReadRequest returns a request of the class "read" as it is sent on a connection.
+// encodedReadRequest returns the text of a request of the class "read".
 func encodedReadRequest(id string) string {
 	return "GET /api/" + id + " HTTP/1.1\r\nHost: x\r\n" +
 		"X-Trace-Id: " + id + "\r\nX-Qos: read\r\nX-Customer: acme\r\n\r\n"
 }
 
 // newHangingBackend starts a backend that answers all requests except those with the id "hangs". It sends the id of
-// each request that arrives on came, and "hangs" on ended for each hanging request whose connection the node closes.
-func newHangingBackend(t *testing.T) (addr string, came, ended chan string) {
-	came, ended = make(chan string, 1<<10), make(chan string, 1<<10)
+// each request on arrived, and "hangs" on ended for each hanging request whose connection the node closes.
+func newHangingBackend(t *testing.T) (addr string, arrived, ended chan string) {
+	arrived, ended = make(chan string, 1<<10), make(chan string, 1<<10)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -32,7 +32,7 @@
 				return
 			}
 			id := r.Header.Get("X-Trace-Id")
-			came <- id
+			arrived <- id
 			if id == "hangs" {
 				br.ReadByte()
 				ended <- id
@@ -41,10 +41,10 @@
 			io.WriteString(c, okResponse(id))
 		}
 	})
-	return b.Addr().String(), came, ended
+	return b.Addr().String(), arrived, ended
 }
 
-// dialAndSend returns a connection to the node on which text has been sent.
+// dialAndSend opens a connection to the node, sends text on it and returns it. It is closed when the test ends.
 func (s *testNode) dialAndSend(t *testing.T, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
@@ -58,112 +58,113 @@
 
 // expectNoOtherRequest waits until all clients are disconnected, sends one more request, and checks that no other
 // request reaches a backend. A node that still forwarded a request of a disconnected client would do so before.
-func (s *testNode) expectNoOtherRequest(t *testing.T, came chan string) {
+func (s *testNode) expectNoOtherRequest(t *testing.T, arrived chan string) {
 	t.Helper()
-	eventually(t, "an end of all connections", func() bool { return s.server.conns.open() == 0 })
+	eventually(t, "the end of all connections", func() bool { return s.server.conns.open() == 0 })
 	last := newClientRequest(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
 	if _, body := roundTrip(t, last); body != "last" {
-		t.Errorf("the last one got %q", body)
+		t.Errorf("the last request got the body %q", body)
 	}
-	for id := receive(t, "the last one", came); id != "last"; id = receive(t, "the last one", came) {
+	for id := receive(t, "the last request", arrived); id != "last"; id = receive(t, "the last request", arrived) {
 		t.Errorf("%q reached a backend", id)
 	}
 }
 
 // Nothing is forwarded for a client that disconnected before the node read its request.
 func TestDisconnectWhileInBacklog(t *testing.T) {
-	for name, leave := range map[string]func(net.Conn){"closes": func(c net.Conn) { c.Close() }, "resets": resetConn} {
-		for _, more := range []int{0, 1, 3} {
-			t.Run(fmt.Sprintf("%s,more=%d", name, more), func(t *testing.T) {
-				addr, came, _ := newHangingBackend(t)
+	for name, disconnect := range map[string]func(net.Conn){"close": func(c net.Conn) { c.Close() }, "reset": resetConn} {
+		for _, pipelined := range []int{0, 1, 3} {
+			t.Run(fmt.Sprintf("%s,pipelined=%d", name, pipelined), func(t *testing.T) {
+				addr, arrived, _ := newHangingBackend(t)
 				text := formatList(1, true, listEntry{"s", addr, "ready", 0})
-				made, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
+				created, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
 				if err != nil {
 					t.Fatal(err)
 				}
-				for i := range 8 { // nothing is accepted yet
-					c, err := net.Dial("tcp", made.Addr().String())
+				for i := range 8 { // the node does not accept connections yet
+					c, err := net.Dial("tcp", created.Addr().String())
 					if err != nil {
 						t.Fatal(err)
 					}
-					io.WriteString(c, strings.Repeat(encodedReadRequest(fmt.Sprintf("left-%d", i)), 1+more))
-					leave(c)
+					io.WriteString(c, strings.Repeat(encodedReadRequest(fmt.Sprintf("disconnected-%d", i)), 1+pipelined))
+					disconnect(c)
 				}
-				n := runNode(t, made)
+				n := runNode(t, created)
 				eventually(t, "readiness", n.loop.ready.Load)
-				n.expectNoOtherRequest(t, came)
+				n.expectNoOtherRequest(t, arrived)
 			})
 		}
 	}
 }
 
-// The disconnect of a client that has sent more behind its request is noticed: its request is cancelled, and what came
-// behind is not started.
+// The node notices the disconnect of a client that has sent more bytes after its request. It cancels the request, and
+// does not start a request from the bytes after it.
 func TestDisconnectAfterPipelinedBytes(t *testing.T) {
-	for name, behind := range map[string]string{
-		"nothing":   "",
-		"a byte":    "G",
-		"a request": encodedReadRequest("behind"),
-		"many":      strings.Repeat(encodedReadRequest("behind"), 200),
-		"noise":     strings.Repeat("x", 4000),
+	for name, pipelined := range map[string]string{
+		"nothing":         "",
+		"a byte":          "G",
+		"a request":       encodedReadRequest("pipelined"),
+		"many requests":   strings.Repeat(encodedReadRequest("pipelined"), 200),
+		"malformed bytes": strings.Repeat("x", 4000),
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, came, ended := newHangingBackend(t)
+			addr, arrived, ended := newHangingBackend(t)
 			n := startNodeWith(t, addr)
-			c := n.dialAndSend(t, encodedReadRequest("hangs")+behind)
-			receive(t, "the attempt", came)
+			c := n.dialAndSend(t, encodedReadRequest("hangs")+pipelined)
+			receive(t, "the attempt", arrived)
 			c.Close()
 			receive(t, "the end of the attempt", ended)
-			n.expectNoOtherRequest(t, came)
+			n.expectNoOtherRequest(t, arrived)
 		})
 	}
 }
 
-// The connection of a client that sends without end behind a request is closed, and takes a bounded amount of memory.
+// The node closes the connection of a client that sends endlessly after a request, so that the client occupies a
+// bounded amount of memory.
 func TestEndlessPipelinedBytesCloseTheConnection(t *testing.T) {
-	addr, came, ended := newHangingBackend(t)
+	addr, arrived, ended := newHangingBackend(t)
 	n := startNodeWith(t, addr)
 	c := n.dialAndSend(t, encodedReadRequest("hangs"))
-	receive(t, "the attempt", came)
-	go io.Copy(c, strings.NewReader(strings.Repeat(encodedReadRequest("behind"), 1<<15)))
+	receive(t, "the attempt", arrived)
+	go io.Copy(c, strings.NewReader(strings.Repeat(encodedReadRequest("pipelined"), 1<<15)))
 	receive(t, "the end of the attempt", ended)
-	n.expectNoOtherRequest(t, came)
+	n.expectNoOtherRequest(t, arrived)
 }
 
-// Nothing is written for a client that disconnects while the connection to the backend is being dialed.
+// The node sends no request to a backend for a client that disconnects while the backend is being dialed.
 func TestDisconnectDuringDial(t *testing.T) {
-	addr, came, _ := newHangingBackend(t)
+	addr, arrived, _ := newHangingBackend(t)
 	n := startNodeWith(t, addr)
-	dialing, dial := make(chan struct{}, 8), make(chan struct{})
+	dialing, continueDial := make(chan struct{}, 8), make(chan struct{})
 	n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
-		<-dial
+		<-continueDial
 		return nil
 	})
-	c := n.dialAndSend(t, encodedReadRequest("left"))
-	receive(t, "a dial", dialing)
+	c := n.dialAndSend(t, encodedReadRequest("disconnected"))
+	receive(t, "the dial", dialing)
 	c.Close()
-	eventually(t, "the node to know", func() bool { return n.server.inFlight.Load() == 0 && n.openRequests(t) == 0 })
-	close(dial)
-	n.expectNoOtherRequest(t, came)
+	eventually(t, "the end of the request", func() bool { return n.server.inFlight.Load() == 0 && n.openRequests(t) == 0 })
+	close(continueDial)
+	n.expectNoOtherRequest(t, arrived)
 }
 
-// A client that sent more behind its request gets its complete response from a node that shuts down: a close over
-// unread bytes would reset the connection, and lose the response.
+// A client that has sent more bytes after its request gets the complete response from a node that shuts down. Closing a
+// connection that has unread bytes would reset it, and the client would lose the response.
 func TestShutdownSendsCompleteResponseDespiteUnreadBytes(t *testing.T) {
 	const size = 60 << 10
-	hold, held := make(chan struct{}), make(chan struct{}, 1)
+	release, arrived := make(chan struct{}), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
-		held <- struct{}{}
-		<-hold
+		arrived <- struct{}{}
+		<-release
 		return okResponse(strings.Repeat("x", size))
 	}))
 	n := startNodeWith(t, b.Addr().String())
 	c := n.dialAndSend(t, encodedReadRequest("one")+strings.Repeat("y", 40<<10))
-	c.(*net.TCPConn).SetReadBuffer(4 << 10) // so that most of the answer waits at the node when it closes
-	receive(t, "the attempt", held)
+	c.(*net.TCPConn).SetReadBuffer(4 << 10) // so that most of the response is still at the node when it closes
+	receive(t, "the attempt", arrived)
 	n.server.shutdown.start()
-	close(hold)
+	close(release)
 	eventually(t, "the node's close", func() bool { return n.server.conns.open() == 0 })
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -174,8 +175,8 @@
 	}
 }
 
-// A request that has begun to come in at SIGTERM is served, on a new connection and on one in use; idle connections
-// are closed, and unused ones don't delay the exit.
+// A request whose head is incomplete at SIGTERM is served, on a new connection and on a reused one. Idle connections
+// are closed, and unused connections do not delay the exit.
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
@@ -206,39 +207,39 @@
 		drained := make(chan struct{})
 		go func() { f.drain(ctx); close(drained) }()
 		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the idle one: %v", err)
+			t.Errorf("read from the idle connection: %v, want EOF", err)
 		}
 		time.Sleep(2 * time.Second)
-		for name, c := range map[string]net.Conn{"on a new connection": partial, "on one in use": reused} {
+		for name, c := range map[string]net.Conn{"on a new connection": partial, "on a reused connection": reused} {
 			send(c, text[20:])
 			if err := answered(c); err != nil {
-				t.Errorf("half a head %s: %v", name, err)
+				t.Errorf("incomplete head %s: %v", name, err)
 			}
 		}
 		<-drained
 		if ctx.Err() != nil {
-			t.Error("the unused one delayed the exit")
+			t.Error("the unused connection delayed the exit")
 		}
 	})
 }
 
 // A request with an idempotency key that may have run is retried only within the key's window and the request's
-// deadline, however long the dial takes.
+// deadline, even if the dial takes longer.
 func TestRetriesStayWithinTheKeyWindow(t *testing.T) {
 	const shortWindow = 200 * time.Millisecond
 	for name, tc := range map[string]struct {
-		window  time.Duration
-		expires string
-		hold    time.Duration // how long the second connection takes; 0: until the answer
-		status  int
-		again   int
+		window       time.Duration
+		expiresIn    string
+		dialTime     time.Duration // how long the second dial takes; 0: until the response
+		wantStatus   int
+		wantRequests int // how often the request reaches a backend
 	}{
 		"inside":   {time.Minute, "9.5", 1, http.StatusOK, 2},
 		"outside":  {shortWindow, "9.5", shortWindow, http.StatusBadGateway, 1},
 		"deadline": {time.Minute, "0.2", 0, http.StatusServiceUnavailable, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var came, dials atomic.Int64
+			var arrived, dials atomic.Int64
 			serve := func(c net.Conn, br *bufio.Reader) {
 				for {
 					r, err := http.ReadRequest(br)
@@ -246,7 +247,7 @@
 						return
 					}
 					io.Copy(io.Discard, r.Body)
-					if r.Header.Get("X-Trace-Id") == "repeat" && came.Add(1) == 1 {
+					if r.Header.Get("X-Trace-Id") == "repeat" && arrived.Add(1) == 1 {
 						resetConn(c)
 						return
 					}
@@ -257,15 +258,15 @@
 				listEntry{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
 			windowSetting := fmt.Sprintf(`"window":%d`, tc.window)
 			n := startNode(t, testConfig(t, newDiscoveryService(t, text).addr, text, `"window":5000000000`, windowSetting))
-			for range 15 { // so that the node may repeat any
+			for range 15 { // so that the node has a retry budget
 				roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 			}
 			n.pool.CloseAllIdle()
-			dialing, dial := make(chan struct{}), make(chan struct{})
+			dialing, continueDial := make(chan struct{}), make(chan struct{})
 			n.pool.DialContext = dialWithControl(func(string, string, syscall.RawConn) error {
 				if dials.Add(1) == 2 {
 					close(dialing)
-					<-dial
+					<-continueDial
 				}
 				return nil
 			})
@@ -273,22 +274,23 @@
 			go func() {
 				resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "token", func(r *http.Request) {
 					r.Header.Set("X-Trace-Id", "repeat")
-					r.Header.Set("X-Expires-In", tc.expires)
+					r.Header.Set("X-Expires-In", tc.expiresIn)
 				}))
 				answered <- resp.StatusCode
 			}()
-			receive(t, "a second dial", dialing)
-			time.Sleep(tc.hold)
-			if tc.hold > 0 {
-				close(dial)
+			receive(t, "the second dial", dialing)
+			time.Sleep(tc.dialTime)
+			if tc.dialTime > 0 {
+				close(continueDial)
 			}
-			got := receive(t, "the answer", answered)
-			if tc.hold == 0 {
-				close(dial)
+			got := receive(t, "the response", answered)
+			if tc.dialTime == 0 {
+				close(continueDial)
 			}
-			eventually(t, "an end of the attempts", func() bool { return n.openRequests(t) == 0 })
-			if again := int(came.Load()); got != tc.status || again != tc.again {
-				t.Errorf("answered %d, at a backend %d times", got, again)
+			eventually(t, "the end of the attempts", func() bool { return n.openRequests(t) == 0 })
+			if requests := int(arrived.Load()); got != tc.wantStatus || requests != tc.wantRequests {
+				t.Errorf("status %d, want %d; the request reached a backend %d times, want %d",
+					got, tc.wantStatus, requests, tc.wantRequests)
 			}
 		})
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -13,7 +13,8 @@
 	"hitchvale/balance"
 )
 
-// Nothing new is sent to a draining backend: no request that the module forwards, and no attempt that still dials.
+// No new request is sent to a draining backend. An attempt that is still dialing the backend is cancelled, and later
+// requests go to another backend.
 func TestDrainCancelsAttemptsThatDial(t *testing.T) {
 	served := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
@@ -22,16 +23,16 @@
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
 	text := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
-	reg := newDiscoveryService(t, text)
-	n, err := New(testConfig(t, reg.addr, text), nopLog())
+	service := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, service.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	dialing, dial := make(chan struct{}, 8), make(chan struct{})
+	dialing, continueDial := make(chan struct{}, 8), make(chan struct{})
 	n.pool.DialContext = dialWithControl(func(_, addr string, _ syscall.RawConn) error {
 		if addr == old.Addr().String() {
 			dialing <- struct{}{}
-			<-dial
+			<-continueDial
 		}
 		return nil
 	})
@@ -45,24 +46,25 @@
 		_, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 		answered <- body
 	}()
-	receive(t, "a dial", dialing)
-	reg.changes <- formatList(2, false, listEntry{"old", old.Addr().String(), "draining", 0},
+	receive(t, "the dial", dialing)
+	service.changes <- formatList(2, false, listEntry{"old", old.Addr().String(), "draining", 0},
 		listEntry{"new", other.Addr().String(), "ready", 0})
-	eventually(t, "the watch event", func() (draining bool) {
+	eventually(t, "the drain", func() (draining bool) {
 		s.runOnLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
 		return draining
 	})
-	close(dial)
-	// The request never ran, so the module may forward or reject it; a node this young has no retry budget.
-	if body := receive(t, "the answer", answered); body == "old" {
-		t.Errorf("answered %q", body)
+	close(continueDial)
+	// The request has not run, so the Balancer may retry it. It may also reject it, because a node that has just started
+	// has no retry budget.
+	if body := receive(t, "the response", answered); body == "old" {
+		t.Errorf("response %q", body)
 	}
 	for range 3 {
 		if _, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); body != "other" {
-			t.Errorf("answered %q", body)
+			t.Errorf("response %q, want \"other\"", body)
 		}
 	}
-	eventually(t, "the end of the dial", func() bool {
+	eventually(t, "the close of the dialed connection", func() bool {
 		open, _ := n.pool.Size()
 		return open == 1
 	})
@@ -74,11 +76,12 @@
 	}
 }
 
-// A node with a known list watches from its revision: reading the list again costs discovery work for each entry.
+// A node with a known list watches from the revision of this list. Reading the complete list again would cost the
+// discovery service work for each entry.
 func TestWatchStartsFromTheKnownList(t *testing.T) {
 	text := formatList(41, true, listEntry{"s", "127.0.0.1:1", "ready", 0})
-	reg := newDiscoveryService(t, text)
-	n, err := New(testConfig(t, reg.addr, text), nopLog())
+	service := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, service.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,15 +89,15 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	eventually(t, "the first call", func() bool { return len(reg.queries()) > 0 })
-	if first := reg.queries()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
-		t.Errorf("the first call has the query %q", first)
+	eventually(t, "the first discovery call", func() bool { return len(service.queries()) > 0 })
+	if first := service.queries()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
+		t.Errorf("the first discovery call has the query %q", first)
 	}
 }
 
-// A pushed list counts as notified from the start of a process: it is not ready on the list of its configuration, but
-// once it has read the agent's, which its first call does without waiting. An agent that does not answer delays it for
-// a while only.
+// A process is not ready on the list of its configuration. It becomes ready when it has read the list of the discovery
+// service, and its first call asks for this list without waiting for a change. A discovery service that does not answer
+// delays the readiness only by firstListTimeout.
 func TestNotReadyBeforeTheFirstPushedList(t *testing.T) {
 	known := formatList(1, true, listEntry{"s", "127.0.0.1:9", "ready", 0})
 	for _, answers := range []bool{true, false} {
@@ -115,11 +118,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { n.Run(ctx); close(done) }()
-		if first := receive(t, "the first call", queries); first != "after=1&wait_ms=0" {
-			t.Errorf("the first call has the query %q", first)
+		if first := receive(t, "the first discovery call", queries); first != "after=1&wait_ms=0" {
+			t.Errorf("the first discovery call has the query %q", first)
 		}
 		if n.loop.ready.Load() && answers {
-			t.Error("ready before the agent's list was read")
+			t.Error("ready before the list of the discovery service was read")
 		}
 		if answers {
 			close(release)
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -11,8 +11,9 @@
 	"hitchvale/balance"
 )
 
-// An endpoint list takes effect while idle clients occupy all connections for clients, after discovery was down, and
-// whether lists are pushed or polled: a drain is noticed, and the new backend serves a new client.
+// After an outage of discovery, an endpoint list is applied although idle clients occupy all connections for clients.
+// The node notices that a backend drains, and a new backend serves a new client. The test covers pushed and polled
+// lists.
 func TestEndpointListIsAppliedWhileIdleClientsFillTheNode(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -22,8 +23,8 @@
 			after := formatList(2, false,
 				listEntry{"old", old.Addr().String(), "draining", 0},
 				listEntry{"fresh", fresh.Addr().String(), "ready", 0})
-			down, back := make(chan struct{}), make(chan struct{})
-			over := func(c chan struct{}) bool {
+			outageStart, outageEnd := make(chan struct{}), make(chan struct{})
+			closed := func(c chan struct{}) bool {
 				select {
 				case <-c:
 					return true
@@ -31,37 +32,37 @@
 					return false
 				}
 			}
-			disco := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+			discovery := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 				for {
 					r, err := http.ReadRequest(br)
 					if err != nil {
 						return
 					}
 					query := r.URL.RawQuery
-					waits := query != "" && !strings.HasSuffix(query, "wait_ms=0")
-					if !over(down) && waits {
-						<-down // a watch that is open when it goes down
+					isWatch := query != "" && !strings.HasSuffix(query, "wait_ms=0")
+					if !closed(outageStart) && isWatch {
+						<-outageStart // this watch is open when the outage starts
 					}
 					switch {
-					case !over(down):
+					case !closed(outageStart):
 						io.WriteString(c, okResponse(before))
-					case !over(back):
+					case !closed(outageEnd):
 						resetConn(c)
 						return
 					case query == "":
 						io.WriteString(c, okResponse(strings.Replace(after, `"complete":false`, `"complete":true`, 1)))
-					case strings.HasPrefix(query, "after=2") && waits:
+					case strings.HasPrefix(query, "after=2") && isWatch:
 						br.ReadByte()
 					default:
 						io.WriteString(c, okResponse(after))
 					}
 				}
 			})
-			cfg := testConfig(t, disco.Addr().String(), before, `"zones"`, `"membershipMode":"`+mode+`","zones"`)
+			cfg := testConfig(t, discovery.Addr().String(), before, `"zones"`, `"membershipMode":"`+mode+`","zones"`)
 			cfg.Limits.Sockets = minDescriptors
 			n := startNode(t, cfg)
 			eventually(t, "readiness", n.loop.ready.Load)
-			close(down)
+			close(outageStart)
 			for i := range 4 * n.maxClientConns {
 				text := ""
 				if i%2 == 0 {
@@ -69,73 +70,74 @@
 				}
 				n.dialAndSend(t, text)
 			}
-			eventually(t, "a node full of idle clients", func() bool { return n.server.conns.open() >= n.maxClientConns*3/4 })
-			close(back)
-			eventually(t, "the drain", func() (heard bool) {
-				n.runOnLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
-				return heard
+			eventually(t, "many idle clients", func() bool { return n.server.conns.open() >= n.maxClientConns*3/4 })
+			close(outageEnd)
+			eventually(t, "the drain", func() (draining bool) {
+				n.runOnLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
+				return draining
 			})
 			resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 			if resp.StatusCode != http.StatusOK || body != "fresh" {
-				t.Errorf("a new client: %d %q", resp.StatusCode, body)
+				t.Errorf("response to a new client: %d %q", resp.StatusCode, body)
 			}
 			open, _ := n.pool.Size()
-			if held := n.listener.openConns(); held+open+reservedDescriptors > cfg.Limits.Sockets {
-				t.Errorf("%d connections of clients and %d to backends, of %d descriptors",
-					held, open, cfg.Limits.Sockets)
+			if clients := n.listener.openConns(); clients+open+reservedDescriptors > cfg.Limits.Sockets {
+				t.Errorf("%d connections of clients and %d to backends exceed the %d descriptors",
+					clients, open, cfg.Limits.Sockets)
 			}
 		})
 	}
 }
 
-// A backend that a complete list does not name is removed, though it still answers: requests go to those named.
+// A backend that is missing from a complete list is removed although it still answers. Requests go to the listed
+// backends.
 func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
 	before := formatList(1, true, listEntry{"old", newEchoBackend(t).Addr().String(), "ready", 0})
-	reg := newDiscoveryService(t, before)
-	n := startNode(t, testConfig(t, reg.addr, before))
-	reg.changes <- formatList(2, true, listEntry{"new", newEchoBackend(t).Addr().String(), "ready", 0})
-	eventually(t, "the end of what is left out", func() (gone bool) {
+	service := newDiscoveryService(t, before)
+	n := startNode(t, testConfig(t, service.addr, before))
+	service.changes <- formatList(2, true, listEntry{"new", newEchoBackend(t).Addr().String(), "ready", 0})
+	eventually(t, "the removal of the missing backend", func() (removed bool) {
 		n.runOnLoop(t, func() {
 			old, fresh := n.loop.backendsByID["old"], n.loop.backendsByID["new"]
-			gone = fresh != nil && fresh.available() && !old.available() && old.phase == balance.Removed
+			removed = fresh != nil && fresh.available() && !old.available() && old.phase == balance.Removed
 		})
-		return gone
+		return removed
 	})
 	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// A draining backend finishes its requests, and their responses are passed on; later requests go elsewhere.
+// A draining backend finishes its requests, and the node forwards their responses. Later requests go to other backends.
 func TestDrainingBackendFinishesItsRequests(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 8)
+	release, arrived := make(chan struct{}), make(chan struct{}, 8)
 	old := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
-		held <- struct{}{}
-		<-hold
+		arrived <- struct{}{}
+		<-release
 		return okResponse("old")
 	}))
 	before := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
-	reg := newDiscoveryService(t, before)
-	n := startNode(t, testConfig(t, reg.addr, before))
+	service := newDiscoveryService(t, before)
+	n := startNode(t, testConfig(t, service.addr, before))
 	first := make(chan string, 1)
 	go func() {
 		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 		first <- body
 	}()
-	receive(t, "the request at the backend", held)
-	reg.changes <- formatList(2, false,
+	receive(t, "the request at the backend", arrived)
+	service.changes <- formatList(2, false,
 		listEntry{"old", old.Addr().String(), "draining", 0},
 		listEntry{"new", newEchoBackend(t).Addr().String(), "ready", 0})
-	eventually(t, "the drain", func() (heard bool) {
-		n.runOnLoop(t, func() { heard = n.loop.backendsByID["old"].phase == balance.Draining })
-		return heard
+	eventually(t, "the drain", func() (draining bool) {
+		n.runOnLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
+		return draining
 	})
 	resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != http.StatusOK || body == "old" {
-		t.Errorf("after the drain: %d %q", resp.StatusCode, body)
+		t.Errorf("response after the drain: %d %q", resp.StatusCode, body)
 	}
-	close(hold)
-	if body := receive(t, "the answer that hung", first); body != "old" {
-		t.Errorf("the one that hung got %q", body)
+	close(release)
+	if body := receive(t, "the delayed response", first); body != "old" {
+		t.Errorf("the delayed response has the body %q", body)
 	}
 }
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -9,9 +9,9 @@
 	"hitchvale/internal/connpool"
 )
 
-// A health check returns the backend's load report, and none if that is malformed.
+// A health check returns the backend's load report, and an empty report if the backend's report is malformed.
 func TestHealthChecks(t *testing.T) {
-	var body atomic.Value // a probe of the module's own may come at any time
+	var body atomic.Value // the backend's goroutine reads it
 	body.Store("TEXT inflight=7, util=0.5")
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.Method != "GET" || r.URL.Path != "/stats" {
@@ -27,7 +27,7 @@
 	}
 	body.Store("\x00\x01")
 	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
-	if r := receive(t, "the probe", done); r.load.Has != 0 {
+	if r := receive(t, "the second health check", done); r.load.Has != 0 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/node/load_report_test.go
+++ b/internal/node/load_report_test.go
@@ -6,6 +6,7 @@
 	"hitchvale/balance"
 )
 
+// Valid and empty load reports are parsed, and malformed ones are rejected completely.
 func TestLoadReports(t *testing.T) {
 	l, err := parseLoadReport("TEXT inflight=7, queue=2, util=0.61, other=3")
 	if err != nil || l.Active != 7 || l.Waiting != 2 || l.CPU != 0.61 ||
@@ -13,7 +14,7 @@
 		t.Errorf("%+v %v", l, err)
 	}
 	if l, err := parseLoadReport(" \n"); err != nil || l.Has != 0 {
-		t.Errorf("empty: %+v %v", l, err)
+		t.Errorf("empty report: %+v %v", l, err)
 	}
 	for _, text := range []string{
 		"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff",
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A node that shuts down accepts requests for a while yet, responds to all that it has accepted, closes connections
-// with their responses, and ends by itself.
+// A node that shuts down accepts requests for a while, responds to all accepted requests, closes their connections with
+// the responses, and then ends.
 func TestShutdownAnswersAllAcceptedRequests(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 16)
+	release, arrived := make(chan struct{}), make(chan struct{}, 16)
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return okResponse("done")
 	}))
@@ -33,18 +33,18 @@
 		}
 		slow <- resp
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	began := time.Now()
 	n.stop()
-	eventually(t, "leaving", func() bool { return n.server.shutdown.started() })
+	eventually(t, "the start of the shutdown", func() bool { return n.server.shutdown.started() })
 	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read")); resp.StatusCode != 503 {
-		t.Errorf("readiness of a node that leaves: %d", resp.StatusCode)
+		t.Errorf("readiness during the shutdown: status %d, want 503", resp.StatusCode)
 	}
 	late, body := roundTrip(t, newClientRequest(t, n.url+"/api/late", "order"))
 	if late.StatusCode != 200 || body != "done" || !late.Close {
-		t.Errorf("a new connection while leaving: %d %q, closed: %t", late.StatusCode, body, late.Close)
+		t.Errorf("request on a new connection during the shutdown: %d %q, closed: %t", late.StatusCode, body, late.Close)
 	}
-	eventually(t, "end of accepting", func() bool {
+	eventually(t, "the end of accepting connections", func() bool {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err == nil {
 			c.Close()
@@ -52,41 +52,42 @@
 		return err != nil
 	})
 	if d := time.Since(began); d < 400*time.Millisecond {
-		t.Errorf("accepted for only %v", d)
+		t.Errorf("connections were accepted for only %v", d)
 	}
-	close(hold)
-	if resp := receive(t, "the slow answer", slow); resp.StatusCode != 200 || !resp.Close {
+	close(release)
+	if resp := receive(t, "the response to the slow request", slow); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("the slow request: %d, closed: %t", resp.StatusCode, resp.Close)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 }
 
-// A request in the listener's backlog counts as accepted: a full node that shuts down still serves it.
+// A request in the listener's backlog counts as accepted. A node with no free connections that shuts down still serves
+// it.
 func TestShutdownServesTheBacklog(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 64)
+	release, arrived := make(chan struct{}), make(chan struct{}, 64)
 	serve := respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/slow" {
-			held <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-release
 		}
 		return okResponse("done")
 	})
-	text := formatList(1, true, // while one has a slow request, the other is idle
+	text := formatList(1, true, // while one backend has a slow request, the other is idle
 		listEntry{"s-0", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0},
 		listEntry{"s-1", newRawBackend(t, "127.0.0.1:0", serve).Addr().String(), "ready", 0})
 	cfg := testConfig(t, newDiscoveryService(t, text).addr, text)
 	cfg.Limits.Sockets = minDescriptors
 	n := startNode(t, cfg)
 	clients, _ := cfg.Limits.divideDescriptors(false)
-	n.server.conns.setLimit(2 * clients) // else the silent ones would give way
+	n.server.conns.setLimit(2 * clients) // otherwise the silent connections would be closed for new ones
 	slow := make(chan string, 1)
 	go func() {
 		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/slow", "order"))
 		slow <- body
 	}()
-	receive(t, "the slow request at the backend", held)
+	receive(t, "the slow request at the backend", arrived)
 	var silent []net.Conn
 	for range clients - 1 {
 		c, err := net.Dial("tcp", n.Addr().String())
@@ -96,25 +97,25 @@
 		defer c.Close()
 		silent = append(silent, c)
 	}
-	eventually(t, "a full node", n.listener.backlogged)
-	waits := make(chan string, 1)
+	eventually(t, "a connection in the backlog", n.listener.backlogged)
+	queued := make(chan string, 1)
 	go func() {
-		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/waits", "order"))
-		waits <- body
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/api/queued", "order"))
+		queued <- body
 	}()
 	n.stop()
 	time.Sleep(acceptPeriod + 100*time.Millisecond)
 	for _, c := range silent {
 		c.Close()
 	}
-	if body := receive(t, "the answer to the one that waited", waits); body != "done" {
-		t.Errorf("the one that waited: %q", body)
+	if body := receive(t, "the response to the queued request", queued); body != "done" {
+		t.Errorf("response to the queued request: %q", body)
 	}
-	close(hold)
-	if body := receive(t, "the slow answer", slow); body != "done" {
-		t.Errorf("the slow one: %q", body)
+	close(release)
+	if body := receive(t, "the response to the slow request", slow); body != "done" {
+		t.Errorf("response to the slow request: %q", body)
 	}
-	if err := receive(t, "the node's end", n.err); err != nil {
+	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
 	}
 }
@@ -122,13 +123,13 @@
 // A node without backends is not ready, and becomes ready when discovery lists one.
 func TestReadyOnlyWithBackends(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("x") }))
-	reg := newDiscoveryService(t, formatList(1, true))
-	n := startNode(t, testConfig(t, reg.addr, "null"))
+	service := newDiscoveryService(t, formatList(1, true))
+	n := startNode(t, testConfig(t, service.addr, "null"))
 	resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
 	if resp.StatusCode != 503 {
-		t.Fatalf("no backend, and readiness says %d", resp.StatusCode)
+		t.Fatalf("readiness without a backend: status %d, want 503", resp.StatusCode)
 	}
-	reg.changes <- formatList(2, false, listEntry{"s", b.Addr().String(), "ready", 0})
+	service.changes <- formatList(2, false, listEntry{"s", b.Addr().String(), "ready", 0})
 	eventually(t, "readiness", func() bool {
 		resp, _ := roundTrip(t, newClientRequest(t, n.url+"/health/ready", "read"))
 		return resp.StatusCode == 200
@@ -138,7 +139,7 @@
 	}
 }
 
-// Connections beyond the limit wait in the backlog: accepting them would use up the process's descriptors.
+// Connections beyond the limit wait in the backlog, because accepting them would use up the process's descriptors.
 func TestConnectionsAreBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,14 +147,14 @@
 	}
 	bounded := newLimitListener(l, 2)
 	defer bounded.Close()
-	got := make(chan net.Conn, 8)
+	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
 			c, err := bounded.Accept()
 			if err != nil {
 				return
 			}
-			got <- c
+			accepted <- c
 		}
 	}()
 	for range 3 {
@@ -163,14 +164,14 @@
 		}
 		defer c.Close()
 	}
-	first := receive(t, "the first connection", got)
-	second := receive(t, "the second", got)
+	first := receive(t, "the first connection", accepted)
+	second := receive(t, "the second connection", accepted)
 	defer second.Close()
 	select {
-	case <-got:
+	case <-accepted:
 		t.Fatal("a third connection was accepted")
 	case <-time.After(50 * time.Millisecond):
 	}
 	first.Close()
-	receive(t, "the third, once there is room", got).Close()
+	receive(t, "the third connection after the close of the first", accepted).Close()
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -22,19 +22,19 @@
 // lists its backend as draining. A watch that is open when the outage begins fails too.
 type discoveryOutage struct {
 	from, until time.Time
-	fault       string // silent: calls meanwhile are never answered; refused; busy
+	fault       string // "silent": calls are not answered; "refused": calls fail; "busy": the status is 503
 }
 
 func (o *discoveryOutage) RoundTrip(r *http.Request) (*http.Response, error) {
-	const slow = 100 * time.Millisecond
-	sleep(r.Context(), slow)
-	open := time.Now().Before(o.from)
-	down := func() bool { now := time.Now(); return !now.Before(o.from) && (open || now.Before(o.until)) }
+	const latency = 100 * time.Millisecond
+	sleep(r.Context(), latency)
+	openBefore := time.Now().Before(o.from) // the call arrived before the outage
+	fails := func() bool { now := time.Now(); return !now.Before(o.from) && (openBefore || now.Before(o.until)) }
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
-	for time.Now().Before(end) && !down() && time.Now().Before(o.until) {
+	for time.Now().Before(end) && !fails() && time.Now().Before(o.until) {
 		next := o.until
-		if open {
+		if openBefore {
 			next = o.from
 		}
 		sleep(r.Context(), min(time.Until(end), time.Until(next)))
@@ -42,12 +42,12 @@
 	switch {
 	case r.Context().Err() != nil:
 		return nil, r.Context().Err()
-	case down() && o.fault == "silent":
+	case fails() && o.fault == "silent":
 		<-r.Context().Done()
 		return nil, r.Context().Err()
-	case down() && o.fault == "refused":
+	case fails() && o.fault == "refused":
 		return nil, errors.New("refused")
-	case down():
+	case fails():
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 	}
 	revision, phase := 7, "ready"
@@ -58,6 +58,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
+// sleep waits until d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -65,18 +66,18 @@
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, however long it was away, whatever
-// became of calls meanwhile and however large the fleet: the module's backoff and the client's timeouts together have
-// to hold that.
+// A node learns of a change at most 6 s after the discovery service has the change and can be reached again. This holds
+// for every length and kind of outage and for every size of the fleet. The Balancer's backoff and the timeouts of the
+// discovery client together must keep this limit.
 func TestEndpointChangeArrivesSoonAfterOutage(t *testing.T) {
 	for _, fault := range []string{"silent", "refused", "busy"} {
 		for _, polled := range []bool{true, false} {
 			for _, instances := range []int{1, 300} {
 				t.Run(fmt.Sprintf("%s,polled=%v,nodes=%d", fault, polled, instances), func(t *testing.T) {
 					for seed := range uint64(4) {
-						for _, lasts := range []time.Duration{0, 4 * time.Second, 11 * time.Second, 63 * time.Second} {
+						for _, length := range []time.Duration{0, 4 * time.Second, 11 * time.Second, 63 * time.Second} {
 							synctest.Test(t, func(t *testing.T) {
-								testListAfterOutage(t, fault, polled, instances, seed, lasts)
+								testListAfterOutage(t, fault, polled, instances, seed, length)
 							})
 						}
 					}
@@ -86,7 +87,8 @@
 	}
 }
 
-func testListAfterOutage(t *testing.T, fault string, polled bool, instances int, seed uint64, lasts time.Duration) {
+// testListAfterOutage checks that a node learns of a change within 6 s of the end of an outage of the given length.
+func testListAfterOutage(t *testing.T, fault string, polled bool, instances int, seed uint64, length time.Duration) {
 	settings, err := siteconfig.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -99,9 +101,9 @@
 	}
 	pool := newBackendPool(1, balance.Limits{}, new(closeCounters))
 	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), nopLog()), newCounters(nil), nopLog())
-	var notified atomic.Int64
+	var receivedAfter atomic.Int64 // time from the end of the outage to the list with the change
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
-	service := &discoveryOutage{from: from, until: from.Add(lasts), fault: fault}
+	service := &discoveryOutage{from: from, until: from.Add(length), fault: fault}
 	client := discovery.NewClient(discovery.Config{
 		Address:   "127.0.0.1:1",
 		Settings:  settings,
@@ -109,7 +111,7 @@
 		Log:       nopLog(),
 		OnList: func(list discovery.List) {
 			if list.Members[0].Phase == balance.Draining {
-				notified.CompareAndSwap(0, int64(time.Since(service.until)))
+				receivedAfter.CompareAndSwap(0, int64(time.Since(service.until)))
 			}
 			l.post(endpointListReceived{kind: balance.ListChanges, list: list})
 		},
@@ -125,7 +127,7 @@
 	cancel()
 	<-ended
 	<-ended
-	if took := time.Duration(notified.Load()); took == 0 || took > 6*time.Second {
-		t.Errorf("seed %d, away for %v: notified %v after", seed, lasts, took)
+	if took := time.Duration(receivedAfter.Load()); took == 0 || took > 6*time.Second {
+		t.Errorf("seed %d, outage of %v: change received %v after its end", seed, length, took)
 	}
 }
--- a/internal/node/peers_spin_test.go
+++ b/internal/node/peers_spin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// failingConn fails each read at once, like a socket on a machine without free buffers.
+// failingConn fails each read immediately, like a socket on a machine without free buffers.
 type failingConn struct {
 	reads  atomic.Int64
 	closed atomic.Bool
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// A node whose gossip socket fails retries, at a rate that costs little processor time.
+// A node whose gossip socket fails retries the read at a rate that takes little processor time.
 func TestBrokenPeerSocketDoesNotSpin(t *testing.T) {
 	c := &failingConn{}
 	p := &peers{conn: c, outgoing: make(chan datagram, 1)}
@@ -47,8 +47,8 @@
 	}()
 	time.Sleep(300 * time.Millisecond)
 	if n := c.reads.Load(); n > 1000 || n < 2 {
-		t.Errorf("%d reads in 300 ms", n)
+		t.Errorf("%d reads in 300 ms, want 2 to 1000", n)
 	}
 	cancel()
-	receive(t, "the end", ended)
+	receive(t, "the end of run", ended)
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -9,6 +9,7 @@
 	"hitchvale/balance"
 )
 
+// listenUDP opens a UDP socket on loopback that is closed when the test ends.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -19,6 +20,7 @@
 	return c
 }
 
+// Datagrams are exchanged with the configured peers only, and datagrams that are too long are dropped.
 func TestGossip(t *testing.T) {
 	peer, stranger := listenUDP(t), listenUDP(t)
 	p, err := listenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
@@ -38,14 +40,14 @@
 		close(ended)
 	}()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	// Datagrams of strangers and those that are too long are dropped; datagrams on loopback keep their order.
+	// Datagrams from unknown senders and datagrams that are too long are dropped. Datagrams on loopback keep their order.
 	stranger.WriteToUDP([]byte("stranger"), to)
 	peer.WriteToUDP([]byte(strings.Repeat("x", maxDatagramBytes+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
 	if got := receive(t, "a datagram", received); got != (message{1, "hello"}) {
 		t.Errorf("received %+v", got)
 	}
-	// Datagrams that are too long, or for an unknown peer, are not sent.
+	// Datagrams that are too long or for an unknown peer are not sent.
 	p.enqueue(1, make([]byte, maxDatagramBytes+1))
 	p.enqueue(7, []byte("nobody"))
 	p.enqueue(1, []byte("one"))
@@ -58,5 +60,5 @@
 		}
 	}
 	cancel()
-	receive(t, "the end", ended)
+	receive(t, "the end of run", ended)
 }
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -14,12 +14,14 @@
 	"hitchvale/internal/discovery/discoverytest"
 )
 
-// rawBackend is a backend that hands each connection to a function.
+// rawBackend is a backend that passes each connection to a function.
 type rawBackend struct {
 	net.Listener
-	accepted atomic.Int64
+	accepted atomic.Int64 // number of accepted connections
 }
 
+// newRawBackend starts a backend on addr that calls serve for each connection and closes the connection afterwards.
+// The backend runs until the test ends.
 func newRawBackend(t *testing.T, addr string, serve func(c net.Conn, r *bufio.Reader)) *rawBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -61,7 +63,8 @@
 	return b
 }
 
-// respondWith returns a function that serves the requests on a connection until that ends.
+// respondWith returns a function for newRawBackend that writes the text returned by answer for each request, until the
+// connection ends.
 func respondWith(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
@@ -78,6 +81,7 @@
 	}
 }
 
+// okResponse returns the text of a response with status 200.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -88,11 +92,13 @@
 	c.Close()
 }
 
+// listEntry is the entry of a backend in an endpoint list.
 type listEntry struct {
 	id, addr, phase string
-	up              int64
+	up              int64 // when the process started, in Unix milliseconds; 0: long ago
 }
 
+// formatList returns an endpoint list in the format of the discovery service.
 func formatList(revision int, complete bool, members ...listEntry) string {
 	var entries []discoverytest.Member
 	for _, m := range members {
@@ -101,18 +107,25 @@
 	return discoverytest.FormatList(revision, complete, entries...)
 }
 
-// discoveryService is a discovery service with a fixed list, and changes that the test sends on next.
+// discoveryService is a discovery service with a fixed complete list. The test sends changes to the list on changes.
 type discoveryService struct {
 	*discoverytest.Server
 	addr         string
-	changes      chan string // answers to watches
+	changes      chan string // responses to watches
 	completeList string      // the complete list
 }
 
-func newDiscoveryService(t *testing.T, whole string) *discoveryService {
+// newDiscoveryService starts a discovery service that runs until the test ends.
+func newDiscoveryService(t *testing.T, completeList string) *discoveryService {
 	t.Helper()
-	server := discoverytest.NewServer(t, whole)
-	return &discoveryService{Server: server, addr: server.Addr, changes: server.Changes, completeList: whole}
+	server := discoverytest.NewServer(t, completeList)
+	return &discoveryService{
+		Server:       server,
+		addr:         server.Addr,
+		changes:      server.Changes,
+		completeList: completeList,
+	}
 }
 
+// queries returns the query strings of all calls so far.
 func (r *discoveryService) queries() []string { return r.Queries() }
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// testTimeout bounds every wait for something that must happen.
+// testTimeout limits every wait of the tests.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"nInstances":1,"zones":["a","b"],"skus":["m"],
@@ -29,30 +29,33 @@
   "fallMultiple":3,"overloadFor":1500000000},
  "loadReport":{"source":"on_probe","columns":["active","cpu"]}}`
 
+// nopLog returns a logger that discards everything.
 func nopLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// eventually waits until ok holds.
+// eventually waits until ok returns true, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came about: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// receive receives from a channel, and fails the test after testTimeout.
+// receive returns the next value from a channel, and fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("never came: %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 		panic("unreachable")
 	}
 }
 
+// testConfig returns a configuration with testSettings. known is the endpoint list of the configuration file, and
+// change holds pairs of old and new texts that are replaced in testSettings.
 func testConfig(t *testing.T, discovery string, known string, change ...string) Config {
 	t.Helper()
 	text := strings.NewReplacer(change...).Replace(testSettings)
@@ -79,6 +82,7 @@
 	err  chan error
 }
 
+// startNode starts a node that runs until the test ends.
 func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
 	n, err := New(cfg, nopLog())
@@ -105,7 +109,8 @@
 	return s
 }
 
-// startNodeWith starts a node with these backends, which its discovery lists and never changes.
+// startNodeWith starts a node whose discovery service lists backends with the given addresses and never changes the
+// list.
 func startNodeWith(t *testing.T, addrs ...string) *testNode {
 	t.Helper()
 	var members []listEntry
@@ -116,30 +121,32 @@
 	return startNode(t, testConfig(t, newDiscoveryService(t, text).addr, text))
 }
 
-// loopFunc is a message of the tests' own: a function that the event loop runs.
+// loopFunc is a message with a function that the event loop runs.
 type loopFunc func()
 
 func (f loopFunc) handle(*eventLoop) { f() }
 
-// runOnLoop runs f on the node's loop and waits for it.
+// runOnLoop runs f on the goroutine of the node's event loop and waits for it to return.
 func (s *testNode) runOnLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	if !s.loop.post(loopFunc(func() { f(); close(done) })) {
-		t.Fatal("the loop has ended")
+		t.Fatal("the event loop has ended")
 	}
-	receive(t, "the loop", done)
+	receive(t, "the event loop", done)
 }
 
-// openRequests counts the requests in the loop's table.
+// openRequests returns the number of requests in the event loop's table.
 func (s *testNode) openRequests(t *testing.T) (n int) {
 	s.runOnLoop(t, func() { n = len(s.loop.requests) })
 	return n
 }
 
+// lastID is the number in the last request id.
 var lastID atomic.Int64
 
-// newClientRequest returns a client's request of a class, with all the headers that the protocol demands.
+// newClientRequest returns a client's request of a class, with a new id and all headers that the protocol requires.
+// The functions in change are applied to the request.
 func newClientRequest(t *testing.T, url, class string, change ...func(*http.Request)) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
@@ -163,6 +170,7 @@
 	return r
 }
 
+// roundTrip sends a request on a new connection, and returns the response and its body.
 func roundTrip(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	tr := &http.Transport{DisableKeepAlives: true}
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -19,13 +19,13 @@
 	"hitchvale/internal/connpool"
 )
 
-// newTestTransport returns a transport with a pool of its own.
+// newTestTransport returns a transport with its own pool, which runs until the test ends.
 func newTestTransport(t *testing.T) *upstreamTransport {
 	limits := balance.Limits{ConnectTimeout: testConnectTimeout, IdleClose: 5 * time.Second}
 	return newTestTransportOn(t, newBackendPool(16, limits, new(closeCounters)))
 }
 
-// newTestTransportOn returns a transport with a pool, which it runs until the test ends.
+// newTestTransportOn returns a transport that uses the given pool, and runs the pool until the test ends.
 func newTestTransportOn(t *testing.T, pool *connpool.Pool) *upstreamTransport {
 	ctx, cancel := context.WithCancel(context.Background())
 	go pool.Run(ctx)
@@ -33,10 +33,10 @@
 	return newUpstreamTransport(pool, true, new(atomic.Int64), nopLog())
 }
 
-// testConnectTimeout is that of testSettings.
+// testConnectTimeout is the connect timeout of testSettings.
 const testConnectTimeout = 2 * time.Second
 
-// dialWithControl returns a pool's DialContext that calls control before each connect.
+// dialWithControl returns a DialContext for a pool that calls control before each connect.
 func dialWithControl(
 	control func(network, addr string, conn syscall.RawConn) error,
 ) func(context.Context, string, string) (net.Conn, error) {
@@ -44,6 +44,7 @@
 	return dialer.DialContext
 }
 
+// newForwardedRequest returns a GET request with an id and an idempotency key.
 func newForwardedRequest(id string) *forwardedRequest {
 	return &forwardedRequest{method: "GET", url: &url.URL{Path: "/api/x"}, host: "api.internal",
 		header: http.Header{"X-Trace-Id": {id}, "Idempotency-Key": {"key"}}}
@@ -54,101 +55,101 @@
 	t.Helper()
 	done := make(chan attemptResult, 1)
 	transport.start(new(upstreamCall), to, m, time.Now().Add(testTimeout/2), func(r attemptResult) { done <- r })
-	return receive(t, "the outcome", done)
+	return receive(t, "the result of the attempt", done)
 }
 
-// The status of an attempt by what the backend answers.
+// Each response of a backend gives the attempt the expected status and body.
 func TestAttemptStatuses(t *testing.T) {
 	big := strings.Repeat("x", maxBodyBytes)
 	for name, tc := range map[string]struct {
-		answer string
-		want   balance.Status
-		body   string
+		response string
+		want     balance.Status
+		body     string
 	}{
 		"served": {
-			answer: okResponse("abc"),
-			want:   balance.StatusSucceeded,
-			body:   "abc",
+			response: okResponse("abc"),
+			want:     balance.StatusSucceeded,
+			body:     "abc",
 		},
 		"largest body": {
-			answer: okResponse(big),
-			want:   balance.StatusSucceeded,
-			body:   big,
+			response: okResponse(big),
+			want:     balance.StatusSucceeded,
+			body:     big,
 		},
 		"chunked": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
-			want:   balance.StatusSucceeded,
-			body:   "ab",
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+			want:     balance.StatusSucceeded,
+			body:     "ab",
 		},
-		"1xx ahead": {
-			answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse("abc"),
-			want:   balance.StatusSucceeded,
-			body:   "abc",
+		"1xx before the final response": {
+			response: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse("abc"),
+			want:     balance.StatusSucceeded,
+			body:     "abc",
 		},
 		"error": {
-			answer: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusApplicationError,
+			response: "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusApplicationError,
 		},
 		"rejected": {
-			answer: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusRejected,
+			response: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusRejected,
 		},
-		"expired already": {
-			answer: "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusRejected,
+		"rejected as expired": {
+			response: "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusRejected,
 		},
-		"503 that may run": {
-			answer: "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusApplicationError,
+		"503 without X-Never-Ran": {
+			response: "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusApplicationError,
 		},
-		"504 that may run": {
-			answer: "HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusApplicationError,
+		"504 with X-Never-Ran 0": {
+			response: "HTTP/1.1 504 Late\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusApplicationError,
 		},
-		"500 with the mark": {
-			answer: "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
-			want:   balance.StatusApplicationError,
+		"500 with X-Never-Ran": {
+			response: "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+			want:     balance.StatusApplicationError,
 		},
-		"nothing": {
-			answer: "",
-			want:   balance.StatusConnectionLost,
+		"no response": {
+			response: "",
+			want:     balance.StatusConnectionLost,
 		},
 		"truncated body": {
-			answer: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-			want:   balance.StatusConnectionLost,
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+			want:     balance.StatusConnectionLost,
 		},
 		"truncated chunks": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
-			want:   balance.StatusConnectionLost,
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+			want:     balance.StatusConnectionLost,
 		},
-		"ends with conn": {
-			answer: "HTTP/1.1 200 OK\r\n\r\nabc",
-			want:   balance.StatusSucceeded,
-			body:   "abc",
+		"body ends with the connection": {
+			response: "HTTP/1.1 200 OK\r\n\r\nabc",
+			want:     balance.StatusSucceeded,
+			body:     "abc",
 		},
-		"rejected, ends": {
-			answer: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nabc",
-			want:   balance.StatusRejected,
-			body:   "abc",
+		"rejected, body ends with the connection": {
+			response: "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\n\r\nabc",
+			want:     balance.StatusRejected,
+			body:     "abc",
 		},
 		"not HTTP": {
-			answer: "hello\r\n\r\n",
-			want:   balance.StatusConnectionLost,
+			response: "hello\r\n\r\n",
+			want:     balance.StatusConnectionLost,
 		},
-		"too long": {
-			answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big,
-			want:   balance.StatusConnectionLost,
+		"body too long": {
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + big,
+			want:     balance.StatusConnectionLost,
 		},
-		"head without end": {
-			answer: "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBodyBytes)),
-			want:   balance.StatusConnectionLost,
+		"endless head": {
+			response: "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("a", 10*(maxHeadBytes+maxBodyBytes)),
+			want:     balance.StatusConnectionLost,
 		},
-		"1xx without end": {
-			answer: strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000),
-			want:   balance.StatusConnectionLost,
+		"endless 1xx": {
+			response: strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 1000),
+			want:     balance.StatusConnectionLost,
 		},
-		"chunks without end": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"endless chunks": {
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				strings.Repeat("1000\r\n"+big[:0x1000]+"\r\n", 40),
 			want: balance.StatusConnectionLost,
 		},
@@ -156,13 +157,13 @@
 		t.Run(name, func(t *testing.T) {
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 				if _, err := http.ReadRequest(br); err == nil {
-					io.WriteString(c, tc.answer)
+					io.WriteString(c, tc.response)
 				}
 			})
 			r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: b.Addr().String()}, newForwardedRequest("id"))
 			if r.stream != nil {
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
-					r.status, r.body = balance.StatusConnectionLost, nil // its client can tell
+					r.status, r.body = balance.StatusConnectionLost, nil // the client notices the error
 				}
 			}
 			if r.status != tc.want || string(r.body) != tc.body {
@@ -172,7 +173,7 @@
 	}
 }
 
-// A request whose connection is refused, or breaks before the last byte is written, has not been run.
+// A request whose connection is refused, or breaks before the last byte is written, cannot have run at the backend.
 func TestRequestNotFullyWrittenIsNotDelivered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -185,7 +186,7 @@
 		t.Errorf("refused connection: %v", r.status)
 	}
 
-	// Buffers far smaller than the body, and a backend that breaks off having read a part of it.
+	// The socket buffers are far smaller than the body, and the backend resets the connection after a part of the body.
 	small := func(_, _ string, rc syscall.RawConn) error {
 		return rc.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -212,16 +213,16 @@
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
 	r = attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, m)
 	if r.status != balance.StatusNotDelivered {
-		t.Errorf("broken before the last byte: %v", r.status)
+		t.Errorf("connection broken before the last byte: %v", r.status)
 	}
 }
 
-// A cancelled attempt closes its connection, and a late response on it reaches nobody.
+// Cancelling an attempt closes its connection, so that a late response on the connection is not read.
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
-	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
+	arrived, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
-			begun <- struct{}{}
+			arrived <- struct{}{}
 			io.Copy(io.Discard, br)
 			io.WriteString(c, okResponse("late"))
 			ended <- struct{}{}
@@ -231,18 +232,19 @@
 	c := new(upstreamCall)
 	to := connpool.Server{Addr: b.Addr().String()}
 	transport.start(c, to, newForwardedRequest("id"), time.Now().Add(testTimeout), func(r attemptResult) { done <- r })
-	receive(t, "the request at the backend", begun)
+	receive(t, "the request at the backend", arrived)
 	c.cancel()
 	receive(t, "the end of the connection", ended)
-	if r := receive(t, "the outcome", done); r.status != balance.StatusCancelled {
-		t.Errorf("%v", r.status)
+	if r := receive(t, "the result of the attempt", done); r.status != balance.StatusCancelled {
+		t.Errorf("status %v, want cancelled", r.status)
 	}
 	if open, _ := transport.pool.Size(); open != 0 {
-		t.Errorf("%d connections left", open)
+		t.Errorf("%d connections are still open", open)
 	}
 }
 
-// An attempt that fails for want of this machine's resources says nothing of its backend; an unreachable network does.
+// An attempt that fails because this machine is short of resources is not a failure of the backend. An attempt that
+// fails because the network is unreachable is a failure of the backend.
 func TestLocalResourceShortageIsNotABackendFailure(t *testing.T) {
 	b := newEchoBackend(t)
 	for errno, want := range map[syscall.Errno]balance.Status{
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -16,15 +16,16 @@
 	"hitchvale/internal/connpool"
 )
 
-// A truncated response is not passed on, and its request may have run. One that stops within a line occupies its
-// connection no longer than the attempt's deadline, and half a line on an idle connection is never read as a response.
+// A truncated response is not forwarded, and its request may have run. A response that stops within a line occupies its
+// connection only until the attempt's deadline. Half a line on an idle connection is not read as a part of the next
+// response.
 func TestTruncatedResponses(t *testing.T) {
 	for name, text := range map[string]string{
-		"half a line": "HTTP/1.1 20",
-		"half a head": "HTTP/1.1 200 OK\r\nContent-Le",
-		"no length":   "HTTP/1.1 200 OK\r\n\r\nabc",
-		"a length":    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-		"chunks":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"partial line":        "HTTP/1.1 20",
+		"partial head":        "HTTP/1.1 200 OK\r\nContent-Le",
+		"body without length": "HTTP/1.1 200 OK\r\n\r\nabc",
+		"body with length":    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+		"chunks":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
 	} {
 		for how, want := range map[string]balance.Status{
 			"reset":   balance.StatusConnectionLost,
@@ -47,12 +48,12 @@
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
 				transport.start(new(upstreamCall), to, newForwardedRequest("id"), deadline, func(r attemptResult) { done <- r })
-				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
+				if r := receive(t, "the result of the attempt", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
 				receive(t, "the end of the connection", ended)
 				if open, _ := transport.pool.Size(); open != 0 {
-					t.Errorf("%d connections held", open)
+					t.Errorf("%d connections are still open", open)
 				}
 			})
 		}
@@ -82,9 +83,9 @@
 	})
 }
 
-// A response without a length ends with its connection, and only an orderly close completes it: after a reset it is
-// incomplete, for the attempt as well as for a client. The transport is stopped before its second read until the
-// backend has closed or reset the connection.
+// A response without a length ends with its connection. It is complete after an orderly close and incomplete after a
+// reset, for the attempt as well as for a client. The second read of the transport waits until the backend has closed
+// or reset the connection.
 func TestResetResponseWithoutLengthIsIncomplete(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -92,16 +93,16 @@
 		want balance.Status
 	}{
 		{"reset", resetConn, balance.StatusConnectionLost},
-		{"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
+		{"orderly close", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			over := make(chan struct{})
+			finish := make(chan struct{})
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 				if _, err := http.ReadRequest(br); err != nil {
 					return
 				}
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nabc")
-				<-over
+				<-finish
 				tc.end(c)
 			})
 			transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
@@ -109,10 +110,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := &hookedConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitRemoteClose(t, nc) }}
-			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
+			endFirst := func() { close(finish); awaitRemoteClose(t, nc) }
+			hooked := &hookedConn{TCPConn: nc.(*net.TCPConn), beforeSecondRead: endFirst}
+			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return hooked, nil }
 			r := attemptOnce(t, transport, to, newForwardedRequest("id"))
-			if r.stream != nil { // the rest is streamed to a client
+			if r.stream != nil { // the rest of the response is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
 				}
@@ -124,21 +126,21 @@
 	}
 }
 
-// hookedConn calls between before its second read.
+// hookedConn calls beforeSecondRead before its second read.
 type hookedConn struct {
 	*net.TCPConn
-	between func()
-	reads   int
+	beforeSecondRead func()
+	reads            int
 }
 
 func (c *hookedConn) Read(p []byte) (int, error) {
 	if c.reads++; c.reads == 2 {
-		c.between()
+		c.beforeSecondRead()
 	}
 	return c.TCPConn.Read(p)
 }
 
-// awaitRemoteClose waits until the other side's close or reset of a connection has arrived, without reading it.
+// awaitRemoteClose waits until the close or reset by the other side has arrived, without reading from the connection.
 func awaitRemoteClose(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -146,7 +148,7 @@
 		t.Error(err)
 		return
 	}
-	eventually(t, "the end of the connection", func() (ended bool) {
+	eventually(t, "the close of the connection", func() (ended bool) {
 		raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 			ended = err == nil && info.State != 1 // TCP_ESTABLISHED
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -8,7 +8,8 @@
 	"hitchvale/balance"
 )
 
-// The deadline of a request during a shutdown is on the monotonic clock: a step of the wall clock does not change it.
+// The deadline of a request during a shutdown has a reading of the monotonic clock, so a step of the wall clock does
+// not change it.
 func TestShutdownDeadlineIsMonotonic(t *testing.T) {
 	n := startNodeWith(t, newEchoBackend(t).Addr().String())
 	eventually(t, "readiness", n.loop.ready.Load)
@@ -17,15 +18,15 @@
 		n.loop.onServed = func(r *request, _ time.Duration) { deadlines <- r.deadline }
 	})
 	n.stop()
-	eventually(t, "the drain", n.server.shutdown.started)
+	eventually(t, "the start of the shutdown", n.server.shutdown.started)
 	roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
-	if deadline := receive(t, "a request", deadlines); !strings.Contains(deadline.String(), " m=") {
-		t.Errorf("the deadline %v is a wall time", deadline)
+	if deadline := receive(t, "the request's deadline", deadlines); !strings.Contains(deadline.String(), " m=") {
+		t.Errorf("the deadline %v has no reading of the monotonic clock", deadline)
 	}
 }
 
-// startTimeOf returns the start time of a backend as the module has it.
-func (s *testNode) startTimeOf(t *testing.T, id string) (launched time.Duration, ok bool) {
+// startTimeOf returns the start time of a backend in the Balancer's state.
+func (s *testNode) startTimeOf(t *testing.T, id string) (startedAt time.Duration, ok bool) {
 	t.Helper()
 	s.runOnLoop(t, func() {
 		b := s.loop.backendsByID[id]
@@ -34,15 +35,15 @@
 		}
 		for _, m := range s.loop.balancer.HandoverState().Endpoints {
 			if m.ID == b.endpointID {
-				launched, ok = m.StartedAt, true
+				startedAt, ok = m.StartedAt, true
 			}
 		}
 	})
-	return launched, ok
+	return startedAt, ok
 }
 
-// Start times are wall times of other machines. Where the two clocks differ by an hour, a backend that joins or
-// restarts while the node runs is in slow start, for no longer than one that has started just now.
+// Start times are wall clock times of other machines. Even if the two clocks differ by an hour, a backend that joins or
+// restarts while the node runs is in slow start, for no longer than a backend that has started just now.
 func TestSlowStartDespiteWallClockDifference(t *testing.T) {
 	for name, shift := range map[string]time.Duration{
 		"an hour back":  -time.Hour,
@@ -52,13 +53,13 @@
 		t.Run(name, func(t *testing.T) {
 			addr := newEchoBackend(t).Addr().String()
 			list := formatList(1, true, listEntry{"old", addr, "ready", 0}, listEntry{"again", addr, "ready", 1000})
-			reg := newDiscoveryService(t, list)
-			n := startNode(t, testConfig(t, reg.addr, list))
+			service := newDiscoveryService(t, list)
+			n := startNode(t, testConfig(t, service.addr, list))
 			eventually(t, "readiness", n.loop.ready.Load)
 			listedStart := time.Now().Add(shift).UnixMilli()
 			var before time.Duration
 			n.runOnLoop(t, func() { before = n.loop.now() })
-			reg.changes <- formatList(2, false,
+			service.changes <- formatList(2, false,
 				listEntry{"fresh", addr, "ready", listedStart}, listEntry{"again", addr, "ready", listedStart})
 			for _, id := range []string{"fresh", "again"} {
 				var startedAt time.Duration
@@ -71,31 +72,32 @@
 				}
 			}
 			if startedAt, _ := n.startTimeOf(t, "old"); startedAt != 0 {
-				t.Errorf("the old one counts as started at %v", startedAt)
+				t.Errorf("the old backend counts as started at %v", startedAt)
 			}
 		})
 	}
 	t.Run("uncordoned", testSlowStartAfterUncordon)
 }
 
-// A backend that was uncordoned is in slow start from then on, whatever the wall time in the record is.
+// An uncordoned backend is in slow start from the time at which the node reads the record. The wall clock time in the
+// record does not matter.
 func testSlowStartAfterUncordon(t *testing.T) {
 	for name, shift := range map[string]time.Duration{"an hour back": -time.Hour, "an hour ahead": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			n := startNodeWith(t, newEchoBackend(t).Addr().String())
 			eventually(t, "readiness", n.loop.ready.Load)
-			stamp := time.Now().Add(shift).UnixNano()
+			recordedAt := time.Now().Add(shift).UnixNano()
 			var at []time.Duration
 			n.runOnLoop(t, func() {
 				before := n.loop.now()
-				cordoned := cordon{Cordoned: true, CordonedAt: stamp}
+				cordoned := cordon{Cordoned: true, CordonedAt: recordedAt}
 				n.loop.applyCordons(cordonRecord{Version: 1, Backends: map[string]cordon{"s-0": cordoned}})
-				uncordoned := cordon{CordonedAt: stamp, UncordonedAt: stamp + 1}
+				uncordoned := cordon{CordonedAt: recordedAt, UncordonedAt: recordedAt + 1}
 				n.loop.applyCordons(cordonRecord{Version: 2, Backends: map[string]cordon{"s-0": uncordoned}})
 				at = []time.Duration{before, n.loop.balancer.UncordonedAt(balance.EndpointID(0)), n.loop.now()}
 			})
 			if at[1] < at[0] || at[1] > at[2] {
-				t.Errorf("uncordoned %v after it was, %v before now", at[1]-at[0], at[2]-at[1])
+				t.Errorf("uncordoned %v after the start and %v before the end of the change", at[1]-at[0], at[2]-at[1])
 			}
 		})
 	}
