--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -56,7 +56,7 @@
 // requestWritten reports that the last byte of a streamed request has been written to its backend.
 type requestWritten struct {
 	request  *request
-	deadline time.Time // of the request; its time starts with the last byte
+	deadline time.Time // the request's deadline, which is set when its last byte is written
 }
 
 func (m requestWritten) handle(l *eventLoop) { l.recordWritten(m.request, m.deadline) }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -24,5 +24,5 @@
 	retryAfter       time.Duration // for responseRejected: when the client may try again; 0: not given
 	body             []byte
 	contentType      string
-	stream           *responseStream // for responseServed: set if the response is not complete in body
+	stream           *responseStream // for responseServed: the response, if it was not read completely
 }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -40,6 +40,7 @@
 	exchangeFailureLog *lograte.Limited // logs exchanges without a complete response
 }
 
+// newUpstreamTransport returns a transport with the default memory budget for responses. The caller runs the pool.
 func newUpstreamTransport(
 	pool *connpool.Pool, inlineLoadReports bool, writtenRequests *atomic.Int64, log *slog.Logger,
 ) *upstreamTransport {
@@ -132,7 +133,7 @@
 }
 
 // statusWithoutConnection returns the status of an exchange that got no connection. A shortage of resources on this
-// machine is no failure of the backend.
+// machine does not count as a failure of the backend.
 func (t *upstreamTransport) statusWithoutConnection(
 	ctx context.Context, request *forwardedRequest, to connpool.Server, err error,
 ) balance.Status {
@@ -178,7 +179,7 @@
 	transport *upstreamTransport
 	conn      *connpool.Conn
 	request   *forwardedRequest
-	detach    func() bool // stops the context from closing the connection; returns false if it has closed it already
+	detach    func() bool // stops the context from closing the connection; returns false if the context has ended
 }
 
 // sendRequest writes a request whose body is complete, and reads the response.
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// localCordonTime converts a Unix time in nanoseconds to the event loop's clock.
+// localCordonTime converts a Unix time in nanoseconds to the event loop's clock. It returns now if the loop is running.
 func (l *eventLoop) localCordonTime(wallNanos int64, now time.Duration) time.Duration {
 	if l.running {
 		return now
