--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -142,7 +142,7 @@
 // finalResponsesDue reports that, during a shutdown, every open request must get its final response now.
 type finalResponsesDue struct{}
 
-func (finalResponsesDue) handle(l *eventLoop) { l.failAllOpen() }
+func (finalResponsesDue) handle(l *eventLoop) { l.failOpenRequests() }
 
 // shutdownCheckDue reports that the process may soon be killed. Every request must have its final response by now.
 type shutdownCheckDue struct{}
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -76,12 +76,12 @@
 
 // cancelUnsent cancels the call if its first byte has not been written, and reports whether it did. An unavailable
 // backend must not get the first byte of a request after its drain grace, and a dial may take longer than the grace.
-func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledUnsent) }
+func (c *upstreamCall) cancelUnsent() bool { return c.lifecycle.apply(cancelledBeforeWrite) }
 
 // beginWrite reports whether the first byte may be written now. If so, the call counts as being written from now on.
 func (c *upstreamCall) beginWrite() bool {
 	late := !c.startBy.IsZero() && !time.Now().Before(c.startBy)
-	if late || !c.lifecycle.apply(firstByteDue) {
+	if late || !c.lifecycle.apply(writeStarting) {
 		return false
 	}
 	c.startedAt.Store(monotime.Now())
