--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -49,15 +49,15 @@
 
 // startWithFlakyListener starts a node with one backend. Its calls of accept fail if fails returns true, with the given
 // errors in turn.
-func startWithFlakyListener(t *testing.T, backend string, errs []error, fails func(call int64) bool) *started {
+func startWithFlakyListener(t *testing.T, backend string, errs []error, fails func(call int64) bool) *testNode {
 	t.Helper()
-	text := listText(1, true, listed{"s", backend, "ready", 0})
-	n, err := New(testConfig(t, newRegistry(t, text).addr, text), quiet())
+	text := formatList(1, true, listEntry{"s", backend, "ready", 0})
+	n, err := New(testConfig(t, newDiscoveryService(t, text).addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.listener.Listener = &flakyListener{Listener: n.listener.Listener, errs: errs, fails: fails}
-	s := running(t, n)
+	s := runNode(t, n)
 	eventually(t, "readiness", s.loop.ready.Load)
 	return s
 }
@@ -68,12 +68,12 @@
 	s := startWithFlakyListener(t, addr, transientErrors, func(call int64) bool { return call%3 != 1 })
 	began := time.Now()
 	for range 2 * len(transientErrors) {
-		if resp, _ := do(t, ask(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
+		if resp, _ := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
 			t.Errorf("got status %d, want 200", resp.StatusCode)
 		}
 	}
-	if spent := time.Since(began); spent > patience/2 {
-		t.Errorf("the requests took %v, want at most %v", spent, patience/2)
+	if spent := time.Since(began); spent > testTimeout/2 {
+		t.Errorf("the requests took %v, want at most %v", spent, testTimeout/2)
 	}
 	select {
 	case err := <-s.err:
@@ -88,13 +88,13 @@
 	addr := newEchoBackend(t).Addr().String()
 	s := startWithFlakyListener(t, addr, []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that is waiting
+	s.dialAndSend(t, "").Close() // ends the call of accept that is waiting
 	s.stop()
 	eventually(t, "the drain", s.server.shutdown.started)
 	statuses := make(chan int, 1)
 	go func() {
 		tr := &http.Transport{DisableKeepAlives: true}
-		resp, err := tr.RoundTrip(ask(t, s.url+"/api/x", "order"))
+		resp, err := tr.RoundTrip(newClientRequest(t, s.url+"/api/x", "order"))
 		if err != nil {
 			t.Error(err)
 			statuses <- 0
@@ -114,21 +114,21 @@
 // A listener that can never accept again shuts the node down, after every admitted request has been answered.
 func TestLostListenerEndsTheNodeInOrder(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string {
 		held <- struct{}{}
 		<-hold
-		return ok200("done")
+		return okResponse("done")
 	}))
 	var lost atomic.Bool
 	s := startWithFlakyListener(t, b.Addr().String(), []error{syscall.EBADF}, func(int64) bool { return lost.Load() })
 	bodies := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, s.url+"/api/x", "order"))
+		_, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 		bodies <- body
 	}()
 	receive(t, "the request at the backend", held)
 	lost.Store(true)
-	s.dialed(t, "").Close()
+	s.dialAndSend(t, "").Close()
 	eventually(t, "the drain", s.server.shutdown.started)
 	close(hold)
 	if body := receive(t, "the response", bodies); body != "done" {
@@ -143,20 +143,20 @@
 // that the node sends to the backend in X-Expires-In.
 func TestDeadlineCountsTheWaitInTheBacklog(t *testing.T) {
 	expiresIn := make(chan string, 4)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/api/x" {
 			expiresIn <- r.Header.Get("X-Expires-In")
 		}
-		return ok200("done")
+		return okResponse("done")
 	}))
 	var failing atomic.Bool
 	s := startWithFlakyListener(t, b.Addr().String(), []error{syscall.ENFILE}, func(int64) bool { return failing.Load() })
 	failing.Store(true)
-	s.dialed(t, "").Close() // ends the call of accept that is waiting
+	s.dialAndSend(t, "").Close() // ends the call of accept that is waiting
 	const deadline, backlogWait = 9500 * time.Millisecond, time.Second
 	time.AfterFunc(backlogWait, func() { failing.Store(false) })
 	began := time.Now()
-	do(t, ask(t, s.url+"/api/x", "order"))
+	roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 	if time.Since(began) < backlogWait {
 		t.Fatalf("the request was answered within %v, although accept failed for as long", backlogWait)
 	}
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	left := time.Duration(seconds * float64(time.Second))
-	if left > deadline-backlogWait+150*time.Millisecond || left < deadline-backlogWait-patience/4 {
+	if left > deadline-backlogWait+150*time.Millisecond || left < deadline-backlogWait-testTimeout/4 {
 		t.Errorf("the backend got %v of %v after %v in the backlog", left, deadline, backlogWait)
 	}
 }
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -14,33 +14,33 @@
 
 // startWithRecord starts a node with two backends, whose cordon file is in dir. served sends a request and returns the
 // id of the backend that answered.
-func startWithRecord(t *testing.T, dir string) (n *started, reg *registry, served func() string) {
+func startWithRecord(t *testing.T, dir string) (n *testNode, reg *discoveryService, served func() string) {
 	t.Helper()
-	var members []listed
+	var members []listEntry
 	for _, id := range []string{"s-a", "s-b"} {
-		b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			if r.URL.Path == "/stats" {
-				return ok200("TEXT inflight=0")
+				return okResponse("TEXT inflight=0")
 			}
-			return ok200(id)
+			return okResponse(id)
 		}))
-		members = append(members, listed{id: id, addr: b.Addr().String(), phase: "ready"})
+		members = append(members, listEntry{id: id, addr: b.Addr().String(), phase: "ready"})
 	}
-	list := listText(1, true, members...)
-	reg = newRegistry(t, list)
+	list := formatList(1, true, members...)
+	reg = newDiscoveryService(t, list)
 	cfg := testConfig(t, reg.addr, list)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
-	n = start(t, cfg)
+	n = startNode(t, cfg)
 	return n, reg, func() string {
-		_, body := do(t, ask(t, n.url+"/x", "read"))
+		_, body := roundTrip(t, newClientRequest(t, n.url+"/x", "read"))
 		return body
 	}
 }
 
 // adminPost sends a POST to the admin address and returns the status.
-func adminPost(t *testing.T, n *started, path string) int {
+func adminPost(t *testing.T, n *testNode, path string) int {
 	t.Helper()
-	resp, _ := do(t, adminCall(t, n, "POST", path))
+	resp, _ := roundTrip(t, adminCall(t, n, "POST", path))
 	return resp.StatusCode
 }
 
@@ -71,8 +71,9 @@
 	if got := stats(t, n); got["members"] != 2 || got["members_unavailable"] != 1 {
 		t.Errorf("statistics: %v", got)
 	}
-	reg.next <- listText(2, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
-		listed{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
+	reg.changes <- formatList(2, true,
+		listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
+		listEntry{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
 	eventually(t, "the list is applied", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
 	if !neverServes(served, "s-a") {
 		t.Error("served by a cordoned backend after a list that contains it")
@@ -94,8 +95,8 @@
 }
 
 // backendAddr returns the address that the node has for a backend.
-func (s *started) backendAddr(t *testing.T, id string) (addr string) {
-	s.onLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
+func (s *testNode) backendAddr(t *testing.T, id string) (addr string) {
+	s.runOnLoop(t, func() { addr = s.loop.backendsByID[id].process.Addr })
 	return addr
 }
 
@@ -127,7 +128,7 @@
 			if !neverServes(served, "s-a") {
 				t.Error("served by a cordoned backend")
 			}
-			c, err := newCordonFile(dir, "n1", quiet()).load()
+			c, err := newCordonFile(dir, "n1", nopLog()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
 				t.Errorf("got record %v, error %v", c, err)
 			}
@@ -146,7 +147,7 @@
 // If the file is removed, an update starts from the record that the process knows, and writes a higher version even if
 // the wall clock has been set back. An update fails while another process holds the lock.
 func TestUpdateStartsFromTheKnownRecord(t *testing.T) {
-	f := newCordonFile(t.TempDir(), "n/1", quiet())
+	f := newCordonFile(t.TempDir(), "n/1", nopLog())
 	if strings.Contains(filepath.Base(f.path), "/") {
 		t.Errorf("path %q", f.path)
 	}
@@ -190,19 +191,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	dir := t.TempDir()
-	first, err := newCordonFile(dir, "n1", quiet()).update(ctx, cordonRecord{}, "a", true, time.Second)
+	first, err := newCordonFile(dir, "n1", nopLog()).update(ctx, cordonRecord{}, "a", true, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	starting := newCordonFile(dir, "n1", quiet())
+	starting := newCordonFile(dir, "n1", nopLog())
 	starting.readFile = failingRead(3)
 	if c := starting.loadAtStart(); !c.Backends["a"].Cordoned {
 		t.Errorf("a process that starts has the record %+v", c)
 	}
-	watching := newCordonFile(dir, "n1", quiet())
+	watching := newCordonFile(dir, "n1", nopLog())
 	watching.loadAtStart()
 	watching.readFile = failingRead(3)
-	if _, err := newCordonFile(dir, "n1", quiet()).update(ctx, first, "b", true, 2*time.Second); err != nil {
+	if _, err := newCordonFile(dir, "n1", nopLog()).update(ctx, first, "b", true, 2*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	records := make(chan cordonRecord, 16)
@@ -212,15 +213,15 @@
 		if !c.Backends["b"].Cordoned {
 			t.Errorf("a process that watches received the record %+v", c)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("a process that watches does not receive the change")
 	}
-	updating := newCordonFile(dir, "n1", quiet())
+	updating := newCordonFile(dir, "n1", nopLog())
 	updating.readFile = failingRead(1)
 	if _, err := updating.update(ctx, cordonRecord{}, "c", true, 3*time.Second); err == nil {
 		t.Error("an update replaced a record that could not be read")
 	}
-	c, err := newCordonFile(dir, "n1", quiet()).load()
+	c, err := newCordonFile(dir, "n1", nopLog()).load()
 	if err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
 		t.Errorf("got record %+v, error %v", c, err)
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -13,25 +13,26 @@
 	"hitchvale/balance"
 )
 
-// Nothing new is sent to a draining backend: no request that the module forwards, and no attempt that still dials.
+// No new request is sent to a draining backend. An attempt that is still dialing the backend is cancelled, and later
+// requests go to another backend.
 func TestDrainCancelsAttemptsThatDial(t *testing.T) {
 	served := make(chan string, 8)
 	serve := func(name string) func(net.Conn, *bufio.Reader) {
-		return answering(func(*http.Request) string { served <- name; return ok200(name) })
+		return respondWith(func(*http.Request) string { served <- name; return okResponse(name) })
 	}
 	old := newRawBackend(t, "127.0.0.1:0", serve("old"))
 	other := newRawBackend(t, "127.0.0.1:0", serve("other"))
-	text := listText(1, true, listed{"old", old.Addr().String(), "ready", 0})
-	reg := newRegistry(t, text)
-	n, err := New(testConfig(t, reg.addr, text), quiet())
+	text := formatList(1, true, listEntry{"old", old.Addr().String(), "ready", 0})
+	service := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, service.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	dialing, dial := make(chan struct{}, 8), make(chan struct{})
+	dialing, continueDial := make(chan struct{}, 8), make(chan struct{})
 	n.pool.DialContext = dialWithControl(func(_, addr string, _ syscall.RawConn) error {
 		if addr == old.Addr().String() {
 			dialing <- struct{}{}
-			<-dial
+			<-continueDial
 		}
 		return nil
 	})
@@ -39,30 +40,31 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	s := &started{Node: n, url: "http://" + n.Addr().String()}
+	s := &testNode{Node: n, url: "http://" + n.Addr().String()}
 	answered := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, s.url+"/api/x", "order"))
+		_, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order"))
 		answered <- body
 	}()
-	receive(t, "a dial", dialing)
-	reg.next <- listText(2, false, listed{"old", old.Addr().String(), "draining", 0},
-		listed{"new", other.Addr().String(), "ready", 0})
-	eventually(t, "the watch event", func() (draining bool) {
-		s.onLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
+	receive(t, "the dial", dialing)
+	service.changes <- formatList(2, false, listEntry{"old", old.Addr().String(), "draining", 0},
+		listEntry{"new", other.Addr().String(), "ready", 0})
+	eventually(t, "the drain", func() (draining bool) {
+		s.runOnLoop(t, func() { draining = n.loop.backendsByID["old"].phase == balance.Draining })
 		return draining
 	})
-	close(dial)
-	// The request never ran, so the module may forward or reject it; a node this young has no retry budget.
-	if body := receive(t, "the answer", answered); body == "old" {
-		t.Errorf("answered %q", body)
+	close(continueDial)
+	// The request has not run, so the Balancer may retry it. It may also reject it, because a node that has just started
+	// has no retry budget.
+	if body := receive(t, "the response", answered); body == "old" {
+		t.Errorf("response %q", body)
 	}
 	for range 3 {
-		if _, body := do(t, ask(t, s.url+"/api/x", "order")); body != "other" {
-			t.Errorf("answered %q", body)
+		if _, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); body != "other" {
+			t.Errorf("response %q, want \"other\"", body)
 		}
 	}
-	eventually(t, "the end of the dial", func() bool {
+	eventually(t, "the close of the dialed connection", func() bool {
 		open, _ := n.pool.Size()
 		return open == 1
 	})
@@ -74,11 +76,12 @@
 	}
 }
 
-// A node with a known list watches from its revision: reading the list again costs discovery work for each entry.
+// A node with a known list watches from the revision of this list. Reading the complete list again would cost the
+// discovery service work for each entry.
 func TestWatchStartsFromTheKnownList(t *testing.T) {
-	text := listText(41, true, listed{"s", "127.0.0.1:1", "ready", 0})
-	reg := newRegistry(t, text)
-	n, err := New(testConfig(t, reg.addr, text), quiet())
+	text := formatList(41, true, listEntry{"s", "127.0.0.1:1", "ready", 0})
+	service := newDiscoveryService(t, text)
+	n, err := New(testConfig(t, service.addr, text), nopLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,26 +89,26 @@
 	ended := make(chan struct{})
 	go func() { n.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	eventually(t, "the first call", func() bool { return len(reg.asked()) > 0 })
-	if first := reg.asked()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
-		t.Errorf("the first call has the query %q", first)
+	eventually(t, "the first discovery call", func() bool { return len(service.queries()) > 0 })
+	if first := service.queries()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
+		t.Errorf("the first discovery call has the query %q", first)
 	}
 }
 
-// A pushed list counts as notified from the start of a process: it is not ready on the list of its configuration, but
-// once it has read the agent's, which its first call does without waiting. An agent that does not answer delays it for
-// a while only.
+// A process is not ready on the list of its configuration. It becomes ready when it has read the list of the discovery
+// service, and its first call asks for this list without waiting for a change. A discovery service that does not answer
+// delays the readiness only by firstListTimeout.
 func TestNotReadyBeforeTheFirstPushedList(t *testing.T) {
-	known := listText(1, true, listed{"s", "127.0.0.1:9", "ready", 0})
+	known := formatList(1, true, listEntry{"s", "127.0.0.1:9", "ready", 0})
 	for _, answers := range []bool{true, false} {
 		release, queries := make(chan struct{}), make(chan string, 64)
-		b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+		b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 			queries <- r.URL.RawQuery
 			<-release
-			return ok200(listText(2, false,
-				listed{"s", "127.0.0.1:9", "draining", 0}, listed{"u", "127.0.0.1:9", "ready", 0}))
+			return okResponse(formatList(2, false,
+				listEntry{"s", "127.0.0.1:9", "draining", 0}, listEntry{"u", "127.0.0.1:9", "ready", 0}))
 		}))
-		n, err := New(testConfig(t, b.Addr().String(), known), quiet())
+		n, err := New(testConfig(t, b.Addr().String(), known), nopLog())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,11 +118,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { n.Run(ctx); close(done) }()
-		if first := receive(t, "the first call", queries); first != "after=1&wait_ms=0" {
-			t.Errorf("the first call has the query %q", first)
+		if first := receive(t, "the first discovery call", queries); first != "after=1&wait_ms=0" {
+			t.Errorf("the first discovery call has the query %q", first)
 		}
 		if n.loop.ready.Load() && answers {
-			t.Error("ready before the agent's list was read")
+			t.Error("ready before the list of the discovery service was read")
 		}
 		if answers {
 			close(release)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -18,30 +18,30 @@
 )
 
 // startProcess starts a startProcess of the node whose files are in dir; another one may run already.
-func startProcess(t *testing.T, dir, listen, list string, change ...string) *started {
+func startProcess(t *testing.T, dir, listen, list string, change ...string) *testNode {
 	t.Helper()
-	cfg := testConfig(t, newRegistry(t, list).addr, list, change...)
+	cfg := testConfig(t, newDiscoveryService(t, list).addr, list, change...)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
 	if listen != "" {
 		cfg.Listen = listen
 	}
-	return start(t, cfg)
+	return startNode(t, cfg)
 }
 
 // isHealthy reports whether the health check on the admin address succeeds.
-func isHealthy(t *testing.T, n *started) bool {
-	resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
+func isHealthy(t *testing.T, n *testNode) bool {
+	resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
 // newEchoBackend starts a backend that answers each request with its X-Trace-Id.
 func newEchoBackend(t *testing.T) *rawBackend {
-	return newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	return newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/stats" {
-			return ok200("TEXT inflight=0")
+			return okResponse("TEXT inflight=0")
 		}
 		time.Sleep(time.Millisecond)
-		return ok200(r.Header.Get("X-Trace-Id"))
+		return okResponse(r.Header.Get("X-Trace-Id"))
 	}))
 }
 
@@ -60,7 +60,7 @@
 					return
 				default:
 				}
-				r := ask(t, url+"/x", "read")
+				r := newClientRequest(t, url+"/x", "read")
 				sent.Add(1)
 				resp, err := tr.RoundTrip(r)
 				if err != nil {
@@ -84,17 +84,17 @@
 // ends.
 func TestHandoverLosesNoRequests(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(7, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(7, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	var sent, unanswered atomic.Int64
 	stop := sendUntilStopped(t, predecessor.url, &sent, &unanswered)
 	eventually(t, "the predecessor has estimates", func() bool { return stats(t, predecessor)["completed.read"] > 50 })
 	// The configuration of the successor has an old list. The successor uses the predecessor's list instead.
-	successor := startProcess(t, dir, predecessor.Addr().String(), listText(1, true))
+	successor := startProcess(t, dir, predecessor.Addr().String(), formatList(1, true))
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	var meanLatency float64
-	successor.onLoop(t, func() {
+	successor.runOnLoop(t, func() {
 		for _, s := range successor.loop.balancer.HandoverState().Endpoints {
 			meanLatency += s.MeanLatency
 		}
@@ -123,7 +123,7 @@
 // The successor serves the connections that wait in the backlog of the predecessor's listener.
 func TestSuccessorServesBacklogOfPredecessor(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	predecessor.setHandedOver(true) // the predecessor stops accepting
@@ -137,7 +137,7 @@
 	successor := startProcess(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	predecessor.stop()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	text := make([]byte, 1<<10)
 	n, err := c.Read(text)
 	if !strings.HasPrefix(string(text[:n]), "HTTP/1.1 200") {
@@ -146,15 +146,15 @@
 }
 
 // startHandover starts a process with one backend, and connects to it as a successor that has inherited its listener.
-func startHandover(t *testing.T) (predecessor *started, h *handover) {
+func startHandover(t *testing.T) (predecessor *testNode, h *handover) {
 	t.Helper()
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor = startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	cfg := predecessor.cfg
 	cfg.Listen = predecessor.Addr().String()
-	h = newHandover(cfg, quiet())
+	h = newHandover(cfg, nopLog())
 	eventually(t, "the predecessor hands over", func() bool {
 		h.connectToPredecessor()
 		return h.inheritedListener != nil
@@ -174,13 +174,13 @@
 		t.Fatalf("%+v, %+v, %v", state, usage, err)
 	}
 	var handedOver bool
-	predecessor.onLoop(t, func() { handedOver = predecessor.server.handedOver.Load() })
+	predecessor.runOnLoop(t, func() { handedOver = predecessor.server.handedOver.Load() })
 	if !handedOver {
 		t.Error("the predecessor still accepts after the hand-over")
 	}
 	h.discard()
 	eventually(t, "the predecessor serves again", func() bool {
-		resp, _ := do(t, ask(t, predecessor.url+"/x", "read"))
+		resp, _ := roundTrip(t, newClientRequest(t, predecessor.url+"/x", "read"))
 		return resp.StatusCode == http.StatusOK && !predecessor.server.handedOver.Load()
 	})
 }
@@ -196,7 +196,7 @@
 	eventually(t, "the shutdown of the predecessor", predecessor.server.shutdown.started)
 	statuses := make(chan int, 1)
 	go func() {
-		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(ask(t, predecessor.url+"/x", "read"))
+		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newClientRequest(t, predecessor.url+"/x", "read"))
 		if err != nil {
 			t.Error(err)
 			statuses <- 0
@@ -220,21 +220,21 @@
 // in one case.
 func TestPredecessorAcceptsAgainWhenSuccessorIsTerminated(t *testing.T) {
 	dir, hold, held := t.TempDir(), make(chan struct{}), make(chan struct{}, 1)
-	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
+	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(r *http.Request) string {
 		if r.URL.Path == "/slow" {
 			held <- struct{}{}
 			<-hold
 		}
-		return ok200("done")
+		return okResponse("done")
 	}))
-	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	successor := startProcess(t, dir, predecessor.Addr().String(), list)
 	eventually(t, "the successor is ready", func() bool { return isHealthy(t, successor) })
 	bodies := make(chan string, 1)
 	go func() {
-		_, body := do(t, ask(t, successor.url+"/slow", "order"))
+		_, body := roundTrip(t, newClientRequest(t, successor.url+"/slow", "order"))
 		bodies <- body
 	}()
 	receive(t, "the slow request", held)
@@ -242,7 +242,8 @@
 	time.Sleep(acceptPeriod + 4*backlogEmptyFor)
 	if predecessor.server.handedOver.Load() {
 		t.Error("the predecessor does not serve while the successor shuts down")
-	} else if resp, _ := do(t, ask(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
+	} else if resp, _ := roundTrip(
+		t, newClientRequest(t, predecessor.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 	close(hold)
@@ -256,7 +257,7 @@
 
 // A process starts and serves even if no predecessor runs or the predecessor does not answer.
 func TestStartsWithoutAnswerOfPredecessor(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	for name, prepare := range map[string]func(path string){
 		"no file":        func(string) {},
 		"a regular file": func(path string) { os.WriteFile(path, []byte("x"), 0o600) },
@@ -283,7 +284,7 @@
 			prepare(filepath.Join(dir, "glencart-n1.sock"))
 			n := startProcess(t, dir, "", list)
 			eventually(t, "the process is ready", func() bool { return isHealthy(t, n) })
-			if resp, _ := do(t, ask(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
+			if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "read")); resp.StatusCode != http.StatusOK {
 				t.Errorf("got status %d, want 200", resp.StatusCode)
 			}
 			successor := startProcess(t, dir, n.Addr().String(), list)
@@ -330,12 +331,12 @@
 // While a successor accepts, the predecessor sends nothing to endpoints in slow start: the successor alone uses the
 // node's slow-start budget.
 func TestPredecessorSendsNothingToEndpointsInSlowStart(t *testing.T) {
-	list := listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
-		listed{id: "s-b", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
+		listEntry{id: "s-b", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	n := startProcess(t, t.TempDir(), "", list)
-	n.onLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
+	n.runOnLoop(t, func() { n.loop.handle(balance.HandoverChanged{HandedOver: true}) })
 	for range 20 {
-		if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
+		if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/x", "order")); resp.StatusCode != http.StatusOK {
 			t.Fatalf("got status %d, want 200", resp.StatusCode)
 		}
 	}
@@ -353,11 +354,11 @@
 			io.WriteString(c, strings.Repeat("x", 50000))
 		}
 	})
-	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	const deadline = 200 * time.Millisecond
 	predecessor := startProcess(t, dir, "", list, `"deadline":10000000000`, fmt.Sprintf(`"deadline":%d`, deadline))
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
-	resp, err := http.DefaultTransport.RoundTrip(ask(t, predecessor.url+"/x", "order"))
+	resp, err := http.DefaultTransport.RoundTrip(newClientRequest(t, predecessor.url+"/x", "order"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -385,7 +386,7 @@
 // requests.
 func TestPredecessorClosesIdleConnections(t *testing.T) {
 	dir := t.TempDir()
-	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
+	list := formatList(1, true, listEntry{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	predecessor := startProcess(t, dir, "", list)
 	eventually(t, "the predecessor is ready", func() bool { return isHealthy(t, predecessor) })
 	for range predecessor.maxClientConns / 2 {
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -14,12 +14,14 @@
 	"hitchvale/internal/discovery/discoverytest"
 )
 
-// rawBackend is a backend that hands each connection to a function.
+// rawBackend is a backend that passes each connection to a function.
 type rawBackend struct {
 	net.Listener
-	accepted atomic.Int64
+	accepted atomic.Int64 // number of accepted connections
 }
 
+// newRawBackend starts a backend on addr that calls serve for each connection and closes the connection afterwards.
+// The backend runs until the test ends.
 func newRawBackend(t *testing.T, addr string, serve func(c net.Conn, r *bufio.Reader)) *rawBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -61,8 +63,9 @@
 	return b
 }
 
-// answering returns a function that serves the requests on a connection until that ends.
-func answering(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
+// respondWith returns a function for newRawBackend that writes the text returned by answer for each request, until the
+// connection ends.
+func respondWith(answer func(r *http.Request) string) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
@@ -78,22 +81,25 @@
 	}
 }
 
-func ok200(body string) string {
+// okResponse returns the text of a response with status 200.
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// reset closes a connection with an RST.
-func reset(c net.Conn) {
+// resetConn closes a connection with an RST.
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-type listed struct {
+// listEntry is the entry of a backend in an endpoint list.
+type listEntry struct {
 	id, addr, phase string
-	up              int64
+	up              int64 // when the process started, in Unix milliseconds; 0: long ago
 }
 
-func listText(revision int, complete bool, members ...listed) string {
+// formatList returns an endpoint list in the format of the discovery service.
+func formatList(revision int, complete bool, members ...listEntry) string {
 	var entries []discoverytest.Member
 	for _, m := range members {
 		entries = append(entries, discoverytest.Member{ID: m.id, Address: m.addr, Phase: m.phase, UpSinceMillis: m.up})
@@ -101,18 +107,25 @@
 	return discoverytest.FormatList(revision, complete, entries...)
 }
 
-// registry is a discovery service with a fixed list, and changes that the test sends on next.
-type registry struct {
+// discoveryService is a discovery service with a fixed complete list. The test sends changes to the list on changes.
+type discoveryService struct {
 	*discoverytest.Server
-	addr  string
-	next  chan string // answers to watches
-	whole string      // the complete list
+	addr         string
+	changes      chan string // responses to watches
+	completeList string      // the complete list
 }
 
-func newRegistry(t *testing.T, whole string) *registry {
+// newDiscoveryService starts a discovery service that runs until the test ends.
+func newDiscoveryService(t *testing.T, completeList string) *discoveryService {
 	t.Helper()
-	server := discoverytest.NewServer(t, whole)
-	return &registry{Server: server, addr: server.Addr, next: server.Changes, whole: whole}
+	server := discoverytest.NewServer(t, completeList)
+	return &discoveryService{
+		Server:       server,
+		addr:         server.Addr,
+		changes:      server.Changes,
+		completeList: completeList,
+	}
 }
 
-func (r *registry) asked() []string { return r.Queries() }
+// queries returns the query strings of all calls so far.
+func (r *discoveryService) queries() []string { return r.Queries() }
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -16,15 +16,16 @@
 	"hitchvale/internal/connpool"
 )
 
-// A truncated response is not passed on, and its request may have run. One that stops within a line occupies its
-// connection no longer than the attempt's deadline, and half a line on an idle connection is never read as a response.
+// A truncated response is not forwarded, and its request may have run. A response that stops within a line occupies its
+// connection only until the attempt's deadline. Half a line on an idle connection is not read as a part of the next
+// response.
 func TestTruncatedResponses(t *testing.T) {
 	for name, text := range map[string]string{
-		"half a line": "HTTP/1.1 20",
-		"half a head": "HTTP/1.1 200 OK\r\nContent-Le",
-		"no length":   "HTTP/1.1 200 OK\r\n\r\nabc",
-		"a length":    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-		"chunks":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
+		"partial line":        "HTTP/1.1 20",
+		"partial head":        "HTTP/1.1 200 OK\r\nContent-Le",
+		"body without length": "HTTP/1.1 200 OK\r\n\r\nabc",
+		"body with length":    "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+		"chunks":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
 	} {
 		for how, want := range map[string]balance.Status{
 			"reset":   balance.StatusConnectionLost,
@@ -38,7 +39,7 @@
 					}
 					io.WriteString(c, text)
 					if how == "reset" {
-						reset(c)
+						resetConn(c)
 					}
 					br.ReadByte()
 					ended <- struct{}{}
@@ -46,13 +47,13 @@
 				transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 				done := make(chan attemptResult, 1)
 				deadline := time.Now().Add(300 * time.Millisecond)
-				transport.start(new(upstreamCall), to, newTestRequest("id"), deadline, func(r attemptResult) { done <- r })
-				if r := receive(t, "the outcome", done); r.status != want || len(r.body) > 0 {
+				transport.start(new(upstreamCall), to, newForwardedRequest("id"), deadline, func(r attemptResult) { done <- r })
+				if r := receive(t, "the result of the attempt", done); r.status != want || len(r.body) > 0 {
 					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
 				}
 				receive(t, "the end of the connection", ended)
 				if open, _ := transport.pool.Size(); open != 0 {
-					t.Errorf("%d connections held", open)
+					t.Errorf("%d connections are still open", open)
 				}
 			})
 		}
@@ -64,7 +65,7 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, ok200(r.Header.Get("X-Trace-Id")))
+			io.WriteString(c, okResponse(r.Header.Get("X-Trace-Id")))
 			if r.Header.Get("X-Trace-Id") == "one" {
 				io.WriteString(c, "HTTP/1.1 2")
 				close(wrote)
@@ -73,7 +74,7 @@
 		})
 		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		for _, id := range []string{"one", "two"} {
-			r := attemptOnce(t, transport, to, newTestRequest(id))
+			r := attemptOnce(t, transport, to, newForwardedRequest(id))
 			if r.status != balance.StatusSucceeded || string(r.body) != id {
 				t.Errorf("%s: status %v, %q", id, r.status, r.body)
 			}
@@ -82,26 +83,26 @@
 	})
 }
 
-// A response without a length ends with its connection, and only an orderly close completes it: after a reset it is
-// incomplete, for the attempt as well as for a client. The transport is stopped before its second read until the
-// backend has closed or reset the connection.
+// A response without a length ends with its connection. It is complete after an orderly close and incomplete after a
+// reset, for the attempt as well as for a client. The second read of the transport waits until the backend has closed
+// or reset the connection.
 func TestResetResponseWithoutLengthIsIncomplete(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		end  func(net.Conn)
 		want balance.Status
 	}{
-		{"reset", reset, balance.StatusConnectionLost},
-		{"orderly end", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
+		{"reset", resetConn, balance.StatusConnectionLost},
+		{"orderly close", func(c net.Conn) { c.Close() }, balance.StatusSucceeded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			over := make(chan struct{})
+			finish := make(chan struct{})
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 				if _, err := http.ReadRequest(br); err != nil {
 					return
 				}
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nabc")
-				<-over
+				<-finish
 				tc.end(c)
 			})
 			transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
@@ -109,10 +110,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := &heldConn{TCPConn: nc.(*net.TCPConn), between: func() { close(over); awaitEnd(t, nc) }}
-			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return held, nil }
-			r := attemptOnce(t, transport, to, newTestRequest("id"))
-			if r.stream != nil { // the rest is streamed to a client
+			endFirst := func() { close(finish); awaitRemoteClose(t, nc) }
+			hooked := &hookedConn{TCPConn: nc.(*net.TCPConn), beforeSecondRead: endFirst}
+			transport.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return hooked, nil }
+			r := attemptOnce(t, transport, to, newForwardedRequest("id"))
+			if r.stream != nil { // the rest of the response is streamed to a client
 				if err := r.stream.copyTo(httptest.NewRecorder(), func() {}); err != nil {
 					r.status = balance.StatusConnectionLost
 				}
@@ -124,29 +126,29 @@
 	}
 }
 
-// heldConn calls between before its second read.
-type heldConn struct {
+// hookedConn calls beforeSecondRead before its second read.
+type hookedConn struct {
 	*net.TCPConn
-	between func()
-	reads   int
+	beforeSecondRead func()
+	reads            int
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *hookedConn) Read(p []byte) (int, error) {
 	if c.reads++; c.reads == 2 {
-		c.between()
+		c.beforeSecondRead()
 	}
 	return c.TCPConn.Read(p)
 }
 
-// awaitEnd waits until the other side's close or reset of a connection has arrived, without reading it.
-func awaitEnd(t *testing.T, c net.Conn) {
+// awaitRemoteClose waits until the close or reset by the other side has arrived, without reading from the connection.
+func awaitRemoteClose(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	eventually(t, "the end of the connection", func() (ended bool) {
+	eventually(t, "the close of the connection", func() (ended bool) {
 		raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 			ended = err == nil && info.State != 1 // TCP_ESTABLISHED
