--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -15,16 +15,16 @@
 	Examples   []string       `json:"examples,omitempty"` // the first violations, by trace id
 }
 
-// add counts a violation.
-func (c *Check) add(example string) {
+// addViolation counts a violation.
+func (c *Check) addViolation(example string) {
 	c.Violations++
 	if len(c.Examples) < maxExamples {
 		c.Examples = append(c.Examples, example)
 	}
 }
 
-// done is the check once all violations are counted.
-func (c Check) done() Check {
+// result is the check once all violations are counted.
+func (c Check) result() Check {
 	c.OK = c.Violations == 0
 	sort.Strings(c.Examples)
 	return c
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -195,7 +195,8 @@
 	path string) (child *Process, addr string, err error) {
 	name := processName(role, len(cluster.processes[role]))
 	_, addr = cluster.addresses.allocate()
-	child = &Process{Name: name, env: append(os.Environ(), env...), log: cluster.path("%s.log", name), argv: command(addr)}
+	child = &Process{Name: name, env: append(os.Environ(), env...), logPath: cluster.path("%s.log", name),
+		argv: command(addr)}
 	cluster.processes[role] = append(cluster.processes[role], child)
 	if err := child.Start(cluster.spawner); err != nil {
 		return nil, "", err
@@ -211,7 +212,7 @@
 // of its log.
 func awaitStart(ctx context.Context, child *Process, addr, path string) error {
 	if err := waitReady(ctx, child, addr, path); err != nil {
-		return fmt.Errorf("%s did not start: %w; its log ends: %s", child.Name, err, lastLine(child.log))
+		return fmt.Errorf("%s did not start: %w; its log ends: %s", child.Name, err, lastLine(child.logPath))
 	}
 	return nil
 }
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -85,11 +85,11 @@
 // peer.
 func (driver *Driver) drawPlay(rng *rand.Rand, i, node int, request *clientRequest) func(context.Context) {
 	var early earlyBegin
-	if driver.Load.LateSendShare+driver.Load.EarlyBeginShare > 0 {
+	if driver.Load.DelayedRequestShare+driver.Load.SplitRequestShare > 0 {
 		early = driver.Load.drawEarly(rng)
 	}
 	switch {
-	case driver.Load.ImproperPeers && i%improperPeerInterval == improperPeerInterval/2:
+	case driver.Load.StalledClients && i%improperPeerInterval == improperPeerInterval/2:
 		return func(context.Context) { driver.playImproperPeer(node) }
 	case early.action != "":
 		return func(ctx context.Context) { driver.record(driver.sendAfterEarlyConnect(ctx, node, request, early)) }
--- a/internal/lab/early_clients.go
+++ b/internal/lab/early_clients.go
@@ -37,11 +37,11 @@
 	var early earlyBegin
 	longest := maxEarlyWait
 	switch x := rng.Float64(); {
-	case x < load.LateSendShare:
+	case x < load.DelayedRequestShare:
 		early.action = earlyConnect
-	case x < load.LateSendShare+load.EarlyBeginShare/2:
+	case x < load.DelayedRequestShare+load.SplitRequestShare/2:
 		early.action = earlyHead
-	case x < load.LateSendShare+load.EarlyBeginShare:
+	case x < load.DelayedRequestShare+load.SplitRequestShare:
 		early.action = earlyBody
 		longest = maxEarlyBodyWait
 	default:
--- a/internal/lab/fleet_faults.go
+++ b/internal/lab/fleet_faults.go
@@ -39,12 +39,12 @@
 	node := run.processes[roleNode][rng.IntN(run.scenario.Nodes)]
 	switch kind {
 	case fleetFaultKill:
-		run.noteFault(faultKill, node.Name)
+		run.recordFaultEvent(faultKill, node.Name)
 		node.Kill()
 		sleepUntil(ctx, time.Now().Add(duration/4))
 		return node.Start(run.spawner)
 	case fleetFaultPause:
-		run.noteFault(faultPause, node.Name)
+		run.recordFaultEvent(faultPause, node.Name)
 		node.Signal(syscall.SIGSTOP)
 		sleepUntil(ctx, time.Now().Add(duration))
 		return run.continueNode(node)
@@ -61,7 +61,7 @@
 		return run.partition(ctx, duration, name+":registry-*", "registry-*:"+name)
 	}
 	// both
-	run.noteFault(faultPause, node.Name)
+	run.recordFaultEvent(faultPause, node.Name)
 	node.Signal(syscall.SIGSTOP)
 	err := run.killLeader(ctx)
 	sleepUntil(ctx, time.Now().Add(duration/2))
@@ -80,7 +80,7 @@
 	if len(links) == 0 {
 		return fmt.Errorf("no link matches %v", targets)
 	}
-	run.noteFault(fleetFaultPartition, targets...)
+	run.recordFaultEvent(fleetFaultPartition, targets...)
 	for _, proxy := range links {
 		proxy.Partition(true)
 	}
@@ -98,7 +98,7 @@
 	if leader < 0 {
 		return errNoLeaderToKill
 	}
-	run.noteFault(faultKill, processName(roleRegistry, leader))
+	run.recordFaultEvent(faultKill, processName(roleRegistry, leader))
 	return run.restartAfterElection(ctx, leader)
 }
 
--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -48,10 +48,10 @@
 func (run *fleetRun) report(playErr error) (Report, error) {
 	settled := Check{Name: "every node is fresh in every view again after each fault"}
 	if playErr != nil {
-		settled.add(playErr.Error())
+		settled.addViolation(playErr.Error())
 	}
 	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.faultMarks, Starts: run.starts(),
-		Checks: append(run.views.checks(), settled.done())}
+		Checks: append(run.views.checks(), settled.result())}
 	for _, check := range report.Checks {
 		report.Passed = report.Passed && check.OK
 	}
--- a/internal/lab/fleet_view.go
+++ b/internal/lab/fleet_view.go
@@ -34,7 +34,7 @@
 	views.mu.Lock()
 	defer views.mu.Unlock()
 	if last := views.lastVersion[reader]; version.Before(last) {
-		views.monotonicCheck.add(fmt.Sprintf("%s went from %v to %v", reader, last, version))
+		views.monotonicCheck.addViolation(fmt.Sprintf("%s went from %v to %v", reader, last, version))
 	}
 	views.lastVersion[reader] = version
 }
@@ -44,14 +44,14 @@
 	views.mu.Lock()
 	defer views.mu.Unlock()
 	if first, ok := views.texts[version]; ok && first != text {
-		views.sameViewCheck.add(fmt.Sprintf("two views under %v", version))
+		views.sameViewCheck.addViolation(fmt.Sprintf("two views under %v", version))
 	}
 	views.texts[version] = text
 }
 
 // checks are the results once all readers have stopped.
 func (views *viewRecorder) checks() []Check {
-	return []Check{views.sameViewCheck.done(), views.monotonicCheck.done()}
+	return []Check{views.sameViewCheck.result(), views.monotonicCheck.result()}
 }
 
 // status is how a node's agent has the fleet's view.
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -4,17 +4,17 @@
 
 // History is what a run recorded of its requests and faults.
 type History struct {
-	Outcomes     []Outcome   // by the driver
-	Executions   []Execution // by the backends
-	Attempts     []Attempt   // by the links from nodes to backends
-	FaultWindows []FaultWindow
-	Kills        []Kill
-	DrainedAt    map[string]time.Time // by backend: when it was set draining
-	DrainGrace   time.Duration        // how long a draining backend may still receive requests
+	Outcomes      []Outcome   // by the driver
+	Executions    []Execution // by the backends
+	Attempts      []Attempt   // by the links from nodes to backends
+	FaultWindows  []FaultWindow
+	ShutdownKills []ShutdownKill
+	DrainedAt     map[string]time.Time // by backend: when it was set draining
+	DrainGrace    time.Duration        // how long a draining backend may still receive requests
 }
 
-// Kill is the SIGKILL of a process whose time to shut down was over. It excuses nothing.
-type Kill struct {
+// ShutdownKill is the SIGKILL of a process whose time to shut down was over. It excuses nothing.
+type ShutdownKill struct {
 	Node int
 	At   int64 // Unix time in nanoseconds
 }
@@ -64,7 +64,7 @@
 // unansweredAtKill tells whether a request that its client took for unread was ended by the SIGKILL of a process whose
 // time to shut down was over: what that process had not answered is lost, read or not (PROTOCOL).
 func (h History) unansweredAtKill(outcome Outcome) bool {
-	for _, kill := range h.Kills {
+	for _, kill := range h.ShutdownKills {
 		if outcome.Resent && kill.Node == outcome.Node && outcome.CrossedAt >= kill.At &&
 			outcome.CrossedAt <= kill.At+int64(resetTimeout) {
 			return true
--- a/internal/lab/improper_peers.go
+++ b/internal/lab/improper_peers.go
@@ -25,14 +25,15 @@
 	}
 	driver.mu.Lock()
 	defer driver.mu.Unlock()
-	driver.improper.add(fmt.Sprintf("at node-%d: ended %v after %s", node, ended, elapsed.Round(time.Millisecond)))
+	driver.improper.addViolation(fmt.Sprintf("at node-%d: ended %v after %s", node, ended,
+		elapsed.Round(time.Millisecond)))
 }
 
 // Improper is the check on improper peers.
 func (driver *Driver) Improper() Check {
 	driver.mu.Lock()
 	defer driver.mu.Unlock()
-	return driver.improper.done()
+	return driver.improper.result()
 }
 
 // sendImproperRequest sends half a request. It returns how long it took until an error or a close came, and whether one
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -48,15 +48,15 @@
 	return filepath.Join(binDir, "hitchvale-node"), filepath.Join(binDir, "hitchvale")
 }
 
-// planted builds hitchvale with a bug planted by a variable of a package, and gives it beside the node as it is.
-func planted(t *testing.T, variable string) (nodeBinary, hitchvale string) {
+// binariesWithFault builds hitchvale with a bug binariesWithFault by a variable of a package, and gives it beside the node as it is.
+func binariesWithFault(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	nodeBinary, _ = binaries(t)
 	return nodeBinary, buildPlanted(t, "hitchvale", variable)
 }
 
-// plantedNode builds the node with a planted fault.
-func plantedNode(t *testing.T, variable string) (nodeBinary, hitchvale string) {
+// binariesWithNodeFault builds the node with a planted fault.
+func binariesWithNodeFault(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	_, hitchvale = binaries(t)
 	return buildPlanted(t, "hitchvale-node", "node."+variable), hitchvale
@@ -76,10 +76,10 @@
 func runScenario(t *testing.T, text string) Report {
 	t.Helper()
 	nodeBinary, hitchvale := binaries(t)
-	return playWith(t, text, nodeBinary, hitchvale)
+	return runScenarioWith(t, text, nodeBinary, hitchvale)
 }
 
-func playWith(t testing.TB, text, nodeBinary, hitchvale string) Report {
+func runScenarioWith(t testing.TB, text, nodeBinary, hitchvale string) Report {
 	t.Helper()
 	s, err := ParseScenario([]byte(text))
 	if err != nil {
@@ -172,8 +172,8 @@
 // A node that drops one request that it has taken while it drains is found out.
 func TestPlantedDropInADrainIsCaught(t *testing.T) {
 	t.Parallel()
-	nodeBinary, hitchvale := plantedNode(t, "faultDropInDrain=1")
-	r := playWith(t, terminatedNode, nodeBinary, hitchvale)
+	nodeBinary, hitchvale := binariesWithNodeFault(t, "faultDropInDrain=1")
+	r := runScenarioWith(t, terminatedNode, nodeBinary, hitchvale)
 	if r.Passed || len(r.Checks) == 0 || r.Checks[0].Violations != 1 {
 		t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
 	}
@@ -232,8 +232,8 @@
 	} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
-			nodeBinary, hitchvale := plantedNode(t, "faultShutdown="+plant)
-			r := playWith(t, scenario, nodeBinary, hitchvale)
+			nodeBinary, hitchvale := binariesWithNodeFault(t, "faultShutdown="+plant)
+			r := runScenarioWith(t, scenario, nodeBinary, hitchvale)
 			if r.Passed || len(r.Checks) == 0 || r.Checks[0].OK {
 				t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
 			}
@@ -356,7 +356,7 @@
 func BenchmarkTakeover(b *testing.B) {
 	nodeBinary, hitchvale := binaries(b)
 	for b.Loop() {
-		r := playWith(b, dutyScenario(11, 40, `"kill", "pause", "cut", "term", "leader"`), nodeBinary, hitchvale)
+		r := runScenarioWith(b, dutyScenario(11, 40, `"kill", "pause", "cut", "term", "leader"`), nodeBinary, hitchvale)
 		for kind, s := range r.Lease.Takeover {
 			b.ReportMetric(s.P99, kind+"-p99-ms")
 		}
@@ -367,8 +367,8 @@
 // successor, and the check of the accepted tokens fails.
 func TestPlantedUnfencedRegistryIsCaught(t *testing.T) {
 	t.Parallel()
-	nodeBinary, planted := planted(t, "registry.disableFencing=1")
-	r := playWith(t, dutyScenario(11, 12, `"pause"`), nodeBinary, planted)
+	nodeBinary, planted := binariesWithFault(t, "registry.disableFencing=1")
+	r := runScenarioWith(t, dutyScenario(11, 12, `"pause"`), nodeBinary, planted)
 	if r.Checks[0].OK {
 		t.Fatalf("stale writes were accepted in order without a fence: %+v", r.Checks[0])
 	}
--- a/internal/lab/lease_check.go
+++ b/internal/lab/lease_check.go
@@ -66,7 +66,7 @@
 	owners := map[uint64]string{}
 	for i, event := range slices.Concat(grants, accepted) {
 		if owner, ok := owners[event.Token]; ok && owner != event.Holder {
-			check.add(fmt.Sprintf("token %d held by %s and %s", event.Token, owner, event.Holder))
+			check.addViolation(fmt.Sprintf("token %d held by %s and %s", event.Token, owner, event.Holder))
 		}
 		owners[event.Token] = event.Holder
 		j := i - len(grants)
@@ -74,11 +74,11 @@
 			continue
 		}
 		if before := accepted[j-1]; before.Token > event.Token {
-			check.add(fmt.Sprintf("revision %d: %s wrote with token %d after token %d at revision %d",
+			check.addViolation(fmt.Sprintf("revision %d: %s wrote with token %d after token %d at revision %d",
 				event.Revision, event.Holder, event.Token, before.Token, before.Revision))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // checkTakeovers checks that each fault is followed by a takeover within the TTL and takeoverGrace, and sums up how
@@ -95,7 +95,7 @@
 			bound += ttl // the next leader's own
 		}
 		if ms < 0 || time.Duration(ms*1e6) > bound {
-			check.add(fmt.Sprintf("%s of %s: takeover %.0f ms", fault.Kind, fault.Target, ms))
+			check.addViolation(fmt.Sprintf("%s of %s: takeover %.0f ms", fault.Kind, fault.Target, ms))
 		}
 		if ms >= 0 {
 			samples[fault.Kind] = append(samples[fault.Kind], ms)
@@ -104,7 +104,7 @@
 	for kind, sample := range samples {
 		figures.Takeover[kind] = newDistribution(sample)
 	}
-	return check.done()
+	return check.result()
 }
 
 // checkHandover checks the time that a handover on SIGTERM takes.
@@ -112,9 +112,9 @@
 	check := Check{Name: fmt.Sprintf("SIGTERM hands the duty over within %s at p99", maxHandover)}
 	handover, ok := figures.Takeover[leaseFaultTerminate]
 	if ok && handover.P99 > float64(maxHandover.Milliseconds()) {
-		check.add(fmt.Sprintf("p99 %.1f ms over %d handovers", handover.P99, handover.N))
+		check.addViolation(fmt.Sprintf("p99 %.1f ms over %d handovers", handover.P99, handover.N))
 	}
-	return check.done()
+	return check.result()
 }
 
 // takeover is how many milliseconds after a fault another holder was granted the lease or, for a killed leader, a write
--- a/internal/lab/lease_run.go
+++ b/internal/lab/lease_run.go
@@ -67,7 +67,7 @@
 			"--ttl", config.TTL.String(),
 			"--work", config.WorkTime.String(),
 			"--log", run.path("%s.events", name)}
-		process := &Process{Name: name, env: os.Environ(), log: run.path("%s.log", name), argv: argv}
+		process := &Process{Name: name, env: os.Environ(), logPath: run.path("%s.log", name), argv: argv}
 		if err := process.Start(run.spawner); err != nil {
 			return err
 		}
--- a/internal/lab/load_checks.go
+++ b/internal/lab/load_checks.go
@@ -16,7 +16,7 @@
 	check := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
 	for _, outcome := range h.Outcomes {
 		if h.unansweredAtKill(outcome) {
-			check.add(fmt.Sprintf("%s at node-%d: unanswered at the kill", outcome.Trace, outcome.Node))
+			check.addViolation(fmt.Sprintf("%s at node-%d: unanswered at the kill", outcome.Trace, outcome.Node))
 			continue
 		}
 		if !outcome.isUnanswered() {
@@ -27,10 +27,10 @@
 			check.Reasons[reason]++
 			continue
 		}
-		check.add(fmt.Sprintf("%s at node-%d: %s (fresh %v, resent %v): %s", outcome.Trace, outcome.Node, outcome.Kind,
-			outcome.FirstOnConnection, outcome.Resent, outcome.Error))
+		check.addViolation(fmt.Sprintf("%s at node-%d: %s (fresh %v, resent %v): %s", outcome.Trace, outcome.Node,
+			outcome.Kind, outcome.FirstOnConnection, outcome.Resent, outcome.Error))
 	}
-	return check.done()
+	return check.result()
 }
 
 // noDoubleEffect checks that no request of the claim class was executed twice, and none that no client sent.
@@ -44,7 +44,7 @@
 	for _, execution := range h.Executions {
 		class, sent := classes[execution.Trace]
 		if !sent {
-			check.add(fmt.Sprintf("%s at %s: no client sent it", execution.Trace, execution.Backend))
+			check.addViolation(fmt.Sprintf("%s at %s: no client sent it", execution.Trace, execution.Backend))
 			continue
 		}
 		if class != classClaim {
@@ -52,10 +52,10 @@
 		}
 		executions[execution.Trace]++
 		if executions[execution.Trace] == 2 {
-			check.add(fmt.Sprintf("%s: ran twice, again at %s", execution.Trace, execution.Backend))
+			check.addViolation(fmt.Sprintf("%s: ran twice, again at %s", execution.Trace, execution.Backend))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. A node
@@ -72,8 +72,8 @@
 			check.Excused++
 			continue
 		}
-		check.add(fmt.Sprintf("%s at %s: %s after it was set draining", execution.Trace, execution.Backend,
+		check.addViolation(fmt.Sprintf("%s at %s: %s after it was set draining", execution.Trace, execution.Backend,
 			time.Duration(execution.At-drainedAt.UnixNano()).Round(time.Millisecond)))
 	}
-	return check.done()
+	return check.result()
 }
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -23,11 +23,11 @@
 	listenAddr  []string // by node: where it listens for clients
 	adminAddr   []string // by node: where it serves /metrics and the administration
 
-	drained      map[string]time.Time // by backend: when the registry acknowledged that it is draining
-	propagation  []float64            // of each node and drain: milliseconds until the node had its revision
-	faultWindows []FaultWindow
-	kills        []Kill
-	terminatedAt map[int]time.Time // by node: the first SIGTERM of its present process
+	drained       map[string]time.Time // by backend: when the registry acknowledged that it is draining
+	propagation   []float64            // of each node and drain: milliseconds until the node had its revision
+	faultWindows  []FaultWindow
+	shutdownKills []ShutdownKill
+	terminatedAt  map[int]time.Time // by node: the first SIGTERM of its present process
 }
 
 // run starts the processes, plays the load and checks the history.
@@ -77,7 +77,7 @@
 		return Report{}, err
 	}
 	checks := []Check{acknowledged}
-	if run.scenario.Load.ImproperPeers {
+	if run.scenario.Load.StalledClients {
 		checks = append(checks, driver.Improper())
 	}
 	if run.scenario.Soak != nil {
@@ -97,11 +97,11 @@
 // history collects what the driver, the links and the backends recorded, and how many requests were not sent.
 func (run *loadRun) history(driver *Driver) (history History, unsent int, err error) {
 	history = History{
-		DrainedAt:    run.drainedAt(),
-		DrainGrace:   run.scenario.DrainGrace.Duration,
-		FaultWindows: run.faultWindows,
-		Kills:        run.kills,
-		Attempts:     run.attempts.all(),
+		DrainedAt:     run.drainedAt(),
+		DrainGrace:    run.scenario.DrainGrace.Duration,
+		FaultWindows:  run.faultWindows,
+		ShutdownKills: run.shutdownKills,
+		Attempts:      run.attempts.all(),
 	}
 	history.Outcomes, unsent = driver.Outcomes()
 	history.Executions, err = run.readExecutions()
--- a/internal/lab/maintenance_faults.go
+++ b/internal/lab/maintenance_faults.go
@@ -45,13 +45,13 @@
 	if leader < 0 {
 		return
 	}
-	run.noteFault(faultKill, processName(roleRegistry, leader))
+	run.recordFaultEvent(faultKill, processName(roleRegistry, leader))
 	run.restartAfterElection(context.WithoutCancel(ctx), leader)
 }
 
 // killReplicas kills all replicas, starts them again after a while and waits for a leader.
 func (run *maintenanceRun) killReplicas(ctx context.Context, duration time.Duration) {
-	run.noteFault(faultKill, "registry-*")
+	run.recordFaultEvent(faultKill, "registry-*")
 	for _, replica := range run.processes[roleRegistry] {
 		replica.Kill()
 	}
@@ -66,7 +66,7 @@
 // killNode kills a node, starts it again after a while and waits until it is ready.
 func (run *maintenanceRun) killNode(ctx context.Context, node int, duration time.Duration) {
 	process := run.processes[roleNode][node]
-	run.noteFault(faultKill, process.Name)
+	run.recordFaultEvent(faultKill, process.Name)
 	run.openFaultWindow(roleNode, node, faultKill)
 	process.Kill()
 	sleepUntil(ctx, time.Now().Add(duration))
@@ -79,7 +79,7 @@
 // pauseNode pauses a node for a while.
 func (run *maintenanceRun) pauseNode(ctx context.Context, node int, duration time.Duration) {
 	process := run.processes[roleNode][node]
-	run.noteFault(faultPause, process.Name)
+	run.recordFaultEvent(faultPause, process.Name)
 	run.openFaultWindow(roleNode, node, faultPause)
 	process.Signal(syscall.SIGSTOP)
 	sleepUntil(ctx, time.Now().Add(duration))
--- a/internal/lab/maintenance_run.go
+++ b/internal/lab/maintenance_run.go
@@ -68,10 +68,10 @@
 	}
 	completed := Check{Name: "every machine asked for went out and came back"}
 	if operatorErr != nil {
-		completed.add(operatorErr.Error())
+		completed.addViolation(operatorErr.Error())
 	}
 	report := Summarize(run.scenario.Name, run.start, history, run.faultMarks, unsent, run.starts(),
-		run.noAttemptWhileOut(history), run.budgetCheck.done(), completed.done())
+		run.noAttemptWhileOut(history), run.budgetCheck.result(), completed.result())
 	if report.Timeline, err = run.drawTimeline(nil); err != nil {
 		return report, err
 	}
@@ -94,9 +94,9 @@
 				check.Excused++
 				continue
 			}
-			check.add(fmt.Sprintf("%s at %s, %s after it was quiet", execution.Trace, execution.Backend,
+			check.addViolation(fmt.Sprintf("%s at %s, %s after it was quiet", execution.Trace, execution.Backend,
 				time.Duration(execution.At-start)))
 		}
 	}
-	return check.done()
+	return check.result()
 }
--- a/internal/lab/maintenance_run_test.go
+++ b/internal/lab/maintenance_run_test.go
@@ -61,8 +61,8 @@
 // shows it.
 func TestPlantedBudgetIsCaught(t *testing.T) {
 	t.Parallel()
-	nodeBinary, planted := planted(t, "maintenance.plantedFault=budget")
-	r := playWith(t, workScenario(0, ``), nodeBinary, planted)
+	nodeBinary, planted := binariesWithFault(t, "maintenance.plantedFault=budget")
+	r := runScenarioWith(t, workScenario(0, ``), nodeBinary, planted)
 	for _, c := range r.Checks {
 		if strings.Contains(c.Name, "budget") && !c.OK {
 			return
--- a/internal/lab/node_log_check.go
+++ b/internal/lab/node_log_check.go
@@ -16,15 +16,15 @@
 	for i := range run.scenario.Nodes {
 		text, err := os.ReadFile(run.path("node-%d.log", i))
 		if err != nil {
-			check.add(err.Error())
+			check.addViolation(err.Error())
 			continue
 		}
 		for line := range strings.Lines(string(text)) {
 			hasMarker := func(marker string) bool { return strings.Contains(line, marker) }
 			if slices.ContainsFunc(nodeLogFaultMarkers, hasMarker) {
-				check.add(fmt.Sprintf("node-%d: %s", i, strings.TrimSpace(line)))
+				check.addViolation(fmt.Sprintf("node-%d: %s", i, strings.TrimSpace(line)))
 			}
 		}
 	}
-	return check.done()
+	return check.result()
 }
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -69,7 +69,7 @@
 		run.recordChange(member.ID, state)
 	}
 	if budget := run.scenario.Maintenance.Budget; out > budget {
-		run.budgetCheck.add(fmt.Sprintf("%d of %d at %s: %v", out, budget,
+		run.budgetCheck.addViolation(fmt.Sprintf("%d of %d at %s: %v", out, budget,
 			time.Since(run.start).Round(time.Millisecond), states))
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -15,10 +15,10 @@
 // Process is one child of the lab, which may be started again after it has ended. Its methods may be called by several
 // goroutines.
 type Process struct {
-	Name string
-	argv []string
-	env  []string
-	log  string // file that standard output and error are appended to, over all starts
+	Name    string
+	argv    []string
+	env     []string
+	logPath string // file that standard output and error are appended to, over all starts
 
 	mu         sync.Mutex
 	cmd        *exec.Cmd     // nil: it does not run
@@ -34,7 +34,7 @@
 	if p.cmd != nil {
 		return fmt.Errorf("%s: still running", p.Name)
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return fmt.Errorf("%s: log: %w", p.Name, err)
 	}
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -79,7 +79,7 @@
 	}
 	argv := cluster.tracedCommand(cluster.registryPlans[i], i, cluster.opts.CommandBinary, "registry", "serve",
 		"--config", config)
-	process := &Process{Name: name, env: os.Environ(), log: cluster.path("%s.log", name), argv: argv}
+	process := &Process{Name: name, env: os.Environ(), logPath: cluster.path("%s.log", name), argv: argv}
 	cluster.processes[roleRegistry] = append(cluster.processes[roleRegistry], process)
 	cluster.registryAddr = append(cluster.registryAddr, replicas[i].httpAddr)
 	if err := process.Start(cluster.spawner); err != nil {
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -198,11 +198,11 @@
 func (cluster *cluster) checkAcks(ctx context.Context) Check {
 	check := Check{Name: "no acknowledged registry write is lost"}
 	if len(cluster.registryAddr) == 0 {
-		return check.done()
+		return check.result()
 	}
 	if _, err := cluster.waitLeader(ctx); err != nil {
-		check.add(err.Error())
-		return check.done()
+		check.addViolation(err.Error())
+		return check.result()
 	}
 	list := cluster.newestList(ctx)
 	phases := map[string]string{}
@@ -215,9 +215,9 @@
 	}
 	for id, write := range lastWrites {
 		if phases[id] != write.Phase || list.Revision < write.Revision {
-			check.add(fmt.Sprintf("%s: acknowledged %s at revision %d; the list at %d has %q", id, write.Phase,
+			check.addViolation(fmt.Sprintf("%s: acknowledged %s at revision %d; the list at %d has %q", id, write.Phase,
 				write.Revision, list.Revision, phases[id]))
 		}
 	}
-	return check.done()
+	return check.result()
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -49,13 +49,13 @@
 	KeyedShare float64 `toml:"keyed"`
 	// DisconnectShare is that of clients that disconnect before their response.
 	DisconnectShare float64 `toml:"leave"`
-	// LateSendShare is that of clients that connect long before they send their request.
-	LateSendShare float64 `toml:"late"`
-	// EarlyBeginShare is that of clients that begin a request long before its end. A new process of a node is not ready
+	// DelayedRequestShare is that of clients that connect long before they send their request.
+	DelayedRequestShare float64 `toml:"late"`
+	// SplitRequestShare is that of clients that begin a request long before its end. A new process of a node is not ready
 	// while the old one has such a request.
-	EarlyBeginShare float64 `toml:"begun"`
-	// ImproperPeers has some peers send half a request and stay connected.
-	ImproperPeers bool `toml:"improper"`
+	SplitRequestShare float64 `toml:"begun"`
+	// StalledClients has some peers send half a request and stay connected.
+	StalledClients bool `toml:"improper"`
 }
 
 // BackendBehavior is how stand-in backends serve. Shares are fractions of the requests, 0 to 1.
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -66,10 +66,10 @@
 		return tomlfile.Bad("load.keyed", "%g is outside 0 to 1 less unsafe", load.KeyedShare)
 	case load.DisconnectShare < 0 || load.DisconnectShare > 1:
 		return tomlfile.Bad("load.leave", "%g is outside 0 to 1", load.DisconnectShare)
-	case load.LateSendShare < 0 || load.LateSendShare > 1:
-		return tomlfile.Bad("load.late", "%g is outside 0 to 1", load.LateSendShare)
-	case load.EarlyBeginShare < 0 || load.LateSendShare+load.EarlyBeginShare > 1:
-		return tomlfile.Bad("load.begun", "%g is outside 0 to 1 less late", load.EarlyBeginShare)
+	case load.DelayedRequestShare < 0 || load.DelayedRequestShare > 1:
+		return tomlfile.Bad("load.late", "%g is outside 0 to 1", load.DelayedRequestShare)
+	case load.SplitRequestShare < 0 || load.DelayedRequestShare+load.SplitRequestShare > 1:
+		return tomlfile.Bad("load.begun", "%g is outside 0 to 1 less late", load.SplitRequestShare)
 	}
 	return nil
 }
--- a/internal/lab/soak_checks.go
+++ b/internal/lab/soak_checks.go
@@ -44,11 +44,11 @@
 		}
 		late := time.Duration(attempt.At - outcome.DisconnectedAt)
 		if late > disconnectGrace+clockSlack {
-			check.add(fmt.Sprintf("%s at %s by %s: %s after its client disconnected", attempt.Trace, attempt.Backend,
+			check.addViolation(fmt.Sprintf("%s at %s by %s: %s after its client disconnected", attempt.Trace, attempt.Backend,
 				attempt.Node, late))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // deadlinesForwarded checks that no attempt forwards a deadline longer than its client's remaining time.
@@ -62,11 +62,11 @@
 		remaining := time.Duration(outcome.SentAt + outcome.ClientTimeout - attempt.At)
 		forwarded := time.Duration(attempt.DeadlineMs) * time.Millisecond
 		if forwarded > max(remaining, 0)+deadlineSlack+clockSlack {
-			check.add(fmt.Sprintf("%s at %s by %s: forwarded a deadline of %s with %s remaining", attempt.Trace,
+			check.addViolation(fmt.Sprintf("%s at %s by %s: forwarded a deadline of %s with %s remaining", attempt.Trace,
 				attempt.Backend, attempt.Node, forwarded, remaining))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // keyedWithinWindow checks that no keyed request reaches a backend later than keyWindow after its first execution.
@@ -87,11 +87,11 @@
 		first, keyed := firstExecution[execution.Trace]
 		arrived := arrivals.of(execution)
 		if keyed && arrived > first+int64(keyWindow+clockSlack) {
-			check.add(fmt.Sprintf("%s at %s: sent %s after its first run", execution.Trace, execution.Backend,
+			check.addViolation(fmt.Sprintf("%s at %s: sent %s after its first run", execution.Trace, execution.Backend,
 				time.Duration(arrived-first)))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // attemptKey names the attempts of a request at one backend.
@@ -135,12 +135,12 @@
 			notified, written := drain.notification(attempt.Node, lastUp)
 			late := begin.After(notified.Add(h.DrainGrace + clockSlack))
 			if late && (drain.end.IsZero() || begin.Before(drain.end)) {
-				check.add(fmt.Sprintf("%s at %s by %s: %s after it was notified, written %v", attempt.Trace,
+				check.addViolation(fmt.Sprintf("%s at %s by %s: %s after it was notified, written %v", attempt.Trace,
 					attempt.Backend, attempt.Node, begin.Sub(notified).Round(time.Millisecond), written))
 			}
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
 // notification is when a node counts as notified of the drain, and whether that was written to it.
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -43,8 +43,8 @@
 	}
 	if scenario.Seed%2 == 1 {
 		// Slow requests put off the end of a replaced process; odd seeds have it end at once.
-		scenario.Load.EarlyBeginShare = 0
-		scenario.Load.ImproperPeers = false
+		scenario.Load.SplitRequestShare = 0
+		scenario.Load.StalledClients = false
 	}
 	scenario.Faults = drawSoak(scenario)
 	return scenario
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -153,7 +153,7 @@
 	kill := FaultWindow{Node: 0, Kind: "kill", Start: sinceSoakStart(500 * time.Millisecond)}
 	killOfLaterProcess := kill
 	killOfLaterProcess.ProcessStart = sinceSoakStart(time.Millisecond)
-	atEarliest := []Kill{{At: sinceSoakStart(time.Second)}}
+	atEarliest := []ShutdownKill{{At: sinceSoakStart(time.Second)}}
 	return map[string]soakCase{
 		"disconnected in time": {history: History{
 			Outcomes: soakOutcome(setDisconnected),
@@ -217,12 +217,12 @@
 			FaultWindows: []FaultWindow{killOfLaterProcess},
 		}},
 		"unread, not at a kill": {history: History{
-			Outcomes: soakOutcome(setResentAt(0)),
-			Kills:    atEarliest,
+			Outcomes:      soakOutcome(setResentAt(0)),
+			ShutdownKills: atEarliest,
 		}},
 		"found by the kill": {breaks: answerCheck, history: History{
-			Outcomes: soakOutcome(setResentAt(time.Second)),
-			Kills:    atEarliest,
+			Outcomes:      soakOutcome(setResentAt(time.Second)),
+			ShutdownKills: atEarliest,
 		}},
 		"no answer": {breaks: answerCheck, history: History{
 			Outcomes: soakOutcome(setBroken),
--- a/internal/lab/termination.go
+++ b/internal/lab/termination.go
@@ -65,7 +65,7 @@
 	}
 	run.log.Info("process killed after its shutdown deadline", "component", "lab", "process", process.Name)
 	run.mu.Lock()
-	run.kills = append(run.kills, Kill{Node: i, At: time.Now().UnixNano()})
+	run.shutdownKills = append(run.shutdownKills, ShutdownKill{Node: i, At: time.Now().UnixNano()})
 	run.mu.Unlock()
 	process.Kill()
 }
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -16,7 +16,7 @@
 	}
 	_, admin := run.addresses.allocate()
 	env := append(slices.Clone(replaced.env), "BALANCER_ADMIN="+admin)
-	successor := &Process{Name: replaced.Name, argv: replaced.argv, env: env, log: replaced.log}
+	successor := &Process{Name: replaced.Name, argv: replaced.argv, env: env, logPath: replaced.logPath}
 	if err := successor.Start(run.spawner); err != nil {
 		return err
 	}
