--- a/internal/lab/caller_router.go
+++ b/internal/lab/caller_router.go
@@ -60,6 +60,6 @@
 			abort(c)
 			continue
 		}
-		proxy.accepted(c)
+		proxy.handle(c)
 	}
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -30,10 +30,10 @@
 // clientConn is one connection of a client.
 type clientConn struct {
 	net.Conn
-	reader        *bufio.Reader
-	dialedAt      time.Time
-	idleSince     time.Time
-	unsentRequest string // the remainder of a request that was begun on it
+	reader          *bufio.Reader
+	dialedAt        time.Time
+	idleSince       time.Time
+	unsentRemainder string // the remainder of a request that was begun on it
 }
 
 // errNotAdmitted says that the front sends no new connection to a node.
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -16,11 +16,11 @@
 // testCluster is a cluster of registry replicas for a test, ended with it.
 func testCluster(t *testing.T, registries int) (*cluster, context.Context) {
 	t.Helper()
-	return testClusterWith(t, registries, nil)
+	return testClusterWithPlans(t, registries, nil)
 }
 
-// testClusterWith has some of the replicas run under plans.
-func testClusterWith(t *testing.T, registries int, plans map[int]sysfault.Plan) (*cluster, context.Context) {
+// testClusterWithPlans has some of the replicas run under plans.
+func testClusterWithPlans(t *testing.T, registries int, plans map[int]sysfault.Plan) (*cluster, context.Context) {
 	t.Helper()
 	nodeBinary, hitchvale := binaries(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
@@ -37,8 +37,8 @@
 	return c, ctx
 }
 
-// until waits for ok, for patience at most.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits for ok, for patience at most.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func memberCall(ctx context.Context, c *cluster, addr, id string) error {
+func registerMember(ctx context.Context, c *cluster, addr, id string) error {
 	m := Member{ID: id, HostPort: "127.0.0.1:9", Phase: "ready", Size: 1}
 	return c.registryCall(ctx, http.MethodPost, addr, "/registry/members", map[string]any{"member": m}, nil)
 }
@@ -55,10 +55,10 @@
 // The registry's leader is cut off from its peers while clients still reach it. It acknowledges no write and,
 // past stale_read, serves no read; the majority elects a leader and goes on; and after the cut every
 // acknowledged write is there and no refused one.
-func TestLeaderCutOffWithAMinorityAcknowledgesNothing(t *testing.T) {
+func TestPartitionedLeaderAcknowledgesNoWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
-	if err := memberCall(ctx, c, c.registryAddr[0], "before"); err != nil {
+	if err := registerMember(ctx, c, c.registryAddr[0], "before"); err != nil {
 		t.Fatal(err)
 	}
 	old := c.leaderIndex(ctx)
@@ -70,12 +70,12 @@
 		p.Partition(true)
 	}
 	majority := c.registryAddr[(old+1)%3]
-	if err := memberCall(ctx, c, c.registryAddr[old], "lost"); err == nil {
+	if err := registerMember(ctx, c, c.registryAddr[old], "lost"); err == nil {
 		t.Error("a leader without a majority acknowledged a write")
 	}
-	until(t, "a write to the majority", func() bool { return memberCall(ctx, c, majority, "during") == nil })
+	waitFor(t, "a write to the majority", func() bool { return registerMember(ctx, c, majority, "during") == nil })
 	// Having stepped down it may serve what it has for stale_read more, as any follower.
-	until(t, "the cut-off replica refusing reads", func() bool {
+	waitFor(t, "the cut-off replica refusing reads", func() bool {
 		err := c.registryCall(ctx, http.MethodGet, c.registryAddr[old], "/registry/instances", nil, nil)
 		return err != nil && strings.Contains(err.Error(), "503")
 	})
@@ -83,7 +83,7 @@
 		p.Partition(false)
 	}
 	for m, addr := range c.registryAddr {
-		until(t, fmt.Sprintf("registry-%d holding what was acknowledged", m), func() bool {
+		waitFor(t, fmt.Sprintf("registry-%d holding what was acknowledged", m), func() bool {
 			var list struct{ Members []Member }
 			if c.registryCall(ctx, http.MethodGet, addr, "/registry/instances", nil, &list) != nil {
 				return false
@@ -102,7 +102,7 @@
 
 // A replica that is cut off in one direction alone (it receives from its peers, and they do not receive from it) keeps
 // nobody from writing for longer than an election.
-func TestOneWayCutDoesNotStopWrites(t *testing.T) {
+func TestOneWayPartitionDoesNotStopWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
 	lead := c.leaderIndex(ctx)
@@ -110,24 +110,24 @@
 		p.Partition(true)
 	}
 	addr := c.registryAddr[(lead+1)%3]
-	until(t, "a write past a leader that cannot speak", func() bool { return memberCall(ctx, c, addr, "one") == nil })
+	waitFor(t, "a write past a leader that cannot speak", func() bool { return registerMember(ctx, c, addr, "one") == nil })
 }
 
 // Two of three replicas have disks that fail a third of their writes and syncs for a while, and wall clocks that step;
 // the leader is killed in the midst of it. No replica ends by itself, and what was acknowledged is there afterwards at
 // each of them.
-func TestReplicasOnFailingDisksKeepWhatTheyAcknowledged(t *testing.T) {
+func TestReplicasOnFailingDisksKeepAcknowledgedWrites(t *testing.T) {
 	t.Parallel()
 	plan := sysfault.Plan{{Kind: sysfault.Disk, From: 2 * time.Second, For: 4 * time.Second, Share: 0.3},
 		{Kind: sysfault.Clock, From: 3 * time.Second, Step: -time.Hour}}
-	c, ctx := testClusterWith(t, 3, map[int]sysfault.Plan{0: plan, 1: plan})
+	c, ctx := testClusterWithPlans(t, 3, map[int]sysfault.Plan{0: plan, 1: plan})
 	c.log = slog.New(slog.DiscardHandler)
 	var acknowledged []string
 	killed := false
 	for i, end := 0, time.Now().Add(9*time.Second); time.Now().Before(end); i++ {
 		id := fmt.Sprintf("member-%d", i)
 		within, cancel := context.WithTimeout(ctx, time.Second)
-		if memberCall(within, c, c.registryAddr[i%3], id) == nil {
+		if registerMember(within, c, c.registryAddr[i%3], id) == nil {
 			acknowledged = append(acknowledged, id)
 		}
 		cancel()
@@ -147,8 +147,8 @@
 	starts := 0
 	for i, p := range c.processes["registry"] {
 		starts += p.starts()
-		until(t, "what was acknowledged, at "+p.Name, func() bool {
-			var l listAnswer
+		waitFor(t, "what was acknowledged, at "+p.Name, func() bool {
+			var l listResponse
 			if c.registryCall(ctx, http.MethodGet, c.registryAddr[i], "/registry/instances", nil, &l) != nil {
 				return false
 			}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -60,8 +60,8 @@
 	d.wakeWatches()
 }
 
-// Started lists a member as ready and started just now.
-func (d *Discovery) Started(id string) {
+// SetStarted lists a member as ready and started just now.
+func (d *Discovery) SetStarted(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/internal/lab/discovery_view.go
+++ b/internal/lab/discovery_view.go
@@ -24,8 +24,8 @@
 	server *http.Server
 }
 
-// listAnswer is an answer in PROTOCOL's form: the complete list, or the members that changed.
-type listAnswer struct {
+// listResponse is an answer in PROTOCOL's form: the complete list, or the members that changed.
+type listResponse struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
@@ -100,7 +100,7 @@
 		waitMs = min(waitMs, int(maxWatchWait.Milliseconds()))
 		d.awaitRevision(r.Context(), after, time.Duration(waitMs)*time.Millisecond)
 	}
-	answer, up := d.answer(after, addr)
+	answer, up := d.list(after, addr)
 	if !up {
 		panic(http.ErrAbortHandler) // resets the connection
 	}
@@ -110,7 +110,7 @@
 }
 
 // recordNotification records that a node has been notified of the drains in an answer.
-func (d *Discovery) recordNotification(node string, answer listAnswer) {
+func (d *Discovery) recordNotification(node string, answer listResponse) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,12 +146,12 @@
 	}
 }
 
-// answer is the complete list, or what changed after a revision that the list knows.
-func (d *Discovery) answer(after int64, addr func(string) string) (answer listAnswer, up bool) {
+// list is the complete list, or what changed after a revision that the list knows.
+func (d *Discovery) list(after int64, addr func(string) string) (answer listResponse, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	complete := after < 1 || after > d.revision
-	answer = listAnswer{Revision: d.revision, Complete: complete, Members: []Member{}}
+	answer = listResponse{Revision: d.revision, Complete: complete, Members: []Member{}}
 	for i, member := range d.members {
 		if complete || d.changedAt[i] > after {
 			member.HostPort = addr(member.ID)
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -10,36 +10,38 @@
 )
 
 const (
-	// driverStream sets the driver's draws apart from others of the same seed.
+	// driverStream is the random stream of the driver, which differs from the other streams of the same seed.
 	driverStream = 3
-	// answerGrace is how long after its deadline a client still waits for its final response (FLEET).
-	answerGrace = 500 * time.Millisecond
-	// maxDisconnectDelay is the time within which a client that disconnects early does so.
+	// responseGrace is how long after its deadline a client still waits for its final response (FLEET).
+	responseGrace = 500 * time.Millisecond
+	// maxDisconnectDelay is the longest time after which a client that disconnects early does so.
 	maxDisconnectDelay = 100 * time.Millisecond
-	// maxInFlight bounds the driver's requests in flight; a request above it is not sent and is counted.
+	// maxInFlight bounds the driver's requests in flight. A request above the bound is not sent, and is counted.
 	maxInFlight = 2048
-	// improperPeerInterval is one in how many requests is an improper peer's instead, where the load has some.
-	improperPeerInterval = 100
+	// stalledClientInterval is the number of requests of which one is replaced by a stalled client, if the load has
+	// stalled clients.
+	stalledClientInterval = 100
 )
 
-// Driver sends the scenario's load to the nodes, at the scenario's rate, and records every outcome.
+// Driver sends the scenario's load to the nodes, at the scenario's rate, and records every outcome. The caller sets the
+// exported fields before Run.
 type Driver struct {
 	Load  Load
 	Nodes []*client
 	Seed  uint64
-	Stop  <-chan struct{} // closed to send no more; nil: never
+	Stop  <-chan struct{} // closed to stop sending; nil: the driver is not stopped this way
 
-	mu       sync.Mutex
-	outcomes []Outcome
-	unsent   int
-	improper Check
+	mu           sync.Mutex
+	outcomes     []Outcome
+	unsent       int
+	stalledCheck Check
 }
 
-// Run sends until the load's count or the duration is reached, Stop is closed or ctx ends, then waits for the responses
-// of the requests in flight.
+// Run sends requests until the load's count or the duration is reached, Stop is closed or ctx ends. It then waits until
+// the requests in flight have their outcomes.
 func (driver *Driver) Run(ctx context.Context, duration time.Duration) {
 	rng := rand.New(rand.NewPCG(driver.Seed, driverStream))
-	driver.improper.Name = "improper peers hear an error or a close in time"
+	driver.stalledCheck.Name = "improper peers hear an error or a close in time"
 	defer driver.closeClients()
 	inFlight := make(chan struct{}, maxInFlight)
 	var requests sync.WaitGroup
@@ -66,10 +68,10 @@
 			driver.countUnsent()
 			continue
 		}
-		play := driver.drawPlay(rng, i, node, request)
+		send := driver.drawSender(rng, i, node, request)
 		requests.Go(func() {
 			defer func() { <-inFlight }()
-			play(ctx)
+			send(ctx)
 		})
 	}
 }
@@ -81,23 +83,23 @@
 	}
 }
 
-// drawPlay draws how the i-th request is sent to a node: as it is, on a connection made long before, or by an improper
-// peer.
-func (driver *Driver) drawPlay(rng *rand.Rand, i, node int, request *clientRequest) func(context.Context) {
-	var early earlyBegin
+// drawSender draws how the i-th request is sent to a node and returns the function that sends it. The request is sent
+// as soon as its client connects, after a delay, or not at all because a stalled client takes its place.
+func (driver *Driver) drawSender(rng *rand.Rand, i, node int, request *clientRequest) func(context.Context) {
+	var delay requestDelay
 	if driver.Load.DelayedRequestShare+driver.Load.SplitRequestShare > 0 {
-		early = driver.Load.drawEarly(rng)
+		delay = driver.Load.drawRequestDelay(rng)
 	}
 	switch {
-	case driver.Load.StalledClients && i%improperPeerInterval == improperPeerInterval/2:
-		return func(context.Context) { driver.playImproperPeer(node) }
-	case early.action != "":
-		return func(ctx context.Context) { driver.record(driver.sendAfterEarlyConnect(ctx, node, request, early)) }
+	case driver.Load.StalledClients && i%stalledClientInterval == stalledClientInterval/2:
+		return func(context.Context) { driver.runStalledClient(node) }
+	case delay.initial != "":
+		return func(ctx context.Context) { driver.record(driver.sendDelayed(ctx, node, request, delay)) }
 	}
 	return func(context.Context) { driver.record(driver.send(node, request)) }
 }
 
-// draw draws a request: its class, its trace id and key, and whether its client disconnects.
+// draw draws a request: its class, its trace id, its key, and whether and when its client disconnects.
 func (driver *Driver) draw(rng *rand.Rand) *clientRequest {
 	request := &clientRequest{class: classRead}
 	switch x := rng.Float64(); {
@@ -118,7 +120,7 @@
 	return request
 }
 
-// send sends a request to a node, or, where that accepts no connection, to the next one that does.
+// send sends a request to a node. If the node accepts no connection, it tries the other nodes in order.
 func (driver *Driver) send(node int, request *clientRequest) Outcome {
 	outcome := Outcome{Trace: request.trace, Class: request.class, SentAt: time.Now().UnixNano(),
 		ClientTimeout: int64(driver.Load.Deadline.Duration)}
@@ -144,7 +146,7 @@
 	driver.mu.Unlock()
 }
 
-// Outcomes returns what was recorded, and how many requests were not sent as too many were in flight.
+// Outcomes returns the recorded outcomes, and how many requests were not sent because too many were in flight.
 func (driver *Driver) Outcomes() (outcomes []Outcome, unsent int) {
 	driver.mu.Lock()
 	defer driver.mu.Unlock()
--- a/internal/lab/exchange.go
+++ b/internal/lab/exchange.go
@@ -32,10 +32,10 @@
 }
 
 // text is the request as it is sent now.
-func (r *clientRequest) text() string { return r.textFor(time.Until(r.deadline)) }
+func (r *clientRequest) text() string { return r.textWithTimeout(time.Until(r.deadline)) }
 
-// textFor is the request of a client that waits for timeout from now on.
-func (r *clientRequest) textFor(timeout time.Duration) string {
+// textWithTimeout is the request of a client that waits for timeout from now on.
+func (r *clientRequest) textWithTimeout(timeout time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n",
 		r.method(), r.trace, r.class, max(timeout.Seconds(), 0))
@@ -106,14 +106,14 @@
 // exchange sends a request on a connection and reads its response, and sets the outcome's kind. An error says why there
 // is no complete response; silent, that no byte of one came.
 func (c *client) exchange(conn *clientConn, request *clientRequest, outcome *Outcome) (silent bool, err error) {
-	until := request.deadline.Add(answerGrace)
+	until := request.deadline.Add(responseGrace)
 	disconnects := !request.disconnectAt.IsZero() && request.disconnectAt.Before(until)
 	if disconnects {
 		until = request.disconnectAt
 	}
 	conn.SetDeadline(until)
-	text := conn.unsentRequest
-	conn.unsentRequest = ""
+	text := conn.unsentRemainder
+	conn.unsentRemainder = ""
 	if text == "" {
 		text = request.text()
 	}
@@ -159,7 +159,7 @@
 	case timedOut && disconnects:
 		return kindClientDisconnected
 	case timedOut:
-		return kindNoAnswer
+		return kindNoResponse
 	case silent:
 		return kindBroken
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/fault_schedule.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// applyFaults applies each fault of the schedule at its time, and records it.
-func (run *loadRun) applyFaults(ctx context.Context) {
+// injectFaults applies each fault of the schedule at its time, and records it.
+func (run *loadRun) injectFaults(ctx context.Context) {
 	faults := slices.Clone(run.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At.Duration - b.At.Duration) })
 	for _, fault := range faults {
@@ -17,7 +17,7 @@
 			return
 		case <-time.After(time.Until(run.start.Add(fault.At.Duration))):
 		}
-		err := run.applyFault(ctx, fault)
+		err := run.injectFault(ctx, fault)
 		mark := FaultMark{At: time.Since(run.start).Seconds(), Kind: fault.Kind, Target: fault.Target}
 		if err != nil {
 			mark.Error = err.Error()
@@ -27,8 +27,8 @@
 	}
 }
 
-// applyFault applies a fault to all of its targets. One with a For is undone by a timer that close waits for.
-func (run *loadRun) applyFault(ctx context.Context, fault Fault) error {
+// injectFault applies a fault to all of its targets. One with a For is undone by a timer that close waits for.
+func (run *loadRun) injectFault(ctx context.Context, fault Fault) error {
 	switch {
 	case fault.Kind == faultOutage:
 		run.discovery.SetDown(true)
@@ -37,7 +37,7 @@
 	case isProcessFault(fault.Kind):
 		var errs []error
 		for _, target := range fault.Target {
-			errs = append(errs, run.applyProcessFault(ctx, fault, target))
+			errs = append(errs, run.injectProcessFault(ctx, fault, target))
 		}
 		return errors.Join(errs...)
 	}
@@ -46,7 +46,7 @@
 		return errors.New("no link matches")
 	}
 	for name, proxy := range links {
-		run.applyLinkFault(ctx, fault, name, proxy)
+		run.injectLinkFault(ctx, fault, name, proxy)
 	}
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -48,7 +48,8 @@
 	return filepath.Join(binDir, "hitchvale-node"), filepath.Join(binDir, "hitchvale")
 }
 
-// binariesWithFault builds hitchvale with a bug binariesWithFault by a variable of a package, and gives it beside the node as it is.
+// binariesWithFault builds hitchvale with a bug binariesWithFault by a variable of a package, and gives it beside the
+// node as it is.
 func binariesWithFault(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	nodeBinary, _ = binaries(t)
@@ -160,7 +161,7 @@
 
 // A node that gets SIGTERM answers all requests that it has accepted, and no loss is excused: a connect that is refused
 // after its end is no request.
-func TestTerminatedNodeLosesNothing(t *testing.T) {
+func TestTerminatedNodeAnswersAllRequests(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, terminatedNode)
 	requireChecks(t, r)
@@ -170,7 +171,7 @@
 }
 
 // A node that drops one request that it has taken while it drains is found out.
-func TestPlantedDropInADrainIsCaught(t *testing.T) {
+func TestRequestDroppedDuringShutdownIsDetected(t *testing.T) {
 	t.Parallel()
 	nodeBinary, hitchvale := binariesWithNodeFault(t, "faultDropInDrain=1")
 	r := runScenarioWith(t, terminatedNode, nodeBinary, hitchvale)
@@ -180,7 +181,7 @@
 }
 
 // Faults planted in each way in which a process ends are found out, the incident's own among them.
-func TestPlantedShutdownsAreCaught(t *testing.T) {
+func TestFaultyShutdownsAreDetected(t *testing.T) {
 	t.Parallel()
 	const scenario = `
 name = "planted"
@@ -243,7 +244,7 @@
 }
 
 // A backend that runs every POST twice must fail the check on double effects.
-func TestPlantedDoubleEffectIsCaught(t *testing.T) {
+func TestDuplicateExecutionIsDetected(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, nodesUnderLoad+"twice = true\n")
 	for _, c := range r.Checks {
@@ -309,8 +310,8 @@
 	}
 }
 
-// dutyScenario is five candidates for one duty over three replicas, under schedules faults of kinds.
-func dutyScenario(seed, schedules int, kinds string) string {
+// leaseScenarioText is five candidates for one duty over three replicas, under schedules faults of kinds.
+func leaseScenarioText(seed, schedules int, kinds string) string {
 	return fmt.Sprintf(`name = "duty"
 seed = %d
 registries = 3
@@ -327,7 +328,7 @@
 // sent SIGTERM; the registry's leader killed; both at once): no two holders have a write accepted out of token order,
 // and paused holders' stale writes were there to be refused. The run itself waits for each fault's successor. How soon
 // it holds is a measurement of the machine as well: the report checks it, BenchmarkTakeover tells it.
-func TestDutyPassesSafelyUnderFaults(t *testing.T) {
+func TestLeaseIsSafeUnderFaults(t *testing.T) {
 	t.Parallel()
 	const runs, each = 5, 40
 	var accepted, refused, schedules atomic.Int64
@@ -335,7 +336,7 @@
 		for seed := range runs {
 			t.Run(strconv.Itoa(11+seed), func(t *testing.T) {
 				t.Parallel()
-				r := runScenario(t, dutyScenario(11+seed, each, `"kill", "pause", "cut", "term", "leader", "both"`))
+				r := runScenario(t, leaseScenarioText(11+seed, each, `"kill", "pause", "cut", "term", "leader", "both"`))
 				if c := r.Checks[0]; !c.OK {
 					t.Errorf("%s: %d violations, first %v", c.Name, c.Violations, c.Examples)
 				}
@@ -356,7 +357,7 @@
 func BenchmarkTakeover(b *testing.B) {
 	nodeBinary, hitchvale := binaries(b)
 	for b.Loop() {
-		r := runScenarioWith(b, dutyScenario(11, 40, `"kill", "pause", "cut", "term", "leader"`), nodeBinary, hitchvale)
+		r := runScenarioWith(b, leaseScenarioText(11, 40, `"kill", "pause", "cut", "term", "leader"`), nodeBinary, hitchvale)
 		for kind, s := range r.Lease.Takeover {
 			b.ReportMetric(s.P99, kind+"-p99-ms")
 		}
@@ -365,10 +366,10 @@
 
 // With the registry's fence check removed at build time, a holder paused past its TTL writes after its
 // successor, and the check of the accepted tokens fails.
-func TestPlantedUnfencedRegistryIsCaught(t *testing.T) {
+func TestMissingFencingIsDetected(t *testing.T) {
 	t.Parallel()
 	nodeBinary, planted := binariesWithFault(t, "registry.disableFencing=1")
-	r := runScenarioWith(t, dutyScenario(11, 12, `"pause"`), nodeBinary, planted)
+	r := runScenarioWith(t, leaseScenarioText(11, 12, `"pause"`), nodeBinary, planted)
 	if r.Checks[0].OK {
 		t.Fatalf("stale writes were accepted in order without a fence: %+v", r.Checks[0])
 	}
--- a/internal/lab/link_faults.go
+++ b/internal/lab/link_faults.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// applyLinkFault applies a fault to one link. A fault of a client's link opens a fault window of its node.
-func (run *loadRun) applyLinkFault(ctx context.Context, fault Fault, name string, proxy *Proxy) {
+// injectLinkFault applies a fault to one link. A fault of a client's link opens a fault window of its node.
+func (run *loadRun) injectLinkFault(ctx context.Context, fault Fault, name string, proxy *Proxy) {
 	node := -1
 	if number, ok := strings.CutPrefix(name, "client-node-"); ok {
 		fmt.Sscanf(number, "%d", &node)
--- a/internal/lab/load_checks.go
+++ b/internal/lab/load_checks.go
@@ -7,12 +7,12 @@
 
 // Verify checks the invariants of every load run.
 func Verify(h History) []Check {
-	return []Check{h.finalAnswers(), h.noDoubleEffect(), h.noAttemptAfterDrain()}
+	return []Check{h.finalResponses(), h.noDuplicateExecution(), h.noAttemptAfterDrain()}
 }
 
-// finalAnswers checks that every request that a node accepted got its final response, unless a fault of the node's own
-// explains why not.
-func (h History) finalAnswers() Check {
+// finalResponses checks that every request that a node accepted got its final response. Requests that a fault of the
+// node itself explains are excused.
+func (h History) finalResponses() Check {
 	check := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
 	for _, outcome := range h.Outcomes {
 		if h.unansweredAtKill(outcome) {
@@ -33,8 +33,9 @@
 	return check.result()
 }
 
-// noDoubleEffect checks that no request of the claim class was executed twice, and none that no client sent.
-func (h History) noDoubleEffect() Check {
+// noDuplicateExecution checks that no request of the claim class was executed twice, and that no request was executed
+// that no client sent.
+func (h History) noDuplicateExecution() Check {
 	check := Check{Name: "no request runs twice or unasked"}
 	classes := make(map[string]string, len(h.Outcomes))
 	for _, outcome := range h.Outcomes {
@@ -58,8 +59,8 @@
 	return check.result()
 }
 
-// noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. A node
-// that had a fault meanwhile could not be notified, and is excused.
+// noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. The
+// request is excused if its node had a fault between these two times, because that node could not be notified.
 func (h History) noAttemptAfterDrain() Check {
 	check := Check{Name: "nothing reaches a draining backend past the grace"}
 	nodes := h.nodes()
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -37,7 +37,7 @@
 	if err := run.setUp(ctx); err != nil {
 		return Report{}, err
 	}
-	driver, starved, err := run.play(ctx)
+	driver, starved, err := run.sendLoad(ctx)
 	if err != nil {
 		return Report{}, err
 	}
@@ -46,14 +46,14 @@
 	return run.report(driver, starved, acknowledged)
 }
 
-// play sends the load while the faults are applied at their times, and returns once both have ended.
-func (run *loadRun) play(ctx context.Context) (*Driver, *starvationLog, error) {
+// sendLoad sends the load while the faults are applied at their times, and returns once both have ended.
+func (run *loadRun) sendLoad(ctx context.Context) (*Driver, *starvationLog, error) {
 	driver := &Driver{Load: run.scenario.Load, Nodes: run.newNodeClients(), Seed: run.scenario.Seed}
 	starved := &starvationLog{}
 	run.start = time.Now()
 	playCtx, stopFaults := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	background.Go(func() { run.applyFaults(playCtx) })
+	background.Go(func() { run.injectFaults(playCtx) })
 	if run.scenario.Soak != nil {
 		background.Go(func() { starved.run(playCtx, run.watchedProcesses) })
 	}
@@ -78,7 +78,7 @@
 	}
 	checks := []Check{acknowledged}
 	if run.scenario.Load.StalledClients {
-		checks = append(checks, driver.Improper())
+		checks = append(checks, driver.StalledClientCheck())
 	}
 	if run.scenario.Soak != nil {
 		drains, lastUp := run.discovery.drainPeriods()
--- a/internal/lab/node_config.go
+++ b/internal/lab/node_config.go
@@ -98,7 +98,7 @@
 		Discovery: addresses.discovery,
 		Admin:     addresses.admin,
 		Seed:      fmt.Sprintf("%016x", run.scenario.Seed*nodeSeedFactor+uint64(i)),
-		Limits:    nodeLimits{Cores: nodeCores, MemoryMB: nodeMemoryMB, Sockets: run.scenario.descriptors()},
+		Limits:    nodeLimits{Cores: nodeCores, MemoryMB: nodeMemoryMB, Sockets: run.scenario.descriptorLimit()},
 		Settings:  run.scenario.nodeSettings(i),
 		Registry:  addresses.replicas,
 	}
@@ -110,8 +110,8 @@
 	return text
 }
 
-// descriptors are those that a node may have open.
-func (scenario Scenario) descriptors() int {
+// descriptorLimit are those that a node may have open.
+func (scenario Scenario) descriptorLimit() int {
 	if scenario.idleConnections > 0 {
 		return fewDescriptors
 	}
@@ -127,7 +127,7 @@
 		Classes: scenario.nodeClasses(),
 		Obligations: nodeObligations{
 			DrainGrace:    scenario.DrainGrace.Duration,
-			GraceToAnswer: answerGrace,
+			GraceToAnswer: responseGrace,
 		},
 	}
 	if scenario.Soak != nil {
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -18,7 +18,7 @@
 	kindRejected           = "refused"     // 429 or 503
 	kindFailed             = "failed"      // another status, or a response that broke off so that its client could tell
 	kindBroken             = "broken"      // sent completely, and the connection ended without a response
-	kindNoAnswer           = "none"        // sent completely, and no response in time
+	kindNoResponse         = "none"        // sent completely, and no response in time
 	kindClosedUnread       = "shut"        // closed unread on two connections: failed, and not lost (TERMS)
 	kindClientDisconnected = "left"        // the client closed the connection first
 	kindUnconnected        = "unconnected" // no node accepted a connection: no request at all
@@ -38,7 +38,7 @@
 	Status            int    `json:"status"`            // 0: no response
 	Kind              string `json:"kind"`
 	FirstOnConnection bool   `json:"fresh,omitempty"`
-	EarlyAction       string `json:"early,omitempty"` // what its client did long before it sent the request
+	InitialPart       string `json:"early,omitempty"` // what its client did long before it sent the request
 	// Resent: it crossed the close of its connection and was sent once more.
 	Resent bool `json:"resent,omitempty"`
 	// CrossedAt is when the close that it crossed was seen, with the reset after it.
@@ -47,7 +47,7 @@
 }
 
 // isUnanswered tells whether a request that the node accepted got no final response.
-func (o Outcome) isUnanswered() bool { return o.Kind == kindBroken || o.Kind == kindNoAnswer }
+func (o Outcome) isUnanswered() bool { return o.Kind == kindBroken || o.Kind == kindNoResponse }
 
 // writeOutcomes writes every request's outcome, one JSON object a line, so that a violation can be followed by trace
 // id.
--- a/internal/lab/process_faults.go
+++ b/internal/lab/process_faults.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// applyProcessFault applies a fault to one process.
-func (run *loadRun) applyProcessFault(ctx context.Context, fault Fault, target string) error {
+// injectProcessFault applies a fault to one process.
+func (run *loadRun) injectProcessFault(ctx context.Context, fault Fault, target string) error {
 	role, i, _ := parseProcess(target) // checked with the scenario
 	process := run.processes[role][i]
 	switch fault.Kind {
@@ -71,13 +71,13 @@
 func (run *loadRun) restart(ctx context.Context, role string, i int) error {
 	process := run.processes[role][i]
 	if role == roleNode {
-		run.awaitEarliestKill(ctx, i)
+		run.awaitKillDue(ctx, i)
 	}
 	switch {
 	case role != roleNode || process.Exited() == nil:
 		process.Kill()
-	case run.mayBeKilled(i):
-		run.killAtEarliest(i, process)
+	case run.killIsDue(i):
+		run.killAfterDeadline(i, process)
 	default:
 		run.openFaultWindow(role, i, faultKill)
 		process.Kill()
@@ -144,7 +144,7 @@
 	}
 	run.timers.Go(func() {
 		if waitReady(ctx, process, run.backendAddr[j], livePath) == nil {
-			run.discovery.Started(process.Name)
+			run.discovery.SetStarted(process.Name)
 		}
 	})
 	return nil
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -150,12 +150,12 @@
 		if err != nil {
 			return
 		}
-		p.accepted(c)
+		p.handle(c)
 	}
 }
 
-// accepted serves a connection that has been accepted, or resets it where the link drops it.
-func (p *Proxy) accepted(c net.Conn) {
+// handle serves a connection that has been handle, or resets it where the link drops it.
+func (p *Proxy) handle(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || (p.drop > 0 && p.rng.Float64() < p.drop) {
@@ -193,7 +193,7 @@
 	if observe := p.observer(); observe != nil {
 		near = newTap(c, observe, stop)
 	}
-	if !p.awaitPassage() {
+	if !p.awaitForwarding() {
 		return
 	}
 	far, err := p.dialTarget()
@@ -235,7 +235,7 @@
 			return
 		}
 		if err != nil {
-			endPipe(dst, err)
+			propagateEnd(dst, err)
 			return
 		}
 	}
@@ -243,7 +243,7 @@
 
 // forward writes a chunk from src to dst; false where that has ended.
 func (p *Proxy) forward(dst, src net.Conn, chunk []byte) bool {
-	if !p.awaitPassage() {
+	if !p.awaitForwarding() {
 		return false
 	}
 	if _, err := dst.Write(chunk); err != nil {
@@ -257,8 +257,8 @@
 	return true
 }
 
-// endPipe passes the end of the source on to dst: in order, or by a reset.
-func endPipe(dst net.Conn, err error) {
+// propagateEnd passes the end of the source on to dst: in order, or by a reset.
+func propagateEnd(dst net.Conn, err error) {
 	if !errors.Is(err, io.EOF) {
 		abort(dst)
 		return
@@ -268,8 +268,8 @@
 	}
 }
 
-// awaitPassage blocks while the link is partitioned, then for the delay; false once the proxy has closed.
-func (p *Proxy) awaitPassage() bool {
+// awaitForwarding blocks while the link is partitioned, then for the delay; false once the proxy has closed.
+func (p *Proxy) awaitForwarding() bool {
 	p.mu.Lock()
 	healed, delay, closed := p.healed, p.delay, p.closed
 	p.mu.Unlock()
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -11,7 +11,7 @@
 )
 
 // A partitioned link carries nothing, and what was sent arrives once it heals; a reset breaks open connections.
-func TestProxyPartitionHoldsAndHeals(t *testing.T) {
+func TestProxyHoldsDataDuringPartition(t *testing.T) {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/termination.go
+++ b/internal/lab/termination.go
@@ -35,16 +35,16 @@
 	run.undoAfter(ctx, frontDelay, func() { run.clients[i].admit(false) })
 }
 
-// mayBeKilled tells whether a node got SIGTERM so long ago that SIGKILL excuses nothing (PROTOCOL).
-func (run *loadRun) mayBeKilled(i int) bool {
+// killIsDue tells whether a node got SIGTERM so long ago that SIGKILL excuses nothing (PROTOCOL).
+func (run *loadRun) killIsDue(i int) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	terminated := run.terminatedAt[i]
 	return !terminated.IsZero() && time.Since(terminated) >= run.scenario.killAfter()
 }
 
-// awaitEarliestKill waits until a node may be killed, where that is at most clockSlack ahead.
-func (run *loadRun) awaitEarliestKill(ctx context.Context, i int) {
+// awaitKillDue waits until a node may be killed, where that is at most clockSlack ahead.
+func (run *loadRun) awaitKillDue(ctx context.Context, i int) {
 	run.mu.Lock()
 	terminated := run.terminatedAt[i]
 	run.mu.Unlock()
@@ -58,8 +58,8 @@
 	}
 }
 
-// killAtEarliest kills a node's process whose time to shut down is over, and records that it still ran.
-func (run *loadRun) killAtEarliest(i int, process *Process) {
+// killAfterDeadline kills a node's process whose time to shut down is over, and records that it still ran.
+func (run *loadRun) killAfterDeadline(i int, process *Process) {
 	if process.Exited() == nil {
 		return
 	}
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -40,6 +40,6 @@
 	case <-ctx.Done():
 	case <-replaced.Exited():
 	case <-time.After(run.scenario.killAfter()):
-		run.killAtEarliest(i, replaced)
+		run.killAfterDeadline(i, replaced)
 	}
 }
