--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// claimPort is the port of a block's first address that its run listens on, so that no other run takes the block.
+	// claimPort is the port on which a run listens at the first address of its block. No other run can claim the block
+	// meanwhile.
 	claimPort = 9
-	// maxClaimAttempts bounds the search for a block that is free.
+	// maxClaimAttempts bounds the search for a free block.
 	maxClaimAttempts = 256
 	// firstPort is the first port allocated on each address of a block.
 	firstPort = 20000
-	// blockHosts is how many addresses of a block are allocated (127.A.B.2 to 127.A.B.254).
+	// blockHosts is the number of addresses of a block that are allocated (127.A.B.2 to 127.A.B.254).
 	blockHosts = 253
 )
 
-// errNoBlock says that no block of loopback addresses was free.
+// errNoBlock says that no free block of loopback addresses was found.
 var errNoBlock = errors.New("no block of loopback addresses is free: end other runs of the lab")
 
-// addresses allocates loopback addresses that nothing else on this machine takes: a run claims a block 127.A.B.0/24
-// (A from 64 to 127) by listening in it, and outgoing connections have 127.0.0.1 as their source. So a child may bind
-// its address later, and bind it again after a restart.
+// addresses allocates loopback addresses that nothing else on this machine uses. A run claims a block 127.A.B.0/24
+// (A from 64 to 127) by listening on an address of it. Outgoing connections don't use the block's ports either, because
+// their source address is 127.0.0.1. A child may therefore bind its address later, and bind it again after a restart.
 type addresses struct {
 	claim net.Listener
-	a     int
-	b     int
+	a     int // second byte of the block's addresses
+	b     int // third byte of the block's addresses
 
 	mu   sync.Mutex
-	next int
+	next int // number of addresses allocated so far
 }
 
-// claimAddresses claims a free block.
+// claimAddresses claims a free block, chosen at random. The caller must call close to release the block.
 func claimAddresses() (*addresses, error) {
 	for range maxClaimAttempts {
 		a, b := 64+rand.IntN(64), rand.IntN(256)
@@ -46,7 +47,7 @@
 	return nil, errNoBlock
 }
 
-// allocate returns a host and an address (host:port) of the block that were not allocated before.
+// allocate returns an address (host:port) of the block that was not allocated before, and its host.
 func (a *addresses) allocate() (host, addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -22,39 +22,40 @@
 	stopGrace = 3 * time.Second
 	// readyTimeout is how long a child may take until it is ready.
 	readyTimeout = 20 * time.Second
-	// readyPollInterval is how often a child is polled meanwhile.
+	// readyPollInterval is the time between two readiness calls to a child.
 	readyPollInterval = 50 * time.Millisecond
-	// readyCallTimeout bounds one such call.
+	// readyCallTimeout bounds one readiness call.
 	readyCallTimeout = time.Second
 )
 
-// cluster is what every experiment of the lab runs on: child processes by role, a fault proxy on each link between
-// them, and the addresses they listen on. An experiment embeds it and adds what it does.
+// cluster holds the processes of one experiment by role, the fault proxies on the links between them, and the addresses
+// they listen on. Each experiment embeds a cluster and adds its load and its faults. The caller of newCluster must call
+// close.
 type cluster struct {
 	opts      Options
 	seed      uint64
 	spawner   *spawner
 	addresses *addresses
 	log       *slog.Logger
-	start     time.Time // when the experiment began, once all children were ready
+	start     time.Time // when the experiment began; all children are ready by then
 
 	processes     map[string][]*Process // by role, in the order of their numbers
 	registryAddr  []string              // by replica: the address of its HTTP API
 	links         map[string]*Proxy     // by "FROM:TO", such as "node-1:backend-2", or "client-node-N"
-	callerRouters []*CallerRouter       // by replica: what its peers dial
+	callerRouters []*CallerRouter       // by replica: the router that its peers dial
 
-	// registryPlans are the faults of replicas' system calls, by replica; one without a plan is not traced.
+	// registryPlans holds the plan of each replica's failing system calls. A replica without a plan is not traced.
 	registryPlans map[int]sysfault.Plan
 
 	timelineLog timelineLog
-	timers      sync.WaitGroup // that undo faults, or wait for what follows from one
+	timers      sync.WaitGroup // goroutines that undo a fault, or wait for its effects
 
 	mu         sync.Mutex
-	acks       []ack // writes that the registry acknowledged
-	faultMarks []FaultMark
+	acks       []ack       // writes that the registry acknowledged
+	faultMarks []FaultMark // faults that were injected
 }
 
-// newCluster makes the run's folder and claims its addresses.
+// newCluster creates the run's output folder and claims a block of loopback addresses for its processes.
 func newCluster(opts Options, seed uint64) (*cluster, error) {
 	if err := claimOutput(opts.Out); err != nil {
 		return nil, err
@@ -79,8 +80,8 @@
 	}, nil
 }
 
-// claimOutput makes the folder of a run. One that holds anything is rejected: the run's children append to their logs,
-// and the checks must not read another run's.
+// claimOutput creates the output folder of a run. If the folder is not empty, it returns an error that wraps
+// os.ErrExist: children append to their logs, and the checks must not read the logs of another run.
 func claimOutput(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("output: %w", err)
@@ -90,13 +91,13 @@
 		return fmt.Errorf("output: %w", err)
 	}
 	if len(entries) > 0 {
-		return fmt.Errorf("output: %s holds %s of another run, name an empty folder: %w", dir, entries[0].Name(),
-			os.ErrExist)
+		return fmt.Errorf("output: folder %s is not empty, it contains %s: the folder must be empty or not exist: %w",
+			dir, entries[0].Name(), os.ErrExist)
 	}
 	return nil
 }
 
-// close ends every child and every proxy.
+// close stops every child and every proxy, after the timers have undone their faults.
 func (cluster *cluster) close() {
 	cluster.timers.Wait()
 	cluster.stopAll()
@@ -110,7 +111,7 @@
 	cluster.addresses.close()
 }
 
-// stopAll ends every child, all at once.
+// stopAll stops all children at the same time and waits until they have exited.
 func (cluster *cluster) stopAll() {
 	var stops sync.WaitGroup
 	for _, child := range cluster.children() {
@@ -119,12 +120,12 @@
 	stops.Wait()
 }
 
-// children are the children of every role.
+// children returns the children of all roles.
 func (cluster *cluster) children() []*Process {
 	return slices.Concat(slices.Collect(maps.Values(cluster.processes))...)
 }
 
-// starts is how often each child was started, by name.
+// starts returns how many times each child was started, by name.
 func (cluster *cluster) starts() map[string]int {
 	starts := map[string]int{}
 	for _, child := range cluster.children() {
@@ -133,8 +134,9 @@
 	return starts
 }
 
-// tracedCommand is the command line that runs a program with system calls that fail by a plan; nil: the program as it
-// is. The number sets the draws of one child apart from another's.
+// tracedCommand returns the command line that runs a program under a tracer, which makes its system calls fail by a
+// plan. Without a plan (nil), it returns argv unchanged. The number is added to the seed, so that each child has its
+// own random faults.
 func (cluster *cluster) tracedCommand(plan sysfault.Plan, number int, argv ...string) []string {
 	if plan == nil {
 		return argv
@@ -144,12 +146,12 @@
 	return append(tracer, argv...)
 }
 
-// path is a file of the run's folder.
+// path returns the path of a file in the run's output folder; format and args give the file's name.
 func (cluster *cluster) path(format string, args ...any) string {
 	return filepath.Join(cluster.opts.Out, fmt.Sprintf(format, args...))
 }
 
-// link places a proxy of that name before target.
+// link starts a proxy of that name in front of target (host:port). The cluster closes the proxy.
 func (cluster *cluster) link(name, target string) (*Proxy, error) {
 	proxy, err := NewProxy(target, cluster.seed+uint64(len(cluster.links)))
 	if err != nil {
@@ -172,14 +174,14 @@
 	return matched
 }
 
-// recordFault records a fault as it was applied.
+// recordFault records an injected fault for the report.
 func (cluster *cluster) recordFault(mark FaultMark) {
 	cluster.mu.Lock()
 	cluster.faultMarks = append(cluster.faultMarks, mark)
 	cluster.mu.Unlock()
 }
 
-// undoAfter runs undo after a delay, or at once when ctx ends first.
+// undoAfter runs undo in the background after a delay, or immediately when ctx ends first.
 func (cluster *cluster) undoAfter(ctx context.Context, delay time.Duration, undo func()) {
 	cluster.timers.Go(func() {
 		select {
@@ -190,7 +192,8 @@
 	})
 }
 
-// startChild adds a child of a role, starts it on an address of the run's own and waits until path answers 200 there.
+// startChild adds a child of a role, starts it on a newly allocated address and waits until a GET of path returns 200
+// there.
 func (cluster *cluster) startChild(ctx context.Context, role string, command func(addr string) []string, env []string,
 	path string) (child *Process, addr string, err error) {
 	name := processName(role, len(cluster.processes[role]))
@@ -209,18 +212,20 @@
 }
 
 // awaitStart waits until a child that has been started is ready. Its error names the child and ends with the last line
-// of its log.
+// of the child's log.
 func awaitStart(ctx context.Context, child *Process, addr, path string) error {
 	if err := waitReady(ctx, child, addr, path); err != nil {
-		return fmt.Errorf("%s did not start: %w; its log ends: %s", child.Name, err, lastLine(child.logPath))
+		return fmt.Errorf("%s did not become ready: %w; last line of its log: %s", child.Name, err,
+			lastLine(child.logPath))
 	}
 	return nil
 }
 
-// errEndedBeforeReady says that a child's process exited before it was ready.
-var errEndedBeforeReady = errors.New("it ended before it was ready")
+// errExitedBeforeReady says that a child's process exited before it was ready.
+var errExitedBeforeReady = errors.New("its process exited before it was ready")
 
-// waitReady polls path at addr until it answers 200, the process exits or readyTimeout is over.
+// waitReady polls path at addr until it returns 200. It returns an error when the process exits, ctx ends or
+// readyTimeout is over.
 func waitReady(ctx context.Context, process *Process, addr, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -239,13 +244,13 @@
 		case <-ctx.Done():
 			return fmt.Errorf("not ready at %s: %w", addr, ctx.Err())
 		case <-process.Exited():
-			return errEndedBeforeReady
+			return errExitedBeforeReady
 		case <-tick.C:
 		}
 	}
 }
 
-// lastLine is the last line of a file; "" where it cannot be read.
+// lastLine returns the last line of a file, or "" if the file cannot be read.
 func lastLine(path string) string {
 	text, _ := os.ReadFile(path)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,7 @@
-// Package lab is the fault lab: it starts real processes of the program on loopback (nodes, registry replicas, stand-in
-// backends), places a TCP fault proxy on every link, applies faults on a schedule, records every request's outcome,
-// checks invariants over that history and writes a report with plots. A scenario file says which experiment is run:
-// nodes under load, a soak, a lease, a fleet's shared view or maintenance turns.
+// Package lab is the fault lab, which tests the program as real processes on loopback: nodes, registry replicas and
+// stand-in backends. It places a TCP fault proxy on every link, injects faults on a schedule and records the outcome of
+// every request. It then checks invariants over that history and writes a report with plots. A scenario file says which
+// experiment is run: nodes under load, a soak, a lease, a fleet's shared view or maintenance turns.
 package lab
 
 import (
@@ -9,17 +9,17 @@
 	"log/slog"
 )
 
-// Options say where the programs are and where the run writes.
+// Options says where the programs are and where a run writes its output.
 type Options struct {
-	NodeBinary    string // the node's binary
-	CommandBinary string // this command's binary, for the stand-in backends, the replicas and the candidates
-	Out           string // the output folder: logs, report.json, plots
-	Log           *slog.Logger
+	NodeBinary    string       // path of the hitchvale-node binary
+	CommandBinary string       // path of the hitchvale binary, which runs stand-in backends, replicas and candidates
+	Out           string       // folder for logs, report.json and plots; it must be empty or not exist
+	Log           *slog.Logger // nil: nothing is logged
 }
 
-// Run plays a scenario and returns its report, which it has also written to opts.Out. The error is for a run
-// that could not be played (a child that did not start, a folder that could not be written); a run whose
-// invariants fail returns a report with Passed false and no error. Every child has exited when Run returns.
+// Run runs a scenario and returns its report, which it has also written to opts.Out. It returns an error if the
+// scenario could not be run, for example because a child did not start or a folder could not be written. If invariants
+// are violated, it returns a report with Passed false and no error. Every child has exited when Run returns.
 func Run(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
 	if scenario.Soak != nil {
 		return runSoak(ctx, scenario, opts)
@@ -27,7 +27,7 @@
 	return runExperiment(ctx, scenario, opts)
 }
 
-// runExperiment plays one run of the kind that the scenario describes.
+// runExperiment runs the kind of experiment that the scenario describes, once.
 func runExperiment(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
 	cluster, err := newCluster(opts, scenario.Seed)
 	if err != nil {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Process is one child of the lab, which may be started again after it has ended. Its methods may be called by several
-// goroutines.
+// Process is a child process of the lab. It may be started again after it has exited. Its methods may be called by
+// several goroutines.
 type Process struct {
 	Name    string
 	argv    []string
 	env     []string
-	logPath string // file that standard output and error are appended to, over all starts
+	logPath string // file to which standard output and standard error of all starts are appended
 
 	mu         sync.Mutex
-	cmd        *exec.Cmd     // nil: it does not run
-	exited     chan struct{} // closed when the current run ends
+	cmd        *exec.Cmd     // nil: the process is not running
+	exited     chan struct{} // closed when the current process exits
 	startCount int
-	startTime  time.Time // of the current run
+	startTime  time.Time // of the current process
 }
 
-// Start runs the process once more. It fails where the process still runs.
+// Start starts the process. It returns an error if the process is still running.
 func (p *Process) Start(s *spawner) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,14 +64,15 @@
 	return nil
 }
 
-// starts is how often the process was started.
+// starts returns how many times the process was started.
 func (p *Process) starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startCount
 }
 
-// pids are the ids of the process and of its own children: a traced program is a child of its tracer.
+// pids returns the ids of the process and of its children, or nil if it is not running. A traced program is a child of
+// its tracer.
 func (p *Process) pids() []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,17 +90,17 @@
 	return pids
 }
 
-// age is how long the current run of the process has lasted.
+// age returns the time since the process was last started.
 func (p *Process) age() time.Duration { return time.Since(p.startedAt()) }
 
-// startedAt is when the current run of the process began.
+// startedAt returns when the process was last started.
 func (p *Process) startedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startTime
 }
 
-// Exited is closed when the current run of the process ends; nil where it does not run.
+// Exited returns a channel that is closed when the current process exits, or nil if the process is not running.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +110,7 @@
 	return p.exited
 }
 
-// Signal sends a signal to the process's group; it is no error where the process has ended.
+// Signal sends a signal to the process's group. It does nothing if the process is not running.
 func (p *Process) Signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +124,7 @@
 	return err
 }
 
-// Kill ends the process with SIGKILL and waits for its end; it is no error where it does not run.
+// Kill sends SIGKILL to the process and waits until it has exited. It does nothing if the process is not running.
 func (p *Process) Kill() {
 	if exited := p.Exited(); exited != nil {
 		p.Signal(syscall.SIGKILL)
@@ -131,7 +132,9 @@
 	}
 }
 
-// Stop ends the process: SIGCONT, in case it is paused, SIGTERM, and SIGKILL after grace; it waits for the end.
+// Stop sends SIGTERM to the process, and SIGKILL if it has not exited after grace. It sends SIGCONT first, because a
+// paused process doesn't handle SIGTERM. Stop returns once the process has exited, and does nothing if the process is
+// not running.
 func (p *Process) Stop(grace time.Duration) {
 	exited := p.Exited()
 	if exited == nil {
--- a/internal/lab/spawner.go
+++ b/internal/lab/spawner.go
@@ -6,15 +6,16 @@
 	"syscall"
 )
 
-// spawner starts every child of the lab from one goroutine that is locked to its OS thread until the lab ends:
-// Linux sends the parent-death signal when the thread that forked ends, not the process, so a thread that the
-// runtime might retire would kill children early. Each child is the leader of a process group of its own, so
-// that ending it ends whatever it started too.
+// spawner starts every child of the lab from one goroutine, which is locked to its OS thread until close. Linux sends
+// the parent-death signal to a child when the thread that forked it exits, even if the process lives on. On a thread
+// that the runtime may end, children could therefore be killed too early. Each child leads a process group of its own,
+// so that a signal to the group reaches the processes that the child started too.
 type spawner struct {
 	requests chan spawnRequest
 	done     chan struct{}
 }
 
+// spawnRequest asks the spawner's goroutine to start a command. The result of Start is sent to err.
 type spawnRequest struct {
 	command *exec.Cmd
 	err     chan error
@@ -27,7 +28,7 @@
 }
 
 func (s *spawner) run() {
-	runtime.LockOSThread() // never unlocked: the thread ends with the goroutine, after all children
+	runtime.LockOSThread() // never unlocked: the thread exits with the goroutine, after all children have exited
 	defer close(s.done)
 	for request := range s.requests {
 		request.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -35,14 +36,14 @@
 	}
 }
 
-// start starts a command.
+// start starts a command on the spawner's thread and returns the error of its Start.
 func (s *spawner) start(command *exec.Cmd) error {
 	request := spawnRequest{command: command, err: make(chan error, 1)}
 	s.requests <- request
 	return <-request.err
 }
 
-// close ends the spawner's thread. All children have to have ended.
+// close ends the spawner's thread. The caller must make sure that all children have exited.
 func (s *spawner) close() {
 	close(s.requests)
 	<-s.done
