--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -1,26 +1,26 @@
 package lab
 
-// The kinds of faults in a scenario file, with their targets. One with a For is undone after that time.
+// The kinds of faults in a scenario file, with their targets. A fault with a For is undone after that time.
 const (
 	faultKill      = "kill"      // node-N, backend-N, registry-N: SIGKILL
-	faultPower     = "power"     // a list of processes, killed at once
+	faultPower     = "power"     // a list of processes, which are all killed at the same time
 	faultTerminate = "term"      // node-N, backend-N, registry-N: SIGTERM
 	faultPause     = "pause"     // node-N, backend-N, registry-N: SIGSTOP, and SIGCONT after For
-	faultRestart   = "restart"   // node-N, backend-N, registry-N: started again, killed first if it still runs
+	faultRestart   = "restart"   // node-N, backend-N, registry-N: killed if it still runs, and started again
 	faultFill      = "fill"      // node-N, registry-N: Bytes are written into its temporary or data folder
-	faultReload    = "hup"       // node-N: discovery moves to another address, and SIGHUP
-	faultHold      = "hold"      // node-N: SIGSTOP, and SIGCONT after For, too short to excuse anything
+	faultReload    = "hup"       // node-N: discovery moves to another address, and the node gets SIGHUP
+	faultHold      = "hold"      // node-N: SIGSTOP, and SIGCONT after For; it opens no fault window
 	faultUpgrade   = "upgrade"   // node-N: a second process takes over, and the first gets SIGTERM
 	faultDrain     = "drain"     // backend-N: listed as draining in discovery
-	faultRejoin    = "rejoin"    // backend-N: killed, started again and listed as ready, just started
-	faultOutage    = "outage"    // discovery: the stand-in resets every call for For
-	faultPartition = "partition" // a link: connections carry nothing
-	faultDelay     = "delay"     // a link: every piece of data is delayed by Delay
+	faultRejoin    = "rejoin"    // backend-N: killed, started again and listed as ready and just started
+	faultOutage    = "outage"    // discovery: the stand-in resets every call during For
+	faultPartition = "partition" // a link: connections carry no data
+	faultDelay     = "delay"     // a link: every chunk of data is delayed by Delay
 	faultReset     = "reset"     // a link: every open connection is reset
-	faultDrop      = "drop"      // a link: Share of the new connections are reset
+	faultDrop      = "drop"      // a link: a Share of the new connections is reset
 )
 
-// Fault is one step of a scenario's schedule. The kinds say which targets they have and which fields they use.
+// Fault is one step of a scenario's schedule. The comments on the kinds say which targets and fields each kind uses.
 type Fault struct {
 	At     Duration `toml:"at"` // from the start of the load
 	Kind   string   `toml:"kind"`
@@ -31,7 +31,7 @@
 	Bytes  int64    `toml:"bytes"`
 }
 
-// isProcessFault tells whether a kind of fault has processes as its targets.
+// isProcessFault reports whether the targets of a kind of fault are processes.
 func isProcessFault(kind string) bool {
 	switch kind {
 	case faultKill, faultPower, faultTerminate, faultPause, faultRestart, faultFill, faultReload, faultHold, faultUpgrade,
@@ -41,7 +41,7 @@
 	return false
 }
 
-// isLinkFault tells whether a kind of fault has links as its targets.
+// isLinkFault reports whether the targets of a kind of fault are links.
 func isLinkFault(kind string) bool {
 	switch kind {
 	case faultPartition, faultDelay, faultReset, faultDrop:
--- a/internal/lab/fault_schedule.go
+++ b/internal/lab/fault_schedule.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// injectFaults applies each fault of the schedule at its time, and records it.
+// injectFaults injects each fault of the schedule at its time and records it. It returns when all faults have been
+// injected or ctx ends.
 func (run *loadRun) injectFaults(ctx context.Context) {
 	faults := slices.Clone(run.scenario.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At.Duration - b.At.Duration) })
@@ -22,12 +23,14 @@
 		if err != nil {
 			mark.Error = err.Error()
 		}
-		run.log.Info("fault applied", "component", "lab", "kind", fault.Kind, "target", fault.Target, "error", mark.Error)
+		run.log.Info("fault injected", "component", "lab", "kind", fault.Kind, "target", fault.Target, "error",
+			mark.Error)
 		run.recordFault(mark)
 	}
 }
 
-// injectFault applies a fault to all of its targets. One with a For is undone by a timer that close waits for.
+// injectFault injects a fault on all of its targets. If the fault has a duration (For), a timer undoes it, and close
+// waits for that timer.
 func (run *loadRun) injectFault(ctx context.Context, fault Fault) error {
 	switch {
 	case fault.Kind == faultOutage:
@@ -43,7 +46,7 @@
 	}
 	links := run.matchLinks(fault.Target)
 	if len(links) == 0 {
-		return errors.New("no link matches")
+		return errors.New("no link of the scenario matches the targets")
 	}
 	for name, proxy := range links {
 		run.injectLinkFault(ctx, fault, name, proxy)
--- a/internal/lab/fault_window.go
+++ b/internal/lab/fault_window.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// FaultWindow is a time in which a node had a fault of its own process or of its clients' link. Requests that it had
-// then may go unanswered through no fault of its code; they are counted as excused.
+// FaultWindow is a period in which a fault was injected on a node's process or on its clients' link. The fault may be
+// the reason why requests that the node had in this period get no response; the checks count them as excused.
 type FaultWindow struct {
 	Node   int    `json:"node"`
 	Kind   string `json:"kind"`
 	Start  int64  `json:"-"` // Unix time in nanoseconds
 	End    int64  `json:"-"` // Unix time in nanoseconds; 0: the end of the run
-	Exited int64  `json:"-"` // of a kill: when the process had exited, some milliseconds after Start
-	// ProcessStart is, of a kill, when the killed process was started: earlier connections were another process's.
+	Exited int64  `json:"-"` // after a kill: Unix time in ns when the process had exited, milliseconds after Start
+	// ProcessStart is the Unix time in nanoseconds at which the node's process was started. Connections that were made
+	// earlier belonged to another process.
 	ProcessStart int64 `json:"-"`
 }
 
-// isKill tells whether the window is that of a killed process.
+// isKill reports whether the window was opened by a kill.
 func (w FaultWindow) isKill() bool { return w.Kind == faultKill || w.Kind == faultPower }
 
-// openFaultWindow starts a node's fault window; other roles have none.
+// openFaultWindow starts a fault window of a node. It does nothing for other roles.
 func (run *loadRun) openFaultWindow(role string, i int, kind string) {
 	if role != roleNode {
 		return
@@ -28,7 +29,7 @@
 	run.mu.Unlock()
 }
 
-// recordExit records in a node's fault windows that its killed process has exited.
+// recordExit records the present time in a node's fault windows as the time when its killed process had exited.
 func (run *loadRun) recordExit(role string, i int) {
 	if role != roleNode {
 		return
@@ -42,7 +43,7 @@
 	}
 }
 
-// closeFaultWindow ends a node's open fault windows.
+// closeFaultWindow ends all open fault windows of a node. It does nothing for other roles.
 func (run *loadRun) closeFaultWindow(role string, i int) {
 	if role != roleNode {
 		return
--- a/internal/lab/link_faults.go
+++ b/internal/lab/link_faults.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// injectLinkFault applies a fault to one link. A fault of a client's link opens a fault window of its node.
+// injectLinkFault injects a fault on the link of that name. A fault on the clients' link to a node opens a fault window
+// of that node.
 func (run *loadRun) injectLinkFault(ctx context.Context, fault Fault, name string, proxy *Proxy) {
 	node := -1
 	if number, ok := strings.CutPrefix(name, "client-node-"); ok {
--- a/internal/lab/process_faults.go
+++ b/internal/lab/process_faults.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// injectProcessFault applies a fault to one process.
+// injectProcessFault injects a fault on the process that target names.
 func (run *loadRun) injectProcessFault(ctx context.Context, fault Fault, target string) error {
-	role, i, _ := parseProcess(target) // checked with the scenario
+	role, i, _ := parseProcess(target) // the target was checked when the scenario was read
 	process := run.processes[role][i]
 	switch fault.Kind {
 	case faultKill, faultPower:
@@ -38,7 +38,7 @@
 	}
 }
 
-// kill sends SIGKILL, which opens a fault window of that kind for a node.
+// kill sends SIGKILL to a process. If the process is a node, it opens a fault window of that kind.
 func (run *loadRun) kill(role string, i int, kind string) error {
 	process := run.processes[role][i]
 	run.openFaultWindow(role, i, kind)
@@ -48,7 +48,7 @@
 	return process.Signal(syscall.SIGKILL)
 }
 
-// pause stops a process by SIGSTOP, and continues it after a while.
+// pause stops a process with SIGSTOP. After duration it sends SIGCONT to the process and calls continued.
 func (run *loadRun) pause(ctx context.Context, process *Process, duration time.Duration, continued func()) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// fill writes a file of so many bytes into a node's temporary folder or a replica's data folder.
+// fill writes a file of that many bytes into a node's temporary folder or a replica's data folder.
 func (run *loadRun) fill(role, target string, bytes int64) error {
 	dir := run.path("%s.tmp", target)
 	if role == roleRegistry {
@@ -66,8 +66,8 @@
 	return os.WriteFile(filepath.Join(dir, "fill"), make([]byte, bytes), 0o644)
 }
 
-// restart starts a process again. One that still runs is killed first, which opens a fault window for a node unless its
-// SIGTERM was long enough before.
+// restart starts a process again. A process that is still running is killed first. Killing a node opens a fault window,
+// except if the node got SIGTERM so long ago that its shutdown deadline has passed.
 func (run *loadRun) restart(ctx context.Context, role string, i int) error {
 	process := run.processes[role][i]
 	if role == roleNode {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// admitWhenReady has clients connect to a node again once its process is ready.
+// admitWhenReady lets clients connect to a node again once its process is ready.
 func (run *loadRun) admitWhenReady(ctx context.Context, i int, process *Process) {
 	if waitReady(ctx, process, run.links["client-"+process.Name].target, readyPath) == nil {
 		run.clients[i].admit(true)
@@ -108,11 +108,13 @@
 // minReloadAge is how long after its start a node may get SIGHUP.
 const minReloadAge = time.Second
 
-// oldDiscoveryGrace is how long discovery serves the connections of an address that it has moved from (TERMS).
+// oldDiscoveryGrace is how long discovery keeps the open connections of its old address after a move to another address
+// (TERMS).
 const oldDiscoveryGrace = 1500 * time.Millisecond
 
-// moveDiscovery has a node find discovery at another address: its configuration names that, and SIGHUP has it read the
-// file.
+// moveDiscovery moves discovery to another address for one node. It writes the new address into the node's
+// configuration file and sends SIGHUP, which makes the node read the file. It does nothing if the node is not running,
+// or was started less than minReloadAge ago.
 func (run *loadRun) moveDiscovery(ctx context.Context, i int) error {
 	process := run.processes[roleNode][i]
 	name := processName(roleNode, i)
@@ -135,7 +137,8 @@
 	return nil
 }
 
-// rejoin has a backend come back as a new process, which is listed as one that has just started.
+// rejoin replaces a backend's process by a new one. Once the new process is ready, discovery lists the backend as ready
+// and just started.
 func (run *loadRun) rejoin(ctx context.Context, j int) error {
 	process := run.processes[roleBackend][j]
 	process.Kill()
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// proxyDialTimeout bounds a proxy's connect to its target.
+	// proxyDialTimeout bounds the time in which a proxy connects to its target.
 	proxyDialTimeout = 3 * time.Second
-	// proxyBufferBytes is the size of the largest chunk that a proxy forwards at once.
+	// proxyBufferBytes is the size of the largest chunk that a proxy reads and forwards.
 	proxyBufferBytes = 32 << 10
 )
 
-// Proxy is a TCP fault proxy on one link: it forwards each connection it accepts to its target. It can partition the
-// link (new connections are accepted but carry nothing, open ones go silent, as with a machine that is cut off in
-// PROTOCOL's "The network"), delay every chunk of data, reset every open connection, or reset a share of new ones.
-// Its goroutines end with Close.
+// Proxy is a TCP fault proxy on one link. It forwards each connection from a caller to its target. It can inject these
+// faults: partition the link, delay every chunk of data, reset every open connection, or reset a share of the new
+// connections. While the link is partitioned, new connections are accepted, and no connection carries data, as with a
+// machine that is cut off in PROTOCOL's "The network". The caller of NewProxy must call Close, which ends its
+// goroutines. The methods may be called by several goroutines.
 type Proxy struct {
-	ln     net.Listener // nil: a CallerRouter accepts for it
+	ln     net.Listener // nil: a CallerRouter accepts connections for the proxy
 	target string
 
 	mu      sync.Mutex
@@ -32,12 +33,13 @@
 	drop    float64 // share of new connections that are reset
 	rng     *rand.Rand
 	closed  bool
-	observe func(chunk []byte) // called with each chunk that the near side sends; nil: none
-	refused map[string]bool    // by the near side's address: connections that the far side refused
+	observe func(chunk []byte) // called with each chunk that a caller sends; nil: not called
+	refused map[string]bool    // by the caller's address: connections for which the target could not be reached
 	workers sync.WaitGroup
 }
 
-// NewProxy listens on a port of 127.0.0.1 that the system picks and forwards to target (host:port).
+// NewProxy starts a proxy that listens on a free port of 127.0.0.1 and forwards to target (host:port). The seed
+// determines which connections Drop resets.
 func NewProxy(target string, seed uint64) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,16 +51,16 @@
 	return p, nil
 }
 
-// newProxy makes a proxy that gets its connections from a CallerRouter.
+// newProxy returns a proxy that does not listen itself. It gets its connections by handle.
 func newProxy(target string, seed uint64) *Proxy {
 	return &Proxy{target: target, conns: map[net.Conn]struct{}{}, refused: map[string]bool{},
 		rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address on which the proxy listens. It must not be called on a proxy of a CallerRouter.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Partition cuts the link (true) or heals it (false).
+// Partition starts a partition of the link (true) or ends it (false).
 func (p *Proxy) Partition(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,21 +73,21 @@
 	}
 }
 
-// Delay delays every chunk of data by d; 0 removes the delay.
+// Delay delays every chunk of data by d from now on; 0 removes the delay.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	p.delay = d
 	p.mu.Unlock()
 }
 
-// Drop resets that share (0 to 1) of the connections that arrive from now on, at once.
+// Drop resets a share (0 to 1) of the connections that arrive from now on, immediately when they arrive.
 func (p *Proxy) Drop(share float64) {
 	p.mu.Lock()
 	p.drop = share
 	p.mu.Unlock()
 }
 
-// Reset breaks every open connection with a TCP reset, on both sides.
+// Reset closes every open connection with a TCP reset, on both sides.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 }
 
-// Close stops the proxy, breaks its connections and waits for its goroutines.
+// Close stops the proxy, resets its connections and waits until its goroutines have ended.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -112,7 +114,8 @@
 	p.workers.Wait()
 }
 
-// observeSent has a function called with each chunk that the near side of later connections sends.
+// observeSent sets a function that is called with each chunk that callers send. It applies to connections that arrive
+// later.
 func (p *Proxy) observeSent(observe func(chunk []byte)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,8 +128,8 @@
 	return p.observe
 }
 
-// refusedFor tells whether the far side could not be connected to for the connection from an address. It is so before
-// that connection ends.
+// refusedFor reports whether the proxy failed to connect to its target for the connection from a caller's address. The
+// proxy records the failure before it resets that connection.
 func (p *Proxy) refusedFor(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +169,7 @@
 	p.workers.Go(func() { p.serve(c) })
 }
 
-// track adds a connection to those that Reset and Close break; false where the proxy has closed.
+// track adds a connection to those that Reset and Close reset. It returns false if the proxy has closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +180,7 @@
 	return true
 }
 
-// untrack removes and closes a connection.
+// untrack removes a connection from the tracked ones and closes it.
 func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
@@ -185,31 +188,31 @@
 	c.Close()
 }
 
-// serve connects to the target and forwards in both directions until both have ended.
+// serve connects to the target and forwards data in both directions until both directions have ended.
 func (p *Proxy) serve(c net.Conn) {
 	stop := make(chan struct{})
 	defer func() { p.untrack(c); close(stop) }()
-	near := c
+	caller := c
 	if observe := p.observer(); observe != nil {
-		near = newTap(c, observe, stop)
+		caller = newTap(c, observe, stop)
 	}
 	if !p.awaitForwarding() {
 		return
 	}
-	far, err := p.dialTarget()
+	target, err := p.dialTarget()
 	if err != nil {
 		p.refuse(c)
 		return
 	}
-	if !p.track(far) {
-		abort(far)
+	if !p.track(target) {
+		abort(target)
 		return
 	}
-	defer p.untrack(far)
-	var forward sync.WaitGroup
-	forward.Go(func() { p.pipe(far, near) })
-	p.pipe(c, far)
-	forward.Wait()
+	defer p.untrack(target)
+	var toTarget sync.WaitGroup
+	toTarget.Go(func() { p.pipe(target, caller) })
+	p.pipe(c, target)
+	toTarget.Wait()
 }
 
 func (p *Proxy) dialTarget() (net.Conn, error) {
@@ -218,7 +221,8 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", p.target)
 }
 
-// refuse resets a connection whose target could not be connected to, as a refused connect would be.
+// refuse resets a connection for which the target could not be reached. The caller sees a reset, as if the target had
+// refused the connection.
 func (p *Proxy) refuse(c net.Conn) {
 	p.mu.Lock()
 	p.refused[c.RemoteAddr().String()] = true
@@ -226,7 +230,8 @@
 	abort(c)
 }
 
-// pipe copies from src to dst, through the partition and the delay, and half-closes dst at src's end.
+// pipe copies data from src to dst, subject to the partition and the delay, until one of them ends. It passes the end
+// of src on to dst.
 func (p *Proxy) pipe(dst, src net.Conn) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
@@ -235,13 +240,13 @@
 			return
 		}
 		if err != nil {
-			propagateEnd(dst, err)
+			passEnd(dst, err)
 			return
 		}
 	}
 }
 
-// forward writes a chunk from src to dst; false where that has ended.
+// forward writes a chunk from src to dst. It returns false if the connection has ended.
 func (p *Proxy) forward(dst, src net.Conn, chunk []byte) bool {
 	if !p.awaitForwarding() {
 		return false
@@ -251,14 +256,15 @@
 		return false
 	}
 	if ended(dst) && awaitReset(dst) {
-		abort(src) // the chunk crossed the far side's close, which resets the connection
+		abort(src) // dst had been closed before the chunk arrived there, and was reset in response
 		return false
 	}
 	return true
 }
 
-// propagateEnd passes the end of the source on to dst: in order, or by a reset.
-func propagateEnd(dst net.Conn, err error) {
+// passEnd passes the end of a pipe's source on to dst. It half-closes dst if the source ended with EOF, and resets dst
+// otherwise.
+func passEnd(dst net.Conn, err error) {
 	if !errors.Is(err, io.EOF) {
 		abort(dst)
 		return
@@ -268,7 +274,8 @@
 	}
 }
 
-// awaitForwarding blocks while the link is partitioned, then for the delay; false once the proxy has closed.
+// awaitForwarding blocks while the link is partitioned, and then for the delay. It returns false if the proxy has
+// closed.
 func (p *Proxy) awaitForwarding() bool {
 	p.mu.Lock()
 	healed, delay, closed := p.healed, p.delay, p.closed
