--- a/internal/lab/delayed_requests.go
+++ b/internal/lab/delayed_requests.go
@@ -8,54 +8,57 @@
 	"time"
 )
 
-// initialPart is what a client does when it connects, long before it sends the remainder of its request.
+// This file runs clients that connect to a node long before they send the last part of their request.
+
+// initialPart is the part of a request that a client sends when it connects, long before the remainder.
 type initialPart string
 
 const (
-	initialNone     initialPart = "connected" // it only connects
-	initialHalfHead initialPart = "head"      // it sends half of the head
-	initialHalfBody initialPart = "body"      // it sends the head and, where there is a body, half of that
+	initialNone     initialPart = "connected" // nothing: the client only connects
+	initialHalfHead initialPart = "head"      // half of the head
+	initialHalfBody initialPart = "body"      // the head and half of the body; without a body, the head less its last byte
 )
 
 const (
-	// minRequestDelay and maxEarlyWait bound how long such a client waits. One that is within a request for longer is an
-	// improper peer.
+	// minRequestDelay and maxRequestDelay bound how long a client waits before it sends the remainder. A client that stays
+	// within a request for longer is a stalled client.
 	minRequestDelay = 200 * time.Millisecond
 	maxRequestDelay = 2500 * time.Millisecond
-	// maxBodyDelay bounds the wait within a body, which has to come at a minimum rate.
+	// maxBodyDelay bounds the wait within a body, because a body must arrive at a minimum rate.
 	maxBodyDelay = 1500 * time.Millisecond
 )
 
-// requestDelay is what one such client does, and how long it waits before the remainder.
+// requestDelay says which part of a request a client sends when it connects, and how long it then waits before it sends
+// the remainder.
 type requestDelay struct {
-	initial initialPart // "": none
+	initial initialPart // "": the request is not delayed
 	wait    time.Duration
 }
 
-// drawRequestDelay draws what a client does early.
+// drawRequestDelay draws whether and how a client delays its request.
 func (load Load) drawRequestDelay(rng *rand.Rand) requestDelay {
-	var early requestDelay
+	var delay requestDelay
 	longest := maxRequestDelay
 	switch x := rng.Float64(); {
 	case x < load.DelayedRequestShare:
-		early.initial = initialNone
+		delay.initial = initialNone
 	case x < load.DelayedRequestShare+load.SplitRequestShare/2:
-		early.initial = initialHalfHead
+		delay.initial = initialHalfHead
 	case x < load.DelayedRequestShare+load.SplitRequestShare:
-		early.initial = initialHalfBody
+		delay.initial = initialHalfBody
 		longest = maxBodyDelay
 	default:
-		return early
+		return delay
 	}
-	early.wait = minRequestDelay + time.Duration(rng.Float64()*float64(longest-minRequestDelay))
-	return early
+	delay.wait = minRequestDelay + time.Duration(rng.Float64()*float64(longest-minRequestDelay))
+	return delay
 }
 
-// split divides a request's text into what is sent when its client connects, and the remainder.
-func (early requestDelay) split(text string) (begin, remainder string) {
+// split divides a request's text into the part that is sent when its client connects, and the remainder.
+func (delay requestDelay) split(text string) (begin, remainder string) {
 	headLength := strings.Index(text, "\r\n\r\n") + len("\r\n\r\n")
 	at := 0
-	switch early.initial {
+	switch delay.initial {
 	case initialHalfHead:
 		at = headLength / 2
 	case initialHalfBody:
@@ -64,39 +67,38 @@
 	return text[:at], text[at:]
 }
 
-// sendDelayed sends a request to a node on a connection that was opened long before. The request's times
-// count from the remainder.
+// sendDelayed connects to a node and sends the initial part of a request, waits, and sends the remainder. SentAt and
+// the client's deadline count from the remainder. If the node accepts no connection, or closes it before any part of
+// the request was sent, the request is sent without a delay after the wait.
 func (driver *Driver) sendDelayed(ctx context.Context, node int, request *clientRequest,
-	early requestDelay) Outcome {
+	delay requestDelay) Outcome {
 	client := driver.Nodes[node]
 	timeout := driver.Load.Deadline.Duration
 	conn, err := client.dial()
 	if err == nil {
 		var begin string
-		begin, conn.unsentRemainder = early.split(request.textWithTimeout(timeout))
+		begin, conn.unsentRemainder = delay.split(request.textWithTimeout(timeout))
 		if begin != "" {
-			io.WriteString(conn, begin) // an error is seen when the remainder is written
+			io.WriteString(conn, begin) // an error shows up again when the remainder is written
 		}
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(early.wait):
+	case <-time.After(delay.wait):
 	}
 	request.deadline = time.Now().Add(timeout)
 	request.disconnectAt = time.Time{}
 	if err != nil {
 		return driver.send(node, request)
 	}
-	if early.initial == initialNone && ended(conn.Conn) {
-		conn.Close() // the node has closed it meanwhile, so nothing is sent there
+	if delay.initial == initialNone && ended(conn.Conn) {
+		conn.Close() // the node has closed the idle connection, so the request is sent on another connection
 		return driver.send(node, request)
 	}
 	outcome := Outcome{Trace: request.trace, Class: request.class, SentAt: time.Now().UnixNano(),
-		ClientTimeout: int64(timeout), Node: node, InitialPart: string(early.initial)}
+		ClientTimeout: int64(timeout), Node: node, InitialPart: string(delay.initial)}
 	if !client.sendOn(conn, request, &outcome) {
 		return driver.send(node, request)
 	}
 	return outcome
 }
-
-// This file plays clients that use a connection long after they have opened it.
--- a/internal/lab/drain.go
+++ b/internal/lab/drain.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// drain lists a backend as draining, in the registry where there is one; the grace counts from its acknowledgement.
+// drain lists a backend as draining, in the registry or in the stand-in discovery. With a registry, the drain grace
+// counts from the registry's acknowledgement.
 func (run *loadRun) drain(ctx context.Context, id string) error {
 	if run.scenario.Registries == 0 {
 		run.discovery.SetPhase(id, phaseDraining)
@@ -33,14 +34,15 @@
 }
 
 const (
-	// propagationTimeout is how long the lab waits for a node to have a change; it is recorded for one that never has.
+	// propagationTimeout is how long the lab waits until a node has a change. For a node that never has the change, at
+	// least this time is recorded.
 	propagationTimeout = 20 * time.Second
-	// revisionPollInterval is how often a node's metrics are read meanwhile.
+	// revisionPollInterval is the time between two readings of a node's metrics during this wait.
 	revisionPollInterval = 5 * time.Millisecond
 )
 
-// awaitRevision reads a node's /metrics until it has a revision of the list, and records how long after acknowledged
-// that was.
+// awaitRevision polls a node's /metrics until the node's list has the revision or a later one, and records the time
+// since acknowledged.
 func (run *loadRun) awaitRevision(ctx context.Context, i int, revision int64, acknowledged time.Time) {
 	url := "http://" + run.adminAddr[i] + "/metrics"
 	client := &http.Client{Timeout: time.Second}
@@ -72,5 +74,5 @@
 			return int64(revision), err
 		}
 	}
-	return 0, errors.New("no glencart_list_revision")
+	return 0, errors.New("the metric glencart_list_revision is missing")
 }
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// loadRun is the experiment of nodes between clients and backends: a load is sent while faults are applied at their
-// times. Its methods may be called by several goroutines; the fields that change during the run are under cluster.mu.
+// loadRun is the experiment of nodes between clients and backends: a load is sent while faults are injected at their
+// times. Its methods may be called by several goroutines. cluster.mu guards the fields that change during the run.
 type loadRun struct {
 	*cluster
 	scenario  Scenario
@@ -23,14 +23,14 @@
 	listenAddr  []string // by node: where it listens for clients
 	adminAddr   []string // by node: where it serves /metrics and the administration
 
-	drained       map[string]time.Time // by backend: when the registry acknowledged that it is draining
-	propagation   []float64            // of each node and drain: milliseconds until the node had its revision
+	drained       map[string]time.Time // by backend: when the registry acknowledged its drain
+	propagation   []float64            // for each node and drain: milliseconds until the node had the drain's revision
 	faultWindows  []FaultWindow
 	shutdownKills []ShutdownKill
 	terminatedAt  map[int]time.Time // by node: the first SIGTERM of its present process
 }
 
-// run starts the processes, plays the load and checks the history.
+// run starts the processes, sends the load and checks the history.
 func (run *loadRun) run(ctx context.Context) (Report, error) {
 	run.drained = map[string]time.Time{}
 	run.terminatedAt = map[int]time.Time{}
@@ -46,19 +46,20 @@
 	return run.report(driver, starved, acknowledged)
 }
 
-// sendLoad sends the load while the faults are applied at their times, and returns once both have ended.
+// sendLoad sends the load while the faults are injected at their times. It returns once all requests have their
+// outcomes and all faults have been undone.
 func (run *loadRun) sendLoad(ctx context.Context) (*Driver, *starvationLog, error) {
 	driver := &Driver{Load: run.scenario.Load, Nodes: run.newNodeClients(), Seed: run.scenario.Seed}
 	starved := &starvationLog{}
 	run.start = time.Now()
-	playCtx, stopFaults := context.WithCancel(ctx)
+	loadCtx, stopFaults := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	background.Go(func() { run.injectFaults(playCtx) })
+	background.Go(func() { run.injectFaults(loadCtx) })
 	if run.scenario.Soak != nil {
-		background.Go(func() { starved.run(playCtx, run.watchedProcesses) })
+		background.Go(func() { starved.run(loadCtx, run.watchedProcesses) })
 	}
 	for _, client := range run.clients {
-		background.Go(func() { client.holdIdleConnections(playCtx, run.scenario.idleConnections) })
+		background.Go(func() { client.holdIdleConnections(loadCtx, run.scenario.idleConnections) })
 	}
 	driver.Run(ctx, run.scenario.Duration.Duration)
 	stopFaults()
@@ -70,7 +71,8 @@
 	return driver, starved, nil
 }
 
-// report checks the history of a run whose children have ended, and writes the report and every request's outcome.
+// report checks the history of a run whose children have exited, and writes the report and the outcome of every
+// request.
 func (run *loadRun) report(driver *Driver, starved *starvationLog, acknowledged Check) (Report, error) {
 	history, unsent, err := run.history(driver)
 	if err != nil {
@@ -94,7 +96,8 @@
 	return report, report.Write(run.opts.Out)
 }
 
-// history collects what the driver, the links and the backends recorded, and how many requests were not sent.
+// history collects the records of the driver, the links and the backends. It also returns how many requests were not
+// sent because too many were in flight.
 func (run *loadRun) history(driver *Driver) (history History, unsent int, err error) {
 	history = History{
 		DrainedAt:     run.drainedAt(),
@@ -108,8 +111,8 @@
 	return history, unsent, err
 }
 
-// drainedAt is when each backend was set draining; nil in a soak, where a backend may drain more than once and
-// verifySoak checks each time.
+// drainedAt returns when each backend was set draining. In a soak it returns nil, because a backend may drain more than
+// once there, and verifySoak checks each drain.
 func (run *loadRun) drainedAt() map[string]time.Time {
 	if run.scenario.Soak != nil {
 		return nil
@@ -119,21 +122,21 @@
 	return drained
 }
 
-// readExecutions reads the logs of all backends; one that never executed a request has none.
+// readExecutions reads the execution logs of all backends. It ignores a missing log.
 func (run *loadRun) readExecutions() ([]Execution, error) {
 	var executions []Execution
 	for j := range run.scenario.Backends {
 		fromBackend, err := ReadExecutions(run.path("backend-%d.runs", j))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			return nil, fmt.Errorf("backend-%d's log: %w", j, err)
+			return nil, fmt.Errorf("execution log of backend-%d: %w", j, err)
 		}
 		executions = append(executions, fromBackend...)
 	}
 	return executions, nil
 }
 
-// watchedProcesses are the process ids of a soak by name. The lab itself is among them: when it is starved, it records
-// times too late.
+// watchedProcesses returns the ids of a soak's processes, by name. The lab itself is among them, because it records
+// times too late while it waits for a processor.
 func (run *loadRun) watchedProcesses() map[string][]int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
--- a/internal/lab/load_setup.go
+++ b/internal/lab/load_setup.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// What children answer with 200 once they are ready.
+// Paths that children answer with status 200 once they are ready.
 const (
 	livePath           = "/health/live"
 	readyPath          = "/health/ready"
@@ -39,12 +39,12 @@
 	return nil
 }
 
-// newMember is a stand-in backend as it is listed.
+// newMember returns the entry of a stand-in backend in the endpoint list.
 func newMember(id, addr string) Member {
 	return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "m", Phase: phaseReady, Size: 1}
 }
 
-// backendCommand is the command line of a stand-in backend that listens on addr.
+// backendCommand returns a function that gives the command line of a stand-in backend that listens on addr.
 func (run *loadRun) backendCommand(j int) func(addr string) []string {
 	behavior := run.scenario.Backend
 	return func(addr string) []string {
@@ -64,8 +64,8 @@
 	}
 }
 
-// listInRegistry starts the replicas and registers every backend there at a proxy of its own, which all nodes
-// share: the registry gives every node the same host_port.
+// listInRegistry starts the registry replicas and registers every backend with the address of a proxy. All nodes share
+// this proxy, because the registry gives every node the same host_port.
 func (run *loadRun) listInRegistry(ctx context.Context, members []Member) error {
 	var keys []string
 	if fleetScenario := run.scenario.Fleet; fleetScenario != nil {
@@ -84,8 +84,9 @@
 	return run.registerBackends(ctx, members)
 }
 
-// linkDiscovery places a node's proxies and returns the addresses that it polls: its own view of the stand-in, or
-// each registry replica through a proxy of its own.
+// linkDiscovery starts a node's proxies and returns the addresses at which the node finds the endpoint list. With a
+// registry, each replica has a proxy, and discovery is the first of them. Otherwise, discovery is the node's own view
+// of the stand-in, and replicas is nil.
 func (run *loadRun) linkDiscovery(i int) (discovery string, replicas []string, err error) {
 	name := processName(roleNode, i)
 	if run.scenario.Registries > 0 {
@@ -110,12 +111,14 @@
 	return discovery, nil, nil
 }
 
-// openView opens a view of the stand-in discovery in which each backend has the address of the node's proxy to it.
+// openView opens a view of the stand-in discovery for a node, and returns the view's address. In the view, each backend
+// has the address of the node's proxy to that backend.
 func (run *loadRun) openView(node string) (addr string, err error) {
 	return run.discovery.View(node, func(id string) string { return run.links[node+":"+id].Addr() })
 }
 
-// startNode places a node's proxies and discovery, writes its configuration and starts it.
+// startNode starts a node's proxies and its discovery, writes its configuration, and starts the node and the clients'
+// link to it.
 func (run *loadRun) startNode(ctx context.Context, i int) error {
 	name := processName(roleNode, i)
 	discovery, replicas, err := run.linkDiscovery(i)
@@ -131,7 +134,8 @@
 	command := func(addr string) []string {
 		text := run.nodeConfig(i, nodeAddresses{listen: addr, admin: admin, discovery: discovery, replicas: replicas})
 		if err := os.WriteFile(config, text, 0o644); err != nil {
-			run.log.Error("node configuration not written", "component", "lab", "node", name, "error", err)
+			run.log.Error("cannot write the node's configuration; starting the node without it", "component", "lab",
+				"node", name, "error", err)
 		}
 		return run.tracedCommand(run.scenario.systemCallPlan(i), i, run.opts.NodeBinary)
 	}
@@ -146,8 +150,9 @@
 	return err
 }
 
-// newNodeClients makes the clients' side of each node. A soak has no faults of the clients' links, and its clients
-// connect to the nodes themselves: a starved proxy would pass on a client's disconnect too late.
+// newNodeClients creates the clients of each node. A soak injects no faults on the clients' links, and its clients
+// connect to the nodes directly, because a proxy that waits for a processor would pass on a client's disconnect too
+// late.
 func (run *loadRun) newNodeClients() []*client {
 	for i := range run.scenario.Nodes {
 		if run.scenario.Soak != nil {
@@ -160,7 +165,7 @@
 	return run.clients
 }
 
-// closeDiscovery ends the stand-in discovery, if it was started.
+// closeDiscovery closes the stand-in discovery, if it was started.
 func (run *loadRun) closeDiscovery() {
 	if run.discovery != nil {
 		run.discovery.Close()
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// handle serves a connection that has been handle, or resets it where the link drops it.
+// handle serves an accepted connection in a goroutine, or resets it if the proxy has closed or Drop applies to it.
 func (p *Proxy) handle(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
