--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Attempt is one attempt of a request, as a link from a node to a backend saw its head.
+// Attempt is one attempt of a request, recorded when a link from a node to a backend got the attempt's head.
 type Attempt struct {
 	Trace      string
 	Node       string
 	Backend    string
 	At         int64 // Unix time in nanoseconds
-	DeadlineMs int64 // the deadline that it forwards to its backend, in milliseconds
+	DeadlineMs int64 // the time until the deadline that the node forwards to the backend, in milliseconds
 }
 
 // attemptLog records the attempts on links from nodes to backends.
@@ -23,8 +23,8 @@
 	attempts []Attempt
 }
 
-// recordAttempts records the attempts that begin on a link. Heads without a trace id, those of health checks, are not
-// recorded.
+// recordAttempts records the attempts that begin on a link from then on. It ignores heads without a trace id, which are
+// those of health checks.
 func (log *attemptLog) recordAttempts(link *Proxy, node, backend string) {
 	link.observeSent(func(chunk []byte) {
 		trace, ok := headerValue(chunk, "X-Trace-Id: ")
@@ -41,14 +41,15 @@
 	})
 }
 
-// all returns the attempts so far.
+// all returns the attempts recorded so far.
 func (log *attemptLog) all() []Attempt {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return slices.Clone(log.attempts)
 }
 
-// headerValue finds a header in the head of a message.
+// headerValue returns the value of a header in a chunk that contains the head of a message. The name includes the colon
+// and the space.
 func headerValue(chunk []byte, name string) (string, bool) {
 	_, after, ok := bytes.Cut(chunk, []byte("\r\n"+name))
 	if !ok {
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -2,20 +2,20 @@
 
 import "sort"
 
-// maxExamples bounds the violations of a check that a report has in full.
+// maxExamples bounds the violations of a check that a report describes.
 const maxExamples = 10
 
-// Check is the result of one invariant over a run's history.
+// Check is the result of checking one invariant over a run's history.
 type Check struct {
 	Name       string         `json:"name"`
 	OK         bool           `json:"ok"`
 	Violations int            `json:"violations"`
-	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node's own explains; no violations
-	Reasons    map[string]int `json:"reasons,omitempty"`  // of the excused ones, by kind of fault
+	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node explains; no violations
+	Reasons    map[string]int `json:"reasons,omitempty"`  // number of excused cases, by kind of fault
 	Examples   []string       `json:"examples,omitempty"` // the first violations, by trace id
 }
 
-// addViolation counts a violation.
+// addViolation counts a violation. The example describes the violation; the first ones are kept.
 func (c *Check) addViolation(example string) {
 	c.Violations++
 	if len(c.Examples) < maxExamples {
@@ -23,7 +23,7 @@
 	}
 }
 
-// result is the check once all violations are counted.
+// result returns the check with OK set and its examples sorted. It is called once all violations have been counted.
 func (c Check) result() Check {
 	c.OK = c.Violations == 0
 	sort.Strings(c.Examples)
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// clientIdleTimeout is how long a client reuses a connection without a request.
+	// clientIdleTimeout is how long a connection may be idle before the client no longer reuses it.
 	clientIdleTimeout = 2 * time.Second
-	// clientDialTimeout bounds a client's connect.
+	// clientDialTimeout bounds the time in which a client connects.
 	clientDialTimeout = time.Second
 )
 
-// client is the clients' side of one node: their connections to it. It follows PROTOCOL's rules for clients: one
-// request at a time on a connection, and one that crosses the close of a reused connection is sent once more on a new
-// one.
+// client stands for all clients of one node and holds their connections to it. It follows PROTOCOL's rules for clients:
+// a connection carries one request at a time, and a request that crosses the close of its connection is sent once more
+// on a new connection. Its methods may be called by several goroutines.
 type client struct {
-	target string
-	link   *Proxy // that listens on target; nil: the node itself does
+	target string // host:port to which the clients connect
+	link   *Proxy // the proxy that listens on target; nil: the node itself listens there
 
 	mu          sync.Mutex
 	idle        []*clientConn
@@ -33,20 +33,20 @@
 	reader          *bufio.Reader
 	dialedAt        time.Time
 	idleSince       time.Time
-	unsentRemainder string // the remainder of a request that was begun on it
+	unsentRemainder string // the remainder of a request whose initial part has been sent; "": none
 }
 
 // errNotAdmitted says that the front sends no new connection to a node.
 var errNotAdmitted = errors.New("the front sends no new connection to this node")
 
-// admit has the front send new connections to this node, or none.
+// admit sets whether the front sends new connections to this node.
 func (c *client) admit(admitted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notAdmitted = !admitted
 }
 
-// dial connects to the node.
+// dial connects to the node. It returns errNotAdmitted if the front sends no new connection there.
 func (c *client) dial() (*clientConn, error) {
 	c.mu.Lock()
 	notAdmitted := c.notAdmitted
@@ -61,7 +61,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), dialedAt: time.Now()}, nil
 }
 
-// takeIdle takes the connection that was used last and that the node has not ended since, or nil.
+// takeIdle removes and returns the idle connection that was used last, or nil if there is none. It closes idle
+// connections that are too old or that the node has ended.
 func (c *client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// putIdle returns a connection for reuse.
+// putIdle adds a connection to the idle ones, for reuse.
 func (c *client) putIdle(conn *clientConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -85,7 +86,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// close ends the idle connections.
+// close closes the idle connections.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +96,8 @@
 	c.idle = nil
 }
 
-// refused tells whether the node's machine refused a connection that a proxy had accepted for it.
+// refused reports whether the link's proxy accepted a connection but could not connect to the node. Without a proxy it
+// returns false.
 func (c *client) refused(conn *clientConn) bool {
 	return c.link != nil && c.link.refusedFor(conn.LocalAddr().String())
 }
--- a/internal/lab/exchange.go
+++ b/internal/lab/exchange.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// crossedCloseWindow is within what time a connection ends whose close a request crossed. A node that closes later had
-// accepted the request.
+// crossedCloseWindow is the longest time from sending a request until its connection ends, if the request crossed the
+// close of the connection. A node that closes the connection later had accepted the request.
 const crossedCloseWindow = 250 * time.Millisecond
 
 // clientRequest is a request as a client sends it.
@@ -20,10 +20,10 @@
 	class        string
 	key          string    // idempotency key; "": none
 	deadline     time.Time // when its client stops waiting
-	disconnectAt time.Time // when its client disconnects; zero: it does not
+	disconnectAt time.Time // when its client disconnects; zero: the client does not disconnect
 }
 
-// method is the HTTP method of the request's class.
+// method returns the HTTP method of the request's class.
 func (r *clientRequest) method() string {
 	if r.class == classRead {
 		return http.MethodGet
@@ -31,10 +31,10 @@
 	return http.MethodPost
 }
 
-// text is the request as it is sent now.
+// text returns the request as a client sends it now, with the time that remains until its deadline.
 func (r *clientRequest) text() string { return r.textWithTimeout(time.Until(r.deadline)) }
 
-// textWithTimeout is the request of a client that waits for timeout from now on.
+// textWithTimeout returns the request as a client sends it that waits for timeout from now on.
 func (r *clientRequest) textWithTimeout(timeout time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n",
@@ -51,15 +51,16 @@
 	return b.String()
 }
 
-// send sends one request to the node on a connection that is idle, or on a new one. It returns whether the node
-// accepted a connection.
+// send sends a request to the node on an idle connection, or on a new one. It returns whether the node accepted a
+// connection.
 func (c *client) send(request *clientRequest, outcome *Outcome) (accepted bool) {
 	return c.sendOn(c.takeIdle(), request, outcome)
 }
 
-// sendOn sends one request on conn; nil: on a new connection. A request that crossed the close of its connection is
-// sent once more on a new one: its connection ended without a byte, and with a reset, as the node had not read the
-// request. A new connection may be closed unread too (FLEET); a request that was closed unread twice has failed.
+// sendOn sends a request on conn, or on a new connection if conn is nil. It returns whether the node accepted a
+// connection. A request that crossed the close of its connection is sent once more on a new connection: the first
+// connection ended without a byte of a response and with a reset, because the node had not read the request. The node
+// may close the new connection unread too (FLEET). A request that was closed unread twice has failed.
 func (c *client) sendOn(conn *clientConn, request *clientRequest, outcome *Outcome) (accepted bool) {
 	for ; ; conn = nil {
 		reused := conn != nil
@@ -98,13 +99,14 @@
 	}
 }
 
-// crossedClose tells whether a request without a byte of a response crossed the close of its connection.
+// crossedClose reports whether a request, for which no byte of a response came, crossed the close of its connection.
+// elapsed is the time from sending the request until its connection ended.
 func crossedClose(conn *clientConn, kind string, elapsed time.Duration) bool {
 	return kind == kindIncomplete || kind == kindBroken && elapsed <= crossedCloseWindow && awaitReset(conn.Conn)
 }
 
-// exchange sends a request on a connection and reads its response, and sets the outcome's kind. An error says why there
-// is no complete response; silent, that no byte of one came.
+// exchange sends a request on a connection, reads its response and sets the outcome's kind. The error says why there is
+// no complete response. silent says that no byte of a response came.
 func (c *client) exchange(conn *clientConn, request *clientRequest, outcome *Outcome) (silent bool, err error) {
 	until := request.deadline.Add(responseGrace)
 	disconnects := !request.disconnectAt.IsZero() && request.disconnectAt.Before(until)
@@ -140,7 +142,7 @@
 	return false, nil
 }
 
-// readResponse reads a response and discards its body; silent says that no byte of one came.
+// readResponse reads a response and discards its body. silent says that no byte of a response came.
 func readResponse(conn *clientConn, request *clientRequest) (response *http.Response, silent bool, err error) {
 	if _, err = conn.reader.Peek(1); err != nil {
 		return nil, true, err
@@ -153,7 +155,7 @@
 	return response, false, err
 }
 
-// errorKind is the outcome of a request without a complete response.
+// errorKind returns the kind of outcome of a request that was sent completely and has no complete response.
 func errorKind(err error, silent, disconnects bool) string {
 	switch timedOut := isTimeout(err); {
 	case timedOut && disconnects:
@@ -166,7 +168,7 @@
 	return kindFailed
 }
 
-// statusKind is the outcome of a request with a complete response.
+// statusKind returns the kind of outcome of a request with a complete response.
 func statusKind(status int) string {
 	switch status {
 	case http.StatusOK:
@@ -177,7 +179,7 @@
 	return kindFailed
 }
 
-// isTimeout tells whether an error is that of a deadline of this process, not of the network.
+// isTimeout reports whether an error comes from a deadline that this process set, and not from a timeout of TCP.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, syscall.ETIMEDOUT)
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -13,13 +13,14 @@
 	DrainGrace    time.Duration        // how long a draining backend may still receive requests
 }
 
-// ShutdownKill is the SIGKILL of a process whose time to shut down was over. It excuses nothing.
+// ShutdownKill is the SIGKILL of a process that still ran after its shutdown deadline. It excuses no unanswered
+// request.
 type ShutdownKill struct {
 	Node int
 	At   int64 // Unix time in nanoseconds
 }
 
-// nodes is the node that each request was sent to last, by trace id.
+// nodes returns the node that each request was sent to last, by trace id.
 func (h History) nodes() map[string]int {
 	nodes := make(map[string]int, len(h.Outcomes))
 	for _, outcome := range h.Outcomes {
@@ -28,7 +29,8 @@
 	return nodes
 }
 
-// inFaultWindow tells whether a node had a fault window at some time between two Unix times in nanoseconds.
+// inFaultWindow reports whether a fault window of a node overlaps the time from start to end, both Unix times in
+// nanoseconds.
 func (h History) inFaultWindow(node int, start, end int64) bool {
 	for _, window := range h.FaultWindows {
 		if window.Node == node && window.Start <= end && (window.End == 0 || window.End >= start) {
@@ -38,9 +40,9 @@
 	return false
 }
 
-// Excuse names the kind of fault that explains why a node did not answer a request, judged by the request's own
-// history; "" for none. SIGTERM explains nothing. A kill explains what was on connections made before it to the killed
-// process.
+// Excuse returns the kind of fault that explains why a node did not answer a request, or "" if no fault window explains
+// it. A kill explains only requests on connections that were made to the killed process before the kill. Other faults
+// explain requests that were in flight during the fault window. SIGTERM explains nothing.
 func (h History) Excuse(outcome Outcome) string {
 	end := outcome.DoneAt
 	if end == 0 {
@@ -61,8 +63,9 @@
 	return ""
 }
 
-// unansweredAtKill tells whether a request that its client took for unread was ended by the SIGKILL of a process whose
-// time to shut down was over: what that process had not answered is lost, read or not (PROTOCOL).
+// unansweredAtKill reports whether a request that its client considered unread was ended by the SIGKILL of a process
+// that still ran after its shutdown deadline. A request that this process had not answered is lost, whether the process
+// had read it or not (PROTOCOL).
 func (h History) unansweredAtKill(outcome Outcome) bool {
 	for _, kill := range h.ShutdownKills {
 		if outcome.Resent && kill.Node == outcome.Node && outcome.CrossedAt >= kill.At &&
