--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -13,13 +13,13 @@
 	"hitchvale/internal/sysfault"
 )
 
-// testCluster is a cluster of registry replicas for a test, ended with it.
+// testCluster starts a cluster of registry replicas, which is closed at the end of the test.
 func testCluster(t *testing.T, registries int) (*cluster, context.Context) {
 	t.Helper()
 	return testClusterWithPlans(t, registries, nil)
 }
 
-// testClusterWithPlans has some of the replicas run under plans.
+// testClusterWithPlans starts a cluster in which some replicas run under plans of failing system calls, by replica.
 func testClusterWithPlans(t *testing.T, registries int, plans map[int]sysfault.Plan) (*cluster, context.Context) {
 	t.Helper()
 	nodeBinary, hitchvale := binaries(t)
@@ -37,24 +37,25 @@
 	return c, ctx
 }
 
-// waitFor waits for ok, for patience at most.
-func waitFor(t *testing.T, what string, ok func() bool) {
+// waitFor polls ok until it returns true. It fails the test after eventTimeout; event says what was waited for.
+func waitFor(t *testing.T, event string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came about: %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
 
+// registerMember registers a member at the replica at addr.
 func registerMember(ctx context.Context, c *cluster, addr, id string) error {
 	m := Member{ID: id, HostPort: "127.0.0.1:9", Phase: "ready", Size: 1}
 	return c.registryCall(ctx, http.MethodPost, addr, "/registry/members", map[string]any{"member": m}, nil)
 }
 
-// The registry's leader is cut off from its peers while clients still reach it. It acknowledges no write and,
-// past stale_read, serves no read; the majority elects a leader and goes on; and after the cut every
-// acknowledged write is there and no refused one.
+// The registry's leader is partitioned from its peers while clients still reach it. It acknowledges no write and serves
+// no read after stale_read. The majority elects a new leader and accepts writes. After the partition, every replica has
+// the acknowledged writes, and no replica has the refused write.
 func TestPartitionedLeaderAcknowledgesNoWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
@@ -62,28 +63,28 @@
 		t.Fatal(err)
 	}
 	old := c.leaderIndex(ctx)
-	cut := c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", old), fmt.Sprintf("registry-*:registry-%d", old)})
-	if len(cut) != 4 {
-		t.Fatalf("%d links of the leader, want 4", len(cut))
+	links := c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", old), fmt.Sprintf("registry-*:registry-%d", old)})
+	if len(links) != 4 {
+		t.Fatalf("%d links of the leader, want 4", len(links))
 	}
-	for _, p := range cut {
+	for _, p := range links {
 		p.Partition(true)
 	}
 	majority := c.registryAddr[(old+1)%3]
 	if err := registerMember(ctx, c, c.registryAddr[old], "lost"); err == nil {
 		t.Error("a leader without a majority acknowledged a write")
 	}
-	waitFor(t, "a write to the majority", func() bool { return registerMember(ctx, c, majority, "during") == nil })
-	// Having stepped down it may serve what it has for stale_read more, as any follower.
-	waitFor(t, "the cut-off replica refusing reads", func() bool {
+	waitFor(t, "a write at the majority", func() bool { return registerMember(ctx, c, majority, "during") == nil })
+	// After the old leader has stepped down, it may serve reads for stale_read, like every follower.
+	waitFor(t, "the partitioned replica to refuse reads", func() bool {
 		err := c.registryCall(ctx, http.MethodGet, c.registryAddr[old], "/registry/instances", nil, nil)
 		return err != nil && strings.Contains(err.Error(), "503")
 	})
-	for _, p := range cut {
+	for _, p := range links {
 		p.Partition(false)
 	}
 	for m, addr := range c.registryAddr {
-		waitFor(t, fmt.Sprintf("registry-%d holding what was acknowledged", m), func() bool {
+		waitFor(t, fmt.Sprintf("the acknowledged writes at registry-%d", m), func() bool {
 			var list struct{ Members []Member }
 			if c.registryCall(ctx, http.MethodGet, addr, "/registry/instances", nil, &list) != nil {
 				return false
@@ -93,15 +94,15 @@
 				held[x.ID] = true
 			}
 			if held["lost"] {
-				t.Errorf("registry-%d holds a write that was never acknowledged and was outvoted", m)
+				t.Errorf("registry-%d has a write that the partitioned leader did not acknowledge", m)
 			}
 			return held["before"] && held["during"]
 		})
 	}
 }
 
-// A replica that is cut off in one direction alone (it receives from its peers, and they do not receive from it) keeps
-// nobody from writing for longer than an election.
+// A leader that is partitioned in one direction (it receives from its peers, and they do not receive from it) blocks
+// writes for no longer than an election.
 func TestOneWayPartitionDoesNotStopWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
@@ -110,12 +111,12 @@
 		p.Partition(true)
 	}
 	addr := c.registryAddr[(lead+1)%3]
-	waitFor(t, "a write past a leader that cannot speak", func() bool { return registerMember(ctx, c, addr, "one") == nil })
+	waitFor(t, "a write at another replica", func() bool { return registerMember(ctx, c, addr, "one") == nil })
 }
 
-// Two of three replicas have disks that fail a third of their writes and syncs for a while, and wall clocks that step;
-// the leader is killed in the midst of it. No replica ends by itself, and what was acknowledged is there afterwards at
-// each of them.
+// Two of three replicas have disks on which 30 % of the writes and syncs fail for a while, and wall clocks that step.
+// The leader is killed and restarted meanwhile. No replica exits by itself, and afterwards every replica has all
+// acknowledged writes.
 func TestReplicasOnFailingDisksKeepAcknowledgedWrites(t *testing.T) {
 	t.Parallel()
 	plan := sysfault.Plan{{Kind: sysfault.Disk, From: 2 * time.Second, For: 4 * time.Second, Share: 0.3},
@@ -142,12 +143,13 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if !killed || len(acknowledged) < 20 {
-		t.Errorf("killed %v, %d writes acknowledged", killed, len(acknowledged))
+		t.Errorf("leader killed: %v, %d writes acknowledged; want a kill and at least 20 writes", killed,
+			len(acknowledged))
 	}
 	starts := 0
 	for i, p := range c.processes["registry"] {
 		starts += p.starts()
-		waitFor(t, "what was acknowledged, at "+p.Name, func() bool {
+		waitFor(t, "the acknowledged writes at "+p.Name, func() bool {
 			var l listResponse
 			if c.registryCall(ctx, http.MethodGet, c.registryAddr[i], "/registry/instances", nil, &l) != nil {
 				return false
@@ -159,10 +161,10 @@
 			return !slices.ContainsFunc(acknowledged, func(id string) bool { return !have[id] })
 		})
 		if p.Exited() == nil {
-			t.Errorf("%s has ended", p.Name)
+			t.Errorf("%s has exited", p.Name)
 		}
 	}
 	if starts != 4 {
-		t.Errorf("%d starts of three replicas, of which one was killed", starts)
+		t.Errorf("replicas were started %d times, want 4: three starts and one restart", starts)
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,22 +20,23 @@
 
 var (
 	buildOnce sync.Once
-	binDir    string
+	binaryDir string
 	buildErr  error
 )
 
-// binaries builds hitchvale-node and hitchvale once for the tests that start them.
+// binaries returns the paths of hitchvale-node and hitchvale, which it builds once for all tests. It skips the test in
+// short mode.
 func binaries(t testing.TB) (nodeBinary, hitchvale string) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	buildOnce.Do(func() {
-		binDir, buildErr = os.MkdirTemp("", "lab-bin")
+		binaryDir, buildErr = os.MkdirTemp("", "lab-bin")
 		if buildErr != nil {
 			return
 		}
-		cmd := exec.Command("go", "build", "-o", binDir+"/", "hitchvale/cmd/hitchvale-node", "hitchvale/cmd/hitchvale")
+		cmd := exec.Command("go", "build", "-o", binaryDir+"/", "hitchvale/cmd/hitchvale-node", "hitchvale/cmd/hitchvale")
 		out, err := cmd.CombinedOutput()
 		if err != nil {
 			buildErr = err
@@ -45,26 +46,27 @@
 	if buildErr != nil {
 		t.Fatalf("build: %v", buildErr)
 	}
-	return filepath.Join(binDir, "hitchvale-node"), filepath.Join(binDir, "hitchvale")
+	return filepath.Join(binaryDir, "hitchvale-node"), filepath.Join(binaryDir, "hitchvale")
 }
 
-// binariesWithFault builds hitchvale with a bug binariesWithFault by a variable of a package, and gives it beside the
-// node as it is.
+// binariesWithFault builds hitchvale with a fault that is compiled in by setting a variable (PACKAGE.NAME=VALUE). The
+// returned node is the ordinary one.
 func binariesWithFault(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	nodeBinary, _ = binaries(t)
-	return nodeBinary, buildPlanted(t, "hitchvale", variable)
+	return nodeBinary, buildWithFault(t, "hitchvale", variable)
 }
 
-// binariesWithNodeFault builds the node with a planted fault.
+// binariesWithNodeFault builds the node with a fault that is compiled in by setting a variable of package node
+// (NAME=VALUE). The returned hitchvale is the ordinary one.
 func binariesWithNodeFault(t *testing.T, variable string) (nodeBinary, hitchvale string) {
 	t.Helper()
 	_, hitchvale = binaries(t)
-	return buildPlanted(t, "hitchvale-node", "node."+variable), hitchvale
+	return buildWithFault(t, "hitchvale-node", "node."+variable), hitchvale
 }
 
-// buildPlanted builds a program with a variable of a package under internal set.
-func buildPlanted(t *testing.T, program, variable string) (path string) {
+// buildWithFault builds a program with a variable of a package under internal set at link time.
+func buildWithFault(t *testing.T, program, variable string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), program)
 	if out, err := exec.Command("go", "build", "-o", path, "-ldflags", "-X hitchvale/internal/"+variable,
@@ -74,12 +76,14 @@
 	return path
 }
 
+// runScenario runs the scenario in text with the ordinary programs.
 func runScenario(t *testing.T, text string) Report {
 	t.Helper()
 	nodeBinary, hitchvale := binaries(t)
 	return runScenarioWith(t, text, nodeBinary, hitchvale)
 }
 
+// runScenarioWith runs the scenario in text with the given programs. It fails the test if the scenario cannot be run.
 func runScenarioWith(t testing.TB, text, nodeBinary, hitchvale string) Report {
 	t.Helper()
 	s, err := ParseScenario([]byte(text))
@@ -95,7 +99,7 @@
 	return r
 }
 
-// requireChecks fails the test for each invariant that did not hold.
+// requireChecks fails the test if an invariant of the report did not hold.
 func requireChecks(t *testing.T, r Report) {
 	t.Helper()
 	for _, c := range r.Checks {
@@ -105,8 +109,9 @@
 	}
 }
 
-// nodesUnderLoad has a deadline and a drain's grace that a machine busy with other tests keeps too: what these runs
-// look for is a request that never gets its answer, gets two effects, or goes where nothing should go any more.
+// nodesUnderLoad is a scenario whose deadline and drain grace are long enough for a machine that is busy with other
+// tests. Its runs look for requests that never get a response, are executed twice, or reach a backend that must not get
+// requests any more.
 const nodesUnderLoad = `
 name = "test"
 seed = 3
@@ -122,8 +127,8 @@
 service = "2ms"
 `
 
-// A backend killed and a node paused for 2 s: every request that the paused node did not hold gets its answer,
-// none runs twice, and the drained backend gets nothing past the grace.
+// A backend is killed, a node is paused for 2 s and a backend is drained. Every request that the paused node did not
+// hold gets its response, no request is executed twice, and the drained backend gets no request after the grace.
 func TestKilledBackendAndPausedNodeKeepTheInvariants(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, nodesUnderLoad+`
@@ -144,14 +149,14 @@
 `)
 	requireChecks(t, r)
 	if r.Counts["served"] < r.Counts["none"]+r.Counts["broken"] || r.Executions == 0 {
-		t.Errorf("too little served to judge: %v", r.Counts)
+		t.Errorf("too few requests served: %v", r.Counts)
 	}
 	if len(r.Faults) != 3 || r.Faults[0].Error != "" {
-		t.Errorf("faults as applied: %+v", r.Faults)
+		t.Errorf("got faults %+v, want 3 injected without an error", r.Faults)
 	}
 }
 
-// terminatedNode ends one node in order under load.
+// terminatedNode is a scenario that sends SIGTERM to one node under load.
 const terminatedNode = nodesUnderLoad + `
 [[fault]]
 at = "2s"
@@ -159,28 +164,30 @@
 target = ["node-1"]
 `
 
-// A node that gets SIGTERM answers all requests that it has accepted, and no loss is excused: a connect that is refused
-// after its end is no request.
+// A node that gets SIGTERM answers all requests that it has accepted. No unanswered request is excused. A connection
+// that is refused after the node has exited does not count as a request.
 func TestTerminatedNodeAnswersAllRequests(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, terminatedNode)
 	requireChecks(t, r)
 	if n := r.Counts["broken"] + r.Counts["none"] + r.Counts["excused"]; n > 0 {
-		t.Errorf("%d requests without an answer: %v", n, r.Counts)
+		t.Errorf("%d requests without a response: %v", n, r.Counts)
 	}
 }
 
-// A node that drops one request that it has taken while it drains is found out.
+// The check of final responses detects a node with a compiled-in fault that drops one accepted request while it shuts
+// down.
 func TestRequestDroppedDuringShutdownIsDetected(t *testing.T) {
 	t.Parallel()
 	nodeBinary, hitchvale := binariesWithNodeFault(t, "faultDropInDrain=1")
 	r := runScenarioWith(t, terminatedNode, nodeBinary, hitchvale)
 	if r.Passed || len(r.Checks) == 0 || r.Checks[0].Violations != 1 {
-		t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
+		t.Errorf("the fault was not detected as one violation: %+v, %v", r.Checks, r.Counts)
 	}
 }
 
-// Faults planted in each way in which a process ends are found out, the incident's own among them.
+// Faults that are compiled into each way in which a node's process ends are detected. Without them, the same scenarios
+// pass.
 func TestFaultyShutdownsAreDetected(t *testing.T) {
 	t.Parallel()
 	const scenario = `
@@ -207,7 +214,7 @@
 kind = "upgrade"
 target = ["node-0"]
 `
-	for plant, scenario := range map[string]string{
+	for fault, scenario := range map[string]string{
 		"upgrade": upgrade,
 		"restart": scenario + `
 [[fault]]
@@ -219,7 +226,7 @@
 kind = "restart"
 target = ["node-0"]
 `,
-		// Requests that come in slowly keep the successor from being ready, so the old process gets no SIGTERM.
+		// Slow requests keep the successor from becoming ready, so the replaced process gets no SIGTERM.
 		"successor": strings.Replace(upgrade, "late = 0.5", "begun = 0.5", 1) + `
 [[fault]]
 at = "2500ms"
@@ -231,35 +238,36 @@
 target = ["node-0"]
 `,
 	} {
-		t.Run(plant, func(t *testing.T) {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			nodeBinary, hitchvale := binariesWithNodeFault(t, "faultShutdown="+plant)
+			nodeBinary, hitchvale := binariesWithNodeFault(t, "faultShutdown="+fault)
 			r := runScenarioWith(t, scenario, nodeBinary, hitchvale)
 			if r.Passed || len(r.Checks) == 0 || r.Checks[0].OK {
-				t.Errorf("not found out: %+v, %v", r.Checks, r.Counts)
+				t.Errorf("the fault was not detected: %+v, %v", r.Checks, r.Counts)
 			}
 			requireChecks(t, runScenario(t, scenario))
 		})
 	}
 }
 
-// A backend that runs every POST twice must fail the check on double effects.
+// The check of duplicate executions detects backends that execute every POST twice.
 func TestDuplicateExecutionIsDetected(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, nodesUnderLoad+"twice = true\n")
 	for _, c := range r.Checks {
 		if strings.Contains(c.Name, "twice") && c.OK {
-			t.Fatalf("%s passed over %d executions", c.Name, r.Executions)
+			t.Fatalf("check %q passed on %d executions", c.Name, r.Executions)
 		}
 	}
 	if r.Passed {
-		t.Fatal("the report passed")
+		t.Fatal("the report passed although POST requests were executed twice")
 	}
 }
 
-// Discovery from three registry replicas: the first killed for good (every node was configured with it first), a drain,
-// all killed at once and two restarted, another drain. Nodes serve throughout and follow both drains from the remaining
-// replicas, no acknowledged write is lost, and nothing goes to a drained backend past the grace.
+// Three registry replicas serve discovery. The first one, which is first in every node's configuration, is killed and
+// stays down. A backend is drained, the other two replicas are killed at the same time and restarted, and another
+// backend is drained. Nodes serve throughout and follow both drains from the remaining replicas. No acknowledged write
+// is lost, and a drained backend gets no request after the grace.
 func TestNodesServeThroughRegistryOutages(t *testing.T) {
 	t.Parallel()
 	r := runScenario(t, `
@@ -301,7 +309,7 @@
 			t.Errorf("%s %v: %s", f.Kind, f.Target, f.Error)
 		}
 	}
-	// Every node came to hold both drains' revisions.
+	// Every node got the revisions of both drains.
 	if p := r.Propagation; p.N != 3*2 || p.Max >= float64(propagationTimeout.Milliseconds()) {
 		t.Errorf("propagation of the drains: %+v", p)
 	}
@@ -310,8 +318,9 @@
 	}
 }
 
-// leaseScenarioText is five candidates for one duty over three replicas, under schedules faults of kinds.
-func leaseScenarioText(seed, schedules int, kinds string) string {
+// leaseScenarioText returns a scenario of five candidates for one lease on three replicas, with that many faults of the
+// given kinds.
+func leaseScenarioText(seed, faults int, kinds string) string {
 	return fmt.Sprintf(`name = "duty"
 seed = %d
 registries = 3
@@ -321,39 +330,42 @@
 work = "60ms"
 schedules = %d
 kinds = [%s]
-`, seed, schedules, kinds)
+`, seed, faults, kinds)
 }
 
-// Five candidates, 200 faults drawn from five seeds (the holder killed, paused past its TTL, cut from the registry,
-// sent SIGTERM; the registry's leader killed; both at once): no two holders have a write accepted out of token order,
-// and paused holders' stale writes were there to be refused. The run itself waits for each fault's successor. How soon
-// it holds is a measurement of the machine as well: the report checks it, BenchmarkTakeover tells it.
+// Five candidates compete for a lease under 200 faults drawn from five seeds. The holder is killed, paused past its
+// TTL, partitioned from the registry or sent SIGTERM, or the registry's leader is killed, or both at the same time. No
+// two holders have writes accepted out of token order, and stale writes of paused holders were attempted and refused.
+// The run waits for the new holder after each fault. The takeover time also depends on the machine, so this test leaves
+// its check to the report, and BenchmarkTakeover measures it.
 func TestLeaseIsSafeUnderFaults(t *testing.T) {
 	t.Parallel()
-	const runs, each = 5, 40
-	var accepted, refused, schedules atomic.Int64
+	const runs, faultsPerRun = 5, 40
+	var accepted, refused, faults atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range runs {
 			t.Run(strconv.Itoa(11+seed), func(t *testing.T) {
 				t.Parallel()
-				r := runScenario(t, leaseScenarioText(11+seed, each, `"kill", "pause", "cut", "term", "leader", "both"`))
+				r := runScenario(t, leaseScenarioText(11+seed, faultsPerRun,
+					`"kill", "pause", "cut", "term", "leader", "both"`))
 				if c := r.Checks[0]; !c.OK {
 					t.Errorf("%s: %d violations, first %v", c.Name, c.Violations, c.Examples)
 				}
 				accepted.Add(int64(r.Lease.AcceptedWrites))
 				refused.Add(int64(r.Lease.RejectedWrites))
-				schedules.Add(int64(r.Lease.Faults))
+				faults.Add(int64(r.Lease.Faults))
 				t.Logf("takeover ms by kind: %+v; %d grants", r.Lease.Takeover, r.Lease.Grants)
 			})
 		}
 	})
-	if schedules.Load() != runs*each || refused.Load() == 0 || accepted.Load() < runs*each {
-		t.Fatalf("the runs did not exercise the fence: %d schedules, %d accepted, %d refused", schedules.Load(),
+	if faults.Load() != runs*faultsPerRun || refused.Load() == 0 || accepted.Load() < runs*faultsPerRun {
+		t.Fatalf("the runs did not exercise fencing: %d faults, %d accepted writes, %d refused writes", faults.Load(),
 			accepted.Load(), refused.Load())
 	}
 }
 
-// BenchmarkTakeover plays 40 faults and tells how soon the duty is held again after each kind, in milliseconds at p99.
+// BenchmarkTakeover injects 40 faults and reports how soon the lease is held again after each kind of fault, in
+// milliseconds at the 99th percentile.
 func BenchmarkTakeover(b *testing.B) {
 	nodeBinary, hitchvale := binaries(b)
 	for b.Loop() {
@@ -364,13 +376,13 @@
 	}
 }
 
-// With the registry's fence check removed at build time, a holder paused past its TTL writes after its
-// successor, and the check of the accepted tokens fails.
+// The check of the accepted tokens detects a registry whose fencing check is disabled at build time: a holder that was
+// paused past its TTL then writes after its successor.
 func TestMissingFencingIsDetected(t *testing.T) {
 	t.Parallel()
-	nodeBinary, planted := binariesWithFault(t, "registry.disableFencing=1")
-	r := runScenarioWith(t, leaseScenarioText(11, 12, `"pause"`), nodeBinary, planted)
+	nodeBinary, hitchvale := binariesWithFault(t, "registry.disableFencing=1")
+	r := runScenarioWith(t, leaseScenarioText(11, 12, `"pause"`), nodeBinary, hitchvale)
 	if r.Checks[0].OK {
-		t.Fatalf("stale writes were accepted in order without a fence: %+v", r.Checks[0])
+		t.Fatalf("without fencing, the check detected no stale write: %+v", r.Checks[0])
 	}
 }
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A partitioned link carries nothing, and what was sent arrives once it heals; a reset breaks open connections.
+// A partitioned link carries no data, and data sent meanwhile arrives after the partition. A reset ends open
+// connections.
 func TestProxyHoldsDataDuringPartition(t *testing.T) {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,26 +45,26 @@
 		return r.ReadString('\n')
 	}
 	if got, err := roundTrip("one\n"); err != nil || got != "one\n" {
-		t.Fatalf("before: %q %v", got, err)
+		t.Fatalf("before the partition: got %q, error %v, want \"one\\n\"", got, err)
 	}
 	p.Partition(true)
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := roundTrip("two\n"); err == nil {
-		t.Fatalf("through a partition: %q", got)
+		t.Fatalf("data arrived during the partition: %q", got)
 	}
 	p.Partition(false)
 	c.SetReadDeadline(time.Time{})
 	if got, err := r.ReadString('\n'); err != nil || got != "two\n" {
-		t.Fatalf("after the heal: %q %v", got, err)
+		t.Fatalf("after the partition: got %q, error %v, want \"two\\n\"", got, err)
 	}
 	p.Reset()
 	if _, err := r.ReadString('\n'); err == nil {
-		t.Fatal("a reset connection still reads")
+		t.Fatal("a read succeeded on a connection after its reset")
 	}
 }
 
-// The lab's cost per request through a fault proxy, beside the direct path in the same run: compare the two
-// ns/op figures (the target is under 5 % of throughput lost).
+// BenchmarkProxyOverhead measures requests through a fault proxy and without one. The difference between the two ns/op
+// figures is the proxy's cost (the target is a loss of less than 5 % of throughput).
 func BenchmarkProxyOverhead(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok\n") }))
 	defer srv.Close()
@@ -77,7 +78,7 @@
 			tr := &http.Transport{MaxIdleConnsPerHost: 128}
 			defer tr.CloseIdleConnections()
 			client := &http.Client{Transport: tr}
-			b.SetParallelism(8) // enough requests under way that throughput, not one round trip, is measured
+			b.SetParallelism(8) // enough requests in flight to measure throughput and not the round trip of one request
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					resp, err := client.Get("http://" + c.addr + "/")
