--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -57,4 +57,5 @@
 	return host, fmt.Sprintf("%s:%d", host, firstPort+n/blockHosts)
 }
 
+// close releases the block.
 func (a *addresses) close() { a.claim.Close() }
--- a/internal/lab/backend.go
+++ b/internal/lab/backend.go
@@ -134,8 +134,8 @@
 	return err
 }
 
-// ReadExecutions reads a backend's log. It ignores an incomplete last line, which a process leaves that is killed while
-// it writes.
+// ReadExecutions reads a backend's log. It ignores an incomplete last line, which the backend leaves if it is killed
+// while it writes.
 func ReadExecutions(path string) ([]Execution, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -15,9 +15,10 @@
 	clientDialTimeout = time.Second
 )
 
-// client stands for all clients of one node and holds their connections to it. It follows PROTOCOL's rules for clients:
-// a connection carries one request at a time, and a request that crosses the close of its connection is sent once more
-// on a new connection. Its methods may be called by several goroutines.
+// client stands for all clients of one node and holds their connections to the node. It follows PROTOCOL's rules for
+// clients: a connection carries one request at a time, and a request that crosses the close of its connection (the node
+// closed the connection before it read the request) is sent once more on a new connection. Its methods may be called by
+// several goroutines.
 type client struct {
 	target string // host:port to which the clients connect
 	link   *Proxy // the proxy that listens on target; nil: the node itself listens there
--- a/internal/lab/delayed_requests.go
+++ b/internal/lab/delayed_requests.go
@@ -68,8 +68,8 @@
 }
 
 // sendDelayed connects to a node and sends the initial part of a request, waits, and sends the remainder. SentAt and
-// the client's deadline count from the remainder. If the node accepts no connection, or closes it before any part of
-// the request was sent, the request is sent without a delay after the wait.
+// the client's deadline count from the remainder. If the node accepts no connection, or closes the connection before
+// any part of the request was sent, the request is sent as a whole after the wait, on another connection.
 func (driver *Driver) sendDelayed(ctx context.Context, node int, request *clientRequest,
 	delay requestDelay) Outcome {
 	client := driver.Nodes[node]
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -27,7 +27,7 @@
 // exported fields before Run.
 type Driver struct {
 	Load  Load
-	Nodes []*client
+	Nodes []*client // the clients of each node
 	Seed  uint64
 	Stop  <-chan struct{} // closed to stop sending; nil: the driver is not stopped this way
 
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -4,13 +4,13 @@
 
 // History is what a run recorded of its requests and faults.
 type History struct {
-	Outcomes      []Outcome   // by the driver
-	Executions    []Execution // by the backends
-	Attempts      []Attempt   // by the links from nodes to backends
+	Outcomes      []Outcome   // recorded by the driver
+	Executions    []Execution // recorded by the backends
+	Attempts      []Attempt   // recorded by the links from nodes to backends
 	FaultWindows  []FaultWindow
 	ShutdownKills []ShutdownKill
 	DrainedAt     map[string]time.Time // by backend: when it was set draining
-	DrainGrace    time.Duration        // how long after its drain a backend may still receive requests
+	DrainGrace    time.Duration        // how long a backend may still receive requests after it was set draining
 }
 
 // ShutdownKill is the SIGKILL of a process that still ran after its shutdown deadline. It excuses no unanswered
--- a/internal/lab/process_faults.go
+++ b/internal/lab/process_faults.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// minReloadAge is how long after its start a node may get SIGHUP.
+// minReloadAge is the age that a node's process must have before it gets SIGHUP.
 const minReloadAge = time.Second
 
 // oldDiscoveryGrace is how long discovery keeps the open connections of its old address after a move to another address
--- a/internal/lab/spawner.go
+++ b/internal/lab/spawner.go
@@ -7,9 +7,9 @@
 )
 
 // spawner starts every child of the lab from one goroutine, which is locked to its OS thread until close. Linux sends
-// the parent-death signal to a child when the thread that forked it exits, even if the process lives on. On a thread
-// that the runtime may end, children could therefore be killed too early. Each child leads a process group of its own,
-// so that a signal to the group reaches the processes that the child started too.
+// the parent-death signal to a child when the thread that forked the child exits, even if the lab's process lives on.
+// The runtime may end threads that no goroutine is locked to, which would kill their children too early. Each child
+// leads a process group of its own, so that a signal to the group also reaches the processes that the child started.
 type spawner struct {
 	requests chan spawnRequest
 	done     chan struct{}
@@ -21,6 +21,7 @@
 	err     chan error
 }
 
+// newSpawner starts the spawner's goroutine. The caller must call close.
 func newSpawner() *spawner {
 	s := &spawner{requests: make(chan spawnRequest), done: make(chan struct{})}
 	go s.run()
