--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -2,29 +2,29 @@
 
 import "sort"
 
-// maxExamples bounds the violations of a check that a report has in full.
+// maxExamples bounds the violations of a check that a report describes.
 const maxExamples = 10
 
-// Check is the result of one invariant over a run's history.
+// Check is the result of checking one invariant over a run's history.
 type Check struct {
 	Name       string         `json:"name"`
 	OK         bool           `json:"ok"`
 	Violations int            `json:"violations"`
-	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node's own explains; no violations
-	Reasons    map[string]int `json:"reasons,omitempty"`  // of the excused ones, by kind of fault
+	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node explains; no violations
+	Reasons    map[string]int `json:"reasons,omitempty"`  // number of excused cases, by kind of fault
 	Examples   []string       `json:"examples,omitempty"` // the first violations, by trace id
 }
 
-// add counts a violation.
-func (c *Check) add(example string) {
+// addViolation counts a violation. The example describes the violation; the first ones are kept.
+func (c *Check) addViolation(example string) {
 	c.Violations++
 	if len(c.Examples) < maxExamples {
 		c.Examples = append(c.Examples, example)
 	}
 }
 
-// done is the check once all violations are counted.
-func (c Check) done() Check {
+// result returns the check with OK set and its examples sorted. It is called once all violations have been counted.
+func (c Check) result() Check {
 	c.OK = c.Violations == 0
 	sort.Strings(c.Examples)
 	return c
--- a/internal/lab/link_faults.go
+++ b/internal/lab/link_faults.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// applyLinkFault applies a fault to one link. A fault of a client's link opens a fault window of its node.
-func (run *loadRun) applyLinkFault(ctx context.Context, fault Fault, name string, proxy *Proxy) {
+// injectLinkFault injects a fault on the link of that name. A fault on the clients' link to a node opens a fault window
+// of that node.
+func (run *loadRun) injectLinkFault(ctx context.Context, fault Fault, name string, proxy *Proxy) {
 	node := -1
 	if number, ok := strings.CutPrefix(name, "client-node-"); ok {
 		fmt.Sscanf(number, "%d", &node)
--- a/internal/lab/load_checks.go
+++ b/internal/lab/load_checks.go
@@ -7,16 +7,16 @@
 
 // Verify checks the invariants of every load run.
 func Verify(h History) []Check {
-	return []Check{h.finalAnswers(), h.noDoubleEffect(), h.noAttemptAfterDrain()}
+	return []Check{h.finalResponses(), h.noDuplicateExecution(), h.noAttemptAfterDrain()}
 }
 
-// finalAnswers checks that every request that a node accepted got its final response, unless a fault of the node's own
-// explains why not.
-func (h History) finalAnswers() Check {
+// finalResponses checks that every request that a node accepted got its final response. Requests that a fault of the
+// node itself explains are excused.
+func (h History) finalResponses() Check {
 	check := Check{Name: "every request gets its final answer", Reasons: map[string]int{}}
 	for _, outcome := range h.Outcomes {
 		if h.unansweredAtKill(outcome) {
-			check.add(fmt.Sprintf("%s at node-%d: unanswered at the kill", outcome.Trace, outcome.Node))
+			check.addViolation(fmt.Sprintf("%s at node-%d: unanswered at the kill", outcome.Trace, outcome.Node))
 			continue
 		}
 		if !outcome.isUnanswered() {
@@ -27,14 +27,15 @@
 			check.Reasons[reason]++
 			continue
 		}
-		check.add(fmt.Sprintf("%s at node-%d: %s (fresh %v, resent %v): %s", outcome.Trace, outcome.Node, outcome.Kind,
-			outcome.FirstOnConnection, outcome.Resent, outcome.Error))
+		check.addViolation(fmt.Sprintf("%s at node-%d: %s (fresh %v, resent %v): %s", outcome.Trace, outcome.Node,
+			outcome.Kind, outcome.FirstOnConnection, outcome.Resent, outcome.Error))
 	}
-	return check.done()
+	return check.result()
 }
 
-// noDoubleEffect checks that no request of the claim class was executed twice, and none that no client sent.
-func (h History) noDoubleEffect() Check {
+// noDuplicateExecution checks that no request of the claim class was executed twice, and that no request was executed
+// that no client sent.
+func (h History) noDuplicateExecution() Check {
 	check := Check{Name: "no request runs twice or unasked"}
 	classes := make(map[string]string, len(h.Outcomes))
 	for _, outcome := range h.Outcomes {
@@ -44,7 +45,7 @@
 	for _, execution := range h.Executions {
 		class, sent := classes[execution.Trace]
 		if !sent {
-			check.add(fmt.Sprintf("%s at %s: no client sent it", execution.Trace, execution.Backend))
+			check.addViolation(fmt.Sprintf("%s at %s: no client sent it", execution.Trace, execution.Backend))
 			continue
 		}
 		if class != classClaim {
@@ -52,14 +53,14 @@
 		}
 		executions[execution.Trace]++
 		if executions[execution.Trace] == 2 {
-			check.add(fmt.Sprintf("%s: ran twice, again at %s", execution.Trace, execution.Backend))
+			check.addViolation(fmt.Sprintf("%s: ran twice, again at %s", execution.Trace, execution.Backend))
 		}
 	}
-	return check.done()
+	return check.result()
 }
 
-// noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. A node
-// that had a fault meanwhile could not be notified, and is excused.
+// noAttemptAfterDrain checks that no backend executed a request later than DrainGrace after it was set draining. The
+// request is excused if its node had a fault between these two times, because that node could not be notified.
 func (h History) noAttemptAfterDrain() Check {
 	check := Check{Name: "nothing reaches a draining backend past the grace"}
 	nodes := h.nodes()
@@ -72,8 +73,8 @@
 			check.Excused++
 			continue
 		}
-		check.add(fmt.Sprintf("%s at %s: %s after it was set draining", execution.Trace, execution.Backend,
+		check.addViolation(fmt.Sprintf("%s at %s: %s after it was set draining", execution.Trace, execution.Backend,
 			time.Duration(execution.At-drainedAt.UnixNano()).Round(time.Millisecond)))
 	}
-	return check.done()
+	return check.result()
 }
