--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -49,9 +49,9 @@
 	timelineLog timelineLog
 	timers      sync.WaitGroup // that undo faults, or wait for what follows from one
 
-	mu         sync.Mutex
-	acks       []ack // writes that the registry acknowledged
-	faultMarks []FaultMark
+	mu                 sync.Mutex
+	acknowledgedWrites []acknowledgedWrite // writes that the registry acknowledged
+	injectedFaults     []InjectedFault
 }
 
 // newCluster makes the run's folder and claims its addresses.
@@ -173,9 +173,9 @@
 }
 
 // recordFault records a fault as it was applied.
-func (cluster *cluster) recordFault(mark FaultMark) {
+func (cluster *cluster) recordFault(mark InjectedFault) {
 	cluster.mu.Lock()
-	cluster.faultMarks = append(cluster.faultMarks, mark)
+	cluster.injectedFaults = append(cluster.injectedFaults, mark)
 	cluster.mu.Unlock()
 }
 
--- a/internal/lab/drain.go
+++ b/internal/lab/drain.go
@@ -18,7 +18,7 @@
 	}
 	body := map[string]string{"phase": phaseDraining}
 	revision, err := run.registryWrite(ctx, http.MethodPut, "/registry/members/"+id+"/phase", body,
-		ack{ID: id, Phase: phaseDraining})
+		acknowledgedWrite{ID: id, Phase: phaseDraining})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -18,7 +18,7 @@
 		case <-time.After(time.Until(run.start.Add(fault.At.Duration))):
 		}
 		err := run.applyFault(ctx, fault)
-		mark := FaultMark{At: time.Since(run.start).Seconds(), Kind: fault.Kind, Target: fault.Target}
+		mark := InjectedFault{At: time.Since(run.start).Seconds(), Kind: fault.Kind, Target: fault.Target}
 		if err != nil {
 			mark.Error = err.Error()
 		}
--- a/internal/lab/fleet_faults.go
+++ b/internal/lab/fleet_faults.go
@@ -11,9 +11,9 @@
 	"hitchvale/internal/timeline"
 )
 
-// playFaults draws and plays the scenario's faults one after another, and waits after each until all nodes are fresh;
+// injectDrawnFaults draws and plays the scenario's faults one after another, and waits after each until all nodes are fresh;
 // its error names the fault after which they were not.
-func (run *fleetRun) playFaults(ctx context.Context) error {
+func (run *fleetRun) injectDrawnFaults(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, fleetFaultStream))
 	if err := run.awaitAllFresh(ctx); err != nil {
 		return fmt.Errorf("at the start: %w", err)
@@ -21,7 +21,7 @@
 	kinds := run.scenario.Fleet.Kinds
 	for n := range run.scenario.Fleet.FaultCount {
 		kind := kinds[rng.IntN(len(kinds))]
-		if err := run.playFault(ctx, rng, kind); err != nil {
+		if err := run.injectDrawnFault(ctx, rng, kind); err != nil {
 			return fmt.Errorf("fault %d (%s): %w", n, kind, err)
 		}
 		if err := run.awaitAllFresh(ctx); err != nil {
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// playFault plays one fault, or two at once, and undoes it. Its duration is from one to ten intervals: shorter and
+// injectDrawnFault plays one fault, or two at once, and undoes it. Its duration is from one to ten intervals: shorter and
 // longer than a session's five.
-func (run *fleetRun) playFault(ctx context.Context, rng *rand.Rand, kind string) error {
+func (run *fleetRun) injectDrawnFault(ctx context.Context, rng *rand.Rand, kind string) error {
 	interval := run.scenario.Fleet.Interval.Duration
 	duration := time.Duration(float64(interval) * (1 + 9*rng.Float64()))
 	node := run.processes[roleNode][rng.IntN(run.scenario.Nodes)]
--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -38,7 +38,7 @@
 		sample := func() error { return run.sampleReplica(sampleCtx, m) }
 		readers.Go(func() { run.pollReader(sampleCtx, processName(roleRegistry, m), sample) })
 	}
-	err := run.playFaults(ctx)
+	err := run.injectDrawnFaults(ctx)
 	stop()
 	readers.Wait()
 	return run.report(err)
@@ -50,7 +50,7 @@
 	if playErr != nil {
 		settled.add(playErr.Error())
 	}
-	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.faultMarks, Starts: run.starts(),
+	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.injectedFaults, Starts: run.starts(),
 		Checks: append(run.views.checks(), settled.done())}
 	for _, check := range report.Checks {
 		report.Passed = report.Passed && check.OK
--- a/internal/lab/lease_check.go
+++ b/internal/lab/lease_check.go
@@ -35,7 +35,7 @@
 
 // checkLeases checks the candidates' logs against the faults played: fencing tokens keep writes in order, a failed
 // holder's lease is taken over in time, and SIGTERM hands it over within maxHandover.
-func checkLeases(events []LeaseEvent, faults []playedFault, ttl time.Duration) ([]Check, LeaseFigures) {
+func checkLeases(events []LeaseEvent, faults []leaseFault, ttl time.Duration) ([]Check, LeaseFigures) {
 	figures := LeaseFigures{Faults: len(faults), Takeover: map[string]Distribution{}}
 	var accepted, grants []LeaseEvent
 	for _, event := range events {
@@ -83,7 +83,7 @@
 
 // checkTakeovers checks that each fault is followed by a takeover within the TTL and takeoverGrace, and sums up how
 // long the takeovers took.
-func (figures *LeaseFigures) checkTakeovers(faults []playedFault, grants, accepted []LeaseEvent,
+func (figures *LeaseFigures) checkTakeovers(faults []leaseFault, grants, accepted []LeaseEvent,
 	ttl time.Duration) Check {
 	check := Check{Name: "a failed holder's duty is taken over within TTL + 1 s"}
 	samples := map[string][]float64{}
@@ -119,7 +119,7 @@
 
 // takeover is how many milliseconds after a fault another holder was granted the lease or, for a killed leader, a write
 // was accepted; -1 where that never was.
-func takeover(fault playedFault, grants, accepted []LeaseEvent) float64 {
+func takeover(fault leaseFault, grants, accepted []LeaseEvent) float64 {
 	first := int64(-1)
 	if fault.Kind == leaseFaultLeader {
 		for _, write := range accepted { // in the order of revisions, not of time
--- a/internal/lab/lease_faults.go
+++ b/internal/lab/lease_faults.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// playedFault is one fault of a lease run.
-type playedFault struct {
+// leaseFault is one fault of a lease run.
+type leaseFault struct {
 	Kind   string `json:"kind"`
 	At     int64  `json:"at"`     // Unix time in nanoseconds
 	Holder string `json:"holder"` // of the lease when the fault was applied
 	Target string `json:"target"`
 }
 
-// playFaults plays the scenario's faults one after another. The effect of each is awaited (a successor holds the lease,
+// injectFaults plays the scenario's faults one after another. The effect of each is awaited (a successor holds the lease,
 // or the registry has a leader again) and the fault undone before the next.
-func (run *leaseRun) playFaults(ctx context.Context) ([]playedFault, error) {
+func (run *leaseRun) injectFaults(ctx context.Context) ([]leaseFault, error) {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, leaseFaultStream))
 	run.start = time.Now()
-	var faults []playedFault
+	var faults []leaseFault
 	for n := range run.scenario.Lease.FaultCount {
-		fault, err := run.playFault(ctx, rng)
+		fault, err := run.injectFault(ctx, rng)
 		if err != nil {
 			return nil, fmt.Errorf("fault %d (%s): %w", n, fault.Kind, err)
 		}
 		faults = append(faults, fault)
-		run.recordFault(FaultMark{At: time.Duration(fault.At - run.start.UnixNano()).Seconds(), Kind: fault.Kind,
+		run.recordFault(InjectedFault{At: time.Duration(fault.At - run.start.UnixNano()).Seconds(), Kind: fault.Kind,
 			Target: []string{fault.Target}})
 	}
 	return faults, nil
 }
 
-// playFault draws one fault, applies it to the holder or the registry's leader, awaits its effect and undoes it.
-func (run *leaseRun) playFault(ctx context.Context, rng *rand.Rand) (playedFault, error) {
+// injectFault draws one fault, applies it to the holder or the registry's leader, awaits its effect and undoes it.
+func (run *leaseRun) injectFault(ctx context.Context, rng *rand.Rand) (leaseFault, error) {
 	ttl := run.scenario.Lease.TTL.Duration
 	holder, err := run.waitHolder(ctx, "", eventTimeout)
 	if err != nil {
-		return playedFault{}, err
+		return leaseFault{}, err
 	}
 	index := candidateIndex(holder)
 	if index < 0 || index >= len(run.processes[roleCandidate]) {
-		return playedFault{}, fmt.Errorf("holder %q is none of the candidates", holder)
+		return leaseFault{}, fmt.Errorf("holder %q is none of the candidates", holder)
 	}
 	process := run.processes[roleCandidate][index]
 	// Somewhere in the holder's work, not always just after its grant.
 	sleepUntil(ctx, time.Now().Add(time.Duration(rng.Int64N(int64(ttl/2)))))
 	kinds := run.scenario.Lease.Kinds
-	fault := playedFault{Kind: kinds[rng.IntN(len(kinds))], Holder: holder, Target: process.Name,
+	fault := leaseFault{Kind: kinds[rng.IntN(len(kinds))], Holder: holder, Target: process.Name,
 		At: time.Now().UnixNano()}
 	switch fault.Kind {
 	case leaseFaultKill:
@@ -84,7 +84,7 @@
 }
 
 // pauseHolder pauses the holder for a while from the fault's time, and until there is a successor.
-func (run *leaseRun) pauseHolder(ctx context.Context, process *Process, fault playedFault,
+func (run *leaseRun) pauseHolder(ctx context.Context, process *Process, fault leaseFault,
 	duration time.Duration) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -107,7 +107,7 @@
 
 // partitionHolder cuts the holder off from all replicas for a while from the fault's time, and until there is a
 // successor.
-func (run *leaseRun) partitionHolder(ctx context.Context, process *Process, fault playedFault, duration time.Duration) {
+func (run *leaseRun) partitionHolder(ctx context.Context, process *Process, fault leaseFault, duration time.Duration) {
 	links := run.matchLinks([]string{process.Name + ":registry-*"})
 	for _, proxy := range links {
 		proxy.Partition(true)
--- a/internal/lab/lease_run.go
+++ b/internal/lab/lease_run.go
@@ -32,7 +32,7 @@
 	if err := run.startCandidates(); err != nil {
 		return Report{}, err
 	}
-	faults, err := run.playFaults(ctx)
+	faults, err := run.injectFaults(ctx)
 	if err != nil {
 		return Report{}, err
 	}
@@ -43,7 +43,7 @@
 		return Report{}, err
 	}
 	checks, figures := checkLeases(events, faults, run.scenario.Lease.TTL.Duration)
-	report := Report{Scenario: run.scenario.Name, Passed: true, Checks: checks, Faults: run.faultMarks,
+	report := Report{Scenario: run.scenario.Name, Passed: true, Checks: checks, Faults: run.injectedFaults,
 		Starts: run.starts(), Lease: &figures}
 	for _, check := range checks {
 		report.Passed = report.Passed && check.OK
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	acknowledged := run.checkAcks(ctx)
+	acknowledged := run.checkAcknowledgedWrites(ctx)
 	run.stopAll()
 	return run.report(driver, starved, acknowledged)
 }
@@ -85,7 +85,7 @@
 		checks = append(checks, history.verifySoak(drains, lastUp)...)
 		checks = append(checks, run.checkNodeLogs())
 	}
-	report := Summarize(run.scenario.Name, run.start, history, run.faultMarks, unsent, run.starts(), checks...)
+	report := Summarize(run.scenario.Name, run.start, history, run.injectedFaults, unsent, run.starts(), checks...)
 	report.Propagation = newDistribution(run.propagation)
 	report.Starved = starved.all()
 	if err := writeOutcomes(run.path("outcomes.jsonl"), history.Outcomes); err != nil {
--- a/internal/lab/maintenance_faults.go
+++ b/internal/lab/maintenance_faults.go
@@ -9,8 +9,8 @@
 	"hitchvale/internal/timeline"
 )
 
-// playFaults plays a fault every FaultInterval until ctx ends, each undone before the next.
-func (run *maintenanceRun) playFaults(ctx context.Context) {
+// injectDrawnFaults plays a fault every FaultInterval until ctx ends, each undone before the next.
+func (run *maintenanceRun) injectDrawnFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, maintenanceFaultStream))
 	kinds := run.scenario.Maintenance.Kinds
 	for len(kinds) > 0 {
@@ -18,12 +18,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		run.playFault(ctx, rng, kinds[rng.IntN(len(kinds))])
+		run.injectDrawnFault(ctx, rng, kinds[rng.IntN(len(kinds))])
 	}
 }
 
-// playFault plays one fault and undoes it, also where ctx ends meanwhile.
-func (run *maintenanceRun) playFault(ctx context.Context, rng *rand.Rand, kind string) {
+// injectDrawnFault plays one fault and undoes it, also where ctx ends meanwhile.
+func (run *maintenanceRun) injectDrawnFault(ctx context.Context, rng *rand.Rand, kind string) {
 	interval := run.scenario.Fleet.Interval.Duration
 	duration := time.Duration(float64(interval) * (0.5 + 7*rng.Float64()))
 	node := rng.IntN(run.scenario.Nodes)
--- a/internal/lab/maintenance_run.go
+++ b/internal/lab/maintenance_run.go
@@ -47,7 +47,7 @@
 	var background sync.WaitGroup
 	background.Go(func() { driver.Run(ctx, run.scenario.Duration.Duration) })
 	faultsCtx, stopFaults := context.WithCancel(ctx)
-	background.Go(func() { run.playFaults(faultsCtx) })
+	background.Go(func() { run.injectDrawnFaults(faultsCtx) })
 	operatorErr := run.operate(ctx)
 	stopFaults()
 	close(stopLoad)
@@ -70,7 +70,7 @@
 	if operatorErr != nil {
 		completed.add(operatorErr.Error())
 	}
-	report := Summarize(run.scenario.Name, run.start, history, run.faultMarks, unsent, run.starts(),
+	report := Summarize(run.scenario.Name, run.start, history, run.injectedFaults, unsent, run.starts(),
 		run.noAttemptWhileOut(history), run.budgetCheck.done(), completed.done())
 	if report.Timeline, err = run.drawTimeline(nil); err != nil {
 		return report, err
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -77,7 +77,7 @@
 }
 
 // plotFault draws a fault as a dashed line up to top, with its kind.
-func plotFault(p *plot.Plot, fault FaultMark, top float64) error {
+func plotFault(p *plot.Plot, fault InjectedFault, top float64) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: fault.At, Y: 0}, {X: fault.At, Y: top}})
 	if err != nil {
 		return err
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -86,16 +86,16 @@
 	return fmt.Errorf("no replica answered: %w", last)
 }
 
-// ack is a write that the registry acknowledged, to be found in its list at the end.
-type ack struct {
+// acknowledgedWrite is a write that the registry acknowledged, to be found in its list at the end.
+type acknowledgedWrite struct {
 	ID       string
 	Phase    string
 	Revision int64
 }
 
 // registryWrite sends a write to one replica after the other until one acknowledges it, for acknowledgeTimeout at most.
-// It records the acknowledged write for checkAcks and returns its revision.
-func (cluster *cluster) registryWrite(ctx context.Context, method, path string, body any, write ack) (int64, error) {
+// It records the acknowledged write for checkAcknowledgedWrites and returns its revision.
+func (cluster *cluster) registryWrite(ctx context.Context, method, path string, body any, write acknowledgedWrite) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	var last error
@@ -107,7 +107,7 @@
 		if last = cluster.registryCall(ctx, method, addr, path, body, &answer); last == nil {
 			write.Revision = answer.Revision
 			cluster.mu.Lock()
-			cluster.acks = append(cluster.acks, write)
+			cluster.acknowledgedWrites = append(cluster.acknowledgedWrites, write)
 			cluster.mu.Unlock()
 			return answer.Revision, nil
 		}
@@ -120,7 +120,7 @@
 func (cluster *cluster) registerBackends(ctx context.Context, members []Member) error {
 	for _, member := range members {
 		body := map[string]any{"member": member}
-		write := ack{ID: member.ID, Phase: member.Phase}
+		write := acknowledgedWrite{ID: member.ID, Phase: member.Phase}
 		if _, err := cluster.registryWrite(ctx, http.MethodPost, "/registry/members", body, write); err != nil {
 			return fmt.Errorf("registering %s: %w", member.ID, err)
 		}
@@ -193,9 +193,9 @@
 	return newest
 }
 
-// checkAcks checks that every acknowledged write is in the newest list: the member in the phase acknowledged last, at a
+// checkAcknowledgedWrites checks that every acknowledged write is in the newest list: the member in the phase acknowledged last, at a
 // revision no lower than the write's.
-func (cluster *cluster) checkAcks(ctx context.Context) Check {
+func (cluster *cluster) checkAcknowledgedWrites(ctx context.Context) Check {
 	check := Check{Name: "no acknowledged registry write is lost"}
 	if len(cluster.registryAddr) == 0 {
 		return check.done()
@@ -209,8 +209,8 @@
 	for _, member := range list.Members {
 		phases[member.ID] = member.Phase
 	}
-	lastWrites := map[string]ack{}
-	for _, write := range cluster.acks {
+	lastWrites := map[string]acknowledgedWrite{}
+	for _, write := range cluster.acknowledgedWrites {
 		lastWrites[write.ID] = write
 	}
 	for id, write := range lastWrites {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -11,14 +11,14 @@
 
 // Report is what `report.json` holds.
 type Report struct {
-	Scenario   string         `json:"scenario"`
-	Passed     bool           `json:"passed"`
-	Counts     map[string]int `json:"counts"` // by outcome kind, with "excused" and "unsent"
-	Checks     []Check        `json:"checks"`
-	Faults     []FaultMark    `json:"faults"`
-	Seconds    []Second       `json:"seconds"`
-	Executions int            `json:"executions"`
-	Starts     map[string]int `json:"starts"` // process starts by name, restarts included
+	Scenario   string          `json:"scenario"`
+	Passed     bool            `json:"passed"`
+	Counts     map[string]int  `json:"counts"` // by outcome kind, with "excused" and "unsent"
+	Checks     []Check         `json:"checks"`
+	Faults     []InjectedFault `json:"faults"`
+	Seconds    []Second        `json:"seconds"`
+	Executions int             `json:"executions"`
+	Starts     map[string]int  `json:"starts"` // process starts by name, restarts included
 	// Propagation is the milliseconds from a registry change's acknowledgement until each node had its revision.
 	Propagation Distribution `json:"propagation_ms"`
 	// Lease holds a lease scenario's figures; such a run has no load, and its only plot is of takeovers.
@@ -41,8 +41,8 @@
 	P99        float64 `json:"p99_ms"`
 }
 
-// FaultMark is a fault as it was applied.
-type FaultMark struct {
+// InjectedFault is a fault as it was applied.
+type InjectedFault struct {
 	At     float64  `json:"at_s"` // seconds from the start
 	Kind   string   `json:"kind"`
 	Target []string `json:"target"`
@@ -75,7 +75,7 @@
 }
 
 // Summarize builds the report of a run that began at start. Its checks are those of Verify and those given.
-func Summarize(name string, start time.Time, history History, faults []FaultMark, unsent int, starts map[string]int,
+func Summarize(name string, start time.Time, history History, faults []InjectedFault, unsent int, starts map[string]int,
 	checks ...Check) Report {
 	report := Report{
 		Scenario:   name,
--- a/internal/lab/timeline_log.go
+++ b/internal/lab/timeline_log.go
@@ -38,7 +38,7 @@
 
 // noteFault records a fault in the report and the timeline.
 func (cluster *cluster) noteFault(kind string, targets ...string) {
-	cluster.recordFault(FaultMark{At: time.Since(cluster.start).Seconds(), Kind: kind, Target: targets})
+	cluster.recordFault(InjectedFault{At: time.Since(cluster.start).Seconds(), Kind: kind, Target: targets})
 	cluster.recordEvent(timeline.Faults, "%s %s", kind, strings.Join(targets, " "))
 }
 
