--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -15,24 +15,25 @@
 	"hitchvale/internal/lease"
 )
 
-// Candidate is one process that competes for a lease (`hitchvale lab candidate`): while it holds the lease it does its
-// work and one fenced write at a time to the registry.
+// Candidate is one process that competes for a lease (`hitchvale lab candidate`). While it holds the lease, it repeats
+// its work and a fenced write to the registry.
 type Candidate struct {
-	Replicas  []string      // HTTP addresses of the replicas (the lab's proxies to them)
-	LeaseName string        // the lease's name
-	ID        string        // the candidate's name; each process holds the lease as ID.PID
-	TTL       time.Duration // the lease's TTL
-	// WorkTime is the time between the check that the lease is held and the write that relies on it: the gap in which a
-	// pause may fall, and that only the fencing token makes harmless.
+	Replicas  []string // HTTP addresses of the lab's proxies to the replicas
+	LeaseName string
+	ID        string // the candidate's name; a process holds the lease as ID.PID
+	TTL       time.Duration
+	// WorkTime is the time between the check that the lease is held and the write that relies on the check. If the process
+	// is paused in between, only the fencing token prevents a stale write.
 	WorkTime time.Duration
-	Log      string // the file that LeaseEvents are appended to, one JSON object a line
+	Log      string // the file to which LeaseEvents are appended, one JSON object a line
 }
 
-// resourceID is the member that the fenced writes register again and again, each raising the revision.
+// resourceID is the member that every fenced write registers again. Each such write raises the registry's revision.
 const resourceID = "duty-resource"
 
-// Run holds the lease whenever it can until ctx ends (SIGTERM), then releases it at once so that a successor need
-// not wait for the TTL. The error is for a log that cannot be written or a lease rejected as malformed.
+// Run holds the lease whenever it can until ctx ends (SIGTERM). Then it releases the lease immediately, so that a
+// successor does not have to wait for the TTL. It returns an error if the log cannot be written or the registry rejects
+// the lease as malformed.
 func (c Candidate) Run(ctx context.Context) error {
 	file, err := os.OpenFile(c.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -41,7 +42,7 @@
 	defer file.Close()
 	log := &eventLog{encoder: json.NewEncoder(file), holder: c.ID + "." + strconv.Itoa(os.Getpid())}
 	client := &lease.Client{Replicas: c.Replicas, HTTP: &http.Client{Timeout: c.TTL / 2}}
-	var lastToken uint64 // of the last grant, which the registry may still have as held after Lost
+	var lastToken uint64 // of the last grant, which the registry may still count as held after Lost
 	for ctx.Err() == nil {
 		held, err := client.Acquire(ctx, c.LeaseName, log.holder, c.TTL)
 		if errors.Is(err, context.Canceled) {
@@ -62,9 +63,9 @@
 	return nil
 }
 
-// releaseLast releases the last grant of a candidate that was ended between a lost lease and the next grant: the
-// registry may still have the lease as held (renewals failed during a leader change, say), and the successor would wait
-// for the TTL. A release with a token that is no longer the holder's changes nothing.
+// releaseLast releases the last grant of a candidate that is ended between a lost lease and the next grant. The
+// registry may still count that grant as held, for example if renewals failed during a change of the leader, and a
+// successor would have to wait for the TTL. A release with a token that is no longer the holder's has no effect.
 func (c Candidate) releaseLast(client *lease.Client, holder string, token uint64) {
 	if token == 0 {
 		return
@@ -74,8 +75,8 @@
 	client.ExistingLease(c.LeaseName, holder, token).Release(ctx)
 }
 
-// serve does the holder's work; it returns once the lease is lost, a write is rejected, or ctx ends (then the lease is
-// released).
+// serve does the holder's work until the lease is lost, a write is rejected or ctx ends. When ctx ends it releases the
+// lease.
 func (c Candidate) serve(ctx context.Context, held *lease.Lease, log *eventLog) error {
 	for {
 		select {
@@ -88,8 +89,8 @@
 			return log.write(leaseLost, held.Token, 0)
 		default:
 		}
-		// The lease is not checked again before the write: the fencing token has to be enough. SIGTERM cuts the work
-		// short, so that the release does not wait for it.
+		// The candidate does not check the lease again before the write, because the fencing token must be sufficient.
+		// SIGTERM ends the work early, so that the release does not wait for it.
 		select {
 		case <-ctx.Done():
 			continue
@@ -102,14 +103,15 @@
 				return err
 			}
 		case http.StatusConflict:
-			held.Release(context.Background()) // stops renewing; the registry already has the lease as another's
+			held.Release(context.Background()) // ends the renewals; the registry has already granted the lease to another holder
 			return log.write(leaseWriteRejected, held.Token, 0)
 		}
 	}
 }
 
-// write registers the resource under a fencing token, at one replica after the other until one answers. It returns the
-// status (0 when none answered) and the revision of an accepted write.
+// write registers the resource under a fencing token. It tries the replicas in turn until one of them responds with a
+// status other than 503. It returns the status, which is 0 if there is no such response, and the revision of an
+// accepted write.
 func (c Candidate) write(ctx context.Context, token string) (status int, revision int64) {
 	client := &http.Client{Timeout: c.TTL / 2}
 	for _, addr := range c.Replicas {
@@ -124,10 +126,10 @@
 	return 0, 0
 }
 
-// errBadRequest says that no request could be made of an address.
+// errBadRequest is the error of an address for which no request can be made.
 var errBadRequest = errors.New("malformed request")
 
-// writeResource registers the resource at one replica.
+// writeResource registers the resource at one replica and returns the response's status and revision.
 func writeResource(ctx context.Context, client *http.Client, addr, token string) (status int, revision int64,
 	err error) {
 	body := []byte(`{"member":{"id":"` + resourceID + `","host_port":"127.0.0.1:9","phase":"ready"}}`)
@@ -146,6 +148,6 @@
 	var answer struct {
 		Revision int64 `json:"revision"`
 	}
-	json.Unmarshal(text, &answer) // a body that is no JSON has no revision
+	json.Unmarshal(text, &answer) // a body that is not JSON leaves the revision 0
 	return response.StatusCode, answer.Revision, nil
 }
--- a/internal/lab/fleet_faults.go
+++ b/internal/lab/fleet_faults.go
@@ -11,8 +11,8 @@
 	"hitchvale/internal/timeline"
 )
 
-// injectDrawnFaults draws and plays the scenario's faults one after another, and waits after each until all nodes are fresh;
-// its error names the fault after which they were not.
+// injectDrawnFaults draws and injects the scenario's faults one after another, and waits after each until all nodes are
+// fresh. Its error names the fault after which a node was not fresh.
 func (run *fleetRun) injectDrawnFaults(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, fleetFaultStream))
 	if err := run.awaitAllFresh(ctx); err != nil {
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// injectDrawnFault plays one fault, or two at once, and undoes it. Its duration is from one to ten intervals: shorter and
-// longer than a session's five.
+// injectDrawnFault injects one fault, or two at the same time, and undoes it. The fault lasts one to ten intervals, so
+// that it may be shorter or longer than the TTL of a session, which is five intervals.
 func (run *fleetRun) injectDrawnFault(ctx context.Context, rng *rand.Rand, kind string) error {
 	interval := run.scenario.Fleet.Interval.Duration
 	duration := time.Duration(float64(interval) * (1 + 9*rng.Float64()))
@@ -55,12 +55,12 @@
 	case fleetFaultSplit:
 		leader := run.leaderIndex(ctx)
 		if leader < 0 {
-			return errors.New("no leader to cut off")
+			return errors.New("the registry has no leader to cut off")
 		}
 		name := processName(roleRegistry, leader)
 		return run.partition(ctx, duration, name+":registry-*", "registry-*:"+name)
 	}
-	// both
+	// fleetFaultBoth
 	run.noteFault(faultPause, node.Name)
 	node.Signal(syscall.SIGSTOP)
 	err := run.killLeader(ctx)
@@ -68,17 +68,17 @@
 	return errors.Join(err, run.continueNode(node))
 }
 
-// continueNode ends a node's pause.
+// continueNode ends the pause of a node.
 func (run *fleetRun) continueNode(node *Process) error {
 	run.recordEvent(timeline.Faults, "continue %s", node.Name)
 	return node.Signal(syscall.SIGCONT)
 }
 
-// partition cuts links for a while.
+// partition cuts the links that match the targets, and reconnects them after duration.
 func (run *fleetRun) partition(ctx context.Context, duration time.Duration, targets ...string) error {
 	links := run.matchLinks(targets)
 	if len(links) == 0 {
-		return fmt.Errorf("no link matches %v", targets)
+		return fmt.Errorf("no link of the run matches %v", targets)
 	}
 	run.noteFault(fleetFaultPartition, targets...)
 	for _, proxy := range links {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// killLeader kills the registry's leader and starts it again on its data once another leads.
+// killLeader kills the registry's leader, and restarts the replica on its data once another replica leads.
 func (run *fleetRun) killLeader(ctx context.Context) error {
 	leader := run.leaderIndex(ctx)
 	if leader < 0 {
@@ -114,7 +114,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("node-%d has not all nodes fresh in its view: %+v, %v", i, status, err)
+			return fmt.Errorf("node-%d does not have all nodes fresh in its view: status %+v, last error %v", i, status, err)
 		}
 		sleepUntil(ctx, time.Now().Add(readerPollInterval))
 	}
--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// fleetFaultStream sets the draws of a fleet run's faults apart from others of the same seed.
+	// fleetFaultStream is the random stream of a fleet run's faults. It keeps their draws independent of others of the
+	// same seed.
 	fleetFaultStream = 0xf1ee7
-	// readerPollInterval is the time between two samples of a reader of the view.
+	// readerPollInterval is the time between two samples of one reader of the view.
 	readerPollInterval = 20 * time.Millisecond
 )
 
-// fleetRun is the experiment of the fleet's shared view: real nodes and replicas, faults between them, and samples of
-// what each reader of the view has.
+// fleetRun is the experiment of the fleet's shared view. It runs real nodes and replicas, injects faults, and samples
+// the view of each reader: every node and every replica.
 type fleetRun struct {
 	*loadRun
 	views *viewRecorder
 }
 
-// run starts the processes, samples all readers of the view while the faults are played, and writes the report.
+// run starts the processes, samples all readers of the view while it injects the faults, and writes the report.
 func (run *fleetRun) run(ctx context.Context) (Report, error) {
 	run.drained = map[string]time.Time{}
 	run.views = newViewRecorder()
@@ -44,11 +45,11 @@
 	return run.report(err)
 }
 
-// report writes the checks and the timeline. playErr is the error of the faults' play.
-func (run *fleetRun) report(playErr error) (Report, error) {
+// report writes the report and the timeline. faultErr is the error of injectDrawnFaults.
+func (run *fleetRun) report(faultErr error) (Report, error) {
 	settled := Check{Name: "every node is fresh in every view again after each fault"}
-	if playErr != nil {
-		settled.add(playErr.Error())
+	if faultErr != nil {
+		settled.add(faultErr.Error())
 	}
 	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.injectedFaults, Starts: run.starts(),
 		Checks: append(run.views.checks(), settled.done())}
--- a/internal/lab/fleet_scenario.go
+++ b/internal/lab/fleet_scenario.go
@@ -1,17 +1,18 @@
 package lab
 
 import (
+	"strings"
 	"time"
 
 	"hitchvale/internal/tomlfile"
 )
 
-// FleetScenario is one of the fleet's shared view: the nodes report load at an Interval, over Sites, while faults are
-// drawn. After each the lab waits until every node is fresh in every node's view again.
+// FleetScenario describes a run of the fleet's shared view. The nodes of several sites report their load while the lab
+// injects drawn faults. After each fault the lab waits until every node is fresh in every node's view again.
 type FleetScenario struct {
-	Interval Duration `toml:"interval"`
-	Sites    int      `toml:"sites"`
-	// FaultCount faults are played one after another, each of a kind drawn from Kinds.
+	Interval Duration `toml:"interval"` // time between two load reports of a node
+	Sites    int      `toml:"sites"`    // number of sites over which the nodes are spread
+	// FaultCount is the number of faults, which are injected one after another. The kind of each is drawn from Kinds.
 	FaultCount int      `toml:"schedules"`
 	Kinds      []string `toml:"kinds"`
 }
@@ -29,10 +30,11 @@
 var fleetFaultKinds = []string{fleetFaultKill, fleetFaultPause, fleetFaultPartition, fleetFaultLeader, fleetFaultSplit,
 	fleetFaultBoth}
 
+// check returns the first invalid value of the fleet scenario, as an error that names its key.
 func (fleetScenario FleetScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Registries < 1:
-		return tomlfile.Bad("registries", "a fleet needs at least 1 registry replica")
+		return tomlfile.Bad("registries", "%d is below the minimum of 1 replica that [fleet] needs", scenario.Registries)
 	case fleetScenario.Interval.Duration < 50*time.Millisecond || fleetScenario.Interval.Duration > time.Minute:
 		return tomlfile.Bad("fleet.interval", "%s is outside 50ms to 1m", fleetScenario.Interval)
 	case fleetScenario.Sites < 1 || fleetScenario.Sites > 64:
@@ -40,9 +42,9 @@
 	case fleetScenario.FaultCount < 0 || fleetScenario.FaultCount > 100000:
 		return tomlfile.Bad("fleet.schedules", "%d is outside 0 to 100000", fleetScenario.FaultCount)
 	case fleetScenario.FaultCount > 0 && len(fleetScenario.Kinds) == 0:
-		return tomlfile.Bad("fleet.kinds", "none named")
+		return tomlfile.Bad("fleet.kinds", "no kind is named; allowed are %s", strings.Join(fleetFaultKinds, ", "))
 	case len(scenario.Faults) > 0:
-		return tomlfile.Bad("fault", "a fleet's faults are drawn: name their kinds in fleet.kinds")
+		return tomlfile.Bad("fault", "[[fault]] cannot be combined with [fleet], which draws its faults from fleet.kinds")
 	}
 	return checkKinds("fleet.kinds", fleetScenario.Kinds, fleetFaultKinds)
 }
--- a/internal/lab/fleet_view.go
+++ b/internal/lab/fleet_view.go
@@ -11,11 +11,12 @@
 	"hitchvale/internal/fleet"
 )
 
-// viewRecorder compares what the readers of the fleet's view have.
+// viewRecorder records the fleet's view as its readers see it, and checks that they agree. Its methods may be called by
+// several goroutines.
 type viewRecorder struct {
 	mu             sync.Mutex
 	lastVersion    map[string]fleet.ViewVersion // by reader
-	texts          map[fleet.ViewVersion]string // the view of a version, as it was first read
+	texts          map[fleet.ViewVersion]string // the text of each version's view
 	sameViewCheck  Check
 	monotonicCheck Check
 }
@@ -29,7 +30,7 @@
 	}
 }
 
-// recordVersion checks that a reader's version is not before its last one.
+// recordVersion records the version that a reader has, and checks that it is not before the reader's last version.
 func (views *viewRecorder) recordVersion(reader string, version fleet.ViewVersion) {
 	views.mu.Lock()
 	defer views.mu.Unlock()
@@ -39,27 +40,27 @@
 	views.lastVersion[reader] = version
 }
 
-// recordText checks that a view is the same as others of its version.
+// recordText records the text of a view, and checks that it equals the text recorded before for the same version.
 func (views *viewRecorder) recordText(version fleet.ViewVersion, text string) {
 	views.mu.Lock()
 	defer views.mu.Unlock()
 	if first, ok := views.texts[version]; ok && first != text {
-		views.sameViewCheck.add(fmt.Sprintf("two views under %v", version))
+		views.sameViewCheck.add(fmt.Sprintf("two different views of version %v", version))
 	}
 	views.texts[version] = text
 }
 
-// checks are the results once all readers have stopped.
+// checks returns the results. It is called after all readers have stopped.
 func (views *viewRecorder) checks() []Check {
 	return []Check{views.sameViewCheck.done(), views.monotonicCheck.done()}
 }
 
-// status is how a node's agent has the fleet's view.
+// status returns the status of the fleet's view in a node's agent.
 func (run *fleetRun) status(ctx context.Context, i int) (status fleet.AgentStatus, err error) {
 	return status, run.registryCall(ctx, http.MethodGet, run.adminAddr[i], "/admin/fleet", nil, &status)
 }
 
-// pollReader takes samples until ctx ends; one that fails is shown in the reader's column of the timeline.
+// pollReader takes samples until ctx ends. It records a failed sample in the reader's column of the timeline.
 func (run *fleetRun) pollReader(ctx context.Context, reader string, sample func() error) {
 	for ctx.Err() == nil {
 		if err := sample(); err != nil && ctx.Err() == nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// sampleNode records how a node's agent has the view. Each process of a node is a reader of its own.
+// sampleNode records the status of the view in a node's agent. Each process of a node counts as a separate reader.
 func (run *fleetRun) sampleNode(ctx context.Context, i int) error {
 	process := run.processes[roleNode][i]
 	starts := process.starts()
@@ -82,13 +83,13 @@
 		text = "superseded"
 	}
 	run.recordChange(process.Name, text)
-	if process.starts() == starts { // otherwise the answer may be that of the process before
+	if process.starts() == starts { // otherwise the answer may come from the previous process
 		run.views.recordVersion(fmt.Sprintf("node-%d, start %d", i, starts), status.Version)
 	}
 	return nil
 }
 
-// sampleReplica records the view as a replica gives it: its own where it leads, otherwise the leader's.
+// sampleReplica records the view that a replica returns: its own where it is the leader, otherwise the leader's.
 func (run *fleetRun) sampleReplica(ctx context.Context, m int) error {
 	var text json.RawMessage
 	addr := run.registryAddr[m]
--- a/internal/lab/lease_check.go
+++ b/internal/lab/lease_check.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// LeaseFigures are the measurements of a lease scenario. Takeover is, by fault kind, the milliseconds from the
-// fault until the next holder's grant (for leader: until the duty's next accepted write).
+// LeaseFigures holds the measurements of a lease scenario.
 type LeaseFigures struct {
-	Faults         int                     `json:"schedules"`
-	Grants         int                     `json:"grants"`
-	AcceptedWrites int                     `json:"accepted_writes"`
-	RejectedWrites int                     `json:"refused_writes"` // stale writes that the fence turned away
-	LeasesLost     int                     `json:"leases_lost"`    // holders that saw Lost before any refusal
-	Takeover       map[string]Distribution `json:"takeover_ms"`
-	// Points are the takeover times in the order the faults were played, for the plot.
+	Faults         int `json:"schedules"`
+	Grants         int `json:"grants"`
+	AcceptedWrites int `json:"accepted_writes"`
+	RejectedWrites int `json:"refused_writes"` // writes that the registry rejected because their fencing token was stale
+	LeasesLost     int `json:"leases_lost"`    // holders that noticed the loss before a write was rejected
+	// Takeover is the time in milliseconds, by fault kind, from the fault until the next holder is granted the lease. For
+	// a killed leader it is the time until the next accepted write.
+	Takeover map[string]Distribution `json:"takeover_ms"`
+	// Points holds the takeover times in the order of the faults, for the plot.
 	Points []TakeoverPoint `json:"points"`
 }
 
-// TakeoverPoint is one fault's takeover time; Ms is -1 where none came.
+// TakeoverPoint is the takeover time after one fault.
 type TakeoverPoint struct {
 	Kind string  `json:"kind"`
-	Ms   float64 `json:"ms"`
+	Ms   float64 `json:"ms"` // -1: there was no takeover
 }
 
 const (
-	// maxHandover is the longest handover on SIGTERM at the 99th percentile.
+	// maxHandover bounds the 99th percentile of the times that a handover on SIGTERM takes.
 	maxHandover = 100 * time.Millisecond
 	// takeoverGrace is how long after a failed holder's TTL its successor may be granted the lease.
 	takeoverGrace = time.Second
 )
 
-// checkLeases checks the candidates' logs against the faults played: fencing tokens keep writes in order, a failed
-// holder's lease is taken over in time, and SIGTERM hands it over within maxHandover.
+// checkLeases checks the candidates' logs against the injected faults: fencing tokens keep the writes in order, a
+// successor takes over a failed holder's lease in time, and a holder hands it over within maxHandover on SIGTERM.
 func checkLeases(events []LeaseEvent, faults []leaseFault, ttl time.Duration) ([]Check, LeaseFigures) {
 	figures := LeaseFigures{Faults: len(faults), Takeover: map[string]Distribution{}}
 	var accepted, grants []LeaseEvent
@@ -59,7 +60,7 @@
 	return []Check{fencing, takeovers, figures.checkHandover()}, figures
 }
 
-// checkFencing checks that the tokens of accepted writes, in the order of the registry's revisions, never fall, and
+// checkFencing checks that the tokens of accepted writes never decrease in the order of the registry's revisions, and
 // that no token has two holders.
 func checkFencing(grants, accepted []LeaseEvent) Check {
 	check := Check{Name: "accepted duty writes: tokens never go down, one holder a token"}
@@ -81,8 +82,8 @@
 	return check.done()
 }
 
-// checkTakeovers checks that each fault is followed by a takeover within the TTL and takeoverGrace, and sums up how
-// long the takeovers took.
+// checkTakeovers checks that a takeover follows each fault within the TTL and takeoverGrace, and records how long the
+// takeovers took.
 func (figures *LeaseFigures) checkTakeovers(faults []leaseFault, grants, accepted []LeaseEvent,
 	ttl time.Duration) Check {
 	check := Check{Name: "a failed holder's duty is taken over within TTL + 1 s"}
@@ -92,10 +93,10 @@
 		figures.Points = append(figures.Points, TakeoverPoint{Kind: fault.Kind, Ms: ms})
 		bound := ttl + takeoverGrace
 		if fault.Kind == leaseFaultBoth {
-			bound += ttl // the next leader's own
+			bound += ttl // the next leader grants the lease only after a full TTL of its own
 		}
 		if ms < 0 || time.Duration(ms*1e6) > bound {
-			check.add(fmt.Sprintf("%s of %s: takeover %.0f ms", fault.Kind, fault.Target, ms))
+			check.add(fmt.Sprintf("%s of %s: takeover after %.0f ms (-1: none)", fault.Kind, fault.Target, ms))
 		}
 		if ms >= 0 {
 			samples[fault.Kind] = append(samples[fault.Kind], ms)
@@ -107,18 +108,18 @@
 	return check.done()
 }
 
-// checkHandover checks the time that a handover on SIGTERM takes.
+// checkHandover checks how long the handovers on SIGTERM took.
 func (figures *LeaseFigures) checkHandover() Check {
 	check := Check{Name: fmt.Sprintf("SIGTERM hands the duty over within %s at p99", maxHandover)}
 	handover, ok := figures.Takeover[leaseFaultTerminate]
 	if ok && handover.P99 > float64(maxHandover.Milliseconds()) {
-		check.add(fmt.Sprintf("p99 %.1f ms over %d handovers", handover.P99, handover.N))
+		check.add(fmt.Sprintf("p99 of %d handovers: %.1f ms", handover.N, handover.P99))
 	}
 	return check.done()
 }
 
-// takeover is how many milliseconds after a fault another holder was granted the lease or, for a killed leader, a write
-// was accepted; -1 where that never was.
+// takeover returns how many milliseconds after a fault another holder was granted the lease or, for a killed leader, a
+// write was accepted. It returns -1 if that did not happen.
 func takeover(fault leaseFault, grants, accepted []LeaseEvent) float64 {
 	first := int64(-1)
 	if fault.Kind == leaseFaultLeader {
--- a/internal/lab/lease_events.go
+++ b/internal/lab/lease_events.go
@@ -13,10 +13,10 @@
 // The events of a candidate's log.
 const (
 	leaseGranted       = "granted"
-	leaseWriteAccepted = "accepted" // a fenced write, at LeaseEvent.Revision
-	leaseWriteRejected = "refused"  // a write whose fencing token was too low
+	leaseWriteAccepted = "accepted" // the registry accepted a fenced write, at LeaseEvent.Revision
+	leaseWriteRejected = "refused"  // the registry rejected a write whose fencing token was too low
 	leaseLost          = "lost"     // the candidate found out that it no longer holds the lease
-	leaseReleased      = "released" // on SIGTERM
+	leaseReleased      = "released" // the candidate released the lease on SIGTERM
 )
 
 // LeaseEvent is one line of a candidate's log.
@@ -28,7 +28,7 @@
 	At       int64  `json:"at"` // Unix time in nanoseconds
 }
 
-// eventLog writes a candidate's log.
+// eventLog writes a candidate's log. Its methods may be called by several goroutines.
 type eventLog struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
@@ -42,8 +42,8 @@
 		At: time.Now().UnixNano()})
 }
 
-// readEvents reads a candidate's log. The last line may be incomplete, where the candidate was killed while it wrote,
-// and is skipped; a bad line before the last is an error that names it.
+// readEvents reads a candidate's log. It skips an incomplete last line, which a candidate leaves if it is killed during
+// a write. An invalid line before the last is an error that names the line.
 func readEvents(path string) ([]LeaseEvent, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/lab/lease_faults.go
+++ b/internal/lab/lease_faults.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// leaseFault is one fault of a lease run.
+// leaseFault is one injected fault of a lease run.
 type leaseFault struct {
 	Kind   string `json:"kind"`
 	At     int64  `json:"at"`     // Unix time in nanoseconds
-	Holder string `json:"holder"` // of the lease when the fault was applied
+	Holder string `json:"holder"` // of the lease when the fault was injected
 	Target string `json:"target"`
 }
 
-// injectFaults plays the scenario's faults one after another. The effect of each is awaited (a successor holds the lease,
-// or the registry has a leader again) and the fault undone before the next.
+// injectFaults injects the scenario's faults one after another. Before the next fault it waits for the effect of the
+// last one (a successor holds the lease, or the registry has a leader again) and undoes it.
 func (run *leaseRun) injectFaults(ctx context.Context) ([]leaseFault, error) {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, leaseFaultStream))
 	run.start = time.Now()
@@ -35,7 +35,7 @@
 	return faults, nil
 }
 
-// injectFault draws one fault, applies it to the holder or the registry's leader, awaits its effect and undoes it.
+// injectFault draws one fault, injects it into the holder or the registry's leader, waits for its effect and undoes it.
 func (run *leaseRun) injectFault(ctx context.Context, rng *rand.Rand) (leaseFault, error) {
 	ttl := run.scenario.Lease.TTL.Duration
 	holder, err := run.waitHolder(ctx, "", eventTimeout)
@@ -44,10 +44,10 @@
 	}
 	index := candidateIndex(holder)
 	if index < 0 || index >= len(run.processes[roleCandidate]) {
-		return leaseFault{}, fmt.Errorf("holder %q is none of the candidates", holder)
+		return leaseFault{}, fmt.Errorf("the lease's holder %q is none of the run's candidates", holder)
 	}
 	process := run.processes[roleCandidate][index]
-	// Somewhere in the holder's work, not always just after its grant.
+	// The fault comes at a drawn time within the holder's work, instead of always just after the grant.
 	sleepUntil(ctx, time.Now().Add(time.Duration(rng.Int64N(int64(ttl/2)))))
 	kinds := run.scenario.Lease.Kinds
 	fault := leaseFault{Kind: kinds[rng.IntN(len(kinds))], Holder: holder, Target: process.Name,
@@ -58,7 +58,8 @@
 	case leaseFaultTerminate:
 		err = run.endHolder(ctx, process, holder, syscall.SIGTERM)
 	case leaseFaultPause:
-		// Past the TTL, so that a successor holds the lease before the paused holder writes with its old token.
+		// The pause is longer than the TTL, so that a successor holds the lease before the paused holder writes with its
+		// old token.
 		duration := time.Duration(float64(ttl) * (1.5 + rng.Float64()))
 		err = run.pauseHolder(ctx, process, fault, duration)
 	case leaseFaultBoth:
@@ -71,8 +72,8 @@
 	return fault, err
 }
 
-// endHolder ends the holder by a signal, awaits its successor and starts it again. A successor that does not come is
-// found by the checks; the wait is far longer than their bound.
+// endHolder ends the holder's process with a signal, waits for a successor and restarts the process. It ignores a
+// missing successor: the checks report it, as their bound is far shorter than this wait.
 func (run *leaseRun) endHolder(ctx context.Context, process *Process, holder string, signal syscall.Signal) error {
 	exited := process.Exited()
 	if err := process.Signal(signal); err != nil {
@@ -83,7 +84,7 @@
 	return process.Start(run.spawner)
 }
 
-// pauseHolder pauses the holder for a while from the fault's time, and until there is a successor.
+// pauseHolder pauses the holder until there is a successor, and at least for duration from the fault's time.
 func (run *leaseRun) pauseHolder(ctx context.Context, process *Process, fault leaseFault,
 	duration time.Duration) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
@@ -94,8 +95,8 @@
 	return process.Signal(syscall.SIGCONT)
 }
 
-// pauseHolderAndKillLeader pauses the holder and kills the leader that would have expired its lease. The next leader
-// waits a full TTL of its own before a successor may hold it; only then does the old holder continue.
+// pauseHolderAndKillLeader pauses the holder and kills the leader that would have expired the lease. The next leader
+// waits for a full TTL before it grants the lease to a successor. The old holder continues only after that grant.
 func (run *leaseRun) pauseHolderAndKillLeader(ctx context.Context, process *Process, holder string) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -105,8 +106,8 @@
 	return errors.Join(err, process.Signal(syscall.SIGCONT))
 }
 
-// partitionHolder cuts the holder off from all replicas for a while from the fault's time, and until there is a
-// successor.
+// partitionHolder cuts the holder off from all replicas until there is a successor, and at least for duration from the
+// fault's time.
 func (run *leaseRun) partitionHolder(ctx context.Context, process *Process, fault leaseFault, duration time.Duration) {
 	links := run.matchLinks([]string{process.Name + ":registry-*"})
 	for _, proxy := range links {
@@ -119,12 +120,12 @@
 	}
 }
 
-// killLeader kills the registry's leader, waits for the next, starts the old one again on its data and returns its
-// name; otherwise where no replica leads.
-func (run *leaseRun) killLeader(ctx context.Context, otherwise string) (target string, err error) {
+// killLeader kills the registry's leader, waits for the next leader, restarts the killed replica on its data and
+// returns its name. Where no replica leads it returns fallback and an error.
+func (run *leaseRun) killLeader(ctx context.Context, fallback string) (target string, err error) {
 	leader := run.leaderIndex(ctx)
 	if leader < 0 {
-		return otherwise, errNoLeaderToKill
+		return fallback, errNoLeaderToKill
 	}
 	return run.processes[roleRegistry][leader].Name, run.restartAfterElection(ctx, leader)
 }
--- a/internal/lab/lease_run.go
+++ b/internal/lab/lease_run.go
@@ -12,19 +12,20 @@
 const (
 	// leaseName is the lease that the candidates compete for.
 	leaseName = "duty"
-	// leaseFaultStream sets the draws of a lease run's faults apart from others of the same seed.
+	// leaseFaultStream is the random stream of a lease run's faults. It keeps their draws independent of others of the
+	// same seed.
 	leaseFaultStream = 0xd07
-	// holderPollInterval is how often the registry is polled for the lease's holder.
+	// holderPollInterval is the time between two polls of the registry for the lease's holder.
 	holderPollInterval = 5 * time.Millisecond
 )
 
-// leaseRun is the experiment of candidates for a lease.
+// leaseRun is the experiment in which candidates compete for a lease while faults are injected.
 type leaseRun struct {
 	*cluster
 	scenario Scenario
 }
 
-// run starts the replicas and the candidates, plays the faults, ends the candidates and checks their logs.
+// run starts the replicas and the candidates, injects the faults, ends the candidates and checks their logs.
 func (run *leaseRun) run(ctx context.Context) (Report, error) {
 	if err := run.startRegistries(ctx, run.scenario.Registries); err != nil {
 		return Report{}, err
@@ -36,7 +37,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	// The last fault's takeover has to be in the logs.
+	// This wait is long enough for the last fault's takeover to be in the logs.
 	sleepUntil(ctx, time.Now().Add(run.scenario.Lease.TTL.Duration+takeoverGrace))
 	events, err := run.stopCandidates()
 	if err != nil {
@@ -51,7 +52,7 @@
 	return report, report.Write(run.opts.Out)
 }
 
-// startCandidates starts each candidate with a proxy of its own to every replica (candidate-N:registry-M).
+// startCandidates starts the candidates, each with its own proxy to every replica (candidate-N:registry-M).
 func (run *leaseRun) startCandidates() error {
 	config := run.scenario.Lease
 	for i := range config.Candidates {
@@ -81,17 +82,17 @@
 	var events []LeaseEvent
 	for i, process := range run.processes[roleCandidate] {
 		process.Stop(stopGrace)
-		ofCandidate, err := readEvents(run.path("candidate-%d.events", i))
+		candidateEvents, err := readEvents(run.path("candidate-%d.events", i))
 		if err != nil {
 			return nil, err
 		}
-		events = append(events, ofCandidate...)
+		events = append(events, candidateEvents...)
 	}
 	return events, nil
 }
 
-// waitHolder waits until the lease is held by someone other than except, and returns that holder; "" and an error
-// after timeout.
+// waitHolder waits until a holder other than except has the lease, and returns that holder. After timeout it returns an
+// error.
 func (run *leaseRun) waitHolder(ctx context.Context, except string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -103,13 +104,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("no holder other than %q within %s", except, timeout)
+			return "", fmt.Errorf("the lease has no holder other than %q within %s", except, timeout)
 		case <-time.After(holderPollInterval):
 		}
 	}
 }
 
-// holderAt is the lease's holder as a replica has it; false where it has none or does not answer.
+// holderAt returns the lease's holder according to one replica. It returns false if the lease has no holder there or
+// the replica does not answer.
 func (run *leaseRun) holderAt(ctx context.Context, addr string) (holder string, ok bool) {
 	var list struct {
 		Leases []struct {
@@ -128,6 +130,7 @@
 	return "", false
 }
 
+// sleepUntil waits until t or until ctx ends.
 func sleepUntil(ctx context.Context, t time.Time) {
 	select {
 	case <-ctx.Done():
@@ -135,7 +138,7 @@
 	}
 }
 
-// candidateIndex reads N from a holder's id, candidate-N.PID; -1 where it is not one.
+// candidateIndex returns N of a holder's id candidate-N.PID, or -1 if the id has another form.
 func candidateIndex(holder string) int {
 	var index, pid int
 	if _, err := fmt.Sscanf(holder, "candidate-%d.%d", &index, &pid); err != nil {
--- a/internal/lab/lease_scenario.go
+++ b/internal/lab/lease_scenario.go
@@ -8,13 +8,14 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// LeaseScenario is one of candidates for a lease: each holds it when it can, and writes under its fencing token.
+// LeaseScenario describes a run of candidates that compete for a lease. A candidate holds the lease whenever it can,
+// and writes to the registry under its fencing token.
 type LeaseScenario struct {
 	Candidates int      `toml:"candidates"`
 	TTL        Duration `toml:"ttl"`
-	// WorkTime is a candidate's time between its check of the lease and its fenced write.
+	// WorkTime is the time between a candidate's check of the lease and its fenced write.
 	WorkTime Duration `toml:"work"`
-	// FaultCount faults are played one after another, each of a kind drawn from Kinds.
+	// FaultCount is the number of faults, which are injected one after another. The kind of each is drawn from Kinds.
 	FaultCount int      `toml:"schedules"`
 	Kinds      []string `toml:"kinds"`
 }
@@ -22,7 +23,7 @@
 // The kinds of faults of a lease scenario.
 const (
 	leaseFaultKill      = "kill"   // the holder is killed
-	leaseFaultTerminate = "term"   // the holder gets SIGTERM and releases the lease
+	leaseFaultTerminate = "term"   // the holder gets SIGTERM, on which it releases the lease
 	leaseFaultPause     = "pause"  // the holder is paused for longer than the TTL
 	leaseFaultPartition = "cut"    // the holder is cut off from all replicas
 	leaseFaultLeader    = "leader" // the registry's leader is killed
@@ -32,25 +33,28 @@
 var leaseFaultKinds = []string{leaseFaultKill, leaseFaultPause, leaseFaultPartition, leaseFaultTerminate,
 	leaseFaultLeader, leaseFaultBoth}
 
+// check returns the first invalid value of the lease scenario, as an error that names its key.
 func (leaseScenario LeaseScenario) check(registries int) error {
 	switch {
 	case registries < 1:
-		return tomlfile.Bad("registries", "a duty needs at least 1 registry replica")
+		return tomlfile.Bad("registries", "%d is below the minimum of 1 replica that [duty] needs", registries)
 	case leaseScenario.Candidates < 2 || leaseScenario.Candidates > 32:
 		return tomlfile.Bad("duty.candidates", "%d is outside 2 to 32", leaseScenario.Candidates)
 	case leaseScenario.TTL.Duration < 200*time.Millisecond:
-		return tomlfile.Bad("duty.ttl", "%s is shorter than two of the lab's election timeouts (200ms)", leaseScenario.TTL)
+		return tomlfile.Bad("duty.ttl", "%s is below the minimum of 200ms, which is two of the lab's election timeouts",
+			leaseScenario.TTL)
 	case leaseScenario.WorkTime.Duration < 0 || leaseScenario.WorkTime.Duration >= leaseScenario.TTL.Duration:
-		return tomlfile.Bad("duty.work", "%s is outside 0 to the TTL", leaseScenario.WorkTime)
+		return tomlfile.Bad("duty.work", "%s must be at least 0 and below duty.ttl (%s)", leaseScenario.WorkTime,
+			leaseScenario.TTL)
 	case leaseScenario.FaultCount < 1 || leaseScenario.FaultCount > 100000:
 		return tomlfile.Bad("duty.schedules", "%d is outside 1 to 100000", leaseScenario.FaultCount)
 	case len(leaseScenario.Kinds) == 0:
-		return tomlfile.Bad("duty.kinds", "none named")
+		return tomlfile.Bad("duty.kinds", "no kind is named; allowed are %s", strings.Join(leaseFaultKinds, ", "))
 	}
 	return checkKinds("duty.kinds", leaseScenario.Kinds, leaseFaultKinds)
 }
 
-// checkKinds returns an error that names a key of a scenario where one of its kinds is not among those allowed.
+// checkKinds returns an error that names the key if one of the kinds is not among the allowed kinds.
 func checkKinds(key string, kinds, allowed []string) error {
 	for _, kind := range kinds {
 		if !slices.Contains(allowed, kind) {
--- a/internal/lab/maintenance_faults.go
+++ b/internal/lab/maintenance_faults.go
@@ -9,7 +9,8 @@
 	"hitchvale/internal/timeline"
 )
 
-// injectDrawnFaults plays a fault every FaultInterval until ctx ends, each undone before the next.
+// injectDrawnFaults draws and injects faults until ctx ends. It undoes each fault, and waits for FaultInterval before
+// the next.
 func (run *maintenanceRun) injectDrawnFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, maintenanceFaultStream))
 	kinds := run.scenario.Maintenance.Kinds
@@ -22,7 +23,7 @@
 	}
 }
 
-// injectDrawnFault plays one fault and undoes it, also where ctx ends meanwhile.
+// injectDrawnFault injects one fault and undoes it, even if ctx ends in the meantime.
 func (run *maintenanceRun) injectDrawnFault(ctx context.Context, rng *rand.Rand, kind string) {
 	interval := run.scenario.Fleet.Interval.Duration
 	duration := time.Duration(float64(interval) * (0.5 + 7*rng.Float64()))
@@ -39,7 +40,7 @@
 	}
 }
 
-// killLeader kills the registry's leader, if it has one, and starts it again on its data once another leads.
+// killLeader kills the registry's leader, if there is one, and restarts the replica on its data once another leads.
 func (run *maintenanceRun) killLeader(ctx context.Context) {
 	leader := run.leaderIndex(ctx)
 	if leader < 0 {
@@ -49,7 +50,7 @@
 	run.restartAfterElection(context.WithoutCancel(ctx), leader)
 }
 
-// killReplicas kills all replicas, starts them again after a while and waits for a leader.
+// killReplicas kills all replicas, restarts them after duration and waits for a leader.
 func (run *maintenanceRun) killReplicas(ctx context.Context, duration time.Duration) {
 	run.noteFault(faultKill, "registry-*")
 	for _, replica := range run.processes[roleRegistry] {
@@ -63,7 +64,7 @@
 	run.waitLeader(context.WithoutCancel(ctx))
 }
 
-// killNode kills a node, starts it again after a while and waits until it is ready.
+// killNode kills a node, restarts it after duration and waits until it is ready.
 func (run *maintenanceRun) killNode(ctx context.Context, node int, duration time.Duration) {
 	process := run.processes[roleNode][node]
 	run.noteFault(faultKill, process.Name)
@@ -76,7 +77,7 @@
 	run.closeWindowLater(ctx, node)
 }
 
-// pauseNode pauses a node for a while.
+// pauseNode pauses a node for duration.
 func (run *maintenanceRun) pauseNode(ctx context.Context, node int, duration time.Duration) {
 	process := run.processes[roleNode][node]
 	run.noteFault(faultPause, process.Name)
@@ -88,15 +89,16 @@
 	run.closeWindowLater(ctx, node)
 }
 
-// startAgain starts a process that was killed.
+// startAgain starts a process that was killed. If the start fails, the run continues without the process.
 func (run *maintenanceRun) startAgain(process *Process) {
 	if err := process.Start(run.spawner); err != nil {
-		run.log.Error("restart failed", "component", "lab", "child", process.Name, "error", err)
+		run.log.Error("process could not be restarted; the run continues without it", "component", "lab",
+			"child", process.Name, "error", err)
 	}
 }
 
-// closeWindowLater closes a node's fault window after notificationGrace: its responses are late, and it has yet to be
-// notified of what changed meanwhile.
+// closeWindowLater closes a node's fault window after notificationGrace. Until then the node's responses are late, and
+// it may not have been notified of what changed during the fault.
 func (run *maintenanceRun) closeWindowLater(ctx context.Context, node int) {
 	run.undoAfter(context.WithoutCancel(ctx), notificationGrace, func() { run.closeFaultWindow(roleNode, node) })
 }
--- a/internal/lab/maintenance_run.go
+++ b/internal/lab/maintenance_run.go
@@ -8,29 +8,32 @@
 )
 
 const (
-	// maintenanceFaultStream sets the draws of a maintenance run's faults apart from others of the same seed.
+	// maintenanceFaultStream is the random stream of a maintenance run's faults. It keeps their draws independent of
+	// others of the same seed.
 	maintenanceFaultStream = 0x307a
-	// notificationGrace is how long after a node's fault it may still lack what it was not notified of meanwhile.
+	// notificationGrace is how long after its fault a node may still lack the changes that it missed during the fault.
 	notificationGrace = time.Second
 )
 
-// maintenanceRun is the experiment of an operator who takes all backends out for maintenance under load.
+// maintenanceRun is the experiment in which an operator takes all backends out for maintenance under load.
 type maintenanceRun struct {
 	*loadRun
-	members []Member // the backends as listed, by number
+	members []Member // the backends as they are registered, by number
 
 	outPeriods  []outPeriod
 	budgetCheck Check
 }
 
-// outPeriod is a machine's time between its quiet, as the operator read it, and the call that lists it again.
+// outPeriod is a period in which a machine is out. It begins when the operator has read that the machine is quiet, and
+// ends before the call that registers the machine again.
 type outPeriod struct {
 	machine string
 	start   time.Time
 	end     time.Time
 }
 
-// run starts the processes, and plays the load and the faults until the operator is through.
+// run starts the processes, sends the load and injects the faults until the operator has finished, and writes the
+// report.
 func (run *maintenanceRun) run(ctx context.Context) (Report, error) {
 	if err := run.setUp(ctx); err != nil {
 		return Report{}, err
@@ -48,7 +51,7 @@
 	background.Go(func() { driver.Run(ctx, run.scenario.Duration.Duration) })
 	faultsCtx, stopFaults := context.WithCancel(ctx)
 	background.Go(func() { run.injectDrawnFaults(faultsCtx) })
-	operatorErr := run.operate(ctx)
+	operatorErr := run.runOperator(ctx)
 	stopFaults()
 	close(stopLoad)
 	background.Wait()
@@ -78,8 +81,8 @@
 	return report, report.Write(run.opts.Out)
 }
 
-// noAttemptWhileOut checks that no machine executed a request while it was out. What a node sent that was paused, and
-// could not be notified, is excused.
+// noAttemptWhileOut checks that no machine executed a request while it was out. A request is excused if its node had a
+// fault in that time or up to notificationGrace before, and so could not be notified.
 func (run *maintenanceRun) noAttemptWhileOut(history History) Check {
 	check := Check{Name: "nothing reaches a machine between quiet and returning"}
 	nodes := history.nodes()
@@ -94,8 +97,8 @@
 				check.Excused++
 				continue
 			}
-			check.add(fmt.Sprintf("%s at %s, %s after it was quiet", execution.Trace, execution.Backend,
-				time.Duration(execution.At-start)))
+			check.add(fmt.Sprintf("%s at %s: executed %s after the machine was quiet", execution.Trace,
+				execution.Backend, time.Duration(execution.At-start)))
 		}
 	}
 	return check.done()
--- a/internal/lab/maintenance_scenario.go
+++ b/internal/lab/maintenance_scenario.go
@@ -6,13 +6,12 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// MaintenanceScenario is a fleet's scenario in which an operator requests maintenance of all backends, at most Budget
-// of them out at once. It stops and starts each quiet one and has it listed again. Meanwhile faults are drawn from
-// Kinds, one every FaultInterval.
+// MaintenanceScenario describes a run in which an operator requests maintenance of all backends. The operator stops
+// each quiet backend, starts it again and registers it again. In the meantime the lab injects drawn faults.
 type MaintenanceScenario struct {
-	Budget        int      `toml:"budget"`
-	Kinds         []string `toml:"kinds"`
-	FaultInterval Duration `toml:"every"`
+	Budget        int      `toml:"budget"` // the most backends that may be out at the same time
+	Kinds         []string `toml:"kinds"`  // kinds of faults to draw from; empty: no faults
+	FaultInterval Duration `toml:"every"`  // time from the end of one fault to the next
 }
 
 // The kinds of faults of a maintenance scenario.
@@ -26,14 +25,16 @@
 var maintenanceFaultKinds = []string{maintenanceFaultPause, maintenanceFaultKill, maintenanceFaultLeader,
 	maintenanceFaultOutage}
 
+// check returns the first invalid value of the maintenance scenario, as an error that names its key.
 func (maintenanceScenario MaintenanceScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Fleet == nil:
-		return tomlfile.Bad("work", "machines are taken out by a [fleet]")
+		return tomlfile.Bad("work", "[work] needs a [fleet], which takes the machines out")
 	case maintenanceScenario.Budget < 1 || maintenanceScenario.Budget >= scenario.Backends:
-		return tomlfile.Bad("work.budget", "%d is outside 1 to one below the backends", maintenanceScenario.Budget)
+		return tomlfile.Bad("work.budget", "%d must be at least 1 and below the number of backends (%d)",
+			maintenanceScenario.Budget, scenario.Backends)
 	case len(maintenanceScenario.Kinds) > 0 && maintenanceScenario.FaultInterval.Duration < 100*time.Millisecond:
-		return tomlfile.Bad("work.every", "%s is below 100ms", maintenanceScenario.FaultInterval)
+		return tomlfile.Bad("work.every", "%s is below the minimum of 100ms", maintenanceScenario.FaultInterval)
 	}
 	return checkKinds("work.kinds", maintenanceScenario.Kinds, maintenanceFaultKinds)
 }
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -11,7 +11,7 @@
 	"hitchvale/internal/maintenance"
 )
 
-// maintenanceRequest is the operator's request for maintenance, in the registry's form.
+// maintenanceRequest is the operator's request for maintenance, in the form that the registry accepts.
 type maintenanceRequest struct {
 	ID       string            `json:"id"`
 	Reason   string            `json:"reason"`
@@ -20,9 +20,9 @@
 	Select   map[string]string `json:"select"`
 }
 
-// operate plays the operator: it requests maintenance of all backends and serves the turn of each quiet one, until the
-// plan has no turns.
-func (run *maintenanceRun) operate(ctx context.Context) error {
+// runOperator does what an operator would do: it requests maintenance of all backends, and serves the turn of each
+// quiet backend until the plan has no turns.
+func (run *maintenanceRun) runOperator(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*eventTimeout)
 	defer cancel()
 	request := maintenanceRequest{ID: "work", Reason: "the lab's", LengthMs: 1000,
@@ -51,7 +51,8 @@
 	}
 }
 
-// recordPlan records each machine's state in the timeline, and checks how many are out.
+// recordPlan records each machine's state in the timeline, and checks that no more machines are out than the budget
+// allows.
 func (run *maintenanceRun) recordPlan(plan maintenance.PlanView) {
 	out := 0
 	states := map[string]string{}
@@ -69,38 +70,39 @@
 		run.recordChange(member.ID, state)
 	}
 	if budget := run.scenario.Maintenance.Budget; out > budget {
-		run.budgetCheck.add(fmt.Sprintf("%d of %d at %s: %v", out, budget,
+		run.budgetCheck.add(fmt.Sprintf("%d machines out with a budget of %d at %s: %v", out, budget,
 			time.Since(run.start).Round(time.Millisecond), states))
 	}
 }
 
-// serveTurn does the operator's part of a quiet machine's turn: the machine is taken out, restarted, listed again and
-// its turn ended.
+// serveTurn does the operator's part of a quiet machine's turn. It takes the machine out, restarts and registers it,
+// and ends the turn.
 func (run *maintenanceRun) serveTurn(ctx context.Context, turn maintenance.Turn) error {
 	start := time.Now()
 	turn, err := run.advanceTurn(ctx, turn, maintenance.Out)
 	if err != nil {
-		return fmt.Errorf("%s out: %w", turn.Machine, err)
+		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Out, err)
 	}
 	if err := run.restartMachine(ctx, turn.Machine, start); err != nil {
 		return err
 	}
 	turn, err = run.advanceTurn(ctx, turn, maintenance.Returning)
 	if err != nil {
-		return fmt.Errorf("%s %s: %w", turn.Machine, maintenance.Returning, err)
+		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Returning, err)
 	}
 	_, err = run.advanceTurn(ctx, turn, maintenance.Done)
 	var rejected *statusError
 	if errors.As(err, &rejected) && rejected.status == http.StatusNotFound {
-		return nil // the turn is over, and the answer that said so was lost
+		return nil // an earlier call ended the turn, and its response was lost
 	}
 	if err != nil {
-		return fmt.Errorf("%s %s: %w", turn.Machine, maintenance.Done, err)
+		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Done, err)
 	}
 	return nil
 }
 
-// advanceTurn has the registry advance a turn, and returns the turn as it then is; unchanged with an error.
+// advanceTurn makes the registry advance a turn to the target state, and returns the advanced turn. With an error it
+// returns the turn unchanged.
 func (run *maintenanceRun) advanceTurn(ctx context.Context, turn maintenance.Turn,
 	target maintenance.TurnState) (maintenance.Turn, error) {
 	var answer struct{ Turn maintenance.Turn }
@@ -112,8 +114,8 @@
 	return answer.Turn, nil
 }
 
-// restartMachine restarts a backend that has been out since start, and lists it as a new process. It is listed as
-// draining: nothing is to be sent to it before its turn is over.
+// restartMachine restarts a backend that has been out since start, and registers it as a new process. It registers the
+// backend as draining, because no request may be sent there before the turn is over.
 func (run *maintenanceRun) restartMachine(ctx context.Context, machine string, start time.Time) error {
 	i := slices.IndexFunc(run.members, func(m Member) bool { return m.ID == machine })
 	process := run.processes[roleBackend][i]
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -25,12 +25,12 @@
 var shapes = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.CrossGlyph{}, draw.SquareGlyph{}, draw.TriangleGlyph{},
 	draw.PlusGlyph{}}
 
-// loadPlot is one plot over the seconds of a run.
+// loadPlot describes one plot over the seconds of a run.
 type loadPlot struct {
 	file  string
 	title string
 	unit  string
-	lines map[string]func(Second) float64 // by legend
+	lines map[string]func(Second) float64 // value of each line in a second, by the line's name in the legend
 }
 
 var loadPlots = []loadPlot{
@@ -46,7 +46,7 @@
 		"unanswered": func(s Second) float64 { return float64(s.Unanswered) }}},
 }
 
-// plot draws one plot, with a dashed line for each fault.
+// plot draws one plot into a file, with a dashed vertical line for each fault.
 func (r Report) plot(path string, content loadPlot) error {
 	p := plot.New()
 	p.Title.Text = r.Scenario + ": " + content.title
@@ -76,7 +76,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// plotFault draws a fault as a dashed line up to top, with its kind.
+// plotFault draws a fault as a dashed vertical line up to top, labelled with its kind.
 func plotFault(p *plot.Plot, fault InjectedFault, top float64) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: fault.At, Y: 0}, {X: fault.At, Y: top}})
 	if err != nil {
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// plot draws each fault's takeover time in the order of the faults, one colour a kind.
+// plot draws the takeover time of each fault in the order of the faults, with one colour and shape for each kind.
 func (figures LeaseFigures) plot(path, scenario string) error {
 	p := plot.New()
-	p.Title.Text = scenario + ": time until the duty is held again"
+	p.Title.Text = scenario + ": time until the lease is held again"
 	p.X.Label.Text = "fault"
 	p.Y.Label.Text = "ms"
 	byKind := map[string]plotter.XYs{}
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// registryTiming is the raft timing of the lab's replicas: short, so that a leader is replaced within a second on
-// loopback.
+// registryTiming is the raft timing of the lab's replicas. Its times are short, so that the replicas replace a failed
+// leader within a second on loopback.
 const registryTiming = `
 [raft_timing]
 heartbeat = "100ms"
@@ -20,17 +20,17 @@
 trailing_logs = 1024
 `
 
-// registryReplica holds a replica's addresses. Raft dials from a host of the replica's own, by which the router before
-// its peer knows the link.
+// registryReplica holds a replica's addresses. Each replica's raft dials from its own host, by which the router in
+// front of a peer recognizes the link.
 type registryReplica struct {
-	httpAddr       string // of its HTTP API
-	raftAddr       string // that raft listens on
-	raftHost       string // that raft dials from
-	advertisedAddr string // of the router that its peers dial
+	httpAddr       string // address of its HTTP API
+	raftAddr       string // address that raft listens on
+	raftHost       string // host that raft dials from
+	advertisedAddr string // address of the router that its peers dial
 }
 
-// startRegistries starts n replicas, with further keys of their configuration, and waits for a leader. Raft's link from
-// replica i to replica m is the proxy "registry-i:registry-m".
+// startRegistries starts n replicas and waits until they have elected a leader. The keys are lines that are added to
+// the configuration of each replica. Raft's link from replica i to replica m is the proxy "registry-i:registry-m".
 func (cluster *cluster) startRegistries(ctx context.Context, n int, keys ...string) error {
 	replicas, err := cluster.linkReplicas(n)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// linkReplicas gives n replicas their addresses, and places a proxy on each link between two of them.
+// linkReplicas allocates the addresses of n replicas, and places a proxy on each link between two of them.
 func (cluster *cluster) linkReplicas(n int) ([]registryReplica, error) {
 	replicas := make([]registryReplica, n)
 	for m := range replicas {
@@ -54,7 +54,7 @@
 		replica.raftHost, replica.raftAddr = cluster.addresses.allocate()
 		router, err := NewCallerRouter(replica.raftAddr)
 		if err != nil {
-			return nil, fmt.Errorf("proxies to registry-%d: %w", m, err)
+			return nil, fmt.Errorf("router in front of registry-%d: %w", m, err)
 		}
 		replica.advertisedAddr = router.Addr()
 		cluster.callerRouters = append(cluster.callerRouters, router)
@@ -88,7 +88,7 @@
 	return awaitStart(ctx, process, replicas[i].httpAddr, registryStatusPath)
 }
 
-// registryConfig is a replica's configuration file.
+// registryConfig returns the content of a replica's configuration file.
 func (cluster *cluster) registryConfig(i int, replicas []registryReplica, keys []string) []byte {
 	name := processName(roleRegistry, i)
 	var peers strings.Builder
@@ -103,7 +103,7 @@
 		replica.raftHost, strings.Join(keys, "\n"), registryTiming, peers.String())
 }
 
-// linkRegistries places a proxy of a process's own before every replica and returns the proxies' addresses.
+// linkRegistries places proxies between one process and every replica, and returns the proxies' addresses.
 func (cluster *cluster) linkRegistries(name string) ([]string, error) {
 	var addrs []string
 	for m, addr := range cluster.registryAddr {
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -11,32 +11,33 @@
 	"time"
 )
 
-// errNoLeaderToKill says that no replica leads.
-var errNoLeaderToKill = errors.New("no leader to kill")
+// errNoLeaderToKill is the error of a fault at the registry's leader when no replica leads.
+var errNoLeaderToKill = errors.New("the registry has no leader to kill")
 
 const (
-	// eventTimeout bounds the wait for an event that must come, on a busy machine too.
+	// eventTimeout bounds the wait for an event that must happen. It is long enough for a busy machine.
 	eventTimeout = 30 * time.Second
 	// electionTimeout bounds the wait for the registry to elect a leader.
 	electionTimeout = 20 * time.Second
 	// acknowledgeTimeout bounds the wait for a write to be acknowledged.
 	acknowledgeTimeout = 10 * time.Second
-	// registryCallTimeout bounds one call of a replica.
+	// registryCallTimeout bounds one call to a replica.
 	registryCallTimeout = 2 * time.Second
-	// registryRetryInterval is the time between two calls of the registry that are repeated until one succeeds.
+	// registryRetryInterval is the time between two tries of a registry call that is repeated until it succeeds.
 	registryRetryInterval = 50 * time.Millisecond
 )
 
-// statusError is an answer other than 2xx.
+// statusError is the error of a response with a status other than 2xx.
 type statusError struct {
 	status int
 	text   string
 }
 
-// Error names the call, its status and its body.
+// Error returns the call, the response's status and its body.
 func (e *statusError) Error() string { return e.text }
 
-// registryCall makes one call of a replica and decodes a 2xx answer into out; another answer is a *statusError.
+// registryCall makes one call to a replica and decodes a 2xx response into out, unless out is nil. Any other status is
+// a *statusError.
 func (cluster *cluster) registryCall(ctx context.Context, method, addr, path string, body, out any) error {
 	var reader io.Reader
 	if body != nil {
@@ -68,8 +69,8 @@
 	return json.Unmarshal(text, out)
 }
 
-// callAnyReplica calls one replica after the other until one answers, for eventTimeout at most; an answer other than
-// 503 is final.
+// callAnyReplica calls the replicas in turn until one of them responds, for at most eventTimeout. Any response except
+// 503 ends the calls.
 func (cluster *cluster) callAnyReplica(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, eventTimeout)
 	defer cancel()
@@ -83,19 +84,21 @@
 		}
 		sleepUntil(ctx, time.Now().Add(registryRetryInterval))
 	}
-	return fmt.Errorf("no replica answered: %w", last)
+	return fmt.Errorf("no replica answered %s %s: %w", method, path, last)
 }
 
-// acknowledgedWrite is a write that the registry acknowledged, to be found in its list at the end.
+// acknowledgedWrite is a write that the registry acknowledged. At the end of the run, the registry's list of members
+// must show it.
 type acknowledgedWrite struct {
 	ID       string
 	Phase    string
 	Revision int64
 }
 
-// registryWrite sends a write to one replica after the other until one acknowledges it, for acknowledgeTimeout at most.
-// It records the acknowledged write for checkAcknowledgedWrites and returns its revision.
-func (cluster *cluster) registryWrite(ctx context.Context, method, path string, body any, write acknowledgedWrite) (int64, error) {
+// registryWrite sends a write to the replicas in turn until one of them acknowledges it, for at most
+// acknowledgeTimeout. It records the write for checkAcknowledgedWrites and returns its revision.
+func (cluster *cluster) registryWrite(ctx context.Context, method, path string, body any,
+	write acknowledgedWrite) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	var last error
@@ -113,10 +116,10 @@
 		}
 		time.Sleep(registryRetryInterval)
 	}
-	return 0, fmt.Errorf("not acknowledged: %w", last)
+	return 0, fmt.Errorf("%s %s: no replica acknowledged the write: %w", method, path, last)
 }
 
-// registerBackends lists every backend in the registry, each at its proxy.
+// registerBackends registers the backends in the registry. Each member's host_port is that of the backend's proxy.
 func (cluster *cluster) registerBackends(ctx context.Context, members []Member) error {
 	for _, member := range members {
 		body := map[string]any{"member": member}
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// leads tells whether a replica says that it is the leader.
+// leads tells whether a replica reports that it is the leader.
 func (cluster *cluster) leads(ctx context.Context, addr string) bool {
 	var status struct {
 		State string `json:"state"`
@@ -137,7 +140,7 @@
 	return err == nil && status.State == "Leader"
 }
 
-// waitLeader waits until some replica says that it leads, for electionTimeout at most, and gives its number.
+// waitLeader waits until a replica reports that it is the leader, for at most electionTimeout, and returns its number.
 func (cluster *cluster) waitLeader(ctx context.Context) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, electionTimeout)
 	defer cancel()
@@ -149,10 +152,10 @@
 		}
 		time.Sleep(registryRetryInterval)
 	}
-	return -1, fmt.Errorf("the registry elected no leader in %s", electionTimeout)
+	return -1, fmt.Errorf("the registry elected no leader within %s", electionTimeout)
 }
 
-// leaderIndex is the number of the replica that leads, once there is one; -1 after electionTimeout.
+// leaderIndex waits for a leader and returns its number, or -1 if there is none within electionTimeout.
 func (cluster *cluster) leaderIndex(ctx context.Context) int {
 	leader, err := cluster.waitLeader(ctx)
 	if err != nil {
@@ -161,7 +164,7 @@
 	return leader
 }
 
-// restartAfterElection kills a replica, waits for a leader among the others, and starts it again on its data.
+// restartAfterElection kills a replica, waits for a leader among the others, and restarts the replica on its data.
 func (cluster *cluster) restartAfterElection(ctx context.Context, m int) error {
 	process := cluster.processes[roleRegistry][m]
 	process.Kill()
@@ -174,13 +177,13 @@
 	return waitReady(ctx, process, cluster.registryAddr[m], registryStatusPath)
 }
 
-// registryList is the list of members as a replica has it.
+// registryList is a replica's list of members.
 type registryList struct {
 	Revision int64    `json:"revision"`
 	Members  []Member `json:"members"`
 }
 
-// newestList reads the list of the replica with the highest revision.
+// newestList reads the lists of all replicas and returns the list with the highest revision.
 func (cluster *cluster) newestList(ctx context.Context) registryList {
 	var newest registryList
 	for _, addr := range cluster.registryAddr {
@@ -193,8 +196,8 @@
 	return newest
 }
 
-// checkAcknowledgedWrites checks that every acknowledged write is in the newest list: the member in the phase acknowledged last, at a
-// revision no lower than the write's.
+// checkAcknowledgedWrites checks that the newest list has every acknowledged write: each member is in the phase that
+// was acknowledged last, and the list's revision is not below that of the write.
 func (cluster *cluster) checkAcknowledgedWrites(ctx context.Context) Check {
 	check := Check{Name: "no acknowledged registry write is lost"}
 	if len(cluster.registryAddr) == 0 {
@@ -215,7 +218,7 @@
 	}
 	for id, write := range lastWrites {
 		if phases[id] != write.Phase || list.Revision < write.Revision {
-			check.add(fmt.Sprintf("%s: acknowledged %s at revision %d; the list at %d has %q", id, write.Phase,
+			check.add(fmt.Sprintf("%s: acknowledged %s at revision %d; the list at revision %d has %q", id, write.Phase,
 				write.Revision, list.Revision, phases[id]))
 		}
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Report is what `report.json` holds.
+// Report is the content of report.json.
 type Report struct {
 	Scenario   string          `json:"scenario"`
 	Passed     bool            `json:"passed"`
-	Counts     map[string]int  `json:"counts"` // by outcome kind, with "excused" and "unsent"
+	Counts     map[string]int  `json:"counts"` // requests by outcome kind, "excused", "excused by KIND" and "unsent"
 	Checks     []Check         `json:"checks"`
 	Faults     []InjectedFault `json:"faults"`
 	Seconds    []Second        `json:"seconds"`
 	Executions int             `json:"executions"`
-	Starts     map[string]int  `json:"starts"` // process starts by name, restarts included
-	// Propagation is the milliseconds from a registry change's acknowledgement until each node had its revision.
+	Starts     map[string]int  `json:"starts"` // number of starts by process name, restarts included
+	// Propagation is the time in milliseconds from the acknowledgement of a registry change until a node has its revision.
 	Propagation Distribution `json:"propagation_ms"`
-	// Lease holds a lease scenario's figures; such a run has no load, and its only plot is of takeovers.
+	// Lease holds the figures of a lease scenario. Such a run has no load, and its only plot shows the takeovers.
 	Lease *LeaseFigures `json:"duty,omitempty"`
-	// Starved is when children of a soak waited long for a processor. It excuses nothing.
+	// Starved lists the times at which children of a soak waited long for a processor. They excuse no violation.
 	Starved []starvation `json:"starved,omitempty"`
-	// Timeline is what each process did, drawn as text; it is written to a file of its own.
+	// Timeline is a text drawing of what each process did. It is written to its own file, timeline.txt.
 	Timeline string `json:"-"`
 }
 
-// Second sums up the requests that were sent in one second of a run.
+// Second counts the requests that were sent in one second of a run.
 type Second struct {
 	At         int     `json:"at_s"` // seconds from the start
 	Sent       int     `json:"sent"`
@@ -37,11 +37,11 @@
 	Rejected   int     `json:"refused"`
 	Failed     int     `json:"failed"`
 	Unanswered int     `json:"unanswered"` // excused ones included
-	P50        float64 `json:"p50_ms"`     // of served requests
-	P99        float64 `json:"p99_ms"`
+	P50        float64 `json:"p50_ms"`     // latency of served requests
+	P99        float64 `json:"p99_ms"`     // latency of served requests
 }
 
-// InjectedFault is a fault as it was applied.
+// InjectedFault is a fault as it was injected, and the error if that failed.
 type InjectedFault struct {
 	At     float64  `json:"at_s"` // seconds from the start
 	Kind   string   `json:"kind"`
@@ -49,7 +49,7 @@
 	Error  string   `json:"error,omitempty"`
 }
 
-// Distribution sums up a sample: its size, median, 99th percentile and largest value.
+// Distribution describes a sample by its size, median, 99th percentile and largest value.
 type Distribution struct {
 	N   int     `json:"n"`
 	P50 float64 `json:"p50"`
@@ -66,7 +66,7 @@
 		Max: sorted[len(sorted)-1]}
 }
 
-// quantile is the value below which the fraction q of a sorted sample is; 0 for an empty one.
+// quantile returns the value below which the fraction q of a sorted sample lies. It returns 0 for an empty sample.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -74,7 +74,7 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Summarize builds the report of a run that began at start. Its checks are those of Verify and those given.
+// Summarize builds the report of a run that began at start. The report has the checks of Verify and the given ones.
 func Summarize(name string, start time.Time, history History, faults []InjectedFault, unsent int, starts map[string]int,
 	checks ...Check) Report {
 	report := Report{
@@ -109,7 +109,7 @@
 	return report
 }
 
-// countOutcome counts an outcome in the run and in the second in which its request was sent.
+// countOutcome counts an outcome in the totals and in the second in which the request was sent.
 func (r *Report) countOutcome(outcome Outcome, second int) {
 	r.Counts[outcome.Kind]++
 	for len(r.Seconds) <= second {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Write writes report.json and the plots into dir.
+// Write writes report.json and the plots into dir, which it creates if needed.
 func (r Report) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -145,7 +145,7 @@
 		return r.Lease.plot(filepath.Join(dir, "takeover.png"), r.Scenario)
 	}
 	if len(r.Seconds) == 0 {
-		return nil // no load, nothing to plot
+		return nil // a run without load has no plots
 	}
 	for _, p := range loadPlots {
 		if err := r.plot(filepath.Join(dir, p.file), p); err != nil {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -8,70 +8,70 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// Scenario is one experiment, as written in a TOML file.
+// Scenario is one experiment, as a TOML file describes it.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	Seed     uint64   `toml:"seed"`
-	Duration Duration `toml:"duration"` // how long requests are sent; the lab then waits for their responses
+	Duration Duration `toml:"duration"` // how long requests are sent; afterwards the lab waits for their responses
 	Nodes    int      `toml:"nodes"`
 	Backends int      `toml:"backends"`
-	// Registries is the number of registry replicas (hitchvale registry serve) that serve discovery; 0: the lab's
-	// stand-in discovery, with a proxy for each node and backend.
+	// Registries is the number of registry replicas (hitchvale registry serve) that serve discovery. With 0 the lab serves
+	// a stand-in discovery, with a proxy for each pair of a node and a backend.
 	Registries int `toml:"registries"`
 	// DrainGrace is how long a draining backend may still receive requests (the settings' drainGrace).
 	DrainGrace Duration        `toml:"grace"`
 	Load       Load            `toml:"load"`
 	Backend    BackendBehavior `toml:"backend"`
 	Faults     []Fault         `toml:"fault"`
-	// Lease, where set, makes the run one of registry replicas and candidates for a lease instead of nodes under load.
+	// Lease, where set, makes this a run of registry replicas and candidates for a lease, without nodes and load.
 	Lease *LeaseScenario `toml:"duty"`
-	// Fleet, where set, makes the run one of the fleet's shared view.
+	// Fleet, where set, makes this a run of the fleet's shared view, or of maintenance where Maintenance is set too.
 	Fleet *FleetScenario `toml:"fleet"`
-	// Soak, where set, plays several seeds, each with faults of its own.
+	// Soak, where set, runs several seeds, each with its own faults.
 	Soak *SoakScenario `toml:"soak"`
-	// Maintenance, beside Fleet, has backends taken out for maintenance under load.
+	// Maintenance, where set, takes backends out for maintenance under load. It needs Fleet.
 	Maintenance *MaintenanceScenario `toml:"work"`
 
-	claimDeadline   time.Duration // deadline of the claim class in the settings; 0: the load's
-	idleConnections int           // clients' idle connections to each node
-	emptyPlan       bool          // nodes are traced, under a plan without faults
+	claimDeadline   time.Duration // deadline of the claim class in the nodes' settings; 0: the load's deadline
+	idleConnections int           // number of the clients' idle connections to each node
+	emptyPlan       bool          // nodes are traced with a plan that has no faults
 }
 
-// Load is what the driver sends: Rate requests a second in all, spread over the nodes, at most Count of them. Shares
-// are fractions of the requests, 0 to 1.
+// Load describes the requests that the driver sends: Rate requests a second in total, spread over the nodes, and at
+// most Count requests. Shares are fractions of the requests, 0 to 1.
 type Load struct {
 	Rate     float64  `toml:"rate"`
 	Count    int      `toml:"count"`
 	Deadline Duration `toml:"deadline"` // how long a client waits for its response
-	// UnsafeShare is sent as POST without an idempotency key and must never run twice.
+	// UnsafeShare is the share sent as POST without an idempotency key. These requests must never be executed twice.
 	UnsafeShare float64 `toml:"unsafe"`
-	// KeyedShare is sent with an idempotency key.
+	// KeyedShare is the share sent with an idempotency key.
 	KeyedShare float64 `toml:"keyed"`
-	// DisconnectShare is that of clients that disconnect before their response.
+	// DisconnectShare is the share whose client disconnects before the response.
 	DisconnectShare float64 `toml:"leave"`
-	// LateSendShare is that of clients that connect long before they send their request.
+	// LateSendShare is the share whose client connects long before it sends the request.
 	LateSendShare float64 `toml:"late"`
-	// EarlyBeginShare is that of clients that begin a request long before its end. A new process of a node is not ready
-	// while the old one has such a request.
+	// EarlyBeginShare is the share whose client sends the beginning of the request long before the remainder. A new
+	// process of a node is not ready while the old process has such a request.
 	EarlyBeginShare float64 `toml:"begun"`
-	// ImproperPeers has some peers send half a request and stay connected.
+	// ImproperPeers adds peers that send half a request and stay connected.
 	ImproperPeers bool `toml:"improper"`
 }
 
-// BackendBehavior is how stand-in backends serve. Shares are fractions of the requests, 0 to 1.
+// BackendBehavior describes how the stand-in backends serve requests. Shares are fractions of the requests, 0 to 1.
 type BackendBehavior struct {
 	ServiceTime Duration `toml:"service"`
-	ErrorShare  float64  `toml:"errors"` // answered 500
-	ResetShare  float64  `toml:"resets"` // executed, then the connection is broken
-	HangShare   float64  `toml:"hangs"`  // answered after hangDuration
-	// RunTwice is a planted fault that the lab's checks must find: every POST is executed twice.
+	ErrorShare  float64  `toml:"errors"` // share answered with status 500
+	ResetShare  float64  `toml:"resets"` // share executed and then ended by a reset of the connection
+	HangShare   float64  `toml:"hangs"`  // share answered after hangDuration
+	// RunTwice executes every POST twice. It is a deliberate fault that the lab's checks must detect.
 	RunTwice bool `toml:"twice"`
 }
 
-// Duration is a time.Duration written as "2s" or "150ms" in TOML.
+// Duration is a time.Duration that TOML writes as "2s" or "150ms".
 type Duration = tomlfile.Duration
 
-// LoadScenario reads and checks a scenario file. Errors name the file, the line and the key.
+// LoadScenario reads and checks a scenario file. Its errors name the file and, where they can, the line and the key.
 func LoadScenario(path string) (Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return scenario, nil
 }
 
-// ParseScenario decodes a scenario strictly: an unknown key, a wrong type or a value out of range is an error
-// that names its line and key.
+// ParseScenario decodes and checks a scenario. An unknown key, a wrong type or a value out of range is an error that
+// names its line and key. Errors in a [[fault]] name the fault's number instead of the line.
 func ParseScenario(text []byte) (Scenario, error) {
 	scenario := Scenario{
 		Duration:   Duration{Duration: 10 * time.Second},
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -8,11 +8,12 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// check returns the first value that is out of range, as an error that names its key.
+// check returns the first invalid value of the scenario, as an error that names its key.
 func (scenario Scenario) check() error {
 	if scenario.Lease != nil {
 		if scenario.Nodes != 0 || scenario.Backends != 0 || len(scenario.Faults) != 0 {
-			return tomlfile.Bad("duty", "a lease scenario has no nodes, backends or [[fault]]: its faults are drawn")
+			return tomlfile.Bad("duty", "a lease scenario draws its faults: it cannot be combined with nodes, backends "+
+				"or [[fault]]")
 		}
 		return scenario.Lease.check(scenario.Registries)
 	}
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// checkSize checks how many processes a run has and how long it lasts.
+// checkSize checks the number of processes of a run and its duration.
 func (scenario Scenario) checkSize() error {
 	switch {
 	case scenario.Nodes < 1 || scenario.Nodes > 64:
@@ -46,38 +47,38 @@
 	case scenario.Registries < 0 || scenario.Registries > 7:
 		return tomlfile.Bad("registries", "%d is outside 0 to 7", scenario.Registries)
 	case scenario.Duration.Duration <= 0 || scenario.Duration.Duration > time.Hour:
-		return tomlfile.Bad("duration", "%s is outside 0 to 1h", scenario.Duration)
+		return tomlfile.Bad("duration", "%s must be above 0 and at most 1h", scenario.Duration)
 	}
 	return nil
 }
 
-// check checks the load's rate, its bounds and its shares.
+// check returns the first invalid value of the load, as an error that names its key.
 func (load Load) check() error {
 	switch {
 	case load.Rate <= 0 || load.Rate > 20000:
-		return tomlfile.Bad("load.rate", "%g is outside 0 to 20000", load.Rate)
+		return tomlfile.Bad("load.rate", "%g must be above 0 and at most 20000", load.Rate)
 	case load.Count < 1:
-		return tomlfile.Bad("load.count", "%d is below 1", load.Count)
+		return tomlfile.Bad("load.count", "%d is below the minimum of 1", load.Count)
 	case load.Deadline.Duration < minClientDeadline:
-		return tomlfile.Bad("load.deadline", "%s is below %s", load.Deadline, minClientDeadline)
+		return tomlfile.Bad("load.deadline", "%s is below the minimum of %s", load.Deadline, minClientDeadline)
 	case load.UnsafeShare < 0 || load.UnsafeShare > 1:
 		return tomlfile.Bad("load.unsafe", "%g is outside 0 to 1", load.UnsafeShare)
 	case load.KeyedShare < 0 || load.KeyedShare+load.UnsafeShare > 1:
-		return tomlfile.Bad("load.keyed", "%g is outside 0 to 1 less unsafe", load.KeyedShare)
+		return tomlfile.Bad("load.keyed", "%g is below 0, or above 1 together with load.unsafe", load.KeyedShare)
 	case load.DisconnectShare < 0 || load.DisconnectShare > 1:
 		return tomlfile.Bad("load.leave", "%g is outside 0 to 1", load.DisconnectShare)
 	case load.LateSendShare < 0 || load.LateSendShare > 1:
 		return tomlfile.Bad("load.late", "%g is outside 0 to 1", load.LateSendShare)
 	case load.EarlyBeginShare < 0 || load.LateSendShare+load.EarlyBeginShare > 1:
-		return tomlfile.Bad("load.begun", "%g is outside 0 to 1 less late", load.EarlyBeginShare)
+		return tomlfile.Bad("load.begun", "%g is below 0, or above 1 together with load.late", load.EarlyBeginShare)
 	}
 	return nil
 }
 
-// minClientDeadline is the shortest wait of a client that a scenario may have.
+// minClientDeadline is the shortest client deadline that a scenario may set.
 const minClientDeadline = 10 * time.Millisecond
 
-// checkExperiment checks the tables of the experiments that a run has beside or instead of written faults.
+// checkExperiment checks the tables [fleet], [soak] and [work], which add to or replace the [[fault]] schedule.
 func (scenario Scenario) checkExperiment() error {
 	if scenario.Fleet != nil {
 		if err := scenario.Fleet.check(scenario); err != nil {
@@ -95,16 +96,21 @@
 	return nil
 }
 
-// checkFault checks one step of the schedule: its kind, time, targets and the fields that the kind needs.
+// faultKindsText lists the kinds of faults in an error message.
+const faultKindsText = faultKill + ", " + faultPower + ", " + faultTerminate + ", " + faultPause + ", " + faultRestart +
+	", " + faultFill + ", " + faultReload + ", " + faultHold + ", " + faultUpgrade + ", " + faultDrain + ", " +
+	faultRejoin + ", " + faultOutage + ", " + faultPartition + ", " + faultDelay + ", " + faultReset + ", " + faultDrop
+
+// checkFault checks one fault of the schedule: its kind, time, targets and the fields that the kind needs.
 func (scenario Scenario) checkFault(fault Fault) error {
 	if !isProcessFault(fault.Kind) && !isLinkFault(fault.Kind) && fault.Kind != faultOutage {
-		return tomlfile.Bad("kind", "%q is not a fault kind", fault.Kind)
+		return tomlfile.Bad("kind", "%q is not a fault kind; the kinds are %s", fault.Kind, faultKindsText)
 	}
 	if fault.At.Duration < 0 || fault.At.Duration > scenario.Duration.Duration {
-		return tomlfile.Bad("at", "%s is outside the scenario's duration", fault.At)
+		return tomlfile.Bad("at", "%s is outside 0 to the scenario's duration of %s", fault.At, scenario.Duration)
 	}
 	if len(fault.Target) == 0 {
-		return errors.New("key \"target\": missing")
+		return errors.New("key \"target\": no target is named; a fault needs at least one")
 	}
 	for _, target := range fault.Target {
 		if err := scenario.checkTarget(fault.Kind, target); err != nil {
@@ -112,10 +118,10 @@
 		}
 	}
 	if fault.Kind == faultDrop && (fault.Share <= 0 || fault.Share > 1) {
-		return tomlfile.Bad("share", "%g is outside 0 to 1", fault.Share)
+		return tomlfile.Bad("share", "%g must be above 0 and at most 1", fault.Share)
 	}
 	if fault.Kind == faultDelay && fault.Delay.Duration <= 0 {
-		return errors.New("key \"delay\": missing")
+		return fmt.Errorf("key \"delay\": %s must be above 0", fault.Delay)
 	}
 	return nil
 }
--- a/internal/lab/soak_checks.go
+++ b/internal/lab/soak_checks.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// clockSlack is what the clocks and queues of a busy machine may add to a time that a check compares.
+	// clockSlack is the delay that the clocks and queues of a busy machine may add to a time that a check compares.
 	clockSlack = 100 * time.Millisecond
-	// disconnectGrace is how long after its client has disconnected an attempt may still begin.
+	// disconnectGrace is how long after the disconnect of its client an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
 	// deadlineSlack is by how much the deadline that an attempt forwards may exceed the client's remaining time.
 	deadlineSlack = 150 * time.Millisecond
-	// notificationDeadline is when a node counts as notified of a change at the latest, from when discovery had the change
-	// and could be reached.
+	// notificationDeadline is the longest time until a node counts as notified of a change. It starts when discovery has
+	// the change and is reachable.
 	notificationDeadline = 6 * time.Second
 )
 
-// drainPeriod is a time in which a backend is listed as draining.
+// drainPeriod is a period in which discovery lists a backend as draining.
 type drainPeriod struct {
 	start      time.Time
 	end        time.Time            // zero: the end of the run
-	notifiedAt map[string]time.Time // by node: when the drain was written to it
+	notifiedAt map[string]time.Time // by node: when discovery wrote the drain to the node
 }
 
-// verifySoak checks the invariants of a soak, beside those of every load run. lastUp is when discovery last came back.
+// verifySoak checks the invariants that only a soak has; Verify checks those of every load run. lastUp is when
+// discovery last came back from an outage.
 func (h History) verifySoak(drains map[string][]*drainPeriod, lastUp time.Time) []Check {
 	outcomes := make(map[string]Outcome, len(h.Outcomes))
 	for _, outcome := range h.Outcomes {
@@ -34,7 +35,7 @@
 		h.noAttemptInDrain(drains, lastUp)}
 }
 
-// noAttemptAfterDisconnect checks that no attempt begins later than disconnectGrace after its client has disconnected.
+// noAttemptAfterDisconnect checks that no attempt begins later than disconnectGrace after its client disconnected.
 func (h History) noAttemptAfterDisconnect(outcomes map[string]Outcome) Check {
 	check := Check{Name: "no attempt begins after its client has left"}
 	for _, attempt := range h.Attempts {
@@ -44,8 +45,8 @@
 		}
 		late := time.Duration(attempt.At - outcome.DisconnectedAt)
 		if late > disconnectGrace+clockSlack {
-			check.add(fmt.Sprintf("%s at %s by %s: %s after its client disconnected", attempt.Trace, attempt.Backend,
-				attempt.Node, late))
+			check.add(fmt.Sprintf("%s at %s by %s: began %s after its client disconnected", attempt.Trace,
+				attempt.Backend, attempt.Node, late))
 		}
 	}
 	return check.done()
@@ -82,29 +83,29 @@
 			firstExecution[execution.Trace] = execution.At
 		}
 	}
-	arrivals := h.arrivals()
+	attempts := h.attemptTimes()
 	for _, execution := range h.Executions {
 		first, keyed := firstExecution[execution.Trace]
-		arrived := arrivals.of(execution)
-		if keyed && arrived > first+int64(keyWindow+clockSlack) {
-			check.add(fmt.Sprintf("%s at %s: sent %s after its first run", execution.Trace, execution.Backend,
-				time.Duration(arrived-first)))
+		sentAt := attempts.sentAt(execution)
+		if keyed && sentAt > first+int64(keyWindow+clockSlack) {
+			check.add(fmt.Sprintf("%s at %s: sent %s after its first execution", execution.Trace, execution.Backend,
+				time.Duration(sentAt-first)))
 		}
 	}
 	return check.done()
 }
 
-// attemptKey names the attempts of a request at one backend.
+// attemptKey identifies the attempts of one request at one backend.
 type attemptKey struct {
 	trace   string
 	backend string
 }
 
-// attemptTimes are the Unix times in nanoseconds at which attempts were sent.
+// attemptTimes holds the Unix times in nanoseconds at which attempts were sent.
 type attemptTimes map[attemptKey][]int64
 
-// arrivals are the times of all attempts.
-func (h History) arrivals() attemptTimes {
+// attemptTimes returns the times of all attempts.
+func (h History) attemptTimes() attemptTimes {
 	times := attemptTimes{}
 	for _, attempt := range h.Attempts {
 		key := attemptKey{attempt.Trace, attempt.Backend}
@@ -113,20 +114,21 @@
 	return times
 }
 
-// of is when the attempt was sent that an execution is of: the last one before it. A request that hangs may be executed
-// long after it has arrived. An execution without an attempt counts as sent when it was executed.
-func (times attemptTimes) of(execution Execution) int64 {
-	arrived := execution.At
+// sentAt returns when the attempt that led to an execution was sent. That attempt is the last one of the request at the
+// backend before the execution, which may follow long after its attempt where the request hangs. An execution without
+// an attempt counts as sent when it was executed.
+func (times attemptTimes) sentAt(execution Execution) int64 {
+	sentAt := execution.At
 	for _, at := range times[attemptKey{execution.Trace, execution.Backend}] {
-		if at <= execution.At && (arrived == execution.At || at > arrived) {
-			arrived = at
+		if at <= execution.At && (sentAt == execution.At || at > sentAt) {
+			sentAt = at
 		}
 	}
-	return arrived
+	return sentAt
 }
 
-// noAttemptInDrain checks that no attempt begins at a draining backend later than DrainGrace after the drain was
-// written to the node, or the node counts as notified.
+// noAttemptInDrain checks that no attempt begins at a draining backend later than DrainGrace after the node counts as
+// notified of the drain.
 func (h History) noAttemptInDrain(drains map[string][]*drainPeriod, lastUp time.Time) Check {
 	check := Check{Name: "nothing begins at a draining backend past the grace"}
 	for _, attempt := range h.Attempts {
@@ -135,15 +137,16 @@
 			notified, written := drain.notification(attempt.Node, lastUp)
 			late := begin.After(notified.Add(h.DrainGrace + clockSlack))
 			if late && (drain.end.IsZero() || begin.Before(drain.end)) {
-				check.add(fmt.Sprintf("%s at %s by %s: %s after it was notified, written %v", attempt.Trace,
-					attempt.Backend, attempt.Node, begin.Sub(notified).Round(time.Millisecond), written))
+				check.add(fmt.Sprintf("%s at %s by %s: began %s after the node was notified (drain written to it: %v)",
+					attempt.Trace, attempt.Backend, attempt.Node, begin.Sub(notified).Round(time.Millisecond), written))
 			}
 		}
 	}
 	return check.done()
 }
 
-// notification is when a node counts as notified of the drain, and whether that was written to it.
+// notification returns when a node counts as notified of the drain, and whether the drain was written to the node. A
+// node counts as notified when the drain is written to it, and at notificationDeadline at the latest.
 func (drain *drainPeriod) notification(node string, lastUp time.Time) (notified time.Time, written bool) {
 	notified, written = drain.notifiedAt[node]
 	latest := maxTime(drain.start, lastUp).Add(notificationDeadline)
--- a/internal/lab/soak_draw.go
+++ b/internal/lab/soak_draw.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// soakFaultStream sets the draws of a soak's faults apart from others of the same seed.
+// soakFaultStream is the random stream of a soak's faults. It keeps their draws independent of others of the same seed.
 const soakFaultStream = 0x50a1
 
-// groupSpan is the time within which the faults of a group begin: every one of them lasts longer.
+// groupSpan is the time within which all faults of a group begin. Most faults last longer, so those of a group overlap.
 const groupSpan = 300 * time.Millisecond
 
-// faultDrawer draws a soak's faults. They are a function of the scenario and its seed alone.
+// faultDrawer draws a soak's faults. They depend only on the scenario and its seed.
 type faultDrawer struct {
 	scenario Scenario
 	rng      *rand.Rand
 	faults   []Fault
 }
 
-// drawSoak returns the faults of a soak, by their time.
+// drawSoak returns the faults of a soak, sorted by time.
 func drawSoak(scenario Scenario) []Fault {
 	drawer := &faultDrawer{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, soakFaultStream))}
-	end := scenario.Duration.Duration - scenario.Load.Deadline.Duration // the last faults are over before the load is
+	end := scenario.Duration.Duration - scenario.Load.Deadline.Duration // no group starts within the last deadline
 	for at := scenario.Soak.FirstFaultAt.Duration; at < end; at += scenario.Soak.GroupInterval.Duration {
 		drawer.drawGroup(at)
 	}
@@ -30,8 +30,8 @@
 	return drawer.faults
 }
 
-// drawGroup draws the faults of a group. Half of them hit the node and backend of the one before, as faults that meet
-// at one place are those that are rarely tested together.
+// drawGroup draws the faults of a group. About half of them hit the same node and backend as the fault before, because
+// faults that coincide at one process are rarely tested together.
 func (drawer *faultDrawer) drawGroup(at time.Duration) {
 	node := drawer.rng.IntN(drawer.scenario.Nodes)
 	backend := drawer.rng.IntN(drawer.scenario.Backends)
@@ -44,27 +44,29 @@
 	}
 }
 
-// span draws a time between two.
+// span draws a time between from and to.
 func (drawer *faultDrawer) span(from, to time.Duration) time.Duration {
 	return from + time.Duration(drawer.rng.Float64()*float64(to-from))
 }
 
-// add adds a fault and returns it, for its other fields to be set.
+// add adds a fault and returns it, so that the caller can set its other fields. The pointer is valid until the next
+// add.
 func (drawer *faultDrawer) add(at time.Duration, kind, target string) *Fault {
 	drawer.faults = append(drawer.faults, Fault{At: Duration{Duration: at}, Kind: kind, Target: []string{target}})
 	return &drawer.faults[len(drawer.faults)-1]
 }
 
-// addLasting adds a fault that is undone after a time drawn between two.
+// addLasting adds a fault that is undone after a time drawn between from and to.
 func (drawer *faultDrawer) addLasting(at time.Duration, kind, target string, from, to time.Duration) {
 	duration := drawer.span(from, to)
 	drawer.add(at, kind, target).For.Duration = duration
 }
 
-// faultSequence is a fault that is drawn as one, with the faults that follow from it, such as a restart.
+// faultSequence is a drawn fault together with its follow-up faults, such as a restart.
 type faultSequence int
 
-// The sequences, in the order of the numbers drawn. Those from sequenceUpgrade on are drawn only in a soak of upgrades.
+// The sequences. Their order is that of the drawn numbers. Sequences from plainSequenceCount on are drawn only in a
+// soak with upgrades.
 const (
 	sequenceTerminate faultSequence = iota
 	sequenceReloadThenTerminate
@@ -89,7 +91,7 @@
 	plainSequenceCount = sequenceUpgradeTwice
 )
 
-// drawSequence draws one sequence of faults of a node or backend that begins at a time.
+// drawSequence draws one sequence of faults at a node or backend. The first fault of the sequence is at the given time.
 func (drawer *faultDrawer) drawSequence(at time.Duration, nodeIndex, backendIndex int) {
 	node := processName(roleNode, nodeIndex)
 	backend := processName(roleBackend, backendIndex)
@@ -113,7 +115,7 @@
 		drawer.drawLinkFault(at, node, backend)
 	case sequenceHold:
 		if drawer.scenario.isTraced(nodeIndex) {
-			drawer.add(at, faultReload, node) // SIGSTOP does not hold a traced process
+			drawer.add(at, faultReload, node) // instead of a hold: SIGSTOP does not stop a traced process
 			return
 		}
 		drawer.addLasting(at, faultHold, node, 40*time.Millisecond, 120*time.Millisecond)
@@ -122,7 +124,8 @@
 	}
 }
 
-// drawTermination ends a node by SIGTERM, with or without a reload about the same time, and starts it again.
+// drawTermination terminates a node with SIGTERM and restarts it. Two of the sequences add a reload just before or
+// after the SIGTERM.
 func (drawer *faultDrawer) drawTermination(sequence faultSequence, at time.Duration, node string) {
 	killAfter := drawer.scenario.killAfter()
 	switch sequence {
@@ -141,7 +144,7 @@
 	}
 }
 
-// drawBackendFault drains, kills or pauses a backend.
+// drawBackendFault drains, kills or pauses a backend, and later undoes the fault.
 func (drawer *faultDrawer) drawBackendFault(sequence faultSequence, at time.Duration, backend string) {
 	switch sequence {
 	case sequenceDrain:
@@ -166,8 +169,8 @@
 	fault.Delay.Duration = delay
 }
 
-// drawUpgrade replaces a node's process, and has something happen to the successor soon after. Half of the backends are
-// paused in half of the sequences.
+// drawUpgrade replaces a node's process. Most sequences add a fault of the successor soon after. In about half of all
+// draws, every other backend is paused too.
 func (drawer *faultDrawer) drawUpgrade(sequence faultSequence, at time.Duration, node string) {
 	if drawer.rng.IntN(2) == 0 {
 		drawer.drawPausedBackends(at)
@@ -178,7 +181,7 @@
 	switch sequence {
 	case sequenceUpgradeTwice:
 		drawer.add(soon, faultUpgrade, node)
-	case sequenceUpgradeThenKill: // before the replaced process gets SIGTERM, or after
+	case sequenceUpgradeThenKill: // the kill comes before or after the SIGTERM of the replaced process
 		drawer.add(soon, faultKill, node)
 		drawer.add(soon+drawer.span(500*time.Millisecond, 2*time.Second), faultRestart, node)
 	case sequenceUpgradeThenTerminate:
@@ -194,7 +197,7 @@
 	}
 }
 
-// drawPausedBackends pauses every other backend for one time soon after at.
+// drawPausedBackends pauses every other backend soon after at. All of them have the same pause.
 func (drawer *faultDrawer) drawPausedBackends(at time.Duration) {
 	from := at + drawer.span(0, 800*time.Millisecond)
 	duration := drawer.span(time.Second, 2500*time.Millisecond)
--- a/internal/lab/soak_run.go
+++ b/internal/lab/soak_run.go
@@ -14,13 +14,13 @@
 	Seed   uint64         `json:"seed"`
 	Passed bool           `json:"passed"`
 	Counts map[string]int `json:"counts"`
-	// StarvedMs is the longest that a thread of a child waited for a processor between two samples, in milliseconds; 0:
-	// less than minStarvation.
+	// StarvedMs is the longest time in milliseconds that a thread of a child waited for a processor between two samples.
+	// It is 0 where that time is below minStarvation.
 	StarvedMs int64  `json:"starved_ms"`
 	Error     string `json:"error,omitempty"`
 }
 
-// newSeedResult sums up a seed's report, and the error of a seed that could not be played.
+// newSeedResult returns the result of a seed from its report and, where its run could not be completed, from the error.
 func newSeedResult(seed uint64, report Report, err error) seedResult {
 	result := seedResult{Seed: seed, Passed: report.Passed, Counts: report.Counts}
 	for _, starved := range report.Starved {
@@ -33,8 +33,8 @@
 	return result
 }
 
-// runSoak plays a soak's seeds, each in a folder of its own, and sums them up. A seed that could not be played ends the
-// soak with an error.
+// runSoak runs the seeds of a soak one after another, each in its own folder, and returns the sum of their reports. A
+// seed whose run cannot be completed ends the soak with an error.
 func runSoak(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
 	if err := claimOutput(opts.Out); err != nil {
 		return Report{}, err
@@ -58,14 +58,14 @@
 		}
 		sum.addSeed(scenario.Seed, report)
 		if report.Passed {
-			os.RemoveAll(seedOpts.Out) // the folders of all seeds would fill the disk
+			os.RemoveAll(seedOpts.Out) // keeping the folders of all seeds would fill the disk
 		}
 		scenario.Seed++
 	}
 	return sum, sum.Write(opts.Out)
 }
 
-// addSeed adds a seed's report to the sum.
+// addSeed adds the report of one seed to the report of the soak.
 func (r *Report) addSeed(seed uint64, report Report) {
 	r.Passed = r.Passed && report.Passed
 	r.Executions += report.Executions
@@ -82,7 +82,7 @@
 	}
 }
 
-// addSeed adds the same check of a seed to the sum.
+// addSeed adds the result of the same check in one seed.
 func (c *Check) addSeed(seed uint64, check Check) {
 	c.OK = c.OK && check.OK
 	c.Violations += check.Violations
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -2,35 +2,35 @@
 
 import "hitchvale/internal/tomlfile"
 
-// SoakScenario plays several seeds with faults drawn from each, several of which overlap: terminations, reloads,
-// restarts, drains, outages of discovery, broken links and, on traced nodes, failing system calls and a stepped wall
-// clock.
+// SoakScenario runs several seeds, each with overlapping faults drawn from the seed: terminations, reloads, restarts,
+// drains, outages of discovery, broken links and, on traced nodes, failing system calls and a stepped wall clock.
 type SoakScenario struct {
-	Seeds         int      `toml:"seeds"` // played one after another, from the scenario's own on
+	Seeds         int      `toml:"seeds"` // number of consecutive seeds; the first is the scenario's seed
 	FirstFaultAt  Duration `toml:"quiet"` // from the start of the load
 	GroupInterval Duration `toml:"every"` // from one group of faults to the next
 	GroupSize     int      `toml:"bout"`  // faults in a group
-	// TracedShare is the share of nodes whose system calls fail by a plan.
+	// TracedShare is the share of nodes, 0 to 1, that are traced: some of their system calls fail by a plan.
 	TracedShare float64 `toml:"shimmed"`
-	// Upgrades has nodes replaced by a second process among the faults, some again while the first is shutting down.
+	// Upgrades adds faults that replace a node's process by a second one. Some replace it again while the first process
+	// is still shutting down.
 	Upgrades bool `toml:"upgrades"`
-	// Deadlines are those of the clients, of which each seed takes one; none: the load's.
+	// Deadlines are client deadlines, of which each seed uses one. Where it is empty, each seed uses the load's deadline.
 	Deadlines []Duration `toml:"deadlines"`
-	// ClaimDeadline is the claim class's deadline in the settings of every third seed, whatever its clients wait; 0: the
-	// clients'.
+	// ClaimDeadline is the deadline of the claim class in the nodes' settings, in every third seed. It does not depend on
+	// the clients' deadline; 0 means the clients' deadline.
 	ClaimDeadline Duration `toml:"long_class"`
-	// IdleConnections is how many idle connections clients hold to each node in every fourth seed.
+	// IdleConnections is the number of idle connections that clients hold to each node in every fourth seed.
 	IdleConnections int `toml:"crowd"`
 }
 
-// Every claimDeadlineSeeds-th seed has the settings' own claim deadline, and every idleConnectionSeeds-th idle
-// connections.
 const (
-	claimDeadlineSeeds  = 3
+	// claimDeadlineSeeds is the number of seeds of which one uses ClaimDeadline.
+	claimDeadlineSeeds = 3
+	// idleConnectionSeeds is the number of seeds of which one holds idle connections.
 	idleConnectionSeeds = 4
 )
 
-// forSeed returns the scenario as its present seed plays it.
+// forSeed returns the scenario with the deadlines, connections and faults of its current seed.
 func (scenario Scenario) forSeed() Scenario {
 	if n := len(scenario.Soak.Deadlines); n > 0 {
 		scenario.Load.Deadline = scenario.Soak.Deadlines[scenario.Seed%uint64(n)]
@@ -42,7 +42,7 @@
 		scenario.idleConnections = scenario.Soak.IdleConnections
 	}
 	if scenario.Seed%2 == 1 {
-		// Slow requests put off the end of a replaced process; odd seeds have it end at once.
+		// Slow requests delay the end of a replaced process. Odd seeds have none, so that the process ends immediately.
 		scenario.Load.EarlyBeginShare = 0
 		scenario.Load.ImproperPeers = false
 	}
@@ -50,18 +50,20 @@
 	return scenario
 }
 
+// check returns the first invalid value of the soak, as an error that names its key.
 func (soak SoakScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Registries > 0 || scenario.Fleet != nil || scenario.Maintenance != nil || len(scenario.Faults) > 0:
-		return tomlfile.Bad("soak",
-			"a soak has the stand-in discovery and draws its faults: no registries, fleet, work or [[fault]]")
+		return tomlfile.Bad("soak", "a soak uses the stand-in discovery and draws its faults: "+
+			"it cannot be combined with registries, [fleet], [work] or [[fault]]")
 	case soak.Seeds < 1 || soak.Seeds > 100000:
 		return tomlfile.Bad("soak.seeds", "%d is outside 1 to 100000", soak.Seeds)
 	case soak.FirstFaultAt.Duration < minReloadAge:
-		return tomlfile.Bad("soak.quiet", "%s is below %s, before which no node may reload its configuration",
+		return tomlfile.Bad("soak.quiet", "%s is below the minimum of %s: no node may reload its configuration earlier",
 			soak.FirstFaultAt, minReloadAge)
 	case soak.GroupInterval.Duration < groupSpan:
-		return tomlfile.Bad("soak.every", "%s is below %s", soak.GroupInterval, groupSpan)
+		return tomlfile.Bad("soak.every", "%s is below the minimum of %s, within which the faults of a group begin",
+			soak.GroupInterval, groupSpan)
 	case soak.GroupSize < 1 || soak.GroupSize > 8:
 		return tomlfile.Bad("soak.bout", "%d is outside 1 to 8", soak.GroupSize)
 	case soak.TracedShare < 0 || soak.TracedShare > 1:
@@ -71,7 +73,7 @@
 	}
 	for _, deadline := range soak.Deadlines {
 		if deadline.Duration < minClientDeadline {
-			return tomlfile.Bad("soak.deadlines", "%s is below %s", deadline, minClientDeadline)
+			return tomlfile.Bad("soak.deadlines", "%s is below the minimum of %s", deadline, minClientDeadline)
 		}
 	}
 	return nil
--- a/internal/lab/system_call_plan.go
+++ b/internal/lab/system_call_plan.go
@@ -7,15 +7,16 @@
 	"hitchvale/internal/sysfault"
 )
 
-// systemCallStream sets the draws of a node's plan apart from others of the same seed; the node's number is added.
+// systemCallStream plus the node's number is the random stream of the node's plan. It keeps the draws independent of
+// others of the same seed.
 const systemCallStream = 0x5419
 
-// isTraced tells whether a node's system calls fail by a plan.
+// isTraced tells whether a node runs under a tracer that makes its system calls fail by a drawn plan.
 func (scenario Scenario) isTraced(node int) bool {
 	return scenario.Soak != nil && float64(node) < scenario.Soak.TracedShare*float64(scenario.Nodes)
 }
 
-// systemCallPlan is the plan of a node's system calls; nil where the node is not traced.
+// systemCallPlan returns the plan by which a node's system calls fail, or nil if the node runs without a tracer.
 func (scenario Scenario) systemCallPlan(node int) sysfault.Plan {
 	switch {
 	case scenario.isTraced(node):
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// drawSystemCallPlan draws the faults of a traced node's system calls.
+// drawSystemCallPlan draws the plan of faults in a traced node's system calls.
 func drawSystemCallPlan(scenario Scenario, node int) sysfault.Plan {
 	rng := rand.New(rand.NewPCG(scenario.Seed, systemCallStream+uint64(node)))
 	span := func(from, to time.Duration) time.Duration {
