--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fleetScenario is six nodes of three sites with a part in the fleet's view, under drawn faults.
-func fleetScenario(seed, schedules int) string {
+// fleetScenarioText returns a scenario of six nodes at three sites that share the fleet's view, under drawn faults.
+func fleetScenarioText(seed, faultCount int) string {
 	return fmt.Sprintf(`name = "fleet"
 seed = %d
 nodes = 6
@@ -18,24 +18,25 @@
 sites = 3
 schedules = %d
 kinds = ["kill", "pause", "cut", "leader", "split", "both"]
-`, seed, schedules)
+`, seed, faultCount)
 }
 
-// Real nodes and replicas under 30 faults drawn from three seeds (a node killed, paused, cut from the registry; the
-// registry's leader killed, cut off with a minority; a node paused while the leader goes): a view is the same for all
-// its readers, no node's view goes back, and after each fault every node comes to be fresh in every view.
-func TestViewIsSharedUnderFaults(t *testing.T) {
+// Three seeds draw 30 faults in total: a node is killed, paused or cut off from the registry, the registry's leader is
+// killed or cut off from the other replicas, or a node is paused while the leader is killed. A view is the same for all
+// its readers, no node's view goes back to an older version, and after each fault every node is fresh in every view
+// again.
+func TestFleetViewIsConsistentUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range 3 {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			r := runScenario(t, fleetScenario(seed, 10))
-			requireChecks(t, r)
-			if len(r.Faults) < 10 {
-				t.Errorf("%d faults were played", len(r.Faults))
+			report := runScenario(t, fleetScenarioText(seed, 10))
+			requireChecks(t, report)
+			if len(report.Faults) < 10 {
+				t.Errorf("%d faults were injected, want at least 10", len(report.Faults))
 			}
 			if t.Failed() {
-				t.Log("\n" + r.Timeline)
+				t.Log("\n" + report.Timeline)
 			}
 		})
 	}
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// What is stored, or sent to processes of other versions, keeps its form.
+// The JSON forms that are stored, or exchanged with processes of other versions, are the same as in earlier versions.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[Execution](t, "execution")
 	goldenfile.RoundTrip[LeaseEvent](t, "dutyEvent")
--- a/internal/lab/maintenance_run_test.go
+++ b/internal/lab/maintenance_run_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// workScenario is four nodes and six backends that all go out for work, two at a time, under load.
-func workScenario(seed int, kinds string) string {
+// maintenanceScenarioText returns a scenario of four nodes and six backends under load, in which all backends go out
+// for maintenance, at most two at the same time.
+func maintenanceScenarioText(seed int, kinds string) string {
 	return fmt.Sprintf(`name = "work"
 seed = %d
 duration = "2m"
@@ -31,42 +32,43 @@
 `, seed, kinds)
 }
 
-// Six machines go out for work by turns that the nodes take among themselves, while nodes stall or are killed and the
-// registry's leader, or all of it, is lost under it: never more than two out, nothing sent to one between quiet and
-// returning, no request lost or run twice, and each of them comes back.
-func TestMachinesGoOutAndComeBackUnderFaults(t *testing.T) {
+// Six machines go out for maintenance in turns that the nodes arrange among themselves, while nodes are paused or
+// killed, or the registry's leader or all its replicas are killed. Never more than two machines are out, no request
+// reaches a machine between quiet and returning, no request is lost or executed twice, and every machine returns.
+func TestMaintenanceTurnsCompleteUnderFaults(t *testing.T) {
 	t.Parallel()
 	for seed, kinds := range []string{``, `"pause"`, `"leader"`, `"kill"`, `"outage"`,
 		`"pause", "kill", "leader", "outage"`} {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			r := runScenario(t, workScenario(seed, kinds))
-			requireChecks(t, r)
-			if r.Counts["served"] == 0 || r.Executions == 0 {
-				t.Errorf("too little served to judge: %v", r.Counts)
+			report := runScenario(t, maintenanceScenarioText(seed, kinds))
+			requireChecks(t, report)
+			if report.Counts["served"] == 0 || report.Executions == 0 {
+				t.Errorf("no request was served or executed: counts %v", report.Counts)
 			}
 			for j := range 6 {
-				if n := r.Starts[fmt.Sprint("backend-", j)]; n != 2 {
-					t.Errorf("backend-%d was started %d times", j, n)
+				if n := report.Starts[fmt.Sprint("backend-", j)]; n != 2 {
+					t.Errorf("backend-%d was started %d times, want 2", j, n)
 				}
 			}
 			if t.Failed() {
-				t.Log("\n" + r.Timeline)
+				t.Log("\n" + report.Timeline)
 			}
 		})
 	}
 }
 
-// With the budget's check removed at build time, more machines go out at once than the operator allowed, and the plan
-// shows it.
-func TestPlantedBudgetIsCaught(t *testing.T) {
+// A hitchvale built without the enforcement of the budget takes out more machines than the operator allowed. The lab's
+// check of the budget must fail then.
+func TestBudgetCheckDetectsDisabledBudget(t *testing.T) {
 	t.Parallel()
 	nodeBinary, planted := planted(t, "maintenance.plantedFault=budget")
-	r := playWith(t, workScenario(0, ``), nodeBinary, planted)
-	for _, c := range r.Checks {
-		if strings.Contains(c.Name, "budget") && !c.OK {
+	report := playWith(t, maintenanceScenarioText(0, ``), nodeBinary, planted)
+	for _, check := range report.Checks {
+		if strings.Contains(check.Name, "budget") && !check.OK {
 			return
 		}
 	}
-	t.Fatalf("the budget's check held without a budget: %+v\n%s", r.Checks, r.Timeline)
+	t.Fatalf("the check of the budget passed although the budget is not enforced: %+v\n%s", report.Checks,
+		report.Timeline)
 }
--- a/internal/lab/output_test.go
+++ b/internal/lab/output_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A verdict never comes from another run's logs: a folder that holds anything is refused.
-func TestOutputOfAnotherRunIsRefused(t *testing.T) {
+// An output folder that is not empty is rejected, because the checks would read the logs of another run in it.
+func TestOutputFolderOfAnotherRunIsRejected(t *testing.T) {
 	out := t.TempDir()
 	if err := os.WriteFile(filepath.Join(out, "backend-0.runs"), []byte("{}\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -18,6 +18,6 @@
 		c.close()
 	}
 	if !errors.Is(err, os.ErrExist) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want os.ErrExist", err)
 	}
 }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -9,7 +9,7 @@
 	"hitchvale/internal/sysfault"
 )
 
-// shortSoak is the soak in seconds, for the ordinary tests: the deadline is one that a busy machine keeps too.
+// shortSoak is a soak of a few seconds for the ordinary tests. Its deadline is long enough for a busy machine.
 const shortSoak = `
 name = "short soak"
 seed = 31
@@ -36,51 +36,56 @@
 shimmed = 0.5
 `
 
-// Overlapping faults, failing system calls and a stepped wall clock break none of the checks.
+// All checks pass under overlapping faults, failing system calls and a stepped wall clock.
 func TestShortSoakKeepsTheInvariants(t *testing.T) {
 	t.Parallel()
-	r := runScenario(t, shortSoak)
-	requireChecks(t, r)
-	if r.Counts[kindServed] == 0 || len(r.Checks) < 10 {
-		t.Errorf("too little to judge: %v, %d checks", r.Counts, len(r.Checks))
+	report := runScenario(t, shortSoak)
+	requireChecks(t, report)
+	if report.Counts[kindServed] == 0 || len(report.Checks) < 10 {
+		t.Errorf("no request was served or checks are missing: counts %v, %d checks", report.Counts, len(report.Checks))
 	}
 }
 
-// A seed draws the same faults each time, and another seed others; each of them is one that a scenario may have.
-func TestSoakIsAFunctionOfItsSeed(t *testing.T) {
-	s, err := LoadScenario(filepath.Join("..", "..", "deploy", "lab", "soak.toml"))
+// A seed draws the same faults and the same plan of system calls each time. Each drawn fault is valid in a scenario,
+// and 100 seeds together draw every kind of a soak.
+func TestSoakDrawsSameValidFaultsFromSeed(t *testing.T) {
+	scenario, err := LoadScenario(filepath.Join("..", "..", "deploy", "lab", "soak.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	kinds := map[string]bool{}
-	s.Soak.Upgrades = true
+	scenario.Soak.Upgrades = true
 	for seed := range uint64(100) {
-		s.Seed = seed
-		faults := drawSoak(s)
-		if !reflect.DeepEqual(faults, drawSoak(s)) || !reflect.DeepEqual(drawSystemCallPlan(s, 1), drawSystemCallPlan(s, 1)) {
-			t.Fatalf("seed %d: drawn otherwise the second time", seed)
+		scenario.Seed = seed
+		faults := drawSoak(scenario)
+		plan := drawSystemCallPlan(scenario, 1)
+		if !reflect.DeepEqual(faults, drawSoak(scenario)) ||
+			!reflect.DeepEqual(plan, drawSystemCallPlan(scenario, 1)) {
+			t.Fatalf("seed %d: the second draw differs from the first", seed)
 		}
-		for _, f := range faults {
-			kinds[f.Kind] = true
-			if f.Kind == "restart" || f.Kind == "rejoin" {
-				f.At.Duration = min(f.At.Duration, s.Duration.Duration) // what undoes a fault may come after the load
+		for _, fault := range faults {
+			kinds[fault.Kind] = true
+			if fault.Kind == "restart" || fault.Kind == "rejoin" {
+				// These faults undo another fault and may come after the load.
+				fault.At.Duration = min(fault.At.Duration, scenario.Duration.Duration)
 			}
-			if err := s.checkFault(f); err != nil {
-				t.Errorf("seed %d: %+v: %v", seed, f, err)
+			if err := scenario.checkFault(fault); err != nil {
+				t.Errorf("seed %d: invalid fault %+v: %v", seed, fault, err)
 			}
 		}
-		if _, err := sysfault.ParsePlan(drawSystemCallPlan(s, 1).String()); err != nil {
-			t.Errorf("seed %d: %v", seed, err)
+		if _, err := sysfault.ParsePlan(drawSystemCallPlan(scenario, 1).String()); err != nil {
+			t.Errorf("seed %d: invalid plan: %v", seed, err)
 		}
 	}
-	for _, kind := range []string{"term", "kill", "restart", "hup", "drain", "rejoin", "pause", "hold", "outage", "partition", "delay", "reset", "upgrade"} {
+	for _, kind := range []string{"term", "kill", "restart", "hup", "drain", "rejoin", "pause", "hold", "outage",
+		"partition", "delay", "reset", "upgrade"} {
 		if !kinds[kind] {
-			t.Errorf("no %s in 100 seeds", kind)
+			t.Errorf("100 seeds draw no fault of kind %s", kind)
 		}
 	}
 }
 
-// The names of the checks that soakCases break.
+// The names of the checks that soakCases violate.
 const (
 	answerCheck     = "every request gets its final answer"
 	executionCheck  = "no request runs twice or unasked"
@@ -93,10 +98,10 @@
 // soakStart is when the history of every soakCase begins.
 var soakStart = time.Unix(1000, 0)
 
-// sinceSoakStart is a Unix time in nanoseconds.
+// sinceSoakStart returns the Unix time in nanoseconds that is the given time after soakStart.
 func sinceSoakStart(after time.Duration) int64 { return soakStart.Add(after).UnixNano() }
 
-// soakOutcome is a claim that was served within a second, with a change.
+// soakOutcome returns the outcome of a claim that was served after a second, as changed by change, which may be nil.
 func soakOutcome(change func(*Outcome)) []Outcome {
 	outcome := Outcome{
 		Trace:         "x",
@@ -113,12 +118,12 @@
 	return []Outcome{outcome}
 }
 
-// soakAttempt is an attempt by node-0.
+// soakAttempt returns one attempt by node-0.
 func soakAttempt(backend string, after time.Duration, deadlineMs int64) []Attempt {
 	return []Attempt{{Trace: "x", Node: "node-0", Backend: backend, At: sinceSoakStart(after), DeadlineMs: deadlineMs}}
 }
 
-// soakExecutions are one at the start and a second one later, at another backend.
+// soakExecutions returns an execution at soakStart and a second one later, at another backend.
 func soakExecutions(second time.Duration) []Execution {
 	return []Execution{
 		{Trace: "x", Backend: "backend-0", At: sinceSoakStart(0)},
@@ -126,13 +131,14 @@
 	}
 }
 
-// soakCase is a history, and the one check that it breaks; "": none.
+// soakCase is a history and the only check that it violates.
 type soakCase struct {
-	history History
-	breaks  string
+	history  History
+	violates string // name of the check; "": the history violates none
 }
 
-// soakCases are histories of one request at node-0. Backend-1 drains for 20 s, of which node-0 is notified after 1 s.
+// soakCases returns histories of one request at node-0. In all of them, backend-1 drains for 20 s, and node-0 is
+// notified of the drain after 1 s.
 func soakCases() map[string]soakCase {
 	setBroken := func(o *Outcome) { o.Kind = kindBroken }
 	setToken := func(o *Outcome) { o.Class = classToken }
@@ -153,85 +159,85 @@
 	kill := FaultWindow{Node: 0, Kind: "kill", Start: sinceSoakStart(500 * time.Millisecond)}
 	killOfLaterProcess := kill
 	killOfLaterProcess.ProcessStart = sinceSoakStart(time.Millisecond)
-	atEarliest := []Kill{{At: sinceSoakStart(time.Second)}}
+	killAfterShutdown := []Kill{{At: sinceSoakStart(time.Second)}}
 	return map[string]soakCase{
-		"disconnected in time": {history: History{
+		"attempt soon after a disconnect": {history: History{
 			Outcomes: soakOutcome(setDisconnected),
 			Attempts: soakAttempt("backend-0", 250*time.Millisecond, 0),
 		}},
-		"disconnected too long": {breaks: disconnectCheck, history: History{
+		"attempt long after a disconnect": {violates: disconnectCheck, history: History{
 			Outcomes: soakOutcome(setDisconnected),
 			Attempts: soakAttempt("backend-0", 400*time.Millisecond, 0),
 		}},
-		"remaining deadline": {history: History{
+		"forwarded deadline within the remaining time": {history: History{
 			Outcomes: soakOutcome(nil),
 			Attempts: soakAttempt("backend-0", 500*time.Millisecond, 600),
 		}},
-		"deadline too long": {breaks: deadlineCheck, history: History{
+		"forwarded deadline too long": {violates: deadlineCheck, history: History{
 			Outcomes: soakOutcome(nil),
 			Attempts: soakAttempt("backend-0", 500*time.Millisecond, 900),
 		}},
-		"repeat in window": {history: History{
+		"keyed request repeated within its window": {history: History{
 			Outcomes:   soakOutcome(setToken),
 			Executions: soakExecutions(keyWindow),
 		}},
-		"repeat after window": {breaks: keyCheck, history: History{
+		"keyed request repeated after its window": {violates: keyCheck, history: History{
 			Outcomes:   soakOutcome(setToken),
 			Executions: soakExecutions(keyWindow + time.Second),
 		}},
-		"executed late, sent in time": {history: History{
+		"keyed request sent within its window, executed after": {history: History{
 			Outcomes:   soakOutcome(setToken),
 			Executions: soakExecutions(keyWindow + time.Second),
 			Attempts:   soakAttempt("backend-1", keyWindow, 0),
 			DrainGrace: 5 * time.Second,
 		}},
-		"unsafe twice": {breaks: executionCheck, history: History{
+		"claim executed twice": {violates: executionCheck, history: History{
 			Outcomes:   soakOutcome(nil),
 			Executions: soakExecutions(time.Second),
 		}},
-		"drain, not notified yet": {history: History{
+		"attempt within the grace of a drain": {history: History{
 			Outcomes:   soakOutcome(nil),
 			Attempts:   soakAttempt("backend-1", 1900*time.Millisecond, 0),
 			DrainGrace: time.Second,
 		}},
-		"drain, notified": {breaks: drainCheck, history: History{
+		"attempt after the grace of a drain": {violates: drainCheck, history: History{
 			Outcomes:   soakOutcome(nil),
 			Attempts:   soakAttempt("backend-1", 2200*time.Millisecond, 0),
 			DrainGrace: time.Second,
 		}},
-		"drain, over": {history: History{
+		"attempt after the end of the drain": {history: History{
 			Outcomes:   soakOutcome(nil),
 			Attempts:   soakAttempt("backend-1", 21*time.Second, 0),
 			DrainGrace: time.Second,
 		}},
-		"in flight at a kill": {history: History{
+		"request in flight at a kill": {history: History{
 			Outcomes:     soakOutcome(setBroken),
 			FaultWindows: []FaultWindow{kill},
 		}},
-		"after a kill": {breaks: answerCheck, history: History{
+		"unanswered on a connection made after a kill": {violates: answerCheck, history: History{
 			Outcomes:     soakOutcome(setDialedAfterKill),
 			FaultWindows: []FaultWindow{kill},
 		}},
-		"before the killed process": {breaks: answerCheck, history: History{
+		"unanswered on a connection made before the killed process started": {violates: answerCheck, history: History{
 			Outcomes:     soakOutcome(setBroken),
 			FaultWindows: []FaultWindow{killOfLaterProcess},
 		}},
-		"unread, not at a kill": {history: History{
+		"connection closed before a kill, request resent": {history: History{
 			Outcomes: soakOutcome(setResentAt(0)),
-			Kills:    atEarliest,
+			Kills:    killAfterShutdown,
 		}},
-		"found by the kill": {breaks: answerCheck, history: History{
+		"connection closed by a kill, request resent": {violates: answerCheck, history: History{
 			Outcomes: soakOutcome(setResentAt(time.Second)),
-			Kills:    atEarliest,
+			Kills:    killAfterShutdown,
 		}},
-		"no answer": {breaks: answerCheck, history: History{
+		"no answer": {violates: answerCheck, history: History{
 			Outcomes: soakOutcome(setBroken),
 		}},
 	}
 }
 
-// Each check of the soak finds what breaks it, and nothing else.
-func TestSoakChecksFindWhatBreaksThem(t *testing.T) {
+// Each history fails exactly the check that it violates.
+func TestSoakChecksDetectTheirViolations(t *testing.T) {
 	drains := map[string][]*drainPeriod{"backend-1": {{
 		start:      soakStart,
 		end:        soakStart.Add(20 * time.Second),
@@ -240,17 +246,17 @@
 	for name, tc := range soakCases() {
 		t.Run(name, func(t *testing.T) {
 			for _, check := range append(Verify(tc.history), tc.history.verifySoak(drains, time.Time{})...) {
-				if check.OK == (check.Name == tc.breaks) {
-					t.Errorf("%s: %+v", check.Name, check)
+				if check.OK == (check.Name == tc.violates) {
+					t.Errorf("check %q passed: %v, want %v: %+v", check.Name, check.OK, !check.OK, check)
 				}
 			}
 		})
 	}
 }
 
-// upgradeSoak is the soak of upgrades in seconds, for the ordinary tests: series, successors that end, hanging
-// backends, clients that connect long before they send a request, and, in one of its seeds,
-// idle connections and a class of a minute.
+// upgradeSoak is a soak of upgrades of a few seconds for the ordinary tests. It has several upgrades in a row,
+// successors that end, hanging backends and clients that connect long before they send a request. One seed in addition
+// has idle connections and a class with a deadline of a minute.
 const upgradeSoak = `
 name = "short soak of upgrades"
 seed = 22
@@ -279,12 +285,12 @@
 crowd = 150
 `
 
-// Upgrades in series under clients that use their connections late break none of the checks.
+// All checks pass under several upgrades in a row and clients that send late on their connections.
 func TestShortSoakOfUpgradesKeepsTheInvariants(t *testing.T) {
 	t.Parallel()
-	r := runScenario(t, upgradeSoak)
-	requireChecks(t, r)
-	if r.Counts[kindServed] == 0 {
-		t.Errorf("too little to judge: %v", r.Counts)
+	report := runScenario(t, upgradeSoak)
+	requireChecks(t, report)
+	if report.Counts[kindServed] == 0 {
+		t.Errorf("no request was served: counts %v", report.Counts)
 	}
 }
