--- a/internal/lab/lease_run.go
+++ b/internal/lab/lease_run.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// leaseName is the lease that the candidates compete for.
+	// leaseName is the name of the lease that the candidates compete for.
 	leaseName = "duty"
 	// leaseFaultStream is the random stream of a lease run's faults. It keeps their draws independent of others of the
 	// same seed.
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -74,17 +74,17 @@
 func (cluster *cluster) callAnyReplica(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, eventTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		addr := cluster.registryAddr[attempt%len(cluster.registryAddr)]
-		last = cluster.registryCall(ctx, method, addr, path, body, out)
+		lastErr = cluster.registryCall(ctx, method, addr, path, body, out)
 		var rejected *statusError
-		if last == nil || errors.As(last, &rejected) && rejected.status != http.StatusServiceUnavailable {
-			return last
+		if lastErr == nil || errors.As(lastErr, &rejected) && rejected.status != http.StatusServiceUnavailable {
+			return lastErr
 		}
 		sleepUntil(ctx, time.Now().Add(registryRetryInterval))
 	}
-	return fmt.Errorf("no replica answered %s %s: %w", method, path, last)
+	return fmt.Errorf("no replica answered %s %s: %w", method, path, lastErr)
 }
 
 // acknowledgedWrite is a write that the registry acknowledged. At the end of the run, the registry's list of members
@@ -101,13 +101,13 @@
 	write acknowledgedWrite) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		addr := cluster.registryAddr[attempt%len(cluster.registryAddr)]
 		var answer struct {
 			Revision int64 `json:"revision"`
 		}
-		if last = cluster.registryCall(ctx, method, addr, path, body, &answer); last == nil {
+		if lastErr = cluster.registryCall(ctx, method, addr, path, body, &answer); lastErr == nil {
 			write.Revision = answer.Revision
 			cluster.mu.Lock()
 			cluster.acknowledgedWrites = append(cluster.acknowledgedWrites, write)
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(registryRetryInterval)
 	}
-	return 0, fmt.Errorf("%s %s: no replica acknowledged the write: %w", method, path, last)
+	return 0, fmt.Errorf("%s %s: no replica acknowledged the write: %w", method, path, lastErr)
 }
 
 // registerBackends registers the backends in the registry. Each member's host_port is that of the backend's proxy.
--- a/internal/lab/soak_draw.go
+++ b/internal/lab/soak_draw.go
@@ -22,7 +22,8 @@
 // drawSoak returns the faults of a soak, sorted by time.
 func drawSoak(scenario Scenario) []Fault {
 	drawer := &faultDrawer{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, soakFaultStream))}
-	end := scenario.Duration.Duration - scenario.Load.Deadline.Duration // no group starts within the last deadline
+	// No group starts within one client deadline of the end of the load.
+	end := scenario.Duration.Duration - scenario.Load.Deadline.Duration
 	for at := scenario.Soak.FirstFaultAt.Duration; at < end; at += scenario.Soak.GroupInterval.Duration {
 		drawer.drawGroup(at)
 	}
@@ -49,8 +50,7 @@
 	return from + time.Duration(drawer.rng.Float64()*float64(to-from))
 }
 
-// add adds a fault and returns it, so that the caller can set its other fields. The pointer is valid until the next
-// add.
+// add adds a fault and returns it, so that the caller can set its other fields before the next call of add.
 func (drawer *faultDrawer) add(at time.Duration, kind, target string) *Fault {
 	drawer.faults = append(drawer.faults, Fault{At: Duration{Duration: at}, Kind: kind, Target: []string{target}})
 	return &drawer.faults[len(drawer.faults)-1]
@@ -85,7 +85,7 @@
 	sequenceUpgradeThenReload
 	sequenceUpgradeThenTerminateTwice
 	sequenceUpgrade
-	sequenceUpgradeAgain // the plain upgrade is drawn twice as often
+	sequenceUpgradeAgain // draws the same as sequenceUpgrade, which is therefore drawn twice as often
 	sequenceCount
 
 	plainSequenceCount = sequenceUpgradeTwice
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -14,7 +14,7 @@
 	// Upgrades adds faults that replace a node's process by a second one. Some replace it again while the first process
 	// is still shutting down.
 	Upgrades bool `toml:"upgrades"`
-	// Deadlines are client deadlines, of which each seed uses one. Where it is empty, each seed uses the load's deadline.
+	// Deadlines are client deadlines, of which each seed uses one. If there are none, each seed uses the load's deadline.
 	Deadlines []Duration `toml:"deadlines"`
 	// ClaimDeadline is the deadline of the claim class in the nodes' settings, in every third seed. It does not depend on
 	// the clients' deadline; 0 means the clients' deadline.
