--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -50,9 +50,9 @@
 	timelineLog timelineLog
 	timers      sync.WaitGroup // goroutines that undo a fault, or wait for its effects
 
-	mu         sync.Mutex
-	acks       []ack       // writes that the registry acknowledged
-	faultMarks []FaultMark // faults that were injected
+	mu                 sync.Mutex
+	acknowledgedWrites []acknowledgedWrite // writes that the registry acknowledged
+	injectedFaults     []InjectedFault     // faults that were injected
 }
 
 // newCluster creates the run's output folder and claims a block of loopback addresses for its processes.
@@ -175,9 +175,9 @@
 }
 
 // recordFault records an injected fault for the report.
-func (cluster *cluster) recordFault(mark FaultMark) {
+func (cluster *cluster) recordFault(mark InjectedFault) {
 	cluster.mu.Lock()
-	cluster.faultMarks = append(cluster.faultMarks, mark)
+	cluster.injectedFaults = append(cluster.injectedFaults, mark)
 	cluster.mu.Unlock()
 }
 
--- a/internal/lab/lease_faults.go
+++ b/internal/lab/lease_faults.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// playedFault is one fault of a lease run.
-type playedFault struct {
+// leaseFault is one injected fault of a lease run.
+type leaseFault struct {
 	Kind   string `json:"kind"`
 	At     int64  `json:"at"`     // Unix time in nanoseconds
-	Holder string `json:"holder"` // of the lease when the fault was applied
+	Holder string `json:"holder"` // of the lease when the fault was injected
 	Target string `json:"target"`
 }
 
-// playFaults plays the scenario's faults one after another. The effect of each is awaited (a successor holds the lease,
-// or the registry has a leader again) and the fault undone before the next.
-func (run *leaseRun) playFaults(ctx context.Context) ([]playedFault, error) {
+// injectFaults injects the scenario's faults one after another. Before the next fault it waits for the effect of the
+// last one (a successor holds the lease, or the registry has a leader again) and undoes it.
+func (run *leaseRun) injectFaults(ctx context.Context) ([]leaseFault, error) {
 	rng := rand.New(rand.NewPCG(run.scenario.Seed, leaseFaultStream))
 	run.start = time.Now()
-	var faults []playedFault
+	var faults []leaseFault
 	for n := range run.scenario.Lease.FaultCount {
-		fault, err := run.playFault(ctx, rng)
+		fault, err := run.injectFault(ctx, rng)
 		if err != nil {
 			return nil, fmt.Errorf("fault %d (%s): %w", n, fault.Kind, err)
 		}
 		faults = append(faults, fault)
-		run.recordFault(FaultMark{At: time.Duration(fault.At - run.start.UnixNano()).Seconds(), Kind: fault.Kind,
+		run.recordFault(InjectedFault{At: time.Duration(fault.At - run.start.UnixNano()).Seconds(), Kind: fault.Kind,
 			Target: []string{fault.Target}})
 	}
 	return faults, nil
 }
 
-// playFault draws one fault, applies it to the holder or the registry's leader, awaits its effect and undoes it.
-func (run *leaseRun) playFault(ctx context.Context, rng *rand.Rand) (playedFault, error) {
+// injectFault draws one fault, injects it into the holder or the registry's leader, waits for its effect and undoes it.
+func (run *leaseRun) injectFault(ctx context.Context, rng *rand.Rand) (leaseFault, error) {
 	ttl := run.scenario.Lease.TTL.Duration
 	holder, err := run.waitHolder(ctx, "", eventTimeout)
 	if err != nil {
-		return playedFault{}, err
+		return leaseFault{}, err
 	}
 	index := candidateIndex(holder)
 	if index < 0 || index >= len(run.processes[roleCandidate]) {
-		return playedFault{}, fmt.Errorf("holder %q is none of the candidates", holder)
+		return leaseFault{}, fmt.Errorf("the lease's holder %q is none of the run's candidates", holder)
 	}
 	process := run.processes[roleCandidate][index]
-	// Somewhere in the holder's work, not always just after its grant.
+	// The fault comes at a drawn time within the holder's work, instead of always just after the grant.
 	sleepUntil(ctx, time.Now().Add(time.Duration(rng.Int64N(int64(ttl/2)))))
 	kinds := run.scenario.Lease.Kinds
-	fault := playedFault{Kind: kinds[rng.IntN(len(kinds))], Holder: holder, Target: process.Name,
+	fault := leaseFault{Kind: kinds[rng.IntN(len(kinds))], Holder: holder, Target: process.Name,
 		At: time.Now().UnixNano()}
 	switch fault.Kind {
 	case leaseFaultKill:
@@ -58,7 +58,8 @@
 	case leaseFaultTerminate:
 		err = run.endHolder(ctx, process, holder, syscall.SIGTERM)
 	case leaseFaultPause:
-		// Past the TTL, so that a successor holds the lease before the paused holder writes with its old token.
+		// The pause is longer than the TTL, so that a successor holds the lease before the paused holder writes with its
+		// old token.
 		duration := time.Duration(float64(ttl) * (1.5 + rng.Float64()))
 		err = run.pauseHolder(ctx, process, fault, duration)
 	case leaseFaultBoth:
@@ -71,8 +72,8 @@
 	return fault, err
 }
 
-// endHolder ends the holder by a signal, awaits its successor and starts it again. A successor that does not come is
-// found by the checks; the wait is far longer than their bound.
+// endHolder ends the holder's process with a signal, waits for a successor and restarts the process. It ignores a
+// missing successor: the checks report it, as their bound is far shorter than this wait.
 func (run *leaseRun) endHolder(ctx context.Context, process *Process, holder string, signal syscall.Signal) error {
 	exited := process.Exited()
 	if err := process.Signal(signal); err != nil {
@@ -83,8 +84,8 @@
 	return process.Start(run.spawner)
 }
 
-// pauseHolder pauses the holder for a while from the fault's time, and until there is a successor.
-func (run *leaseRun) pauseHolder(ctx context.Context, process *Process, fault playedFault,
+// pauseHolder pauses the holder until there is a successor, and at least for duration from the fault's time.
+func (run *leaseRun) pauseHolder(ctx context.Context, process *Process, fault leaseFault,
 	duration time.Duration) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -94,8 +95,8 @@
 	return process.Signal(syscall.SIGCONT)
 }
 
-// pauseHolderAndKillLeader pauses the holder and kills the leader that would have expired its lease. The next leader
-// waits a full TTL of its own before a successor may hold it; only then does the old holder continue.
+// pauseHolderAndKillLeader pauses the holder and kills the leader that would have expired the lease. The next leader
+// waits for a full TTL before it grants the lease to a successor. The old holder continues only after that grant.
 func (run *leaseRun) pauseHolderAndKillLeader(ctx context.Context, process *Process, holder string) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -105,9 +106,9 @@
 	return errors.Join(err, process.Signal(syscall.SIGCONT))
 }
 
-// partitionHolder cuts the holder off from all replicas for a while from the fault's time, and until there is a
-// successor.
-func (run *leaseRun) partitionHolder(ctx context.Context, process *Process, fault playedFault, duration time.Duration) {
+// partitionHolder cuts the holder off from all replicas until there is a successor, and at least for duration from the
+// fault's time.
+func (run *leaseRun) partitionHolder(ctx context.Context, process *Process, fault leaseFault, duration time.Duration) {
 	links := run.matchLinks([]string{process.Name + ":registry-*"})
 	for _, proxy := range links {
 		proxy.Partition(true)
@@ -119,12 +120,12 @@
 	}
 }
 
-// killLeader kills the registry's leader, waits for the next, starts the old one again on its data and returns its
-// name; otherwise where no replica leads.
-func (run *leaseRun) killLeader(ctx context.Context, otherwise string) (target string, err error) {
+// killLeader kills the registry's leader, waits for the next leader, restarts the killed replica on its data and
+// returns its name. Where no replica leads it returns fallback and an error.
+func (run *leaseRun) killLeader(ctx context.Context, fallback string) (target string, err error) {
 	leader := run.leaderIndex(ctx)
 	if leader < 0 {
-		return otherwise, errNoLeaderToKill
+		return fallback, errNoLeaderToKill
 	}
 	return run.processes[roleRegistry][leader].Name, run.restartAfterElection(ctx, leader)
 }
--- a/internal/lab/timeline_log.go
+++ b/internal/lab/timeline_log.go
@@ -39,7 +39,7 @@
 
 // recordFaultEvent records a fault in the report and the timeline.
 func (cluster *cluster) recordFaultEvent(kind string, targets ...string) {
-	cluster.recordFault(FaultMark{At: time.Since(cluster.start).Seconds(), Kind: kind, Target: targets})
+	cluster.recordFault(InjectedFault{At: time.Since(cluster.start).Seconds(), Kind: kind, Target: targets})
 	cluster.recordEvent(timeline.Faults, "%s %s", kind, strings.Join(targets, " "))
 }
 
