--- a/balance/action.go
+++ b/balance/action.go
@@ -7,7 +7,7 @@
 
 // Kinds of actions, with the fields of Action that each kind uses. The Balancer does not emit CancelAttempt,
 // UnwatchEndpoints, FetchEndpoints, SendToPeer or CloseIdle yet, and sets no Timeout. The simulator's protocol has
-// them, and every host carries them out.
+// them, and nodes carry them out.
 const (
 	Forward          ActionKind = iota // Request, Endpoint, Attempt, Timeout, StartWithin: start the next attempt
 	CancelAttempt                      // Request, Attempt: stop waiting for an attempt
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,7 +6,8 @@
 // request would be answered too late, and the queue would get shorter only by rejecting requests.
 
 const (
-	// initialQueueBudget is also the budget from which a node logs that answers are in time again.
+	// initialQueueBudget is the budget at the start. A node that rejects early logs that answers are in time again when
+	// its budget has grown to this value.
 	initialQueueBudget = 0.3
 	minQueueBudget     = 0.12
 	maxQueueBudget     = 1.0
@@ -21,8 +22,8 @@
 )
 
 // queueBudget is the fraction of the latency slack that queues may take up. It falls when a queue makes an answer late
-// and grows with answers in time. Overloaded endpoints can work so badly that a tolerable queue never clears, and only
-// late answers show this.
+// and grows with answers in time. An overloaded endpoint can work so badly that even a queue within the bound never
+// clears. Only late answers show this.
 //
 // Invariant: minQueueBudget <= fraction <= maxQueueBudget.
 type queueBudget struct {
@@ -32,9 +33,10 @@
 	rejectingEarly   bool // the node has logged that it rejects early
 }
 
-// adjust updates the budget by an answer. late is the time beyond its latency objective, and queuedSeconds is the time
-// that its queue explains. A late answer lowers the budget only if its queue explains all the lateness, because a heavy
-// request is late in any queue.
+// adjust updates the budget by an answer. late is the time by which the answer missed its latency objective; it is
+// negative if the answer was in time. queuedSeconds is the time that the endpoint needed for the queue that the request
+// joined. A late answer lowers the budget only if that time explains all the lateness, because a heavy request is late
+// in any queue.
 func (q *queueBudget) adjust(now time.Duration, status Status, late time.Duration, queuedSeconds float64) {
 	if q.lastAnswerAt > 0 { // the clock may start at any value, so the first answer has no gap
 		q.answerGapSeconds += sampleWeight * ((now - q.lastAnswerAt).Seconds() - q.answerGapSeconds)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,11 +22,11 @@
 	h.serve(100, idempotent, in20ms)
 	for range 80 {
 		h.advance(200 * ms)
-		h.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(2-b) * 150 * ms })
+		h.serve(20, idempotent, func(id EndpointID) time.Duration { return time.Duration(2-id) * 150 * ms })
 	}
 	for range 40 {
 		h.advance(1500 * ms)
-		h.serve(20, idempotent, func(b EndpointID) time.Duration { return time.Duration(3-b) * 15 * ms })
+		h.serve(20, idempotent, func(id EndpointID) time.Duration { return time.Duration(3-id) * 15 * ms })
 	}
 	h.answerLate(200)
 	h.serve(3000, idempotent, in20ms)
--- a/balance/config.go
+++ b/balance/config.go
@@ -58,7 +58,7 @@
 	CPUPerRequest  time.Duration // CPU time for a request and its outcomes; 0: no limit
 }
 
-// Prices are the points that the site deducts from its result, each for one unit.
+// Prices are the points that the site deducts from its result, each for one unit of the ratio in its comment.
 type Prices struct {
 	CrossZone   float64 // one attempt in another zone, per request
 	Waste       float64 // endpoint work that produces no answer, per work offered
@@ -70,7 +70,7 @@
 	Discovery   float64 // list entries sent over 100 x requests
 }
 
-// Rules holds the parameters of the rules that a node keeps on its own.
+// Rules holds the parameters of the rules that a node must follow by itself.
 type Rules struct {
 	AnswerGrace       time.Duration // a final answer is valid for this long after the deadline
 	DrainGrace        time.Duration // an endpoint gets nothing new this long after a list shows it as draining
@@ -78,7 +78,7 @@
 	SlowStartFraction float64       // an endpoint starts with at least this fraction of its capacity
 	SlowStartDuration time.Duration // an endpoint has its full capacity after this time at the latest
 	OverloadMultiple  float64       // load above this multiple of its present capacity is an overload
-	OverloadWindow    time.Duration // an overload of this duration brings down an endpoint in slow start
+	OverloadWindow    time.Duration // an overload of this duration makes an endpoint in slow start fail
 }
 
 // LoadReportSource says in which results endpoints report their load.
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -21,14 +21,14 @@
 		b.Handle(now, CordonChanged{Endpoint: 1, Cordoned: true, At: now}, nil)
 	}
 	if got := countForwarded(b, now, 100); got[1] != 0 || got[2] == 0 {
-		t.Errorf("cordoned: forwarded %v", got)
+		t.Errorf("endpoint 1 cordoned: attempts by endpoint %v, want none at endpoint 1", got)
 	}
 	now += time.Second
 	// A list that shows the endpoint as ready, even with a new process, does not end the cordon.
 	list[0].StartedAt = now
 	b.Handle(now, EndpointsListed{Kind: CompleteList, Endpoints: list}, nil)
 	if got := countForwarded(b, now, 100); got[1] != 0 {
-		t.Errorf("cordoned and listed: forwarded %v", got)
+		t.Errorf("endpoint 1 cordoned and listed as ready: attempts by endpoint %v, want none at endpoint 1", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 1 {
 		t.Errorf("%d endpoints unavailable, want 1", n)
@@ -39,7 +39,7 @@
 		t.Errorf("slow start fraction %v when uncordoned, want less than 0.5", w)
 	}
 	if got := countForwarded(b, now, 900); got[1] == 0 || got[1] > got[2]/2 {
-		t.Errorf("in slow start: forwarded %v", got)
+		t.Errorf("endpoint 1 in slow start: attempts by endpoint %v, want some, at most half as many as at endpoint 2", got)
 	}
 	if n := b.UnavailableEndpoints(); n != 0 {
 		t.Errorf("%d endpoints unavailable, want 0", n)
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := func(e float64) time.Duration { return time.Duration(e * float64(time.Second)) }
+	at := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 	b.Handle(at(100), EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}}, nil)
 	b.Handle(at(110), CordonChanged{Endpoint: 1, Cordoned: true, At: at(110)}, nil)
 	b.Handle(at(120), CordonChanged{Endpoint: 1, At: at(120)}, nil)
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -7,7 +7,7 @@
 const (
 	// pollSpreadDivisor sets the span of calls: n nodes spread their calls over n/pollSpreadDivisor poll intervals.
 	pollSpreadDivisor = 200
-	// failedPollDivisor sets the least span after a failure: 1/failedPollDivisor of a poll interval.
+	// failedPollDivisor sets the span that failures double: at least 1/failedPollDivisor of a poll interval.
 	failedPollDivisor = 20
 	// maxPollDelay is the longest delay of a call: a node must know a change within 6 s after discovery is reachable.
 	maxPollDelay = 3750 * time.Millisecond
@@ -43,7 +43,8 @@
 	return min(b.cfg.Rules.PollInterval/pollSpreadDivisor*time.Duration(b.cfg.Instances), maxPollDelay)
 }
 
-// pollBackoff returns the span of the call after a failure. It doubles with each consecutive failure.
+// pollBackoff returns the span of the call after a failure. Each consecutive failure, including the first one, doubles
+// the span.
 func (b *Balancer) pollBackoff() time.Duration {
 	base := max(b.cfg.Rules.PollInterval/failedPollDivisor, b.pollSpread())
 	return min(base<<min(b.discovery.failures, maxPollDoublings+1), maxPollDelay)
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -75,8 +75,9 @@
 }
 
 // The delay of a call to discovery is uniformly distributed over a span. After a list the span follows from the size of
-// the fleet. After a failure it is a twentieth of the poll interval, or the span of the fleet if that is longer, and it
-// doubles with each consecutive failure. It is never longer than 3.75 s. The default poll interval is 10 s.
+// the fleet. After a failure it is a twentieth of the poll interval, or the span of the fleet if that is longer,
+// doubled for each consecutive failure including the first one. It is never longer than 3.75 s. The default poll
+// interval is 10 s.
 func TestSpansOfCallsToDiscovery(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval  time.Duration
--- a/balance/endpointstate.go
+++ b/balance/endpointstate.go
@@ -31,7 +31,7 @@
 
 	failureRate    float64
 	outlier        bool          // marked as an outlier; each change is logged
-	lastActivityAt time.Duration // last outcome or successful health check, or a send when nothing was in flight
+	lastActivityAt time.Duration // last activity (see recordOutcome, onHealthChecked) or send when nothing was in flight
 
 	knownSince             time.Duration // when this node learned of the endpoint's current process
 	slowStartCreditSeconds float64       // work that may still be sent in this window of slow start
--- a/balance/event.go
+++ b/balance/event.go
@@ -81,8 +81,8 @@
 	NotReplayable bool // part of an incomplete request has been consumed, so it cannot be sent again
 }
 
-// PeerMessage is sent when a message from another instance has arrived. The simulator's protocol has it and hosts
-// deliver it, but no rule uses it yet.
+// PeerMessage is sent when a message from another instance has arrived. The simulator's protocol has it and nodes pass
+// it on, but no rule uses it yet.
 type PeerMessage struct {
 	Peer    int
 	Payload []byte
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -14,7 +14,7 @@
 	ev balance.Event
 }
 
-// eventQueue is a heap of events ordered by time. It stands for the clock and the network of a node.
+// eventQueue is a heap of events ordered by time. It simulates the clock and the network of a node.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int           { return len(q) }
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -110,10 +110,11 @@
 	b.restore(ev.State)
 }
 
-// restartSlowStartWindow drops this process's slow start credit and begins a new window. Together, both processes of a
-// node may send an endpoint in slow start only the credit of one node. The successor therefore gets the predecessor's
-// unused credit. Without the predecessor's state it gets no credit until this window ends, when the window of the
-// predecessor's last credit has ended too. The predecessor gets no more credit.
+// restartSlowStartWindow drops this process's slow start credit and begins a new window. The two processes of a node
+// together may send an endpoint in slow start only as much work as the credit of one node allows. Therefore the
+// predecessor gets no more credit, and the successor gets the predecessor's unused credit. A successor without the
+// predecessor's state gets no credit until this window ends. By then the window of the predecessor's last credit has
+// ended too.
 func (b *Balancer) restartSlowStartWindow() {
 	b.windowStart = b.now
 	for _, e := range b.endpoints {
--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -24,7 +24,7 @@
 // healthChecks counts the health checks of a node. Invariant: credit <= 2*maxHealthChecksPerTick, which limits a burst
 // of checks.
 type healthChecks struct {
-	credit      float64       // checks that arrivals have paid for
+	credit      float64       // number of checks that may be sent; see earn
 	sent        float64       // number since the node's start, without repeated checks
 	lastRoundAt time.Duration // the last tick with a round of checks
 	awaited     int           // results that waiting requests wait for
@@ -32,7 +32,7 @@
 }
 
 // earn adds the credit of an arrival. A node that has not yet sent as many checks as it has endpoints knows nothing of
-// them, and sends a check at each arrival.
+// their loads, so each arrival adds at least one check.
 func (h *healthChecks) earn(price float64, endpoints int) {
 	perArrival := min(maxHealthChecksPerTick, healthCheckBudgetPerArrival/max(price, minHealthCheckPrice))
 	if h.sent < float64(endpoints) {
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -8,20 +8,20 @@
 
 // The number of health checks follows their price. A tick has at most maxHealthChecksPerTick checks, of distinct
 // endpoints.
-func TestHealthChecksAreDistinctRandomAndPaidFor(t *testing.T) {
+func TestHealthChecksAreDistinctAndFollowTheirPrice(t *testing.T) {
 	for _, price := range []float64{0, 0.001, 0.01, 0.08} {
 		cfg := testConfig()
 		cfg.Prices.HealthCheck = price
-		r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+		h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 		seen, checks := map[EndpointID]bool{}, 0
 		for i := range 1000 {
-			r.advance(2 * ms)
-			r.arrive(fmt.Sprint(i), idempotent)
-			for _, a := range ofKind(HealthCheck, r.last) {
+			h.advance(2 * ms)
+			h.arrive(fmt.Sprint(i), idempotent)
+			for _, a := range ofKind(HealthCheck, h.last) {
 				seen[a.Endpoint], checks = true, checks+1
 			}
-			r.arrive(fmt.Sprint("same tick", i), idempotent)
-			if len(ofKind(HealthCheck, r.last)) != 0 {
+			h.arrive(fmt.Sprint("same tick", i), idempotent)
+			if len(ofKind(HealthCheck, h.last)) != 0 {
 				t.Fatal("two rounds of checks in one tick")
 			}
 		}
@@ -34,22 +34,22 @@
 }
 
 // Without permission no endpoint is checked. The credit for checks is limited.
-func TestHealthChecksNeedPermissionAndAreNotSavedUp(t *testing.T) {
+func TestHealthChecksNeedPermissionAndTheirCreditIsLimited(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for i := range 50 {
-		r.advance(time.Second)
-		if p := ofKind(HealthCheck, r.arrive(fmt.Sprint(i), idempotent)); len(p) != 0 {
+		h.advance(time.Second)
+		if p := ofKind(HealthCheck, h.arrive(fmt.Sprint(i), idempotent)); len(p) != 0 {
 			t.Fatalf("checked without permission: %+v", p)
 		}
 	}
-	r = newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h = newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for i := range 100 { // one tick
-		r.arrive(fmt.Sprint("burst", i), nonIdempotent)
+		h.arrive(fmt.Sprint("burst", i), nonIdempotent)
 	}
-	if r.b.healthChecks.credit > 2*maxHealthChecksPerTick {
-		t.Errorf("%v checks saved up", r.b.healthChecks.credit)
+	if h.b.healthChecks.credit > 2*maxHealthChecksPerTick {
+		t.Errorf("a credit of %v checks", h.b.healthChecks.credit)
 	}
 }
 
@@ -58,18 +58,18 @@
 func TestWaitingRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0 // each arrival may check several endpoints
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
-	r.handle(RequestArrived{Request: "left", Class: idempotent, TimeLeft: time.Second})
-	r.handle(RequestArrived{Request: "stays", Class: idempotent, TimeLeft: time.Second})
-	if len(r.b.awaitingChecks) != 2 {
-		t.Fatalf("%d requests are waiting", len(r.b.awaitingChecks))
-	}
-	r.handle(ClientDisconnected{Request: "left"})
-	if sent := ofKind(Forward, r.handle(TimerFired{ID: r.b.timers.lastID})); len(sent) != 1 || sent[0].Request != "stays" {
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	h.handle(RequestArrived{Request: "left", Class: idempotent, TimeLeft: time.Second})
+	h.handle(RequestArrived{Request: "stays", Class: idempotent, TimeLeft: time.Second})
+	if len(h.b.awaitingChecks) != 2 {
+		t.Fatalf("%d requests are waiting", len(h.b.awaitingChecks))
+	}
+	h.handle(ClientDisconnected{Request: "left"})
+	if sent := ofKind(Forward, h.handle(TimerFired{ID: h.b.timers.lastID})); len(sent) != 1 || sent[0].Request != "stays" {
 		t.Errorf("forwarded %+v, want only the request of the client that stays", sent)
 	}
-	if len(r.b.requests) != 1 {
-		t.Errorf("%d requests are kept, want 1", len(r.b.requests))
+	if len(h.b.requests) != 1 {
+		t.Errorf("%d requests are kept, want 1", len(h.b.requests))
 	}
 }
 
@@ -79,15 +79,15 @@
 func TestNewNodeChecksAtEachArrival(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 1000 * healthCheckBudgetPerArrival
-	members := make([]Endpoint, 5)
-	for i := range members {
-		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
+	endpoints := make([]Endpoint, 5)
+	for i := range endpoints {
+		endpoints[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newHarness(t, cfg, members...)
+	h := newHarness(t, cfg, endpoints...)
 	checks := 0
 	for i := range 100 {
-		r.advance(10 * ms)
-		checks += len(ofKind(HealthCheck, r.arrive(fmt.Sprint(i), idempotent)))
+		h.advance(10 * ms)
+		checks += len(ofKind(HealthCheck, h.arrive(fmt.Sprint(i), idempotent)))
 	}
 	if checks < 5 || checks > 6 {
 		t.Errorf("%d checks for 5 endpoints", checks)
@@ -99,34 +99,34 @@
 func TestArrivalsWaitForTheirHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
-	r.handle(RequestArrived{Request: "x", TimeLeft: time.Second})
-	checks := ofKind(HealthCheck, r.last)
-	if len(checks) != maxHealthChecksPerTick || len(ofKind(Forward, r.last)) != 0 {
-		t.Fatalf("%d checks and %d forwards at the arrival", len(checks), len(ofKind(Forward, r.last)))
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	h.handle(RequestArrived{Request: "x", TimeLeft: time.Second})
+	checks := ofKind(HealthCheck, h.last)
+	if len(checks) != maxHealthChecksPerTick || len(ofKind(Forward, h.last)) != 0 {
+		t.Fatalf("%d checks and %d forwards at the arrival", len(checks), len(ofKind(Forward, h.last)))
 	}
-	r.advance(ms)
+	h.advance(ms)
 	for _, id := range []EndpointID{1, 3} {
-		if r.handle(loadReported(id, 4)); len(ofKind(Forward, r.last)) != 0 {
+		if h.handle(loadReported(id, 4)); len(ofKind(Forward, h.last)) != 0 {
 			t.Fatal("forwarded before all checks had a result")
 		}
 	}
-	if r.handle(loadReported(2, 0)); r.forwardedTo() != 2 {
-		t.Errorf("sent to endpoint %d, but endpoint 2 is idle", r.forwardedTo())
+	if h.handle(loadReported(2, 0)); h.forwardedTo() != 2 {
+		t.Errorf("sent to endpoint %d, but endpoint 2 is idle", h.forwardedTo())
 	}
 	// A check without a result must not delay a request for long, and not past its deadline.
-	r.advance(time.Second)
-	r.handle(RequestArrived{Request: "y", TimeLeft: time.Second})
-	timers := ofKind(SetTimer, r.last)
+	h.advance(time.Second)
+	h.handle(RequestArrived{Request: "y", TimeLeft: time.Second})
+	timers := ofKind(SetTimer, h.last)
 	if wait := timers[len(timers)-1]; wait.Delay > 15*ms {
 		t.Errorf("delayed for %v", wait.Delay)
-	} else if r.handle(TimerFired{ID: wait.TimerID}); len(ofKind(Forward, r.last)) != 1 {
+	} else if h.handle(TimerFired{ID: wait.TimerID}); len(ofKind(Forward, h.last)) != 1 {
 		t.Error("not forwarded when the wait ended")
 	}
-	r.handle(RequestArrived{Request: "z", TimeLeft: time.Second})
-	r.handle(ClientDisconnected{Request: "z"})
+	h.handle(RequestArrived{Request: "z", TimeLeft: time.Second})
+	h.handle(ClientDisconnected{Request: "z"})
 	for _, id := range []EndpointID{1, 2, 3} {
-		if r.handle(loadReported(id, 0)); len(ofKind(Forward, r.last)) != 0 {
+		if h.handle(loadReported(id, 0)); len(ofKind(Forward, h.last)) != 0 {
 			t.Error("forwarded for a client that has disconnected")
 		}
 	}
@@ -145,15 +145,15 @@
 		"no answer": {StatusTimedOut, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-			r.serve(50, idempotent, in20ms)
-			e := r.b.endpoints[1]
+			h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+			h.serve(50, idempotent, in20ms)
+			e := h.b.endpoints[1]
 			e.failureRate = 0
-			r.arrive("lost", idempotent)
-			r.advance(300 * ms)
-			r.handle(HealthChecked{Endpoint: 1, Status: tc.check, Elapsed: 10 * ms})
-			r.advance(700 * ms)
-			r.endAttempt("lost", 0, 1, StatusTimedOut)
+			h.arrive("lost", idempotent)
+			h.advance(300 * ms)
+			h.handle(HealthChecked{Endpoint: 1, Status: tc.check, Elapsed: 10 * ms})
+			h.advance(700 * ms)
+			h.endAttempt("lost", 0, 1, StatusTimedOut)
 			if e.failureRate != tc.failureRate {
 				t.Errorf("failure rate %v, want %v", e.failureRate, tc.failureRate)
 			}
--- a/balance/latencystats.go
+++ b/balance/latencystats.go
@@ -12,8 +12,8 @@
 	unloadedSampleWeight = 0.03
 	// maxUnloadedQueue is the largest queue estimate at which an answer counts as unloaded.
 	maxUnloadedQueue = 1.0
-	// maxWorkHintMultiple is the multiple of its work hint beyond which an answer must have met a queue, even if the
-	// queue estimate shows none. Queue estimates are old in a large fleet.
+	// maxWorkHintMultiple is the multiple of the work hint beyond which the latency of an answer must include time in a
+	// queue, even if the queue estimate shows no queue. Queue estimates are old in a large fleet.
 	maxWorkHintMultiple = 2.0
 	// answerTimeConstantSeconds is the time constant with which the weight of an answer grows with the time since the
 	// endpoint's last answer.
@@ -35,14 +35,14 @@
 	answers            float64 // number of answers in the means
 	meanLatencySeconds float64
 	meanQueueAtArrival float64
-	meanServiceSeconds float64 // from the two above; it stands for endpoints without answers
+	meanServiceSeconds float64 // derived from the two means above; used for endpoints without answers
 }
 
 // classStats is what a node has learned of a class.
 type classStats struct {
-	unloadedSeconds float64 // mean latency of an answer that met no queue; 0: unknown
+	unloadedSeconds float64 // mean latency of a request that did not wait in a queue; 0: unknown
 	samples         float64 // number of samples in unloadedSeconds
-	unqueuedSamples float64 // number of answers among them that met no queue, without work hints
+	unqueuedSamples float64 // number of samples that are answers without a queue, and not work hints
 }
 
 func newLatencyStats(classes []Class) latencyStats {
@@ -86,10 +86,10 @@
 	l.meanServiceSeconds = l.meanLatencySeconds / (l.meanQueueAtArrival + 1)
 }
 
-// updateUnloadedLatency adds the latency of an answer, if it met no queue. While the node rejects early, overloaded
-// endpoints drain and then show that they are fast, and slow endpoints show that they are slow. Nothing else
-// distinguishes the two. Until an answer meets no queue the work hint is added instead, because a node that starts when
-// queues are long must not take the time in queues for work.
+// updateUnloadedLatency adds the latency of an answer, if its request did not wait in a queue. While the node rejects
+// early, the queues get shorter. Endpoints that were only overloaded then answer fast, and slow endpoints still answer
+// slowly. Nothing else distinguishes the two. Until the first answer without a queue, the work hint is added instead,
+// because a node that starts when queues are long must not take the time in queues for work.
 func (c *classStats) updateUnloadedLatency(queueAtSend, seconds, hintSeconds float64) {
 	weight := unloadedSampleWeight
 	queued := queueAtSend > maxUnloadedQueue || hintSeconds > 0 && seconds > maxWorkHintMultiple*hintSeconds
@@ -106,8 +106,8 @@
 	c.unloadedSeconds += max(weight, 1/c.samples) * (seconds - c.unloadedSeconds)
 }
 
-// updateServiceTime adds the latency of an answer, relative to the unloaded latency of its class, and the queue that it
-// met.
+// updateServiceTime adds the latency of an answer, relative to the unloaded latency of its class, and the queue
+// estimate at the time when its request was sent.
 func (b *Balancer) updateServiceTime(e *endpointState, r *request, a *attempt, elapsed time.Duration) {
 	if r.stats.unloadedSeconds == 0 {
 		return
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -8,52 +8,53 @@
 )
 
 // Slow answers of an endpoint in slow start must not keep it idle once it is warm.
-func TestAnswersInSlowStartCountAsWarm(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
-	r.serve(100, idempotent, in20ms)
-	e := r.b.endpoints[2]
+func TestAnswersInSlowStartDoNotRaiseTheWarmServiceTime(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), Endpoint{ID: 2, Weight: 1, StartedAt: time.Hour})
+	h.serve(100, idempotent, in20ms)
+	e := h.b.endpoints[2]
 	for range 50 { // with a fifth of its capacity, a request of 20 ms takes 100 ms
-		r.b.updateServiceTime(e, r.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
+		h.b.updateServiceTime(e, h.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
 	}
-	if starting, peer := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); starting < 2*peer {
+	if starting, peer := h.b.serviceSeconds(e), h.b.serviceSeconds(h.b.endpoints[1]); starting < 2*peer {
 		t.Errorf("service time %v in slow start, %v at a warm endpoint", starting, peer)
 	}
 	e.StartedAt = 1
-	if starting, warm := r.b.serviceSeconds(e), r.b.serviceSeconds(r.b.endpoints[1]); starting > 1.5*warm {
+	if starting, warm := h.b.serviceSeconds(e), h.b.serviceSeconds(h.b.endpoints[1]); starting > 1.5*warm {
 		t.Errorf("service time %v once warm, %v at an endpoint that was always warm", starting, warm)
 	}
 }
 
 // An endpoint that was slow for a while must be tried again, although it has no new answers.
 func TestServiceTimeRecoversWithoutAnswers(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	e := r.b.endpoints[2]
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	e := h.b.endpoints[2]
 	e.meanLatencySeconds, e.meanQueueAtArrival = 1, 0 // a service time of one second, fifty times that of the other endpoint
 	for range 60 {
-		r.advance(1500 * ms)
-		r.serve(1, idempotent, in20ms)
+		h.advance(1500 * ms)
+		h.serve(1, idempotent, in20ms)
 	}
-	if now := r.b.serviceSeconds(e); now > 2*r.b.latency.meanServiceSeconds {
-		t.Errorf("service time %v s after a minute and a half, mean %v s", now, r.b.latency.meanServiceSeconds)
+	if now := h.b.serviceSeconds(e); now > 2*h.b.latency.meanServiceSeconds {
+		t.Errorf("service time %v s after a minute and a half, mean %v s", now, h.b.latency.meanServiceSeconds)
 	}
 }
 
-// Answers that met a queue do not raise the unloaded latency. Otherwise overload would look like slow endpoints.
+// Answers to requests that waited in a queue do not raise the unloaded latency. Otherwise overload would look like slow
+// endpoints.
 func TestUnloadedLatencyIgnoresQueues(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	was := r.b.latency.classes[idempotent].unloadedSeconds
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	was := h.b.latency.classes[idempotent].unloadedSeconds
 	for i := range 20 {
 		id := fmt.Sprint(i)
-		r.b.queueBudget.fraction = maxQueueBudget
-		r.setOtherNodesLoad(1, 2)
-		r.arrive(id, idempotent)
-		r.forwardedTo()
-		r.advance(100 * ms)
-		r.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
-	}
-	if unloaded := r.b.latency.classes[idempotent].unloadedSeconds; unloaded != was {
+		h.b.queueBudget.fraction = maxQueueBudget
+		h.setOtherNodesLoad(1, 2)
+		h.arrive(id, idempotent)
+		h.forwardedTo()
+		h.advance(100 * ms)
+		h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
+	}
+	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; unloaded != was {
 		t.Errorf("unloaded latency went from %v to %v s", was, unloaded)
 	}
 }
@@ -61,10 +62,10 @@
 // A single slow first answer must not be taken for the unloaded latency of its class: the first answers count by their
 // mean.
 func TestFirstAnswersAreAveraged(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
-	r.serve(9, idempotent, in20ms)
-	if unloaded := r.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-0.046) > 0.001 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
+	h.serve(9, idempotent, in20ms)
+	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-0.046) > 0.001 {
 		t.Errorf("unloaded latency %v s, the mean of the answers is 0.046", unloaded)
 	}
 }
@@ -72,35 +73,35 @@
 // With hundreds of endpoints a node sends to each of them rarely. The mean service time is therefore learned from all
 // answers. Otherwise it would stay at its initial value for minutes, and queues of any length would look short.
 func TestMeanServiceTimeIsLearnedFromAnyAnswer(t *testing.T) {
-	members := make([]Endpoint, 200)
-	for i := range members {
-		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
+	endpoints := make([]Endpoint, 200)
+	for i := range endpoints {
+		endpoints[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newHarness(t, testConfig(), members...)
-	r.serve(40, idempotent, func(EndpointID) time.Duration { return 100 * ms })
-	if r.b.latency.meanServiceSeconds < 0.08 {
-		t.Errorf("service time %v after 40 answers of 100 ms", r.b.latency.meanServiceSeconds)
+	h := newHarness(t, testConfig(), endpoints...)
+	h.serve(40, idempotent, func(EndpointID) time.Duration { return 100 * ms })
+	if h.b.latency.meanServiceSeconds < 0.08 {
+		t.Errorf("service time %v after 40 answers of 100 ms", h.b.latency.meanServiceSeconds)
 	}
 }
 
 // A node that starts when queues are long must not take its first answers for the unloaded latency. It uses the work
 // hint instead.
-func TestWorkHintStandsForTheUnloadedLatency(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.b.loads.overall.mean, r.b.queueBudget.fraction = 5, maxQueueBudget
-	r.advance(time.Second)
-	r.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
-	r.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
-	if unloaded := r.b.latency.classes[idempotent].unloadedSeconds; unloaded < 0.015 || unloaded > 0.025 {
+func TestWorkHintIsUsedUntilAnAnswerWithoutAQueue(t *testing.T) {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.b.loads.overall.mean, h.b.queueBudget.fraction = 5, maxQueueBudget
+	h.advance(time.Second)
+	h.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
+	h.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
+	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; unloaded < 0.015 || unloaded > 0.025 {
 		t.Errorf("unloaded latency %v s after an answer of 200 ms behind five requests, with a work hint of 20 ms", unloaded)
 	}
 }
 
-// Queue estimates are old in a large fleet, so an answer may have met a queue that no estimate shows. An answer that
-// took many times its work hint must not be taken for unloaded. Otherwise the limit on waits would grow with the queue
-// until endpoints are overloaded. An endpoint that is somewhat slower than the hint still counts, and so does any
+// Queue estimates are old in a large fleet, so a request may have waited in a queue that no estimate shows. An answer
+// that took many times its work hint must not be taken for unloaded. Otherwise the limit on waits would grow with the
+// queue until endpoints are overloaded. An endpoint that is somewhat slower than the hint still counts, and so does any
 // answer without a hint.
-func TestAnswersFarBeyondTheirHintMetAQueue(t *testing.T) {
+func TestAnswersFarBeyondTheirHintAreNotUnloaded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		hint, spent time.Duration
 		want        float64 // unloaded latency after 200 such answers, seconds
@@ -111,32 +112,32 @@
 		"slow, without a hint": {spent: 150 * ms, want: 0.150},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+			h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 			for i := range 200 {
-				r.advance(time.Second)
+				h.advance(time.Second)
 				id := fmt.Sprint(i)
-				r.handle(RequestArrived{Request: id, ExpectedWork: tc.hint, TimeLeft: time.Second})
-				r.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: tc.spent, Final: true})
+				h.handle(RequestArrived{Request: id, ExpectedWork: tc.hint, TimeLeft: time.Second})
+				h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: tc.spent, Final: true})
 			}
-			if unloaded := r.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-tc.want) > 0.1*tc.want {
+			if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-tc.want) > 0.1*tc.want {
 				t.Errorf("unloaded latency %.4f s, want %.4f", unloaded, tc.want)
 			}
 		})
 	}
 }
 
-// An endpoint with many cores answers as fast behind ten requests as behind none. A node that has met only short queues
-// must learn this from the few answers that it gets after a long queue.
+// An endpoint with many cores answers as fast behind ten requests as behind none. A node that has sent requests only to
+// short queues must learn this from the few answers that it gets after a long queue.
 func TestAnswersAfterLongQueuesUpdateTheServiceTime(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(200, idempotent, in20ms)
-	e := r.b.endpoints[1]
-	was := r.b.warmServiceSeconds(e)
-	req := r.request(idempotent, 0)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(200, idempotent, in20ms)
+	e := h.b.endpoints[1]
+	was := h.b.warmServiceSeconds(e)
+	req := h.request(idempotent, 0)
 	for range 3 {
-		r.b.updateServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
+		h.b.updateServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
 	}
-	if is := r.b.warmServiceSeconds(e); is > was/4 {
+	if is := h.b.warmServiceSeconds(e); is > was/4 {
 		t.Errorf("service time went from %v to %v s after three equally fast answers behind twelve requests", was, is)
 	}
 }
@@ -144,13 +145,13 @@
 // A node of a large fleet gets an answer from an endpoint rarely. Its estimate for the endpoint must not be ten seconds
 // old.
 func TestRareAnswersCountMore(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(100, idempotent, in20ms)
-	e := r.b.endpoints[1]
-	was, req := e.meanLatencySeconds, r.request(idempotent, 0)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(100, idempotent, in20ms)
+	e := h.b.endpoints[1]
+	was, req := e.meanLatencySeconds, h.request(idempotent, 0)
 	for range 6 { // in three seconds
-		r.b.now += 500 * ms
-		r.b.updateServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
+		h.b.now += 500 * ms
+		h.b.updateServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
 	}
 	if e.meanLatencySeconds < was+70e-3 {
 		t.Errorf("the mean latency went from %.3f to %.3f s in three seconds with answers of 0.120 s", was, e.meanLatencySeconds)
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -8,40 +8,41 @@
 // In a large fleet it takes seconds to check all endpoints. An endpoint without a report is expected to have the mean
 // load. A single report of its own hardly changes this, but many reports do.
 func TestEndpointsWithoutReportsHaveTheMeanLoad(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
-	r.handle(loadReported(1, 10))
-	if o := r.b.otherNodesLoad(r.b.endpoints[1]); o != 10 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	h.handle(loadReported(1, 10))
+	if o := h.b.otherNodesLoad(h.b.endpoints[1]); o != 10 {
 		t.Errorf("load %v after a first report of 10", o)
 	}
 	for i := range 100 {
-		r.advance(5 * time.Second)
-		r.handle(loadReported(2, float64(10+i%2)))
+		h.advance(5 * time.Second)
+		h.handle(loadReported(2, float64(10+i%2)))
 	}
-	if o := r.b.otherNodesLoad(r.b.endpoints[3]); o < 9 || o > 11 {
+	if o := h.b.otherNodesLoad(h.b.endpoints[3]); o < 9 || o > 11 {
 		t.Errorf("load %v at an endpoint without reports, 10 at the others", o)
 	}
-	r.advance(5 * time.Second)
-	r.handle(loadReported(3, 0))
-	if o := r.b.expectedLoad(r.b.endpoints[3]); o < 6 {
+	h.advance(5 * time.Second)
+	h.handle(loadReported(3, 0))
+	if o := h.b.expectedLoad(h.b.endpoints[3]); o < 6 {
 		t.Errorf("expected load %v after a single report of 0, want at least 6", o)
 	}
 	for range 40 {
-		r.advance(5 * time.Second)
-		r.handle(loadReported(3, 0))
-		r.handle(loadReported(2, 10))
-		r.handle(loadReported(1, 10))
+		h.advance(5 * time.Second)
+		h.handle(loadReported(3, 0))
+		h.handle(loadReported(2, 10))
+		h.handle(loadReported(1, 10))
 	}
-	if o := r.b.expectedLoad(r.b.endpoints[3]); o > 2 {
+	if o := h.b.expectedLoad(h.b.endpoints[3]); o > 2 {
 		t.Errorf("expected load %v at an endpoint that always reports 0", o)
 	}
 }
 
-// The first reports apply to all endpoints that have not reported yet. They count in full and not by sampleWeight each.
+// The first reports apply to all endpoints that have not reported yet. The mean load follows them immediately, and not
+// only by sampleWeight with each report.
 func TestFirstReportsApplyToEndpointsWithoutReports(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.advance(time.Second)
-	r.handle(loadReported(1, 10))
-	if o := r.b.otherNodesLoad(r.b.endpoints[2]); o < 5 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.advance(time.Second)
+	h.handle(loadReported(1, 10))
+	if o := h.b.otherNodesLoad(h.b.endpoints[2]); o < 5 {
 		t.Errorf("load %v at an endpoint without reports, 10 at the first endpoint with a report", o)
 	}
 }
@@ -49,14 +50,14 @@
 // The mean load of a zone with more traffic than it can handle must not be taken for that of all endpoints. Otherwise
 // the other zones stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
 	for range 20 {
-		r.advance(200 * ms)
-		r.handle(loadReported(1, 10))
-		r.handle(loadReported(3, 0))
+		h.advance(200 * ms)
+		h.handle(loadReported(1, 10))
+		h.handle(loadReported(3, 0))
 	}
-	if here, there := r.b.expectedLoad(r.b.endpoints[2]), r.b.expectedLoad(r.b.endpoints[4]); here < 8 || there > 2 {
+	if here, there := h.b.expectedLoad(h.b.endpoints[2]), h.b.expectedLoad(h.b.endpoints[4]); here < 8 || there > 2 {
 		t.Errorf("expected load %v and %v at endpoints without reports in a full and an idle zone", here, there)
 	}
 }
@@ -64,16 +65,16 @@
 // A node of a large fleet gets one load report a second, from one endpoint of many. If this endpoint has three requests
 // more by chance, the entire zone must not look full.
 func TestOneReportHardlyChangesTheZoneMean(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for range 50 {
-		r.advance(time.Second)
-		r.handle(loadReported(1, 1))
-		r.handle(loadReported(2, 1))
+		h.advance(time.Second)
+		h.handle(loadReported(1, 1))
+		h.handle(loadReported(2, 1))
 	}
-	was := r.b.loads.zoneMean(0)
-	r.advance(time.Second)
-	r.handle(loadReported(2, 4))
-	if more := r.b.loads.zoneMean(0) - was; more <= 0 || more > 0.5 {
+	was := h.b.loads.zoneMean(0)
+	h.advance(time.Second)
+	h.handle(loadReported(2, 4))
+	if more := h.b.loads.zoneMean(0) - was; more <= 0 || more > 0.5 {
 		t.Errorf("three requests more at one endpoint raise the mean of its zone by %.2f", more)
 	}
 }
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -16,8 +16,8 @@
 	loadBiasMaxWeight = 0.1
 )
 
-// reportInterval is the time between two different load reports of an endpoint, which is the age that a report may
-// have. The interval is learned because no setting gives it.
+// reportInterval is the time between two different load reports of an endpoint. A report may be that old when it
+// arrives. The interval is learned because no setting gives it.
 type reportInterval struct {
 	seconds float64 // 0: unknown
 }
@@ -38,8 +38,8 @@
 	return true
 }
 
-// handleLoadReport applies a load report. A report is old and includes this node's own requests. They are subtracted,
-// and the attempts in flight stay counted in inFlight.
+// handleLoadReport applies a load report. A report is old and includes this node's own requests. The attempts in flight
+// are subtracted from it, because queueEstimate adds inFlight.
 func (b *Balancer) handleLoadReport(e *endpointState, l Load) {
 	queue := l.Active
 	switch {
--- a/balance/lossdetection.go
+++ b/balance/lossdetection.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// lossMultiple is the multiple of the time for its queue and its work after which an unanswered attempt counts as lost.
+// lossMultiple sets when an unanswered attempt counts as lost: after this multiple of the expected time for its queue
+// and its work.
 const lossMultiple = 3
 
 // lossSeconds is the time after which an unanswered attempt counts as lost, if its endpoint has shown activity in the
--- a/balance/lossdetection_test.go
+++ b/balance/lossdetection_test.go
@@ -18,14 +18,14 @@
 		"queued":        {time.Second, 0.5, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-			r.serve(300, idempotent, in20ms)
-			r.arrive("x", idempotent)
-			r.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
-			r.serve(5, idempotent, in20ms) // activity of the endpoint
-			r.b.endpoints[1].failureRate = 0
-			r.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: tc.spent})
-			if f := r.b.endpoints[1].failureRate; f != tc.failureRate {
+			h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+			h.serve(300, idempotent, in20ms)
+			h.arrive("x", idempotent)
+			h.b.requests["x"].attempts[0].waitAtSendSeconds = tc.wait
+			h.serve(5, idempotent, in20ms) // activity of the endpoint
+			h.b.endpoints[1].failureRate = 0
+			h.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: tc.spent})
+			if f := h.b.endpoints[1].failureRate; f != tc.failureRate {
 				t.Errorf("failure rate %v, want %v", f, tc.failureRate)
 			}
 		})
@@ -40,22 +40,22 @@
 		inFlight, failureRate float64
 	}{"answers": {5, 0, failureWeight}, "no answers": {0, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-			r.serve(300, idempotent, in20ms)
+			h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+			h.serve(300, idempotent, in20ms)
 			var timerIDs []uint64
-			for _, a := range ofKind(SetTimer, r.arrive("x", idempotent)) {
+			for _, a := range ofKind(SetTimer, h.arrive("x", idempotent)) {
 				timerIDs = append(timerIDs, a.TimerID)
 			}
-			r.serve(tc.answers, idempotent, in20ms)
-			e := r.b.endpoints[1]
+			h.serve(tc.answers, idempotent, in20ms)
+			e := h.b.endpoints[1]
 			e.failureRate = 0
-			r.advance(400 * ms)
-			r.handle(TimerFired{ID: timerIDs[len(timerIDs)-1]})
+			h.advance(400 * ms)
+			h.handle(TimerFired{ID: timerIDs[len(timerIDs)-1]})
 			if e.inFlight != tc.inFlight || e.failureRate != tc.failureRate {
 				t.Errorf("%v in flight and a failure rate of %v, want %v and %v", e.inFlight, e.failureRate, tc.inFlight, tc.failureRate)
 			}
 			if tc.answers > 0 {
-				r.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
+				h.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
 				if e.inFlight != 0 || e.failureRate != tc.failureRate {
 					t.Errorf("counted twice: %v in flight, a failure rate of %v", e.inFlight, e.failureRate)
 				}
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -42,7 +42,8 @@
 }
 
 // unresponsiveSeconds is how long an endpoint has shown no activity while it has attempts of this node in flight. An
-// endpoint that hangs can have a tolerable queue while it takes every request that is sent to it.
+// endpoint that hangs may still accept every request that is sent to it, and its queue may be short enough that it gets
+// more of them.
 func (b *Balancer) unresponsiveSeconds(e *endpointState) float64 {
 	if e.inFlight == 0 {
 		return 0
--- a/balance/probeadmission.go
+++ b/balance/probeadmission.go
@@ -6,8 +6,8 @@
 const maxProbeAdmissionInterval = 20.0
 
 // probeAdmission forwards some of the requests that would be rejected. While a node rejects requests it gets no answers
-// that would correct its estimates. After one load report, or some answers from an endpoint that is full, a node with
-// little traffic may take all endpoints for full for seconds.
+// that would correct its estimates. After one load report or some answers from a full endpoint, a node with little
+// traffic may consider all endpoints full for seconds.
 //
 // Invariant: 1 <= interval <= maxProbeAdmissionInterval.
 type probeAdmission struct {
--- a/balance/probeadmission_test.go
+++ b/balance/probeadmission_test.go
@@ -19,16 +19,16 @@
 		"rejected":   {st: StatusRejected, least: 10, most: 12},
 		"short wait": {spent: 20 * ms, least: 100, most: 200},
 	} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-		r.serve(50, idempotent, in20ms)
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+		h.serve(50, idempotent, in20ms)
 		sent, all := 0, int(10*maxProbeAdmissionInterval)
 		for i := range all {
-			r.b.loads.zones[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: r.now} // keeps the estimate high
-			r.advance(10 * ms)
+			h.b.loads.zones[0] = loadAverage{mean: 50, reports: 1e9, updatedAt: h.now} // keeps the estimate high
+			h.advance(10 * ms)
 			id := fmt.Sprint(i)
-			if r.arrive(id, idempotent); len(ofKind(Forward, r.last)) > 0 {
+			if h.arrive(id, idempotent); len(ofKind(Forward, h.last)) > 0 {
 				sent++
-				r.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: c.spent, Status: c.st, Final: c.st == StatusSucceeded})
+				h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: c.spent, Status: c.st, Final: c.st == StatusSucceeded})
 			}
 		}
 		if sent < c.least || sent > c.most {
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// unacceptedDecay is the fraction of the unaccepted attempts that is removed from the count in each window. A queue
-	// turns over several times in a window. The failure rate decays more slowly and still shows that the endpoint
-	// fails.
+	// unacceptedDecay is the fraction of the unaccepted attempts that is removed from the count in each window. All
+	// requests in a queue are replaced several times in a window. The failure rate decays more slowly and still shows
+	// that the endpoint fails.
 	unacceptedDecay = 0.6
 	// abandonedDecay is the same fraction for abandoned attempts, whose work may still be in the queue.
 	abandonedDecay = 0.4
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -7,27 +7,27 @@
 
 // An answer without a load report returns the queue estimate to its value before the request was forwarded.
 func TestAnswerRestoresTheQueueEstimate(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(5, idempotent, in20ms)
-	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(5, idempotent, in20ms)
+	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
 		t.Errorf("queue estimate %v after all requests were answered", e)
 	}
-	r.arrive("x", idempotent)
-	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
+	h.arrive("x", idempotent)
+	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
 		t.Errorf("queue estimate %v with one request in flight", e)
 	}
 }
 
 // An endpoint that fails fast looks idle. The attempts that it did not accept stay counted until it reports its load.
 func TestUnacceptedAttemptsStayCountedUntilAReport(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.arrive("x", idempotent)
-	r.endAttempt("x", 0, 1, StatusRejected)
-	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 1 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.arrive("x", idempotent)
+	h.endAttempt("x", 0, 1, StatusRejected)
+	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
 		t.Errorf("queue estimate %v after an attempt that was not accepted", e)
 	}
-	r.handle(loadReported(1, 0))
-	if e := r.b.queueEstimate(r.b.endpoints[1]); e != 0 {
+	h.handle(loadReported(1, 0))
+	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
 		t.Errorf("queue estimate %v after a report", e)
 	}
 }
@@ -39,22 +39,22 @@
 		gap, serviceTime time.Duration
 		staysHigh        bool
 	}{{2 * time.Second, 20 * ms, true}, {10 * ms, time.Second, false}} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-		r.serve(50, idempotent, in20ms)
-		e := r.b.endpoints[1]
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		h.serve(50, idempotent, in20ms)
+		e := h.b.endpoints[1]
 		for i := range 300 { // the interval between reports is learned from these
-			r.advance(c.gap)
-			r.handle(loadReported(1, float64(10+i%2)))
-			r.handle(loadReported(2, 10))
+			h.advance(c.gap)
+			h.handle(loadReported(1, float64(10+i%2)))
+			h.handle(loadReported(2, 10))
 		}
-		r.setOtherNodesLoad(1, 10)
+		h.setOtherNodesLoad(1, 10)
 		e.meanLatencySeconds, e.meanQueueAtArrival = c.serviceTime.Seconds(), 0
-		r.advance(c.gap)
-		r.handle(loadReported(2, 10))
-		r.handle(loadReported(1, 0))
-		if staysHigh := r.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
+		h.advance(c.gap)
+		h.handle(loadReported(2, 10))
+		h.handle(loadReported(1, 0))
+		if staysHigh := h.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
 			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v",
-				c.gap, c.serviceTime, r.b.queueEstimate(e))
+				c.gap, c.serviceTime, h.b.queueEstimate(e))
 		}
 	}
 }
@@ -63,32 +63,32 @@
 func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-	r.arrive("x", idempotent)
-	r.endAttempt("x", 0, 1, StatusRejected)
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+	h.arrive("x", idempotent)
+	h.endAttempt("x", 0, 1, StatusRejected)
 	for range 20 {
-		r.advance(1500 * ms)
-		r.handle(ClientDisconnected{})
+		h.advance(1500 * ms)
+		h.handle(ClientDisconnected{})
 	}
-	if e := r.b.queueEstimate(r.b.endpoints[1]); e > 0.1 {
+	if e := h.b.queueEstimate(h.b.endpoints[1]); e > 0.1 {
 		t.Errorf("queue estimate %v after 20 windows without a report", e)
 	}
 }
 
 // As the queue turns over, the estimate moves from the reported load to the expected load of the endpoint.
 func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	e := r.b.endpoints[1]
-	r.setOtherNodesLoad(1, 2)
-	e.reportedLoad, e.reportedAt = 10, r.now
-	r.handle(TimerFired{})
-	if estimate := r.b.queueEstimate(e); estimate != 10 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	e := h.b.endpoints[1]
+	h.setOtherNodesLoad(1, 2)
+	e.reportedLoad, e.reportedAt = 10, h.now
+	h.handle(TimerFired{})
+	if estimate := h.b.queueEstimate(e); estimate != 10 {
 		t.Errorf("queue estimate %v just after a report of 10", estimate)
 	}
-	r.advance(10 * time.Second)
-	r.handle(TimerFired{})
-	if estimate := r.b.queueEstimate(e); estimate > 2.2 {
+	h.advance(10 * time.Second)
+	h.handle(TimerFired{})
+	if estimate := h.b.queueEstimate(e); estimate > 2.2 {
 		t.Errorf("queue estimate %v ten seconds after the report, expected load 2", estimate)
 	}
 }
@@ -106,21 +106,21 @@
 		StatusNotSent:          0,
 	} {
 		cfg := testConfig()
-		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-		r.serve(50, idempotent, in20ms)
-		e := r.b.endpoints[1]
+		h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+		h.serve(50, idempotent, in20ms)
+		e := h.b.endpoints[1]
 		e.unaccepted = 0
-		r.arrive("x", nonIdempotent)
+		h.arrive("x", nonIdempotent)
 		if e.unaccepted = 0; e.inFlight != 1 {
 			t.Fatalf("status %d: %v attempts in flight, want 1", status, e.inFlight)
 		}
-		r.endAttempt("x", 0, 1, status)
+		h.endAttempt("x", 0, 1, status)
 		if e.unaccepted != want {
 			t.Errorf("status %d: %v attempts are counted, want %v", status, e.unaccepted, want)
 		}
 		for range 4 {
-			r.advance(max(cfg.Rules.OverloadWindow, time.Second))
-			r.handle(EndpointsListed{Kind: ListChanges})
+			h.advance(max(cfg.Rules.OverloadWindow, time.Second))
+			h.handle(EndpointsListed{Kind: ListChanges})
 		}
 		if e.unaccepted > 0.1 {
 			t.Errorf("status %d: %v attempts are counted after four windows without a report", status, e.unaccepted)
@@ -135,21 +135,21 @@
 func TestAbandonedAttemptsFadeMoreSlowly(t *testing.T) {
 	for _, status := range []Status{StatusTimedOut, StatusCancelled} {
 		cfg := testConfig()
-		r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-		r.serve(50, idempotent, in20ms)
-		e := r.b.endpoints[1]
-		before := r.b.queueEstimate(e)
-		r.arrive("x", nonIdempotent)
-		r.endAttempt("x", 0, 1, status)
-		if counted := r.b.queueEstimate(e) - before; counted < 0.9 {
+		h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+		h.serve(50, idempotent, in20ms)
+		e := h.b.endpoints[1]
+		before := h.b.queueEstimate(e)
+		h.arrive("x", nonIdempotent)
+		h.endAttempt("x", 0, 1, status)
+		if counted := h.b.queueEstimate(e) - before; counted < 0.9 {
 			t.Errorf("status %d: %v attempts are counted, want 1", status, counted)
 		}
 		for _, want := range []struct{ least, most float64 }{{0.25, 0.45}, {0, 0.15}} {
 			for range 2 {
-				r.advance(max(cfg.Rules.OverloadWindow, time.Second))
-				r.handle(EndpointsListed{Kind: ListChanges})
+				h.advance(max(cfg.Rules.OverloadWindow, time.Second))
+				h.handle(EndpointsListed{Kind: ListChanges})
 			}
-			counted := r.b.queueEstimate(e) - r.b.otherNodesLoad(e) - e.inFlight
+			counted := h.b.queueEstimate(e) - h.b.otherNodesLoad(e) - e.inFlight
 			if counted < want.least || counted > want.most {
 				t.Errorf("status %d: %v attempts are counted, want %v to %v", status, counted, want.least, want.most)
 			}
@@ -159,14 +159,14 @@
 
 // A lost attempt counts as unaccepted, whoever ended it.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	e := r.b.endpoints[1]
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	e := h.b.endpoints[1]
 	e.unaccepted, e.abandoned = 0, 0
-	r.arrive("x", nonIdempotent)
-	r.b.requests["x"].attempts[0].lost = true
+	h.arrive("x", nonIdempotent)
+	h.b.requests["x"].attempts[0].lost = true
 	e.inFlight--
-	r.endAttempt("x", 0, 1, StatusCancelled)
+	h.endAttempt("x", 0, 1, StatusCancelled)
 	if e.unaccepted != 1 || e.abandoned != 0 {
 		t.Errorf("%v unaccepted attempts, want 1; %v abandoned attempts, want 0", e.unaccepted, e.abandoned)
 	}
--- a/balance/randomevents_test.go
+++ b/balance/randomevents_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// eventPlayer passes random events to a Balancer, unusual orders included, and checks the rules at every action.
+// eventPlayer passes random events to a Balancer, also in unusual orders, and checks the rules at every action.
 type eventPlayer struct {
 	*harness
 	rng       *rand.Rand
@@ -48,7 +48,8 @@
 	}
 }
 
-// check checks the rules for one action, and records the timer, attempt or final answer that it stands for.
+// check checks the rules for one action, and records the timer, the attempt or the final answer that the action
+// creates.
 func (p *eventPlayer) check(a Action) {
 	p.t.Helper()
 	switch a.Kind {
@@ -164,13 +165,13 @@
 
 // changeEndpoints changes a random endpoint by a new list, or lets a call to discovery fail.
 func (p *eventPlayer) changeEndpoints() {
-	m := listedEndpoint(EndpointID(1+p.rng.IntN(8)), p.rng.IntN(2), p.rng.IntN(3))
-	if old, ok := p.list[m.ID]; ok {
-		m.Zone, m.Cell, m.StartedAt = old.Zone, old.Cell, old.StartedAt
+	listed := listedEndpoint(EndpointID(1+p.rng.IntN(8)), p.rng.IntN(2), p.rng.IntN(3))
+	if old, ok := p.list[listed.ID]; ok {
+		listed.Zone, listed.Cell, listed.StartedAt = old.Zone, old.Cell, old.StartedAt
 	}
-	m.Phase = Phase(max(0, p.rng.IntN(6)-3))
+	listed.Phase = Phase(max(0, p.rng.IntN(6)-3))
 	if p.rng.IntN(3) == 0 {
-		m.StartedAt = p.now
+		listed.StartedAt = p.now
 	}
 	kind := ListChanges
 	switch p.rng.IntN(4) {
@@ -181,10 +182,10 @@
 		p.step(DiscoveryFailed{})
 		return
 	}
-	p.list[m.ID] = m
-	endpoints := []Endpoint{m}
+	p.list[listed.ID] = listed
+	endpoints := []Endpoint{listed}
 	for id := range EndpointID(9) {
-		if old, ok := p.list[id]; ok && kind == CompleteList && id != m.ID {
+		if old, ok := p.list[id]; ok && kind == CompleteList && id != listed.ID {
 			endpoints = append(endpoints, old)
 		}
 	}
@@ -200,8 +201,8 @@
 	}
 	p := &eventPlayer{harness: newHarness(t, cfg, endpoints...), rng: rng, cfg: cfg, list: map[EndpointID]Endpoint{},
 		requests: map[string]*trackedRequest{}}
-	for _, m := range endpoints {
-		p.list[m.ID] = m
+	for _, listed := range endpoints {
+		p.list[listed.ID] = listed
 	}
 	for i := range steps {
 		p.advance(time.Duration(rng.IntN(8)) * ms)
--- a/balance/request.go
+++ b/balance/request.go
@@ -130,8 +130,8 @@
 }
 
 // onRequestWritten handles that the last byte of an incomplete request has been sent, and starts its deadline. An
-// endpoint starts a request when it has received the last byte. Until then the request takes no place in the
-// endpoint's queue, and the time that the client needs to send it says nothing about the endpoint.
+// endpoint starts a request when it has received the last byte. Until then the request is not in the endpoint's queue,
+// and the time that the client needs to send it says nothing about the endpoint.
 func (b *Balancer) onRequestWritten(ev *RequestWritten) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.incomplete || ev.Attempt != len(r.attempts)-1 || r.pendingAttempt(ev.Attempt) == nil {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -8,17 +8,17 @@
 
 // Retries are at most a tenth of the requests, and not much less while attempts are rejected.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	sends := 0
 	for i := range 400 {
 		id := fmt.Sprint("r", i)
-		r.arrive(id, idempotent)
-		for len(ofKind(Forward, r.last)) > 0 {
-			a := ofKind(Forward, r.last)[0]
+		h.arrive(id, idempotent)
+		for len(ofKind(Forward, h.last)) > 0 {
+			a := ofKind(Forward, h.last)[0]
 			sends++
-			r.advance(5 * ms)
-			r.handle(loadReported(a.Endpoint, 0))
-			r.endAttempt(id, a.Attempt, a.Endpoint, StatusRejected)
+			h.advance(5 * ms)
+			h.handle(loadReported(a.Endpoint, 0))
+			h.endAttempt(id, a.Attempt, a.Endpoint, StatusRejected)
 		}
 	}
 	if sends > 400*11/10+1 || sends < 420 {
@@ -29,12 +29,12 @@
 // A request whose attempt fails at the deadline is answered and not retried, because its client stops waiting before a
 // retry could end.
 func TestNoRetryAtTheDeadline(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	r.arrive("x", idempotent)
-	to := r.forwardedTo()
-	r.advance(time.Second)
-	acts := r.endAttempt("x", 0, to, StatusRejected)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	h.arrive("x", idempotent)
+	to := h.forwardedTo()
+	h.advance(time.Second)
+	acts := h.endAttempt("x", 0, to, StatusRejected)
 	if len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
 		t.Errorf("actions after a rejection at the deadline: %+v", acts)
 	}
@@ -42,13 +42,13 @@
 
 // A retry goes to an endpoint that has not had the request. If no such endpoint is left, the request is answered.
 func TestRetriesGoToOtherEndpoints(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	r.arrive("x", idempotent)
-	first := r.forwardedTo()
-	r.endAttempt("x", 0, first, StatusRejected)
-	second := r.forwardedTo()
-	acts := r.endAttempt("x", 1, second, StatusRejected)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	h.arrive("x", idempotent)
+	first := h.forwardedTo()
+	h.endAttempt("x", 0, first, StatusRejected)
+	second := h.forwardedTo()
+	acts := h.endAttempt("x", 1, second, StatusRejected)
 	if second == first || len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
 		t.Errorf("sent to endpoint %d, then to %d, then %+v", first, second, acts)
 	}
@@ -56,22 +56,22 @@
 
 // Requests at low load must not save up an unlimited number of retries for an overload.
 func TestRetryBudgetIsCapped(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-	r.serve(1000, idempotent, in20ms)
-	if r.b.retryBudget.retries != maxRetryBudget {
-		t.Errorf("%v retries saved up", r.b.retryBudget.retries)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+	h.serve(1000, idempotent, in20ms)
+	if h.b.retryBudget.retries != maxRetryBudget {
+		t.Errorf("%v retries saved up", h.b.retryBudget.retries)
 	}
 }
 
 // An attempt that fails after its stream has started is not retried. The client would get the start of the stream
 // twice.
 func TestStartedStreamIsNotRetried(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.serve(50, idempotent, in20ms)
-	r.arrive("x", idempotent)
-	to := r.forwardedTo()
-	r.handle(StreamStarted{Request: "x", Endpoint: to})
-	if acts := r.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.serve(50, idempotent, in20ms)
+	h.arrive("x", idempotent)
+	to := h.forwardedTo()
+	h.handle(StreamStarted{Request: "x", Endpoint: to})
+	if acts := h.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
 		t.Errorf("actions after the connection of a started stream was lost: %+v", acts)
 	}
 }
@@ -99,7 +99,7 @@
 
 // The repeatability of the class decides which attempts may be retried, and at which endpoints.
 func TestRetriesByRepeatability(t *testing.T) {
-	members := []Endpoint{
+	endpoints := []Endpoint{
 		listedEndpoint(1, 0, 0),
 		listedEndpoint(2, 0, 1),
 		listedEndpoint(3, 1, 2),
@@ -131,24 +131,24 @@
 		{"keyed by cell past its window", keyedCell, StatusConnectionLost, 600 * ms, false, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newHarness(t, testConfig(), members...)
+			h := newHarness(t, testConfig(), endpoints...)
 			for i := range 40 { // earn a retry budget
 				id := fmt.Sprint("warm", i)
-				r.arrive(id, idempotent)
-				r.endAttempt(id, 0, r.forwardedTo(), StatusSucceeded)
-				r.advance(5 * ms)
+				h.arrive(id, idempotent)
+				h.endAttempt(id, 0, h.forwardedTo(), StatusSucceeded)
+				h.advance(5 * ms)
 			}
-			r.arrive("x", c.class)
-			first := r.forwardedTo()
-			r.advance(c.after + ms)
-			acts := r.endAttempt("x", 0, first, c.status)
+			h.arrive("x", c.class)
+			first := h.forwardedTo()
+			h.advance(c.after + ms)
+			acts := h.endAttempt("x", 0, first, c.status)
 			if !c.resend {
 				if len(ofKind(Forward, acts)) != 0 || len(ofKind(c.final, acts)) != 1 {
 					t.Fatalf("actions: %+v", acts)
 				}
 				return
 			}
-			again := r.forwardedTo()
+			again := h.forwardedTo()
 			if again == first {
 				t.Error("the retry went to the endpoint of the first attempt")
 			}
@@ -164,9 +164,9 @@
 
 // If no other endpoint is in the cell, the request must fail. A rejection would promise that trying again is harmless.
 func TestCellKeyedRequestFailsOnceItMayHaveRun(t *testing.T) {
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
-	r.arrive("x", keyedCell)
-	acts := r.endAttempt("x", 0, r.forwardedTo(), StatusConnectionLost)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 1))
+	h.arrive("x", keyedCell)
+	acts := h.endAttempt("x", 0, h.forwardedTo(), StatusConnectionLost)
 	if len(ofKind(Fail, acts)) != 1 || len(ofKind(Reject, acts)) != 0 || len(ofKind(Forward, acts)) != 0 {
 		t.Fatalf("actions: %+v", acts)
 	}
@@ -176,24 +176,24 @@
 // at any time.
 func TestKeyedRetriesStartWithinTheKeyWindow(t *testing.T) {
 	for class, want := range map[int]time.Duration{idempotent: 0, keyedAll: 300 * ms} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-		r.b.retryBudget.retries = 5
-		first := ofKind(Forward, r.arrive("x", class))
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		h.b.retryBudget.retries = 5
+		first := ofKind(Forward, h.arrive("x", class))
 		if len(first) != 1 || first[0].StartWithin != 0 {
-			t.Fatalf("the first attempt: %+v", first)
+			t.Fatalf("first attempt: %+v, want one Forward without StartWithin", first)
 		}
-		r.advance(200 * ms)
-		r.endAttempt("x", 0, first[0].Endpoint, StatusConnectionLost)
-		if again := ofKind(Forward, r.last); len(again) != 1 || again[0].StartWithin != want {
-			t.Errorf("class %d, the retry: %+v", class, r.last)
+		h.advance(200 * ms)
+		h.endAttempt("x", 0, first[0].Endpoint, StatusConnectionLost)
+		if again := ofKind(Forward, h.last); len(again) != 1 || again[0].StartWithin != want {
+			t.Errorf("class %d: actions %+v, want a retry with StartWithin %v", class, h.last, want)
 		}
 	}
-	r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
-	r.b.retryBudget.retries = 5
-	first := ofKind(Forward, r.arrive("x", keyedAll))
-	r.advance(200 * ms)
-	r.endAttempt("x", 0, first[0].Endpoint, StatusRejected) // the attempt never ran, so the key window has not begun
-	if again := ofKind(Forward, r.last); len(again) != 1 || again[0].StartWithin != 0 {
-		t.Errorf("the retry after an attempt that never ran: %+v", r.last)
+	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+	h.b.retryBudget.retries = 5
+	first := ofKind(Forward, h.arrive("x", keyedAll))
+	h.advance(200 * ms)
+	h.endAttempt("x", 0, first[0].Endpoint, StatusRejected) // the attempt never ran, so the key window has not begun
+	if again := ofKind(Forward, h.last); len(again) != 1 || again[0].StartWithin != 0 {
+		t.Errorf("after an attempt that never ran: actions %+v, want a retry without StartWithin", h.last)
 	}
 }
--- a/balance/retryafter_test.go
+++ b/balance/retryafter_test.go
@@ -7,15 +7,15 @@
 
 // A rejection says when to try again. The time is longer behind longer queues, and never longer than clients accept.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	advice := func(others float64, members ...Endpoint) time.Duration {
+	advice := func(others float64, endpoints ...Endpoint) time.Duration {
 		cfg := testConfig()
 		cfg.Limits.MaxRetryAfter = 2 * time.Second
-		r := newHarness(t, cfg, members...)
-		r.serve(100, idempotent, in20ms)
-		for _, s := range r.b.endpoints {
+		h := newHarness(t, cfg, endpoints...)
+		h.serve(100, idempotent, in20ms)
+		for _, s := range h.b.endpoints {
 			s.loadBias, s.reportedLoad = others, others
 		}
-		return r.b.retryAfter()
+		return h.b.retryAfter()
 	}
 	free := advice(0, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	full := advice(500, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -7,8 +7,8 @@
 	// maxIdleQueue is the largest queue estimate at which an endpoint counts as idle. An idle endpoint makes no request
 	// wait, even if it has become slow.
 	maxIdleQueue = 0.1
-	// toleratedUnresponsiveMultiple is the multiple of the time that an endpoint's queue should take for which the
-	// endpoint may be unresponsive without a cost.
+	// toleratedUnresponsiveMultiple sets how long an endpoint may be unresponsive without a cost: this multiple of the
+	// time that its queue should take.
 	toleratedUnresponsiveMultiple = 2
 	// maxUsefulFailureRate is the failure rate from which a rejection does more good than an attempt. An endpoint that
 	// serves about half of its requests is still better than a rejection.
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 // An endpoint that has just started has only a fraction of its capacity. A load of more than OverloadMultiple times
-// that fraction for an OverloadWindow brings it down. This file bounds what all nodes together send to it: in each
-// window a node grants it
+// that fraction for an OverloadWindow makes it fail. This file bounds the work that all nodes together send to it: in
+// each window a node grants it
 //
 //	slowStartMargin * OverloadMultiple * slow start fraction * warm throughput of this node * OverloadWindow
 //
@@ -78,10 +78,10 @@
 	return (1 - b.slowStartFraction(e)) * (b.queueEstimate(e) + 1) * b.serviceSeconds(e)
 }
 
-// grantSlowStartCredit sets the work that an endpoint in slow start may get in the window that begins: this node's part
-// of what a warm endpoint does, or of one request at a time if that is more. In a large fleet this part is less than
-// one request, and one request from each node would bring the endpoint down. The number of requests is therefore
-// rounded at random.
+// grantSlowStartCredit sets the work that this node may send to an endpoint in slow start in the window that begins.
+// The work is proportional to the work that a warm endpoint does for this node, or to 1/Instances if that is more. In a
+// large fleet the grant is less than one request, and one request from each node would make the endpoint fail. The
+// number of requests is therefore rounded up or down at random.
 func (b *Balancer) grantSlowStartCredit(e *endpointState) {
 	if b.isWarm(e) {
 		return
@@ -99,7 +99,7 @@
 	e.slowStartCreditSeconds += unit * math.Floor(units+b.rng.Float64())
 }
 
-// dropSlowStartCredit discards the credit that was not used. Overdrawn credit stays owed.
+// dropSlowStartCredit discards the credit that was not used. Negative credit stays, so it reduces the next grant.
 func (e *endpointState) dropSlowStartCredit() {
 	e.slowStartCreditSeconds = min(e.slowStartCreditSeconds, 0)
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -12,39 +12,39 @@
 func TestEndpointsInSlowStartAreNotOverloaded(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		cfg := testConfig()
-		r := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
+		h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 		hint, busy := 20*ms, false
 		spent := map[EndpointID]time.Duration{1: 20 * ms, 2: 20 * ms}
 		send := func(id string) EndpointID {
-			r.handle(RequestArrived{Request: id, ExpectedWork: hint, TimeLeft: time.Second})
-			r.advance(10 * ms)
-			s := ofKind(Forward, r.last)
+			h.handle(RequestArrived{Request: id, ExpectedWork: hint, TimeLeft: time.Second})
+			h.advance(10 * ms)
+			s := ofKind(Forward, h.last)
 			if len(s) == 0 {
 				return 0
 			}
 			if busy && s[0].Endpoint == 1 {
-				r.handle(AttemptEnded{Request: id, Endpoint: 1, Status: StatusRejected}) // endpoint 1 is as full as estimated
+				h.handle(AttemptEnded{Request: id, Endpoint: 1, Status: StatusRejected}) // endpoint 1 is as full as estimated
 				return 1
 			}
-			r.handle(AttemptEnded{Request: id, Endpoint: s[0].Endpoint, Elapsed: spent[s[0].Endpoint], Final: true})
+			h.handle(AttemptEnded{Request: id, Endpoint: s[0].Endpoint, Elapsed: spent[s[0].Endpoint], Final: true})
 			return s[0].Endpoint
 		}
 		for i := range 1000 {
 			send(fmt.Sprint("warm", i))
 		}
 		busy = true
-		r.b.endpoints[1].loadBias = 500 // so that all requests would go to the starting endpoint
+		h.b.endpoints[1].loadBias = 500 // so that all requests would go to the starting endpoint
 		starting := listedEndpoint(2, 0, 0)
-		starting.StartedAt = r.now
-		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
+		starting.StartedAt = h.now
+		h.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
 		if heavy {
 			hint = 200 * ms
 		}
 		rate := 0.5 * 20.0 / 10.0 // work per second that each warm endpoint did
 		var at []time.Duration
 		for i := range 1500 {
-			if send(fmt.Sprint("cold", i)) == 2 {
-				at = append(at, r.now-10*ms)
+			if send(fmt.Sprint("slow start", i)) == 2 {
+				at = append(at, h.now-10*ms)
 			}
 		}
 		for i := range at {
@@ -71,19 +71,19 @@
 func TestWarmThroughput(t *testing.T) {
 	starting := listedEndpoint(1, 0, 0)
 	starting.StartedAt = time.Hour
-	r := newHarness(t, testConfig(), starting, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
+	h := newHarness(t, testConfig(), starting, listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	endWindow := func(work float64) float64 {
-		for _, s := range r.b.endpoints {
+		for _, s := range h.b.endpoints {
 			s.servedWorkSeconds = work
 		}
-		r.b.endpoints[1].servedWorkSeconds = 1000 * work
-		r.b.endpoints[3].servedWorkSeconds, r.b.endpoints[3].knownSince = 1000*work, r.now+ms // listed during the window
-		r.advance(1500 * ms)
-		r.handle(TimerFired{})
-		return r.b.slowStart.warmThroughput
+		h.b.endpoints[1].servedWorkSeconds = 1000 * work
+		h.b.endpoints[3].servedWorkSeconds, h.b.endpoints[3].knownSince = 1000*work, h.now+ms // listed during the window
+		h.advance(1500 * ms)
+		h.handle(TimerFired{})
+		return h.b.slowStart.warmThroughput
 	}
-	r.advance(1500 * ms)
-	r.handle(TimerFired{})
+	h.advance(1500 * ms)
+	h.handle(TimerFired{})
 	high := endWindow(3)
 	if math.Abs(high-2) > 0.01 {
 		t.Errorf("warm throughput %v, want 3 s of work in 1.5 s", high)
@@ -103,21 +103,21 @@
 		got := make([]int, 4)
 		for node := range cfg.Instances {
 			b, _ := New(cfg, uint64(node))
-			r := &harness{t: t, b: b, now: time.Hour}
-			r.handle(EndpointsListed{Kind: CachedList, Endpoints: []Endpoint{listedEndpoint(2, 0, 0)}})
+			h := &harness{t: t, b: b, now: time.Hour}
+			h.handle(EndpointsListed{Kind: CachedList, Endpoints: []Endpoint{listedEndpoint(2, 0, 0)}})
 			if known {
-				r.serve(20, idempotent, in20ms)
+				h.serve(20, idempotent, in20ms)
 			}
 			b.slowStart.warmThroughput = 0 // a warm endpoint does little work for each of so many nodes
 			starting := listedEndpoint(1, 0, 0)
-			starting.StartedAt = r.now
-			r.handle(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{starting}})
+			starting.StartedAt = h.now
+			h.handle(EndpointsListed{Kind: CompleteList, Endpoints: []Endpoint{starting}})
 			for i := range 200 * len(got) {
-				if acts := ofKind(Forward, r.arrive(fmt.Sprint("c", i), idempotent)); len(acts) > 0 {
+				if acts := ofKind(Forward, h.arrive(fmt.Sprint("c", i), idempotent)); len(acts) > 0 {
 					got[i/200]++
-					r.endAttempt(fmt.Sprint("c", i), 0, 1, StatusSucceeded)
+					h.endAttempt(fmt.Sprint("c", i), 0, 1, StatusSucceeded)
 				}
-				r.advance(1500 * ms / 200)
+				h.advance(1500 * ms / 200)
 			}
 		}
 		// The endpoint does one second of work per second, one request at a time. A request takes 20 ms, or is taken to take
@@ -131,23 +131,23 @@
 }
 
 // The credit of an endpoint in slow start is used when warm endpoints have a queue, although the endpoint is slower.
-// Without requests it would stay cold. A request that it would answer too late goes to a warm endpoint.
+// Without requests it would not warm up. A request that it would answer too late goes to a warm endpoint.
 func TestSlowStartCreditIsUsed(t *testing.T) {
 	for hint, want := range map[time.Duration]EndpointID{10 * ms: 2, 100 * ms: 1} {
-		r := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
-		r.serve(100, idempotent, in20ms)
-		r.advance(3 * time.Second)
-		r.serve(100, idempotent, in20ms)
-		r.setOtherNodesLoad(1, 1) // the usual load
+		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
+		h.serve(100, idempotent, in20ms)
+		h.advance(3 * time.Second)
+		h.serve(100, idempotent, in20ms)
+		h.setOtherNodesLoad(1, 1) // the usual load
 		starting := listedEndpoint(2, 0, 0)
-		starting.StartedAt = r.now - r.b.cfg.Rules.SlowStartDuration/4
-		r.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
-		r.b.endpoints[2].slowStartCreditSeconds = 1
-		r.handle(RequestArrived{Request: "x", Class: idempotent, TimeLeft: time.Second, ExpectedWork: hint})
-		if len(r.b.awaitingChecks) > 0 {
-			r.handle(TimerFired{ID: r.b.timers.lastID})
+		starting.StartedAt = h.now - h.b.cfg.Rules.SlowStartDuration/4
+		h.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{starting}})
+		h.b.endpoints[2].slowStartCreditSeconds = 1
+		h.handle(RequestArrived{Request: "x", Class: idempotent, TimeLeft: time.Second, ExpectedWork: hint})
+		if len(h.b.awaitingChecks) > 0 {
+			h.handle(TimerFired{ID: h.b.timers.lastID})
 		}
-		if to := r.forwardedTo(); to != want {
+		if to := h.forwardedTo(); to != want {
 			t.Errorf("a request with work of %v went to endpoint %d, want %d", hint, to, want)
 		}
 	}
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -88,12 +88,12 @@
 }
 
 func (f *testFleet) slowStartFraction(id EndpointID) float64 {
-	m := f.endpoints[id-1]
-	if m.StartedAt == 0 {
+	endpoint := f.endpoints[id-1]
+	if endpoint.StartedAt == 0 {
 		return 1
 	}
 	first := f.cfg.Rules.SlowStartFraction
-	return min(1, first+(1-first)*float64(f.now-m.StartedAt)/float64(f.cfg.Rules.SlowStartDuration))
+	return min(1, first+(1-first)*float64(f.now-endpoint.StartedAt)/float64(f.cfg.Rules.SlowStartDuration))
 }
 
 func (f *testFleet) handle(b *Balancer, ev Event) {
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -4,7 +4,7 @@
 type Stats struct {
 	UsableEndpoints int     // endpoints that may get requests
 	QueueBudget     float64 // fraction of the latency slack that queues may use
-	UnloadedLatency float64 // mean latency in seconds of an answer to a request that met no queue
+	UnloadedLatency float64 // mean latency in seconds of a request that did not wait in a queue
 	ShortestWait    float64 // shortest expected wait in seconds at a usable endpoint; 0 if there is none
 }
 
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -16,22 +16,22 @@
 	for i := range all {
 		all[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newHarness(t, cfg, all...)
-	if len(r.b.usable) != 4 { // of 40, so that at least 8 of 100 nodes use each on average
-		t.Fatalf("the node uses %d endpoints, want 4", len(r.b.usable))
+	h := newHarness(t, cfg, all...)
+	if len(h.b.usable) != 4 { // of 40, so that at least 8 of 100 nodes use each on average
+		t.Fatalf("the node uses %d endpoints, want 4", len(h.b.usable))
 	}
 	var others []Endpoint
-	for _, m := range all {
-		if !slices.Contains(r.b.usable, r.b.endpoints[m.ID]) && len(others) < 3 {
-			others = append(others, m)
+	for _, listed := range all {
+		if !slices.Contains(h.b.usable, h.b.endpoints[listed.ID]) && len(others) < 3 {
+			others = append(others, listed)
 		}
 	}
-	r.handle(EndpointsListed{Kind: CompleteList, Endpoints: others})
-	r.handle(EndpointsListed{Kind: CompleteList, Endpoints: others[:1]})
-	r.advance(2 * time.Second)
+	h.handle(EndpointsListed{Kind: CompleteList, Endpoints: others})
+	h.handle(EndpointsListed{Kind: CompleteList, Endpoints: others[:1]})
+	h.advance(2 * time.Second)
 	for i := range 50 {
-		r.arrive(fmt.Sprint(i), idempotent)
-		for _, a := range ofKind(Forward, r.last) {
+		h.arrive(fmt.Sprint(i), idempotent)
+		for _, a := range ofKind(Forward, h.last) {
 			if a.Endpoint != others[0].ID {
 				t.Fatalf("sent to endpoint %d, which was removed", a.Endpoint)
 			}
@@ -44,23 +44,23 @@
 func TestSubsetsDifferAndGrowByOutliers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 100
-	members := make([]Endpoint, 40)
-	for i := range members {
-		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
+	endpoints := make([]Endpoint, 40)
+	for i := range endpoints {
+		endpoints[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
 	users := map[EndpointID]int{}
 	for node := range cfg.Instances {
 		cfg.Index = node
-		r := newHarness(t, cfg, members...)
-		for _, e := range r.b.usable {
+		h := newHarness(t, cfg, endpoints...)
+		for _, e := range h.b.usable {
 			users[e.ID]++
 		}
-		for _, e := range r.b.usable[:3] {
+		for _, e := range h.b.usable[:3] {
 			e.outlier = true
 		}
-		r.handle(EndpointsListed{Kind: ListChanges})
+		h.handle(EndpointsListed{Kind: ListChanges})
 		counted := 0
-		for _, e := range r.b.usable {
+		for _, e := range h.b.usable {
 			if !e.outlier {
 				counted++
 			}
@@ -69,9 +69,9 @@
 			t.Errorf("node %d uses %d endpoints that are no outliers, want 4", node, counted)
 		}
 	}
-	for _, m := range members {
-		if n := users[m.ID]; n < nodesPerEndpoint/4 || n > 3*nodesPerEndpoint {
-			t.Errorf("%d of 100 nodes use endpoint %d", n, m.ID)
+	for _, listed := range endpoints {
+		if n := users[listed.ID]; n < nodesPerEndpoint/4 || n > 3*nodesPerEndpoint {
+			t.Errorf("%d of 100 nodes use endpoint %d", n, listed.ID)
 		}
 	}
 }
@@ -81,17 +81,17 @@
 func TestEndpointsOfASubsetGetRequestsOften(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
-	var members []Endpoint
+	var endpoints []Endpoint
 	for i := range 60 {
-		members = append(members, listedEndpoint(EndpointID(i+1), i%3, 0))
+		endpoints = append(endpoints, listedEndpoint(EndpointID(i+1), i%3, 0))
 	}
-	r := newHarness(t, cfg, members...)
-	r.b.slowStart.warmThroughput = 1
+	h := newHarness(t, cfg, endpoints...)
+	h.b.slowStart.warmThroughput = 1
 	for range 3 {
-		r.serve(19, idempotent, in20ms)
-		r.advance(time.Second)
+		h.serve(19, idempotent, in20ms)
+		h.advance(time.Second)
 	}
-	if n := len(r.b.usable); n < 6 || n > 12 {
+	if n := len(h.b.usable); n < 6 || n > 12 {
 		t.Errorf("the node uses %d endpoints for 19 requests a second, want 6 to 12", n)
 	}
 }
@@ -101,28 +101,28 @@
 func TestOverloadDoesNotGrowTheSubset(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
-	members := make([]Endpoint, 40)
-	for i := range members {
-		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
+	endpoints := make([]Endpoint, 40)
+	for i := range endpoints {
+		endpoints[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
-	r := newHarness(t, cfg, members...)
-	size := len(r.b.usable)
+	h := newHarness(t, cfg, endpoints...)
+	size := len(h.b.usable)
 	for range 5 {
-		for _, e := range r.b.usable {
+		for _, e := range h.b.usable {
 			e.outlier = true
 		}
-		r.handle(EndpointsListed{Kind: ListChanges})
+		h.handle(EndpointsListed{Kind: ListChanges})
 	}
-	if n := len(r.b.usable); n > 2*size {
+	if n := len(h.b.usable); n > 2*size {
 		t.Errorf("%d endpoints in addition to a subset of %d", n-size, size)
 	}
-	r = newHarness(t, cfg, members...)
+	h = newHarness(t, cfg, endpoints...)
 	for i := range 1000 {
-		r.advance(5 * ms)
-		r.b.usable = nil // no request can be forwarded
-		r.arrive(fmt.Sprint(i), idempotent)
+		h.advance(5 * ms)
+		h.b.usable = nil // no request can be forwarded
+		h.arrive(fmt.Sprint(i), idempotent)
 	}
-	if n := len(r.b.usable); n > size {
+	if n := len(h.b.usable); n > size {
 		t.Errorf("the subset has %d endpoints after rejected requests", n)
 	}
 }
@@ -133,22 +133,22 @@
 func TestSubsetSizeFollowsTheRequestRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
-	members := make([]Endpoint, 40)
-	for i := range members {
-		members[i] = listedEndpoint(EndpointID(i+1), 0, 0)
+	endpoints := make([]Endpoint, 40)
+	for i := range endpoints {
+		endpoints[i] = listedEndpoint(EndpointID(i+1), 0, 0)
 	}
 	for _, c := range []struct{ perSecond, least, most int }{
 		{4, 4, 4}, {60, 7, 10}, {300, 40, 40},
 	} {
-		r := newHarness(t, cfg, members...)
+		h := newHarness(t, cfg, endpoints...)
 		for i := range 10 * c.perSecond {
-			r.advance(time.Second / time.Duration(c.perSecond))
-			r.arrive(fmt.Sprint(i), idempotent)
-			for _, a := range ofKind(Forward, r.last) {
-				r.endAttempt(a.Request, 0, a.Endpoint, StatusSucceeded)
+			h.advance(time.Second / time.Duration(c.perSecond))
+			h.arrive(fmt.Sprint(i), idempotent)
+			for _, a := range ofKind(Forward, h.last) {
+				h.endAttempt(a.Request, 0, a.Endpoint, StatusSucceeded)
 			}
 		}
-		if n := len(r.b.usable); n < c.least || n > c.most {
+		if n := len(h.b.usable); n < c.least || n > c.most {
 			t.Errorf("%d requests a second: the node uses %d endpoints", c.perSecond, n)
 		}
 	}
--- a/balance/tenantquota.go
+++ b/balance/tenantquota.go
@@ -5,8 +5,8 @@
 const (
 	// quotaBurstSeconds is the time over which a tenant may use its quota unevenly.
 	quotaBurstSeconds = 1.0
-	// minQuotaBurst is the least number of requests that may come at the same time. If a quota is spread over hundreds
-	// of nodes, each node gets its requests rarely and at random.
+	// minQuotaBurst is the least number of requests within the quota that may arrive at the same time. If a quota is
+	// spread over hundreds of nodes, each node gets few of the tenant's requests, at random times.
 	minQuotaBurst = 4.0
 )
 
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -10,10 +10,10 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{QuotaPerSecond: 4, Share: 0.5}, {QuotaPerSecond: 4000, Share: 0.5}}
 	cfg.OverQuotaValue = 0.1
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-	r.serve(50, idempotent, in20ms)
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+	h.serve(50, idempotent, in20ms)
 	maxWait := func(tenant int) float64 {
-		return r.b.maxWaitSeconds(r.request(idempotent, tenant))
+		return h.b.maxWaitSeconds(h.request(idempotent, tenant))
 	}
 	if maxWait(0) >= maxWait(1) { // the first tenant has used up its quota
 		t.Errorf("maximum wait %v s beyond the quota and %v s within it", maxWait(0), maxWait(1))
@@ -25,14 +25,14 @@
 func TestSmallQuotaAllowsABurst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances, cfg.OverQuotaValue = 500, 0.05
-	r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-	req := r.request(idempotent, 0)
-	r.serve(3, idempotent, in20ms)
-	if factor := r.b.priorityFactor(req); factor != 1 {
+	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+	req := h.request(idempotent, 0)
+	h.serve(3, idempotent, in20ms)
+	if factor := h.b.priorityFactor(req); factor != 1 {
 		t.Errorf("priority factor %v at the fourth request, want 1", factor)
 	}
-	r.serve(3, idempotent, in20ms)
-	if factor := r.b.priorityFactor(req); factor > 0.5 {
+	h.serve(3, idempotent, in20ms)
+	if factor := h.b.priorityFactor(req); factor > 0.5 {
 		t.Errorf("priority factor %v at the seventh request, want at most 0.5", factor)
 	}
 }
@@ -53,18 +53,18 @@
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Instances, cfg.Tenants[0].QuotaPerSecond = c.instances, c.quotaPerSecond
-			r := newHarness(t, cfg, listedEndpoint(1, 0, 0))
-			r.advance(time.Hour)
-			r.handle(TimerFired{})
-			available := &r.b.quota(&request{}).requests
+			h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
+			h.advance(time.Hour)
+			h.handle(TimerFired{})
+			available := &h.b.quota(&request{}).requests
 			if got := *available; got != float64(c.burst) {
 				t.Errorf("%v requests are within the quota at the same time, want %d", got, c.burst)
 			}
 			*available = 0
-			r.advance(500 * ms)
-			r.handle(TimerFired{})
+			h.advance(500 * ms)
+			h.handle(TimerFired{})
 			want := min(float64(c.burst), 0.5*c.quotaPerSecond/float64(c.instances))
-			if got := r.b.quota(&request{}).requests; got < 0.999*want || got > 1.001*want {
+			if got := h.b.quota(&request{}).requests; got < 0.999*want || got > 1.001*want {
 				t.Errorf("%v requests are within the quota half a second after it was used up, want %v", got, want)
 			}
 		})
--- a/balance/window.go
+++ b/balance/window.go
@@ -6,7 +6,7 @@
 const minWindow = time.Second
 
 // endWindow begins a new window if the current window is over. A window lasts for Rules.OverloadWindow, the time within
-// which overload can bring down an endpoint in slow start, but at least minWindow. All counts and credits that hold for
+// which overload can make an endpoint in slow start fail, but at least minWindow. All counts and credits that hold for
 // a window are updated here, in this order.
 func (b *Balancer) endWindow() {
 	length := b.now - b.windowStart
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -161,7 +161,7 @@
 	return 0
 }
 
-// bytes returns the decoded value of a field in base64; "-" stands for no bytes.
+// bytes returns the decoded value of a field in base64; "-" means no bytes.
 func (f *fields) bytes(key string) []byte {
 	s, ok := f.get(key)
 	if !ok || s == "-" {
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -54,14 +54,14 @@
 		{ID: 7, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
 	if ms[1].ListNumber != 15 || !reflect.DeepEqual(ms[1].Endpoints, want) {
-		t.Errorf("got %+v", ms[1].Endpoints)
+		t.Errorf("list number %d with endpoints %+v, want 15 with %+v", ms[1].ListNumber, ms[1].Endpoints, want)
 	}
 	if !reflect.DeepEqual(ms[2].Event, balance.EndpointsListed{Kind: balance.CachedList}) ||
 		!ms[2].UsesList || ms[2].ListNumber != 15 {
-		t.Errorf("got %+v", ms[2])
+		t.Errorf("got %+v, want an EndpointsListed with list 15", ms[2])
 	}
 	if ms[3].Event != (balance.DiscoveryFailed{}) || ms[3].UsesList {
-		t.Errorf("got %+v", ms[3])
+		t.Errorf("got %+v, want a DiscoveryFailed without a list", ms[3])
 	}
 }
 
--- a/internal/siteconfig/checks.go
+++ b/internal/siteconfig/checks.go
@@ -13,7 +13,7 @@
 	maxLoadReportColumns = 4
 )
 
-// check returns an error for values that no setting can have, whether or not the Balancer uses them.
+// check returns an error for values that are not allowed, whether or not the Balancer uses them.
 func (m *settingsMessage) check() error {
 	for _, check := range []func() error{m.checkIndexes, m.Limits.check, m.Prices.check, m.checkSizes} {
 		if err := check(); err != nil {
--- a/internal/siteconfig/mapping.go
+++ b/internal/siteconfig/mapping.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// prices maps the prices that the Balancer uses. The other prices are only for the site.
+// prices maps the prices that balance.Prices has. The other prices matter only to the site.
 func (p *pricesMessage) prices() balance.Prices {
 	return balance.Prices{
 		CrossZone:   p.CrossZone,
