--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -89,7 +89,7 @@
 	return h.last
 }
 
-// endAttempt ends an attempt after 20 ms; its request is final if the attempt succeeded.
+// endAttempt ends an attempt after 20 ms. A success is the final answer of the request.
 func (h *harness) endAttempt(id string, attempt int, endpoint EndpointID, status Status) []Action {
 	return h.handle(AttemptEnded{Request: id, Attempt: attempt, Endpoint: endpoint, Status: status,
 		Elapsed: 20 * ms, Final: status == StatusSucceeded})
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -20,8 +20,8 @@
 	recoveredFailureRate = 0.02
 )
 
-// outliers holds the mean failure rate of the endpoints. Failures that all endpoints have in common cost none of them
-// anything.
+// outliers holds the mean failure rate of the endpoints. A failure rate that all endpoints have in common adds no cost
+// to any of them.
 type outliers struct {
 	meanFailureRate float64
 }
--- a/balance/probeadmission_test.go
+++ b/balance/probeadmission_test.go
@@ -12,11 +12,11 @@
 func TestRejectionsSendProbeAdmissions(t *testing.T) {
 	for name, c := range map[string]struct {
 		spent       time.Duration
-		st          Status
+		status      Status
 		least, most int
 	}{
 		"long wait":  {spent: 800 * ms, least: 10, most: 10},
-		"rejected":   {st: StatusRejected, least: 10, most: 12},
+		"rejected":   {status: StatusRejected, least: 10, most: 12},
 		"short wait": {spent: 20 * ms, least: 100, most: 200},
 	} {
 		h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
@@ -28,7 +28,8 @@
 			id := fmt.Sprint(i)
 			if h.arrive(id, idempotent); len(ofKind(Forward, h.last)) > 0 {
 				sent++
-				h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: c.spent, Status: c.st, Final: c.st == StatusSucceeded})
+				h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: c.spent, Status: c.status,
+					Final: c.status == StatusSucceeded})
 			}
 		}
 		if sent < c.least || sent > c.most {
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -13,7 +13,7 @@
 // request at a time, and more slowly in slow start.
 type testFleet struct {
 	cfg         Config
-	work        time.Duration // of a mean request
+	work        time.Duration // work of a mean request
 	rng         *rand.Rand
 	now         time.Duration
 	nodes       []*Balancer
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -40,8 +40,8 @@
 // would need a connection from every node.
 //
 // Outliers are used in addition to the subset, but at most as many as the size of the subset. Under overload many
-// endpoints seem to fail. A node that replaced each of them would use more and more endpoints, know none of them and
-// pay a handshake for each.
+// endpoints seem to fail. A node that replaced each of them would use more and more endpoints, know the load of none
+// and pay a handshake for each.
 func (b *Balancer) chooseSubset() {
 	b.usable = b.usable[:0]
 	inZone := map[int]int{}
