--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -14,7 +14,7 @@
 // stats reads the statistics of a node from its second address.
 func stats(t *testing.T, n *started) map[string]int {
 	t.Helper()
-	resp, body := do(t, adminCall(t, n, "GET", "/admin/stats"))
+	resp, body := do(t, adminRequest(t, n, "GET", "/admin/stats"))
 	if resp.StatusCode != http.StatusOK {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
@@ -30,7 +30,7 @@
 	return out
 }
 
-func adminCall(t *testing.T, n *started, method, path string) *http.Request {
+func adminRequest(t *testing.T, n *started, method, path string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+n.admin.Addr().String()+path, nil)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return r
 }
 
-// startAdmin starts a node with a second address.
-func startAdmin(t *testing.T, list string, change ...func(*Config)) *started {
+// startWithAdmin starts a node with a second address.
+func startWithAdmin(t *testing.T, list string, change ...func(*Config)) *started {
 	t.Helper()
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
 	for _, f := range change {
@@ -69,7 +69,7 @@
 		}
 		return ok200("fine")
 	}))
-	n := startAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"},
+	n := startWithAdmin(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"},
 		listed{id: "s-b", addr: "127.0.0.1:9", phase: "draining"}))
 	for _, path := range []string{"/fine", "/fine", "/turned-away", "/error"} {
 		do(t, ask(t, n.url+path, "order"))
@@ -120,13 +120,13 @@
 
 // The second address reports whether the process is ready.
 func TestHealthFollowsReadiness(t *testing.T) {
-	n := startAdmin(t, listText(1, true))
-	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/health")); resp.StatusCode != http.StatusServiceUnavailable {
+	n := startWithAdmin(t, listText(1, true))
+	if resp, _ := do(t, adminRequest(t, n, "GET", "/admin/health")); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answered %d without a backend", resp.StatusCode)
 	}
-	n = startAdmin(t, listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready"}))
+	n = startWithAdmin(t, listText(1, true, listed{id: "s-a", addr: "127.0.0.1:9", phase: "ready"}))
 	eventually(t, "readiness", func() bool {
-		resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
+		resp, _ := do(t, adminRequest(t, n, "GET", "/admin/health"))
 		return resp.StatusCode == http.StatusOK
 	})
 }
@@ -140,13 +140,13 @@
 		}
 		return ok200("fine")
 	}))
-	n := startAdmin(t, listText(7, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
+	n := startWithAdmin(t, listText(7, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
 	do(t, ask(t, n.url+"/fine", "order"))
 	do(t, ask(t, n.url+"/error", "read"))
 	var body string
 	eventually(t, "a call of discovery and nothing pending", func() bool {
 		var resp *http.Response
-		resp, body = do(t, adminCall(t, n, "GET", "/metrics"))
+		resp, body = do(t, adminRequest(t, n, "GET", "/metrics"))
 		return resp.StatusCode == http.StatusOK && strings.Contains(body, "glencart_pending_requests 0") &&
 			strings.Contains(body, `glencart_discovery_call_seconds_count{result="ok"}`)
 	})
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -56,7 +56,7 @@
 func startLarge(t *testing.T, b *rawBackend) *started {
 	t.Helper()
 	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
-	return startAdmin(t, list, func(c *Config) {
+	return startWithAdmin(t, list, func(c *Config) {
 		c.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
 	})
 }
@@ -270,7 +270,7 @@
 		}
 	}
 	a, b := newRawBackend(t, "127.0.0.1:0", breaking), newRawBackend(t, "127.0.0.1:0", breaking)
-	n := startAdmin(t, listText(1, true, listed{id: "s-a", addr: a.Addr().String(), phase: "ready"},
+	n := startWithAdmin(t, listText(1, true, listed{id: "s-a", addr: a.Addr().String(), phase: "ready"},
 		listed{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
 	resp, _ := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(8<<20))), 8<<20
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -69,15 +69,15 @@
 }
 
 // httpServer returns the HTTP server that clients connect to.
-func (f *clientServer) httpServer() *http.Server {
+func (s *clientServer) httpServer() *http.Server {
 	return &http.Server{
-		Handler:           f,
+		Handler:           s,
 		ReadHeaderTimeout: headTimeout,
 		IdleTimeout:       keepAliveTimeout,
-		WriteTimeout:      requestReadTimeout + longestDeadline(f.settings) + responseWriteTimeout,
+		WriteTimeout:      requestReadTimeout + longestDeadline(s.settings) + responseWriteTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
-		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelDebug),
-		ConnState:         f.conns.track,
+		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+		ConnState:         s.conns.track,
 		ConnContext:       withClientConn,
 		// The library would answer "OPTIONS *" with 200, which is no valid request of a client.
 		DisableGeneralOptionsHandler: true,
@@ -85,23 +85,23 @@
 }
 
 // connClosed forgets what the fleet's report knows of a connection.
-func (f *clientServer) connClosed(c *clientConn) {
-	if f.fleet != nil {
-		f.fleet.connClosed(c)
+func (s *clientServer) connClosed(c *clientConn) {
+	if s.fleet != nil {
+		s.fleet.connClosed(c)
 	}
 }
 
 // closesConnections reports whether each response closes its connection now. That crosses no request, as closing an
 // idle connection may. Where slow heads are evicted too (streaming) there is always room for a new connection, and
 // clients keep those that they use.
-func (f *clientServer) closesConnections() bool {
-	return f.shutdown.started() || f.handedOver.Load() || !f.streaming && f.conns.aboveThreshold()
+func (s *clientServer) closesConnections() bool {
+	return s.shutdown.started() || s.handedOver.Load() || !s.streaming && s.conns.aboveThreshold()
 }
 
 // ServeHTTP answers one request of a client.
-func (f *clientServer) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+func (s *clientServer) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	received := time.Now()
-	if f.closesConnections() {
+	if s.closesConnections() {
 		closeAfterResponse(w)
 	}
 	head, open := requestHead(hr, received)
@@ -111,7 +111,7 @@
 	// Set first of all: the library reads what is left of a body, and would wait for it without end.
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
 	if head.Fault != nil {
-		f.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
+		s.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
 		rejectWithText(w, hr, http.StatusBadRequest, head.Fault.Error()) // the next request's start is unknown
 		return
 	}
@@ -120,19 +120,19 @@
 	}
 	switch hr.URL.Path {
 	case "/health/ready":
-		writeHealth(w, f.loop.ready.Load() && (f.handedOver.Load() || !f.shutdown.started()))
+		writeHealth(w, s.loop.ready.Load() && (s.handedOver.Load() || !s.shutdown.started()))
 		return
 	case "/health/live":
 		writeHealth(w, true)
 		return
 	}
-	if f.inFlight.Add(1) > f.maxInFlight {
-		f.inFlight.Add(-1)
-		f.rejectOverload(w, hr)
+	if s.inFlight.Add(1) > s.maxInFlight {
+		s.inFlight.Add(-1)
+		s.rejectOverload(w, hr)
 		return
 	}
-	defer f.inFlight.Add(-1)
-	f.serveRequest(w, hr, head.Start)
+	defer s.inFlight.Add(-1)
+	s.serveRequest(w, hr, head.Start)
 }
 
 // requestHead returns what the head of a request says of its end; open is false if this side has closed the connection.
@@ -144,18 +144,18 @@
 }
 
 // rejectOverload rejects a request, unread, since too many are in flight.
-func (f *clientServer) rejectOverload(w http.ResponseWriter, hr *http.Request) {
+func (s *clientServer) rejectOverload(w http.ResponseWriter, hr *http.Request) {
 	closeAfterResponse(w)
 	writeRejected(w, overloadRetryAfter)
-	if class := slices.Index(f.settings.Classes, hr.Header.Get("X-Qos")); class >= 0 {
-		f.counters.recordOutcome(class, responseRejected)
+	if class := slices.Index(s.settings.Classes, hr.Header.Get("X-Qos")); class >= 0 {
+		s.counters.recordOutcome(class, responseRejected)
 	}
 }
 
 // serveRequest reads a request, whose first byte came at start, and has it served.
-func (f *clientServer) serveRequest(w http.ResponseWriter, hr *http.Request, start time.Time) {
-	r, err := f.readRequest(w, hr, start)
-	late := !f.shutdown.admits()
+func (s *clientServer) serveRequest(w http.ResponseWriter, hr *http.Request, start time.Time) {
+	r, err := s.readRequest(w, hr, start)
+	late := !s.shutdown.admits()
 	if err != nil {
 		status := statusOf(err)
 		if late && status == http.StatusRequestTimeout {
@@ -164,18 +164,18 @@
 		rejectWithText(w, hr, status, err.Error())
 		return
 	}
-	defer f.bodyMemory.release(r.bodyBytes)
+	defer s.bodyMemory.release(r.bodyBytes)
 	if c, ok := clientConnOf(hr.Context()); ok {
 		if r.forwarded.upload == nil && c.peerClosed() {
 			panic(http.ErrAbortHandler) // the client disconnected before its request was read
 		}
-		if f.fleet != nil {
-			f.fleet.requestStarted(c, r)
+		if s.fleet != nil {
+			s.fleet.requestStarted(c, r)
 		}
 	}
 	if late {
-		f.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
-		f.counters.recordOutcome(r.class, responseRejected)
+		s.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
+		s.counters.recordOutcome(r.class, responseRejected)
 		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
@@ -184,13 +184,13 @@
 		closeAfterResponse(w)
 		http.NewResponseController(w).EnableFullDuplex()
 	}
-	f.injectDropInDrain()
-	f.dispatch(w, hr, r)
+	s.injectDropInDrain()
+	s.dispatch(w, hr, r)
 }
 
 // dispatch has the loop decide on a request, and writes its final response.
-func (f *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
-	count := newRequestCount(f.counters, r.class)
+func (s *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
+	count := newRequestCount(s.counters, r.class)
 	if body := r.forwarded.upload; body == nil {
 		count.begin()
 	} else {
@@ -199,28 +199,28 @@
 	}
 	end := responseFailed
 	defer func() { count.finish(end) }()
-	f.loop.post(requestArrived{r})
+	s.loop.post(requestArrived{r})
 	select {
 	case response := <-r.response:
-		f.writeFinalResponse(w, hr, r, response, count)
+		s.writeFinalResponse(w, hr, r, response, count)
 		end = response.kind
 	case <-hr.Context().Done():
 		if c, ok := clientConnOf(hr.Context()); ok && c.isClosedOrRejected() {
-			f.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
+			s.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
 		}
-		f.loop.post(clientDisconnected{r})
+		s.loop.post(clientDisconnected{r})
 		// After a return the library would write an empty 200.
 		panic(http.ErrAbortHandler)
-	case <-f.loop.done: // the node is ending
+	case <-s.loop.done: // the node is ending
 		writeFailed(w, http.StatusBadGateway)
 	}
 }
 
 // writeFinalResponse writes a response. It panics with http.ErrAbortHandler where a streamed one breaks off.
-func (f *clientServer) writeFinalResponse(
+func (s *clientServer) writeFinalResponse(
 	w http.ResponseWriter, hr *http.Request, r *request, response finalResponse, count *requestCount,
 ) {
-	if f.shutdown.started() || f.handedOver.Load() {
+	if s.shutdown.started() || s.handedOver.Load() {
 		closeAfterResponse(w)
 	}
 	bodyOpen := r.forwarded.upload != nil
@@ -233,7 +233,7 @@
 		http.NewResponseController(w).Flush() // what is left of the request's body may take long to come
 	}
 	if err != nil {
-		f.warnings.Warn("response aborted", "error", err)
+		s.warnings.Warn("response aborted", "error", err)
 		abortResponse(w, hr.ProtoAtLeast(1, 1) || response.stream.size >= 0)
 	}
 }
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// closeWaiting closes connections on which nothing of a request has come, also those that never had one.
-func (t *connTracker) closeWaiting() {
+// closeWithoutRequest closes connections on which nothing of a request has come, also those that never had one.
+func (t *connTracker) closeWithoutRequest() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.idleSince {
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -95,7 +95,7 @@
 // A head may take two seconds to come; TestMalformedClientsGetAnErrorInTime has those that take longer.
 func TestSlowHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := inMemory(t).dial()
+		c := startInMemoryListener(t).dial()
 		defer c.Close()
 		head := "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 		sent := make(chan struct{})
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -40,7 +40,7 @@
 // adminPost sends a POST to the admin address and returns the status.
 func adminPost(t *testing.T, n *started, path string) int {
 	t.Helper()
-	resp, _ := do(t, adminCall(t, n, "POST", path))
+	resp, _ := do(t, adminRequest(t, n, "POST", path))
 	return resp.StatusCode
 }
 
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -179,7 +179,7 @@
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
-		l, f := inMemoryServer(t)
+		l, f := startInMemoryServer(t)
 		send := func(c net.Conn, text string) { go io.WriteString(c, text) }
 		answered := func(c net.Conn) error {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/node/fault_injection.go
+++ b/internal/node/fault_injection.go
@@ -33,16 +33,16 @@
 var dropInjected atomic.Bool
 
 // injectDropInDrain aborts the request that faultDropInDrain selects, which closes its connection.
-func (f *clientServer) injectDropInDrain() {
-	if faultDropInDrain != "" && f.shutdown.started() && dropInjected.CompareAndSwap(false, true) {
+func (s *clientServer) injectDropInDrain() {
+	if faultDropInDrain != "" && s.shutdown.started() && dropInjected.CompareAndSwap(false, true) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // injectShutdownFault lengthens the shutdown schedule if faultShutdown selects this process.
-func (f *clientServer) injectShutdownFault() {
-	handedOver := f.handedOver.Load()
+func (s *clientServer) injectShutdownFault() {
+	handedOver := s.handedOver.Load()
 	if handedOver && faultShutdown == faultUpgrade || !handedOver && faultShutdown == faultRestart {
-		f.shutdown.longestDeadline = faultDeadline
+		s.shutdown.longestDeadline = faultDeadline
 	}
 }
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -17,7 +17,7 @@
 // registry and makes no calls to it.
 func TestNoFleetMemberWithoutFleetKey(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("x") }))
-	n := startAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
+	n := startWithAdmin(t, listText(1, true, listed{"s", b.Addr().String(), "ready", 0}))
 	eventually(t, "readiness", n.loop.ready.Load)
 	do(t, ask(t, n.url+"/api/x", "read"))
 	if n.fleet != nil || n.server.fleet != nil || n.loop.onServed != nil {
@@ -27,7 +27,7 @@
 	if stacks = stacks[:runtime.Stack(stacks, true)]; strings.Contains(string(stacks), "hitchvale/internal/fleet.") {
 		t.Error("a goroutine of package fleet runs")
 	}
-	if resp, _ := do(t, adminCall(t, n, "GET", "/admin/fleet")); resp.StatusCode != http.StatusNotFound {
+	if resp, _ := do(t, adminRequest(t, n, "GET", "/admin/fleet")); resp.StatusCode != http.StatusNotFound {
 		t.Errorf("/admin/fleet: got status %d, want 404", resp.StatusCode)
 	}
 }
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -86,7 +86,7 @@
 			emptyFor = 0
 		}
 		if !n.server.shutdown.admits() {
-			n.server.conns.closeWaiting()
+			n.server.conns.closeWithoutRequest()
 		}
 		emptyFor += shutdownPollInterval
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -30,7 +30,7 @@
 
 // isHealthy reports whether the health check on the admin address succeeds.
 func isHealthy(t *testing.T, n *started) bool {
-	resp, _ := do(t, adminCall(t, n, "GET", "/admin/health"))
+	resp, _ := do(t, adminRequest(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -51,13 +51,13 @@
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
-// inMemory runs the client side of a node on connections in memory; it forwards no request.
-func inMemory(t *testing.T) *pipeListener {
-	l, _ := inMemoryServer(t)
+// startInMemoryListener runs the client side of a node on connections in memory; it forwards no request.
+func startInMemoryListener(t *testing.T) *pipeListener {
+	l, _ := startInMemoryServer(t)
 	return l
 }
 
-func inMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
+func startInMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
 	names := oneClassSettings()
 	f := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), quiet()), names, 64, quiet())
@@ -113,7 +113,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := inMemory(t)
+				l := startInMemoryListener(t)
 				began := time.Now()
 				c := l.dial()
 				sent := make(chan struct{})
@@ -137,7 +137,7 @@
 // A client may take its time between requests, and each request has its own timeout.
 func TestLaterRequestsHaveTheirOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := inMemory(t)
+		l := startInMemoryListener(t)
 		c := l.dial()
 		defer c.Close()
 		for range 3 {
@@ -169,7 +169,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := inMemory(t).dial()
+				c := startInMemoryListener(t).dial()
 				defer c.Close()
 				began := time.Now()
 				go io.WriteString(c, "POST /api/x HTTP/1.1\r\nHost: x\r\n"+head)
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -61,17 +61,17 @@
 }
 
 // readRequest checks a request, whose first byte came at start, and reads its body. Its error is a requestError.
-func (f *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, start time.Time) (*request, error) {
-	r, err := f.parseHeaders(hr)
+func (s *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, start time.Time) (*request, error) {
+	r, err := s.parseHeaders(hr)
 	if err != nil {
 		return nil, err
 	}
-	timeLeft, err := f.timeLeft(hr.Header, r.class)
+	timeLeft, err := s.timeLeft(hr.Header, r.class)
 	if err != nil {
 		return nil, err
 	}
 	parseHints(r, hr)
-	body, err := f.readBody(w, hr, start)
+	body, err := s.readBody(w, hr, start)
 	if err != nil {
 		return nil, bodyError(err)
 	}
@@ -79,7 +79,7 @@
 	if body.stream == nil {
 		// The deadline counts from the last byte, which may have come before the node got to read it.
 		timeLeft = max(timeLeft-socketWait(hr), deadlineMargin)
-		r.deadline = f.shutdown.capDeadline(time.Now().Add(timeLeft - deadlineMargin))
+		r.deadline = s.shutdown.capDeadline(time.Now().Add(timeLeft - deadlineMargin))
 	}
 	key := hr.Header.Get("Idempotency-Key")
 	removeHopByHopHeaders(hr.Header)
@@ -101,7 +101,7 @@
 }
 
 // parseHeaders returns a request with its identity: id, class and tenant. It checks what the class requires.
-func (f *clientServer) parseHeaders(hr *http.Request) (*request, error) {
+func (s *clientServer) parseHeaders(hr *http.Request) (*request, error) {
 	h := hr.Header
 	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
@@ -116,15 +116,15 @@
 	if r.id == "" {
 		return nil, badRequest("X-Trace-Id: missing")
 	}
-	if r.class = slices.Index(f.settings.Classes, h.Get("X-Qos")); r.class < 0 {
+	if r.class = slices.Index(s.settings.Classes, h.Get("X-Qos")); r.class < 0 {
 		return nil, badRequest("X-Qos: no such class")
 	}
-	if len(f.settings.Tenants) > 0 {
-		if r.tenant = slices.Index(f.settings.Tenants, h.Get("X-Customer")); r.tenant < 0 {
+	if len(s.settings.Tenants) > 0 {
+		if r.tenant = slices.Index(s.settings.Tenants, h.Get("X-Customer")); r.tenant < 0 {
 			return nil, badRequest("X-Customer: no such customer")
 		}
 	}
-	repeatability := f.settings.Config.Classes[r.class].Repeatability
+	repeatability := s.settings.Config.Classes[r.class].Repeatability
 	method := http.MethodPost
 	if repeatability == balance.Idempotent {
 		method = http.MethodGet
@@ -140,8 +140,8 @@
 }
 
 // timeLeft returns how long the client waits from its last byte on: the class's deadline, or less by X-Expires-In.
-func (f *clientServer) timeLeft(h http.Header, class int) (time.Duration, error) {
-	left := cmp.Or(f.settings.Config.Classes[class].Deadline, defaultDeadline)
+func (s *clientServer) timeLeft(h http.Header, class int) (time.Duration, error) {
+	left := cmp.Or(s.settings.Config.Classes[class].Deadline, defaultDeadline)
 	text := h.Get("X-Expires-In")
 	if text == "" {
 		return left, nil
--- a/internal/node/request_body.go
+++ b/internal/node/request_body.go
@@ -73,10 +73,10 @@
 // readBody buffers a request's body if the memory budget allows: a buffered body is complete, and a retry can send it
 // again. Beyond the budget the body is streamed where the node does that, and else rejected, so that nothing which a
 // client sends without end reaches a backend.
-func (f *clientServer) readBody(w http.ResponseWriter, hr *http.Request, start time.Time) (requestBody, error) {
+func (s *clientServer) readBody(w http.ResponseWriter, hr *http.Request, start time.Time) (requestBody, error) {
 	size := hr.ContentLength
-	limit := f.bodyMemory.maxPerRequest
-	if f.streaming {
+	limit := s.bodyMemory.maxPerRequest
+	if s.streaming {
 		limit = maxStreamedBody
 	}
 	if size > limit {
@@ -92,17 +92,17 @@
 	var err error
 	switch {
 	case size < 0:
-		body, complete, err = f.bufferChunked(source)
-	case size == 0 || f.bodyMemory.reserve(0, size, !f.streaming):
+		body, complete, err = s.bufferChunked(source)
+	case size == 0 || s.bodyMemory.reserve(0, size, !s.streaming):
 		body = requestBody{buffered: make([]byte, size), memory: size}
 		complete = true
 		_, err = io.ReadFull(source, body.buffered)
 	}
-	if err == nil && !complete && !f.streaming {
+	if err == nil && !complete && !s.streaming {
 		err = errBodyMemory
 	}
 	if err != nil {
-		f.bodyMemory.release(body.memory)
+		s.bodyMemory.release(body.memory)
 		return requestBody{}, err
 	}
 	if !complete {
@@ -115,8 +115,8 @@
 
 // bufferChunked buffers a body of unknown length, as far as the memory budget allows. It reports whether the body is
 // complete.
-func (f *clientServer) bufferChunked(source io.Reader) (body requestBody, complete bool, err error) {
-	for f.bodyMemory.reserve(body.memory, streamBufferSize, !f.streaming) {
+func (s *clientServer) bufferChunked(source io.Reader) (body requestBody, complete bool, err error) {
+	for s.bodyMemory.reserve(body.memory, streamBufferSize, !s.streaming) {
 		body.memory += streamBufferSize
 		body.buffered = slices.Grow(body.buffered, streamBufferSize)
 		for end := len(body.buffered) + streamBufferSize; len(body.buffered) < end; {
