--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -14,41 +14,43 @@
 )
 
 const (
-	// maxHeadLine bounds a line of a head, in bytes. The HTTP server bounds the entire head below that.
+	// maxHeadLine bounds a line of a head, in bytes. The HTTP server rejects a head before it reaches this length.
 	maxHeadLine = 2 * maxHeadBytes
-	// maxReadAhead bounds what is read behind a request that is being served, in bytes.
+	// maxReadAhead bounds the bytes that are read ahead while a request is being served.
 	maxReadAhead = maxHeadBytes + maxBodyBytes
 )
 
-// errPipelineFlood ends the connection of a client that sends more than maxReadAhead behind a request that is being
+// errReadAheadExceeded ends the connection of a client that sends more than maxReadAhead bytes while a request is being
 // served.
-var errPipelineFlood = errors.New("too much behind a request that is being served")
+var errReadAheadExceeded = errors.New("client sent too many bytes while its previous request was being served")
 
-// clientConn is a client's connection. It gives the HTTP server one request at a time, with the head judged by
-// httpframing, and notices a client that disconnects while its request is being served.
+// clientConn is a client's connection. It passes the HTTP server one request at a time, has httpframing check the
+// framing of each head, and detects a client that disconnects while its request is being served.
 //
-// Read is for one goroutine at a time; the connState may be used by any.
+// Only one goroutine at a time may call Read. The methods of connState are safe for concurrent use.
 type clientConn struct {
 	net.Conn
 	connState
 
-	raw      syscall.RawConn // set by the first read; nil where the system has none
+	raw      syscall.RawConn // the socket; set by the first read, nil if Conn has no socket
 	parser   *httpframing.Parser
-	buffered []byte // read past the end of a head
-	bodyLeft int64  // bytes of the current request's body that have not been read
-	// openEnded says that only its reader can tell where the current request ends: no other may follow.
+	buffered []byte // bytes that were received after the end of the current head or body
+	bodyLeft int64  // number of bytes of the current request's body that Read has not returned yet
+	// openEnded is set if only the reader of the body can tell where the current request ends. No other request may
+	// follow on the connection.
 	openEnded bool
 
 	openedAt   time.Time
-	lastByteAt monotime.Atomic // when the last bytes came; zero: none have
+	lastByteAt monotime.Atomic // when bytes were last received; zero if none were
 }
 
-// newClientConn returns a connection that was opened at a time.
+// newClientConn wraps a connection that was opened at openedAt.
 func newClientConn(c net.Conn, openedAt time.Time) *clientConn {
 	return &clientConn{Conn: c, openedAt: openedAt, parser: httpframing.NewParser(maxHeadLine, openedAt)}
 }
 
-// Read reads at most to the end of the current head or body.
+// Read returns bytes up to the end of the current head or body, never beyond it. The read by which the HTTP server
+// waits for a disconnect (awaitsDisconnect) returns no bytes.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -72,7 +74,7 @@
 	return n, err
 }
 
-// readBytes reads what was buffered, or else from the connection.
+// readBytes returns buffered bytes if there are any, and otherwise receives from the connection.
 func (c *clientConn) readBytes(p []byte) (int, error) {
 	if len(c.buffered) > 0 {
 		n := copy(p, c.buffered)
@@ -87,7 +89,8 @@
 	return n, err
 }
 
-// parse follows the current head. It returns how many bytes belong to it, and buffers those that follow.
+// parse passes received bytes to the parser. It returns how many of them belong to the current head, and buffers the
+// others.
 func (c *clientConn) parse(data []byte) int {
 	used, head := c.parser.Parse(data)
 	if head != nil {
@@ -101,33 +104,34 @@
 	return used
 }
 
-// awaitsDisconnect reports whether a read of so many bytes is the HTTP server's watch for a disconnect: it has a
-// complete request and reads the first byte behind it. Where a body's end is not known here, such a read is the only
-// one of a single byte.
+// awaitsDisconnect reports whether a read of size bytes is the one by which the HTTP server watches for a disconnect:
+// the server has a complete request and reads the first byte after it. If the end of the body is not known here
+// (openEnded), this read is recognized by its size, since it is the only read of a single byte.
 func (c *clientConn) awaitsDisconnect(size int) bool {
 	return c.hasCompleteHead() && (!c.openEnded || size == 1)
 }
 
-// readAhead buffers what comes behind a request that is being served, until the client disconnects or the HTTP server
-// stops waiting. The HTTP server itself would stop at the first byte, and not notice a disconnect behind it.
+// readAhead buffers the bytes that arrive while a request is being served, until the client disconnects or the HTTP
+// server interrupts the read. The HTTP server itself would stop reading at the first such byte, and would not notice a
+// disconnect after it.
 func (c *clientConn) readAhead(p []byte) error {
 	for len(c.buffered) <= maxReadAhead {
 		n, err := c.Conn.Read(p)
-		if !c.openEnded { // else no request may follow
+		if !c.openEnded { // after an open-ended request, no other request may follow
 			c.buffered = append(c.buffered, p[:n]...)
 		}
 		if err != nil {
 			return err
 		}
-		if len(p) == 1 { // which is enough for most clients
+		if len(p) == 1 { // the server's buffer holds one byte; most clients never send more than that
 			p = make([]byte, 1<<10)
 		}
 	}
-	return errPipelineFlood
+	return errReadAheadExceeded
 }
 
-// discardAfterClose handles bytes that came after this side had closed the connection or rejected a request on it. In
-// the latter case it reads on until the client closes.
+// discardAfterClose handles bytes that were read after the node had closed the connection or rejected a request on it.
+// After a rejection it discards bytes until the client closes the connection.
 func (c *clientConn) discardAfterClose(p []byte) error {
 	for rejected := c.isRejected(); rejected; {
 		if _, err := c.Conn.Read(p); err != nil {
@@ -137,44 +141,47 @@
 	return net.ErrClosed
 }
 
-// markIdle records that a request has been answered and the connection stays.
+// markIdle records that the current request has its response and that the connection stays open.
 func (c *clientConn) markIdle() { c.finishMessage(len(c.buffered) > 0) }
 
-// incompleteResponse answers an incomplete request: nothing is done for it, whatever its client still sends.
+// incompleteResponse is the response to an incomplete request. The rest of such a request is not served.
 const incompleteResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// incompleteResponseTimeout bounds the write of an incompleteResponse, which fits the buffer of a client that reads.
+// incompleteResponseTimeout bounds the write of an incompleteResponse. The response fits into the buffer of a client
+// that reads, so that only a client which does not read delays the write.
 const incompleteResponseTimeout = 20 * time.Millisecond
 
-// rejectIncomplete answers a client that has sent an incomplete head, and serves nothing more of it. The connection
-// stays until the client closes it: a reset could overtake the response. It reports whether there was such a head.
+// rejectIncomplete writes an incompleteResponse if the client has sent an incomplete head, and reports whether it did.
+// No further request of the connection is served. The connection stays open until the client closes it, because a reset
+// could overtake the response.
 func (c *clientConn) rejectIncomplete() bool {
 	if !c.reject() {
 		return false
 	}
 	c.Conn.SetWriteDeadline(time.Now().Add(incompleteResponseTimeout))
 	io.WriteString(c.Conn, incompleteResponse)
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		closer.CloseWrite()
 	}
 	return true
 }
 
-// interruptBody ends the wait for a body that is read into memory. It is called repeatedly, as the body's reader sets
-// deadlines of its own.
+// interruptBody interrupts the reading of a body into memory. It has to be called repeatedly, because the body's reader
+// sets read deadlines as well.
 func (c *clientConn) interruptBody() {
 	c.ifBuffering(func() { c.Conn.SetReadDeadline(time.Now()) })
 }
 
-// closeIfWaiting marks the connection as closed if no request is complete, nor partly received unless evenPartial. It
-// reports whether it has; the caller then closes it.
-func (c *clientConn) closeIfWaiting(evenPartial bool) bool {
+// closeIfWaiting marks the connection as closed if the node waits for a request on it: no request is complete and,
+// unless includePartial is set, no part of a request has been received. It reports whether it marked the connection;
+// the caller then has to close it.
+func (c *clientConn) closeIfWaiting(includePartial bool) bool {
 	return c.closeIf(func(message messagePhase) bool {
-		return evenPartial || message != messageReceiving && c.peek() != socketReadable
+		return includePartial || message != messageReceiving && c.peek() != socketReadable
 	})
 }
 
-// peek returns the state of the connection's socket.
+// peek returns the state of the connection's socket. A connection without a socket counts as empty.
 func (c *clientConn) peek() socketState {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return peekSocket(sc)
@@ -183,13 +190,14 @@
 }
 
 const (
-	// peerClosedTries and peerClosedPause are how often and how far apart peerClosed looks.
+	// peerClosedTries is how often peerClosed looks at the socket at most.
 	peerClosedTries = 8
+	// peerClosedPause is the time between two looks.
 	peerClosedPause = 250 * time.Microsecond
 )
 
-// peerClosed reports whether the client has disconnected before anything is done for its request. It waits for a moment
-// where bytes behind the request hide the state, until they are read ahead.
+// peerClosed reports whether the client has already disconnected. It is called before a request is dispatched. Unread
+// bytes after the request hide a disconnect, so peerClosed waits briefly until they have been read ahead.
 func (c *clientConn) peerClosed() bool {
 	for range peerClosedTries {
 		switch c.peek() {
@@ -203,7 +211,8 @@
 	return false
 }
 
-// lastActivity returns when the client last sent something, or else when it connected.
+// lastActivity returns when the client last sent bytes. If sent is false it has not sent any, and the time is that of
+// its connecting.
 func (c *clientConn) lastActivity() (at time.Time, sent bool) {
 	if last := c.lastByteAt.Load(); !last.IsZero() {
 		return last.Time(), true
@@ -211,7 +220,7 @@
 	return c.openedAt, false
 }
 
-// sinceLastByte returns how long ago the client's last byte reached this machine.
+// sinceLastByte returns how long ago the client's last byte reached this machine; 0 if that is not known.
 func (c *clientConn) sinceLastByte() time.Duration {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return sinceLastReceive(sc)
@@ -230,7 +239,7 @@
 	return ctx
 }
 
-// clientConnOf returns the connection of a request; ok is false for a request that came on none, as in some tests.
+// clientConnOf returns the connection of a request. In tests a request may have no connection, and ok is false.
 func clientConnOf(ctx context.Context) (c *clientConn, ok bool) {
 	c, ok = ctx.Value(clientConnKey{}).(*clientConn)
 	return c, ok
--- a/internal/node/client_conn_receive.go
+++ b/internal/node/client_conn_receive.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// receive waits for bytes and reads them. It takes them from the kernel only while the connection is not closed, in
-// one step with marking it (readUnlessClosed): net.Conn.Read could take bytes between a close and its return, and lose
-// them.
+// receive waits for bytes and reads them. It checks that the connection is not closed, reads from the kernel and marks
+// the connection as receiving in one step under the lock of connState (readUnlessClosed). net.Conn.Read has no such
+// step: it could take bytes from the kernel while the connection is being closed, and the bytes would be lost.
 func (c *clientConn) receive(p []byte) (n int, err error) {
 	if c.raw == nil {
 		socket, ok := c.Conn.(syscall.Conn)
 		if !ok {
-			return c.Conn.Read(p) // no socket
+			return c.Conn.Read(p) // the connection has no socket
 		}
 		if c.raw, err = socket.SyscallConn(); err != nil {
 			return 0, err
@@ -28,7 +28,7 @@
 	var opErr *net.OpError
 	switch {
 	case errors.As(waitErr, &opErr):
-		opErr.Op = "read" // net/http recognizes the errors of its connections by that
+		opErr.Op = "read" // net/http recognizes read errors of its connections by this name
 		return 0, opErr
 	case waitErr != nil:
 		return 0, waitErr
@@ -43,7 +43,7 @@
 	return n, nil
 }
 
-// readRetryingInterrupts reads from a non-blocking descriptor, again after each signal that interrupts it.
+// readRetryingInterrupts reads from a non-blocking descriptor, and repeats a read that a signal has interrupted.
 func readRetryingInterrupts(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// headTimeout is how long a client may take to send a head. It counts from connecting, or from the first byte of a
-	// later head. It has to be less than 3 s, within which an improper client gets an error.
+	// headTimeout is how long a client may take to send the head of a request. For the first request the time counts
+	// when the client connects, for a later one from its first byte. The timeout has to be below 3 s, because a client
+	// that sends a malformed or incomplete request gets an error within 3 s.
 	headTimeout = 2600 * time.Millisecond
-	// requestReadTimeout is how long a client may take to send a request, counted likewise.
+	// requestReadTimeout is how long a client may take to send a request, counted in the same way. The bytes of a body
+	// extend this time at minBodyRate.
 	requestReadTimeout = 2800 * time.Millisecond
-	// keepAliveTimeout is how long a connection may be idle between requests.
+	// keepAliveTimeout is how long a connection may be idle between two requests.
 	keepAliveTimeout = 30 * time.Second
 	// responseWriteTimeout is how long a client may take to read its response.
 	responseWriteTimeout = 5 * time.Second
-	// overloadRetryAfter is the Retry-After of a request that was rejected since too many are in flight.
+	// overloadRetryAfter is the Retry-After of a request that is rejected because too many requests are in flight.
 	overloadRetryAfter = 250 * time.Millisecond
-	// inFlightEighths is the part of the clients' connections, in eighths, that may have a request in flight: the others
-	// are left for answers to those who come beyond it.
+	// inFlightEighths is the share of the client connections, in eighths, that may have a request in flight. The other
+	// connections are reserved for rejecting the requests beyond this share.
 	inFlightEighths = 7
 )
 
-// clientServer is the HTTP handler for clients: it reads requests, has the loop decide on them and writes the
-// responses.
+// clientServer is the HTTP handler for clients. It reads requests, passes them to the event loop and writes the
+// responses. It is safe for concurrent use.
 type clientServer struct {
 	loop     *eventLoop
 	settings siteconfig.Settings
@@ -43,18 +45,18 @@
 	maxInFlight int64
 	inFlight    atomic.Int64
 
-	handedOver atomic.Bool   // another process of the node accepts connections
-	streaming  bool          // long bodies are streamed, and connections stay open also above the eviction threshold
-	bodyMemory *memoryBudget // of requests that are read into memory
-	fleet      *fleetMember  // nil: the node is in no fleet
+	handedOver atomic.Bool   // set while another process of the node accepts the connections
+	streaming  bool          // whether long bodies are streamed, and connections stay open above the eviction threshold
+	bodyMemory *memoryBudget // of the request bodies that are read into memory
+	fleet      *fleetMember  // nil if the node is not a member of a fleet
 }
 
-// newClientServer returns the handler of a node that may hold at most maxConns connections of clients. Some of them are
-// beyond the requests in flight, so that a full node can still answer.
+// newClientServer returns the handler of a node that has at most maxConns client connections. Fewer requests than that
+// may be in flight, so that a node at its limit can still reject requests.
 func newClientServer(loop *eventLoop, settings siteconfig.Settings, maxConns int, log *slog.Logger) *clientServer {
 	schedule := newShutdownSchedule(settings)
 	loop.shutdown = schedule
-	f := &clientServer{
+	s := &clientServer{
 		loop:        loop,
 		settings:    settings,
 		warnings:    &lograte.Limited{Log: log},
@@ -64,11 +66,11 @@
 		maxInFlight: int64(maxConns) * inFlightEighths / 8,
 		bodyMemory:  newMemoryBudget(0),
 	}
-	f.conns = newConnTracker(maxConns, &loop.counters.closes, f.connClosed)
-	return f
+	s.conns = newConnTracker(maxConns, &loop.counters.closes, s.connClosed)
+	return s
 }
 
-// httpServer returns the HTTP server that clients connect to.
+// httpServer returns the HTTP server that clients connect to. The caller starts and closes it.
 func (s *clientServer) httpServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -79,21 +81,23 @@
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 		ConnState:         s.conns.track,
 		ConnContext:       withClientConn,
-		// The library would answer "OPTIONS *" with 200, which is no valid request of a client.
+		// Otherwise net/http would answer "OPTIONS *" with 200, although it is not a valid request of a client.
 		DisableGeneralOptionsHandler: true,
 	}
 }
 
-// connClosed forgets what the fleet's report knows of a connection.
+// connClosed removes a closed connection from the data of the fleet's reports.
 func (s *clientServer) connClosed(c *clientConn) {
 	if s.fleet != nil {
 		s.fleet.connClosed(c)
 	}
 }
 
-// closesConnections reports whether each response closes its connection now. That crosses no request, as closing an
-// idle connection may. Where slow heads are evicted too (streaming) there is always room for a new connection, and
-// clients keep those that they use.
+// closesConnections reports whether each response closes its connection at present. Closing with a response cannot
+// interrupt a request, whereas the close of an idle connection may cross a new request of its client.
+//
+// A node without streaming also closes connections in this way while they exceed the eviction threshold. On a node with
+// streaming, evicting slow clients alone leaves room for new connections, and clients keep the connections they use.
 func (s *clientServer) closesConnections() bool {
 	return s.shutdown.started() || s.handedOver.Load() || !s.streaming && s.conns.aboveThreshold()
 }
@@ -106,13 +110,15 @@
 	}
 	head, open := requestHead(hr, received)
 	if !open {
-		panic(http.ErrAbortHandler) // the connection is closed: no response is possible
+		panic(http.ErrAbortHandler) // no response is possible on a closed connection
 	}
-	// Set first of all: the library reads what is left of a body, and would wait for it without end.
+	// The deadline is set first, because net/http reads the rest of the body when the handler returns, and would wait
+	// for it without a limit.
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
 	if head.Fault != nil {
 		s.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
-		rejectWithText(w, hr, http.StatusBadRequest, head.Fault.Error()) // the next request's start is unknown
+		// This closes the connection, since the start of the next request is unknown.
+		rejectWithText(w, hr, http.StatusBadRequest, head.Fault.Error())
 		return
 	}
 	if head.Final {
@@ -135,7 +141,8 @@
 	s.serveRequest(w, hr, head.Start)
 }
 
-// requestHead returns what the head of a request says of its end; open is false if this side has closed the connection.
+// requestHead returns what the head of a request says about the end of the request. If the node has closed the
+// connection, open is false and the request must not be served.
 func requestHead(hr *http.Request, received time.Time) (head httpframing.Head, open bool) {
 	if c, ok := clientConnOf(hr.Context()); ok {
 		return c.takeHead()
@@ -143,7 +150,7 @@
 	return httpframing.Head{Start: received}, true
 }
 
-// rejectOverload rejects a request, unread, since too many are in flight.
+// rejectOverload rejects a request without reading it, because too many requests are in flight.
 func (s *clientServer) rejectOverload(w http.ResponseWriter, hr *http.Request) {
 	closeAfterResponse(w)
 	writeRejected(w, overloadRetryAfter)
@@ -152,14 +159,14 @@
 	}
 }
 
-// serveRequest reads a request, whose first byte came at start, and has it served.
+// serveRequest reads a request whose first byte arrived at start, and dispatches it if the node admits it.
 func (s *clientServer) serveRequest(w http.ResponseWriter, hr *http.Request, start time.Time) {
 	r, err := s.readRequest(w, hr, start)
-	late := !s.shutdown.admits()
+	notAdmitted := !s.shutdown.admits()
 	if err != nil {
 		status := statusOf(err)
-		if late && status == http.StatusRequestTimeout {
-			status = http.StatusServiceUnavailable // interrupted by the shutdown: nothing was done for it
+		if notAdmitted && status == http.StatusRequestTimeout {
+			status = http.StatusServiceUnavailable // the shutdown interrupted the read, and nothing was forwarded
 		}
 		rejectWithText(w, hr, status, err.Error())
 		return
@@ -173,14 +180,14 @@
 			s.fleet.requestStarted(c, r)
 		}
 	}
-	if late {
+	if notAdmitted {
 		s.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
 		s.counters.recordOutcome(r.class, responseRejected)
 		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is about to end")
 		return
 	}
 	if r.forwarded.upload != nil {
-		// The response may come before the body's end, and then no other request can follow.
+		// The response may precede the end of the body. No other request can follow on the connection in that case.
 		closeAfterResponse(w)
 		http.NewResponseController(w).EnableFullDuplex()
 	}
@@ -188,37 +195,39 @@
 	s.dispatch(w, hr, r)
 }
 
-// dispatch has the loop decide on a request, and writes its final response.
+// dispatch passes a request to the event loop and writes its final response. It panics with http.ErrAbortHandler if the
+// client disconnects or a streamed response breaks off.
 func (s *clientServer) dispatch(w http.ResponseWriter, hr *http.Request, r *request) {
-	count := newRequestCount(s.counters, r.class)
+	recorder := newRequestRecorder(s.counters, r.class)
 	if body := r.forwarded.upload; body == nil {
-		count.begin()
+		recorder.begin()
 	} else {
-		body.onComplete = count.begin // pending from the last byte on
-		defer body.discard()          // after the count below, as it may take its time
+		body.onComplete = recorder.begin // a streamed request is pending from its last byte on
+		defer body.discard()             // runs after the outcome is recorded below, since it may take long
 	}
-	end := responseFailed
-	defer func() { count.finish(end) }()
+	outcome := responseFailed
+	defer func() { recorder.finish(outcome) }()
 	s.loop.post(requestArrived{r})
 	select {
 	case response := <-r.response:
-		s.writeFinalResponse(w, hr, r, response, count)
-		end = response.kind
+		s.writeFinalResponse(w, hr, r, response, recorder)
+		outcome = response.kind
 	case <-hr.Context().Done():
 		if c, ok := clientConnOf(hr.Context()); ok && c.isClosedOrRejected() {
-			s.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed under a request")
+			s.loop.guard.reportViolation(ruleAnswer, r.id, "fault", "connection closed during a request")
 		}
 		s.loop.post(clientDisconnected{r})
-		// After a return the library would write an empty 200.
+		// If the handler returned, net/http would write an empty 200 response.
 		panic(http.ErrAbortHandler)
-	case <-s.loop.done: // the node is ending
+	case <-s.loop.done: // the process ends
 		writeFailed(w, http.StatusBadGateway)
 	}
 }
 
-// writeFinalResponse writes a response. It panics with http.ErrAbortHandler where a streamed one breaks off.
+// writeFinalResponse writes a response and records the outcome of its request. It panics with http.ErrAbortHandler if a
+// streamed response breaks off.
 func (s *clientServer) writeFinalResponse(
-	w http.ResponseWriter, hr *http.Request, r *request, response finalResponse, count *requestCount,
+	w http.ResponseWriter, hr *http.Request, r *request, response finalResponse, recorder *requestRecorder,
 ) {
 	if s.shutdown.started() || s.handedOver.Load() {
 		closeAfterResponse(w)
@@ -227,10 +236,12 @@
 	if bodyOpen {
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	}
-	// Counted before the last byte goes: a client that has the response finds it in the figures.
-	err := writeResponse(w, response, func() { count.finish(response.kind) })
+	// The outcome is recorded before the last byte is written, so that a client which has read the whole response finds
+	// it in the statistics.
+	err := writeResponse(w, response, func() { recorder.finish(response.kind) })
 	if bodyOpen {
-		http.NewResponseController(w).Flush() // what is left of the request's body may take long to come
+		// The response must not wait for the rest of the request's body, which may take long to arrive.
+		http.NewResponseController(w).Flush()
 	}
 	if err != nil {
 		s.warnings.Warn("response aborted", "error", err)
@@ -238,27 +249,28 @@
 	}
 }
 
-// requestCount counts one request in the figures: as pending, and how it ended. It is for one goroutine, but for begin.
-type requestCount struct {
+// requestRecorder records one request in the counters: that it is pending, and its outcome. Any goroutine may call
+// begin; only one goroutine may call finish.
+type requestRecorder struct {
 	counters *counters
 	class    int
-	begin    func() // counts the request as pending, once it is complete
-	end      func()
+	begin    func() // counts the request as pending; called when the request is complete
+	end      func() // ends the count as pending
 	finished bool
 }
 
-// newRequestCount returns the count of a request that has neither begun nor ended.
-func newRequestCount(counters *counters, class int) *requestCount {
+// newRequestRecorder returns the recorder of a request that is not counted yet.
+func newRequestRecorder(counters *counters, class int) *requestRecorder {
 	begin, end := counters.trackPending()
-	return &requestCount{counters: counters, class: class, begin: begin, end: end}
+	return &requestRecorder{counters: counters, class: class, begin: begin, end: end}
 }
 
-// finish counts the end of the request. Only the first call counts.
-func (c *requestCount) finish(kind responseKind) {
-	if c.finished {
+// finish records the outcome of the request. Only the first call has an effect.
+func (r *requestRecorder) finish(kind responseKind) {
+	if r.finished {
 		return
 	}
-	c.finished = true
-	c.end()
-	c.counters.recordOutcome(c.class, kind)
+	r.finished = true
+	r.end()
+	r.counters.recordOutcome(r.class, kind)
 }
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -9,42 +9,42 @@
 	"hitchvale/internal/httpframing"
 )
 
-// errNoHead is the fault of a request that the HTTP server found where none began.
+// errNoHead is the fault of a request that the HTTP server read although httpframing found no head for it.
 var errNoHead = errors.New("no head")
 
-// connPhase is whether a client's connection is still in use.
+// connPhase says whether requests on a client's connection are served.
 type connPhase uint8
 
 const (
 	connOpen     connPhase = iota
-	connRejected           // an incomplete request was answered with 503; the client may still send the rest of it
-	connClosed             // this side has closed it
+	connRejected           // an incomplete request was rejected with 503; the client may still send the rest of it
+	connClosed             // the node has closed the connection
 )
 
-// messagePhase is where the current request of a client's connection stands.
+// messagePhase is the progress of the current request on a client's connection.
 type messagePhase uint8
 
 const (
-	messageNone      messagePhase = iota // nothing of a request has come
-	messageReceiving                     // some of a request has come that is not with the handler
-	messageServing                       // the request is with the handler
+	messageNone      messagePhase = iota // no byte of a request has been received
+	messageReceiving                     // some bytes have been received, and the handler does not have the request yet
+	messageServing                       // the handler has the request
 )
 
-// connState is the state of a client's connection. Closing the connection and reading from it both go by it under its
-// lock, so that nothing is read that would then be dropped. It is safe for concurrent use.
+// connState is the state of a client's connection. Both closing the connection and reading from it check and change the
+// state under its lock, so that no bytes are read that would then be dropped. It is safe for concurrent use.
 //
-// The connection's phase changes once, by reject, closeIf or markClosed. The request's phase goes in circles:
-// markReceiving or readUnlessClosed, addHead, takeHead, finishMessage.
+// The phase of the connection changes at most once, by reject, closeIf or markClosed. The phase of the current request
+// goes through the same sequence for each request: markReceiving or readUnlessClosed, addHead, takeHead, finishMessage.
 type connState struct {
 	mu        sync.Mutex
 	phase     connPhase
 	message   messagePhase
 	buffering bool // the handler is reading a body into memory
-	// heads are complete and not taken by the handler yet; more than one only of a client that pipelines.
+	// heads are the complete heads that the handler has not taken yet. Only a client that pipelines has more than one.
 	heads []httpframing.Head
 }
 
-// markReceiving records that some of a request has come. It reports whether the connection is still open.
+// markReceiving records that bytes of a request have been received. It reports whether the connection is still open.
 func (s *connState) markReceiving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,16 +52,17 @@
 	return s.phase == connOpen
 }
 
-// setReceivingLocked is markReceiving under the lock.
+// setReceivingLocked sets messageReceiving, unless a request is being served. The caller holds mu.
 func (s *connState) setReceivingLocked() {
 	if s.message != messageServing {
 		s.message = messageReceiving
 	}
 }
 
-// readUnlessClosed runs a read that does not wait, unless this side has closed the connection. It marks the connection
-// in the same step: what is unread at a close is reset and the client sends it again, what was read has to be answered.
-// It returns net.ErrClosed without a read in that case.
+// readUnlessClosed calls read, which must not block, and marks the connection as receiving if read returned bytes. If
+// the node has closed the connection, it returns net.ErrClosed without calling read. Both happen in one step under the
+// lock: the close resets bytes that are still unread, and the client sends them again, whereas bytes that have been
+// read have to be answered.
 func (s *connState) readUnlessClosed(read func() (int, error)) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +83,9 @@
 	s.heads = append(s.heads, head)
 }
 
-// takeHead returns the head of the request that the handler serves now; open is false where this side has closed the
-// connection before. Without a head the HTTP server has found a request where none began: that is a fault.
+// takeHead returns the head of the request that the handler serves next. If the connection is closed or rejected, open
+// is false and the request must not be served. If there is no head, the HTTP server has read a request that httpframing
+// did not find, and takeHead returns a head with the fault errNoHead.
 func (s *connState) takeHead() (head httpframing.Head, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,30 +101,30 @@
 	return head, true
 }
 
-// hasCompleteHead reports whether a request is with the handler or about to be.
+// hasCompleteHead reports whether the handler has a request or is about to get one.
 func (s *connState) hasCompleteHead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hasCompleteHeadLocked()
 }
 
-// hasCompleteHeadLocked is hasCompleteHead under the lock.
+// hasCompleteHeadLocked is hasCompleteHead for a caller that holds mu.
 func (s *connState) hasCompleteHeadLocked() bool {
 	return s.message == messageServing || len(s.heads) > 0
 }
 
-// finishMessage records that a request has been answered and the connection stays; more says that some of the next
-// request has come already.
-func (s *connState) finishMessage(more bool) {
+// finishMessage records that the current request has its response and that the connection stays open. nextStarted says
+// whether bytes of the next request have already been received.
+func (s *connState) finishMessage(nextStarted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.message = messageNone
-	if more {
+	if nextStarted {
 		s.message = messageReceiving
 	}
 }
 
-// busy reports whether a request is coming in or being served.
+// busy reports whether a request is being received or served. A rejected connection counts as busy.
 func (s *connState) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +137,7 @@
 	return s.message != messageNone || len(s.heads) > 0
 }
 
-// reject turns an open connection with an incomplete head into a rejected one. It reports whether it was one.
+// reject moves an open connection with an incomplete head to connRejected. It reports whether it did.
 func (s *connState) reject() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +155,8 @@
 	return s.phase == connRejected
 }
 
-// closeIf closes an open connection without a complete head, if the condition holds too. It reports whether it has:
-// from then on nothing is read of the connection. The condition is called under the lock.
+// closeIf moves an open connection without a complete head to connClosed if the condition holds as well. It reports
+// whether it did; from then on no bytes are read from the connection. The condition is called under the lock.
 func (s *connState) closeIf(condition func(message messagePhase) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,8 +167,8 @@
 	return true
 }
 
-// markClosed records that this side closes the connection. A request that crosses the close is not served: its client
-// takes it for unread and sends it again. A rejected connection stays one.
+// markClosed records that the node closes the connection. A request that crosses the close is not served: its client
+// assumes that it was not read, and sends it again. A rejected connection stays in connRejected.
 func (s *connState) markClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,21 +177,21 @@
 	}
 }
 
-// isClosedOrRejected reports whether this side has closed the connection, or rejected a request on it.
+// isClosedOrRejected reports whether the node has closed the connection, or rejected a request on it.
 func (s *connState) isClosedOrRejected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phase != connOpen
 }
 
-// setBuffering records that the handler starts, or stops, reading a body into memory.
+// setBuffering records whether the handler is reading a body into memory.
 func (s *connState) setBuffering(buffering bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffering = buffering
 }
 
-// ifBuffering calls a function under the lock while the handler reads a body into memory.
+// ifBuffering calls a function, under the lock, if the handler is reading a body into memory.
 func (s *connState) ifBuffering(call func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// slowHeadFactor is how many times as long a client that has sent some of a request may take as one that has sent
-// nothing, before it is evicted: a slow client is still one that wants a response.
+// slowHeadFactor divides the wait for a client that has sent a part of its first head, when clients are compared for
+// eviction. Such a client may take this many times as long as a client that has sent nothing, since it wants a
+// response.
 const slowHeadFactor = 4
 
-// evictionQuarters is the part of the connections, in quarters, above which slow clients are evicted: the last quarter
-// is for those who ask while the evicted ones close.
+// evictionQuarters is the share of the connection limit, in quarters, above which slow clients are evicted. The last
+// quarter is for clients that connect while evicted connections are still being closed.
 const evictionQuarters = 3
 
-// evictionThreshold returns above how many connections slow clients are evicted, for a limit of connections.
+// evictionThreshold returns the number of connections above which slow clients are evicted.
 func evictionThreshold(limit int) int { return limit * evictionQuarters / 4 }
 
-// connTracker follows the connections of clients, closes those that wait for their clients, and evicts slow clients
-// when connections become many: else many idle ones would lock out the others. It is safe for concurrent use.
+// connTracker tracks the connections of clients. It closes connections on which the node waits for its client, and
+// evicts slow clients when there are many connections, so that idle connections do not lock out other clients. It is
+// safe for concurrent use.
 type connTracker struct {
 	closeCounts *closeCounters
-	onClose     func(*clientConn) // called for each connection that has ended, under mu
+	onClose     func(*clientConn) // called under mu for each connection that has been closed
 
 	mu           sync.Mutex
-	evictAbove   int                    // number of connections
-	idleSince    map[net.Conn]time.Time // all connections; zero while a connection is not idle
-	awaitingHead map[net.Conn]bool      // connections whose first head is not complete
+	evictAbove   int                    // the number of connections above which slow clients are evicted
+	idleSince    map[net.Conn]time.Time // every open connection; the zero time unless the connection is idle
+	awaitingHead map[net.Conn]bool      // the connections whose first head is not complete
 }
 
-// newConnTracker returns a tracker for at most limit connections.
+// newConnTracker returns a tracker for at most limit connections. onClose must not call the tracker.
 func newConnTracker(limit int, closeCounts *closeCounters, onClose func(*clientConn)) *connTracker {
 	return &connTracker{
 		closeCounts:  closeCounts,
@@ -69,21 +71,21 @@
 	}
 }
 
-// setLimit sets the limit of connections, above a part of which slow clients are evicted.
+// setLimit sets the limit of connections, from which the eviction threshold follows.
 func (t *connTracker) setLimit(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.evictAbove = evictionThreshold(limit)
 }
 
-// open returns the number of connections.
+// open returns the number of open connections.
 func (t *connTracker) open() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.idleSince)
 }
 
-// busy returns the number of connections on which a request is being served or has begun to come in.
+// busy returns the number of connections on which a request is being received or served.
 func (t *connTracker) busy() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +104,7 @@
 	return len(t.idleSince) > t.evictAbove
 }
 
-// evictDownTo evicts slow clients until there are no more than limit connections, as far as it can.
+// evictDownTo evicts slow clients until at most limit connections are open, or no further client can be evicted.
 func (t *connTracker) evictDownTo(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,8 +112,8 @@
 	}
 }
 
-// evictSlowest closes the connection whose client the node has waited for longest, even within a head. It reports
-// whether there was one. The caller holds mu.
+// evictSlowest closes the connection for whose client the node has waited longest, even if the client has sent a part
+// of a head. It reports whether it closed a connection. The caller holds mu.
 func (t *connTracker) evictSlowest() bool {
 	for {
 		slowest := t.slowest()
@@ -127,8 +129,8 @@
 	}
 }
 
-// slowest returns the connection whose client the node has waited for longest, with the wait within a head divided by
-// slowHeadFactor; nil if the node waits for none. The caller holds mu.
+// slowest returns the connection for whose client the node has waited longest; nil if the node waits for no client. For
+// a client that has sent a part of its first head, the wait is divided by slowHeadFactor. The caller holds mu.
 func (t *connTracker) slowest() net.Conn {
 	var slowest net.Conn
 	var longest time.Duration
@@ -159,19 +161,20 @@
 	return slowest
 }
 
-// closeIdle closes connections that have been idle after a request for at least a time.
-func (t *connTracker) closeIdle(least time.Duration, reason closeReason) {
+// closeIdle closes the connections that have been idle since a response for at least minIdle.
+func (t *connTracker) closeIdle(minIdle time.Duration, reason closeReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, since := range t.idleSince {
-		if !since.IsZero() && time.Since(since) >= least && closeIfWaiting(c, false) {
+		if !since.IsZero() && time.Since(since) >= minIdle && closeIfWaiting(c, false) {
 			t.idleSince[c] = time.Time{}
 			t.closeCounts.add(reason)
 		}
 	}
 }
 
-// closeWithoutRequest closes connections on which nothing of a request has come, also those that never had one.
+// closeWithoutRequest closes the connections on which no byte of a request has arrived since the last response. This
+// includes connections that never had a request.
 func (t *connTracker) closeWithoutRequest() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +185,7 @@
 	}
 }
 
-// rejectIncomplete answers requests whose heads are incomplete, and ends the wait for incomplete bodies.
+// rejectIncomplete rejects the requests whose heads are incomplete, and interrupts the reading of incomplete bodies.
 func (t *connTracker) rejectIncomplete() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,11 +201,11 @@
 	}
 }
 
-// closeIfWaiting closes a connection on which the node waits for a request, if it still does: for nothing of one to
-// have come, or with evenPartial also for the rest of a head. It reports whether it has.
-func closeIfWaiting(c net.Conn, evenPartial bool) bool {
+// closeIfWaiting closes a connection if the node still waits for a request on it and no byte of the request has been
+// received. With includePartial, it also closes a connection with an incomplete head. It reports whether it did.
+func closeIfWaiting(c net.Conn, includePartial bool) bool {
 	limited, ok := c.(*limitedConn)
-	if !ok || !limited.client.closeIfWaiting(evenPartial) {
+	if !ok || !limited.client.closeIfWaiting(includePartial) {
 		return false
 	}
 	limited.Close()
