--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -18,32 +18,35 @@
 )
 
 const (
-	// deadlineMargin is how much sooner than the client's deadline a request ends: its way here and the response's way
-	// back take part of the time, and the node sees neither.
+	// deadlineMargin is subtracted from the client's deadline. It covers the network time of the request and of the
+	// response, which the node cannot measure.
 	deadlineMargin = 8 * time.Millisecond
-	// defaultDeadline is the deadline of a class that the settings give none.
+	// defaultDeadline is the deadline of a class for which the settings have none.
 	defaultDeadline = time.Minute
-	// maxExpiresIn bounds X-Expires-In, in seconds, so that it fits a time.Duration.
+	// maxExpiresIn caps X-Expires-In, in seconds, so that it fits into a time.Duration.
 	maxExpiresIn = 1e6
-	// maxSizeHint is the least X-Size-Hint, in microseconds, that is ignored.
-	maxSizeHint = 1e12
+	// sizeHintLimit is the X-Size-Hint, in microseconds, from which on the hint is ignored.
+	sizeHintLimit = 1e12
 )
 
-// singleHeaders may be given once.
+// singleHeaders are the headers that a request may have only once.
 var singleHeaders = []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "Idempotency-Key"}
 
-// hopByHopHeaders belong to one connection, like those that Connection names.
+// hopByHopHeaders are the headers that apply to one connection and are not forwarded. The headers that Connection names
+// are not forwarded either.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
-// requestError is why a request is rejected before it is dispatched.
+// requestError is the reason for which a request is rejected before it is dispatched.
 type requestError struct {
-	status int // to answer
+	status int // the status of the response
 	cause  error
 }
 
+// Error returns the text of the response.
 func (e *requestError) Error() string { return e.cause.Error() }
 
+// Unwrap returns the cause.
 func (e *requestError) Unwrap() error { return e.cause }
 
 // badRequest returns a requestError with status 400.
@@ -51,7 +54,7 @@
 	return &requestError{status: http.StatusBadRequest, cause: fmt.Errorf(format, args...)}
 }
 
-// statusOf returns the status to answer for an error of readRequest.
+// statusOf returns the status of the response to a request for which readRequest returned an error.
 func statusOf(err error) int {
 	var rejected *requestError
 	if errors.As(err, &rejected) {
@@ -60,7 +63,8 @@
 	return http.StatusInternalServerError
 }
 
-// readRequest checks a request, whose first byte came at start, and reads its body. Its error is a requestError.
+// readRequest checks a request whose first byte arrived at start, and reads its body. It returns a *requestError if the
+// request has to be rejected. The caller releases the bodyBytes of the request to bodyMemory.
 func (s *clientServer) readRequest(w http.ResponseWriter, hr *http.Request, start time.Time) (*request, error) {
 	r, err := s.parseHeaders(hr)
 	if err != nil {
@@ -77,13 +81,13 @@
 	}
 	r.bodyBytes = body.memory
 	if body.stream == nil {
-		// The deadline counts from the last byte, which may have come before the node got to read it.
+		// The deadline counts from the arrival of the last byte, which may precede the read.
 		timeLeft = max(timeLeft-socketWait(hr), deadlineMargin)
 		r.deadline = s.shutdown.capDeadline(time.Now().Add(timeLeft - deadlineMargin))
 	}
 	key := hr.Header.Get("Idempotency-Key")
 	removeHopByHopHeaders(hr.Header)
-	// Backends recognize a retry by these, even if Connection names them.
+	// Backends recognize a retry by these two headers, so they are forwarded even if Connection names them.
 	hr.Header.Set("X-Trace-Id", r.id)
 	if key != "" {
 		hr.Header.Set("Idempotency-Key", key)
@@ -100,7 +104,8 @@
 	return r, nil
 }
 
-// parseHeaders returns a request with its identity: id, class and tenant. It checks what the class requires.
+// parseHeaders returns a request with its id, class and tenant. It checks the method and the idempotency key that the
+// class requires.
 func (s *clientServer) parseHeaders(hr *http.Request) (*request, error) {
 	h := hr.Header
 	for _, name := range singleHeaders {
@@ -139,7 +144,8 @@
 	return r, nil
 }
 
-// timeLeft returns how long the client waits from its last byte on: the class's deadline, or less by X-Expires-In.
+// timeLeft returns how long the client waits for its response, counted from the last byte of its request: the deadline
+// of the class, or X-Expires-In if that is shorter.
 func (s *clientServer) timeLeft(h http.Header, class int) (time.Duration, error) {
 	left := cmp.Or(s.settings.Config.Classes[class].Deadline, defaultDeadline)
 	text := h.Get("X-Expires-In")
@@ -153,16 +159,17 @@
 	return min(left, time.Duration(min(seconds, maxExpiresIn)*float64(time.Second))), nil
 }
 
-// parseHints sets the expected work and the routing key of a request, where it has them. A malformed hint is ignored.
+// parseHints sets the expected work and the routing key of a request if the client has given them. A malformed size
+// hint is ignored. The routing key is a hash of the last segment of the path.
 func parseHints(r *request, hr *http.Request) {
 	us, err := strconv.ParseFloat(hr.Header.Get("X-Size-Hint"), 64)
-	if err == nil && us > 0 && us < maxSizeHint {
+	if err == nil && us > 0 && us < sizeHintLimit {
 		r.expectedWork = time.Duration(us * float64(time.Microsecond))
 	}
-	if subject := path.Base(hr.URL.Path); subject != "/" && subject != "." {
+	if segment := path.Base(hr.URL.Path); segment != "/" && segment != "." {
 		sum := fnv.New64a()
-		io.WriteString(sum, subject)
-		r.routingKey = sum.Sum64() >> 11 // 53 bits, which a JSON number can hold
+		io.WriteString(sum, segment)
+		r.routingKey = sum.Sum64() >> 11 // 53 bits, which a JSON number represents exactly
 		r.hasRoutingKey = true
 	}
 }
@@ -173,12 +180,13 @@
 	case errors.Is(err, errBodyTooLong):
 		return &requestError{status: http.StatusRequestEntityTooLarge, cause: err}
 	case errors.Is(err, errBodyMemory):
-		return &requestError{status: http.StatusServiceUnavailable, cause: err} // not forwarded: a retry is harmless
+		// 503: the request was not forwarded, so that a retry is harmless.
+		return &requestError{status: http.StatusServiceUnavailable, cause: err}
 	}
 	return &requestError{status: http.StatusRequestTimeout, cause: errors.New("body cut short")}
 }
 
-// socketWait returns how long a request that has been read had been at this machine by then.
+// socketWait returns how long ago the last byte of a request reached this machine.
 func socketWait(hr *http.Request) time.Duration {
 	if c, ok := clientConnOf(hr.Context()); ok {
 		return c.sinceLastByte()
@@ -186,7 +194,7 @@
 	return 0
 }
 
-// removeHopByHopHeaders removes the headers that belong to one connection.
+// removeHopByHopHeaders removes the headers that apply to one connection only.
 func removeHopByHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/node/request_body.go
+++ b/internal/node/request_body.go
@@ -11,38 +11,38 @@
 const (
 	// maxStreamedBody bounds the body of a request that may be streamed, in bytes.
 	maxStreamedBody = 36 << 20
-	// minBodyRate is the rate, in bytes a second, that a client has to reach while the node waits for its body: half
-	// of the slowest that has to be served.
+	// minBodyRate is the rate, in bytes per second, that a client has to reach while the node waits for its body. It is
+	// half the rate of the slowest client that has to be served.
 	minBodyRate = 32 << 10
-	// maxBodyStall is how long a client may send nothing within a body.
+	// maxBodyStall is the longest pause that a client may make while it sends a body.
 	maxBodyStall = 2 * time.Second
 )
 
 var (
-	// errBodyTooLong is the error of a body that is longer than the node accepts.
+	// errBodyTooLong is returned for a body that is longer than the node accepts.
 	errBodyTooLong = errors.New("body too long")
-	// errBodyMemory is the error of a body that can't be buffered now, since others take up the memory.
+	// errBodyMemory is returned for a body that cannot be buffered because the memory budget is used up at present.
 	errBodyMemory = errors.New("no memory left for the body now")
 )
 
-// requestBody is a request's body: buffered completely, or a stream.
+// requestBody is the body of a request: either buffered completely, or a stream.
 type requestBody struct {
 	buffered []byte
-	stream   *requestStream // nil: it is buffered
-	memory   int64          // what it has taken of the budget, in bytes
+	stream   *requestStream // nil if the body is buffered
+	memory   int64          // bytes that the body holds of the memory budget
 }
 
-// minRateBody reads a client's body and enforces its limit and minBodyRate. Only time that the node waits for the
-// client counts: a client can't send faster than a backend takes the body.
+// minRateBody reads a client's body and enforces the length limit and minBodyRate. Only the time during which the node
+// waits for the client counts, since a client cannot send faster than the backend takes the body.
 type minRateBody struct {
 	source          io.Reader
 	setReadDeadline func(time.Time) error
-	waited          time.Duration // for the client, the head included
+	waited          time.Duration // how long the node has waited for the client, including its head
 	received        int64         // bytes
 	limit           int64         // bytes
 }
 
-// newMinRateBody returns the reader of a request's body; start is when the request's first byte came.
+// newMinRateBody returns the reader of a request's body. start is when the first byte of the request arrived.
 func newMinRateBody(w http.ResponseWriter, hr *http.Request, start time.Time, limit int64) *minRateBody {
 	return &minRateBody{
 		source:          hr.Body,
@@ -52,27 +52,27 @@
 	}
 }
 
-// Read reads some of the body. It fails with errBodyTooLong or a timeout.
-func (p *minRateBody) Read(b []byte) (int, error) {
-	allowed := requestReadTimeout + time.Duration(p.received)*time.Second/minBodyRate
+// Read reads bytes of the body. It fails with errBodyTooLong, or with a timeout if the client is too slow.
+func (r *minRateBody) Read(b []byte) (int, error) {
+	allowed := requestReadTimeout + time.Duration(r.received)*time.Second/minBodyRate
 	began := time.Now()
-	p.setReadDeadline(began.Add(min(allowed-p.waited, maxBodyStall)))
-	n, err := p.source.Read(b)
-	p.waited += time.Since(began)
-	p.received += int64(n)
-	if p.received > p.limit {
+	r.setReadDeadline(began.Add(min(allowed-r.waited, maxBodyStall)))
+	n, err := r.source.Read(b)
+	r.waited += time.Since(began)
+	r.received += int64(n)
+	if r.received > r.limit {
 		return n, errBodyTooLong
 	}
 	if err == io.EOF {
-		// A deadline that passes while the request is served would look like a disconnect.
-		p.setReadDeadline(time.Time{})
+		// A read deadline that passes while the request is served would look like a disconnect of the client.
+		r.setReadDeadline(time.Time{})
 	}
 	return n, err
 }
 
-// readBody buffers a request's body if the memory budget allows: a buffered body is complete, and a retry can send it
-// again. Beyond the budget the body is streamed where the node does that, and else rejected, so that nothing which a
-// client sends without end reaches a backend.
+// readBody buffers a request's body if the memory budget allows it: a buffered body is complete, and a retry can send
+// it again. Beyond the budget, a node with streaming streams the body, and any other node rejects the request. Without
+// streaming, a body that never ends therefore reaches no backend.
 func (s *clientServer) readBody(w http.ResponseWriter, hr *http.Request, start time.Time) (requestBody, error) {
 	size := hr.ContentLength
 	limit := s.bodyMemory.maxPerRequest
@@ -113,7 +113,7 @@
 	return body, nil
 }
 
-// bufferChunked buffers a body of unknown length, as far as the memory budget allows. It reports whether the body is
+// bufferChunked buffers a body of unknown length as far as the memory budget allows, and reports whether the body is
 // complete.
 func (s *clientServer) bufferChunked(source io.Reader) (body requestBody, complete bool, err error) {
 	for s.bodyMemory.reserve(body.memory, streamBufferSize, !s.streaming) {
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	// A body may end just here; one that goes on beyond its limit fails this read.
+	// The body may end exactly here, so one more byte is read. For a body beyond its limit this read fails.
 	var next [1]byte
 	n, err := source.Read(next[:])
 	switch {
--- a/internal/node/request_stream.go
+++ b/internal/node/request_stream.go
@@ -11,25 +11,26 @@
 	"hitchvale/internal/connpool"
 )
 
-// errBodyAbandoned is the error of reading a body that is not forwarded any more.
-var errBodyAbandoned = errors.New("the rest of the body is not wanted")
+// errBodyAbandoned is returned for a read of a body that is no longer forwarded.
+var errBodyAbandoned = errors.New("the rest of the request body is no longer forwarded")
 
-// requestStream is a request's body that is forwarded while it comes in. It can be sent once.
+// requestStream is the body of a request that is forwarded while it arrives. It can be sent to one backend only.
 type requestStream struct {
-	buffered   []byte // what has been read of it so far
-	size       int64  // in bytes; -1: unknown
-	onComplete func() // called when the client's last byte has come
+	buffered   []byte // the first bytes, which have been read already
+	size       int64  // in bytes; -1 if unknown
+	onComplete func() // called once the last byte of the body has been read; set before the first read
 
-	complete atomic.Bool // the client has sent its last byte
+	complete atomic.Bool // the last byte of the body has been read
 
-	mu        sync.Mutex // held while source is read
+	mu        sync.Mutex // guards the fields below; held while source is read
 	source    io.Reader
-	forwarded bool // some of it has been sent to a backend
-	abandoned bool // it is not forwarded any more
+	forwarded bool // the sending to a backend has begun
+	abandoned bool // the body is no longer forwarded
 	err       error
 }
 
-// next returns some more of the body: what was buffered, or read into b. It returns errBodyAbandoned after abandon.
+// next returns the next bytes of the body: the buffered ones, or bytes that it reads into b. It returns
+// errBodyAbandoned after abandon.
 func (s *requestStream) next(b []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,19 +52,20 @@
 		s.onComplete()
 	}
 	if n > 0 {
-		err = nil // the next call returns it
+		err = nil // the next call returns the error
 	}
 	return b[:n], err
 }
 
-// anyForwarded reports whether some of the body has been sent to a backend, so that it can't be sent to another.
+// anyForwarded reports whether bytes of the body may have been sent to a backend, so that the body cannot be sent to
+// another one.
 func (s *requestStream) anyForwarded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.forwarded
 }
 
-// abandon stops the forwarding of the body. It does not wait for a read in progress.
+// abandon stops the forwarding of the body. It does not wait for a read in progress, so it takes effect later.
 func (s *requestStream) abandon() {
 	go func() {
 		s.mu.Lock()
@@ -72,8 +74,9 @@
 	}()
 }
 
-// discard reads the rest of the body, within its rate and limit. Closing the connection over unread bytes would reset
-// it, which may overtake the response; and a client may read the response only after it has sent everything.
+// discard reads and drops the rest of the body, within its minimum rate and its limit. There are two reasons: closing
+// the connection while bytes are unread would reset it, and the reset may overtake the response; and a client may read
+// the response only after it has sent the entire body.
 func (s *requestStream) discard() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,9 +88,9 @@
 	}
 }
 
-// copyTo sends the body to a backend. It returns nil when the last byte has been written; whileWriting says that an
-// error is of the backend's connection, and not of the client's.
-func (s *requestStream) copyTo(backend *connpool.Conn) (whileWriting bool, err error) {
+// copyTo sends the body to a backend. It returns nil when the last byte has been written. writeFailed says whether the
+// error came from writing to the backend, and not from reading the client's body.
+func (s *requestStream) copyTo(backend *connpool.Conn) (writeFailed bool, err error) {
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buffer)
 	chunked := s.size < 0
@@ -119,4 +122,5 @@
 // nopCloser is a writer whose Close does nothing.
 type nopCloser struct{ io.Writer }
 
+// Close does nothing.
 func (nopCloser) Close() error { return nil }
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// maxDiscardedBody bounds how much of a rejected request's body is read, in bytes: closing the connection over unread
-// bytes would reset it, which may overtake the response.
+// maxDiscardedBody bounds how many bytes of a rejected request's body are read and dropped. They are read because
+// closing the connection while bytes are unread would reset it, and the reset may overtake the response.
 const maxDiscardedBody = 4 * maxBodyBytes
 
 // closeAfterResponse has the HTTP server close the connection after the current response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// rejectWithText answers a request that can't be served with a line of text, and closes the connection. It gives the
-// response's length, which http.Error leaves out: so the response is complete before the rest of the body has come.
+// rejectWithText answers a request that cannot be served with a line of text, and closes the connection. Unlike
+// http.Error it sets Content-Length, so that the client has the complete response before the rest of its body is read.
 func rejectWithText(w http.ResponseWriter, hr *http.Request, status int, text string) {
 	closeAfterResponse(w)
 	h := w.Header()
@@ -38,8 +38,8 @@
 	io.WriteString(w, text)
 }
 
-// writeResponse writes a final response. It calls onLastByte before the last byte of it may go. It returns an error if
-// the client did not get all of a response that was streamed.
+// writeResponse writes a final response. It calls onLastByte before it writes the last byte of the response. It returns
+// an error if a streamed response was not passed on completely.
 func writeResponse(w http.ResponseWriter, response finalResponse, onLastByte func()) error {
 	if response.stream == nil {
 		onLastByte()
@@ -66,7 +66,7 @@
 	if response.contentType != "" {
 		w.Header().Set("Content-Type", response.contentType)
 	} else {
-		w.Header()["Content-Type"] = nil // keeps the library from guessing one
+		w.Header()["Content-Type"] = nil // otherwise net/http sets the type that it detects
 	}
 	if response.stream != nil {
 		if response.stream.size >= 0 {
@@ -81,9 +81,12 @@
 	return nil
 }
 
-// abortResponse closes a client's connection within a response, so that the client can tell. A response that ends with
-// its connection (not framed) would look complete after an orderly end, so the connection is reset; any other is
-// closed in order, as a reset may overtake what the client has got of it.
+// abortResponse closes a client's connection before the end of a response, so that the client can tell that the
+// response is incomplete. It panics with http.ErrAbortHandler.
+//
+// framed says whether the response gives its end by a length or by chunks. A response without framing ends with the
+// connection and would look complete after an orderly close, so the connection is reset. With framing the connection is
+// closed in order, because a reset may overtake the bytes that were already written.
 func abortResponse(w http.ResponseWriter, framed bool) {
 	if h, ok := w.(http.Hijacker); ok && !framed {
 		if c, _, err := h.Hijack(); err == nil {
@@ -96,17 +99,17 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeRejected answers 503: nothing was done for the request, and a retry is harmless, after retryIn where that is
-// positive.
-func writeRejected(w http.ResponseWriter, retryIn time.Duration) {
-	if retryIn > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
+// writeRejected answers 503: the request was not run, and a retry is harmless. If retryAfter is positive, the response
+// asks the client to wait for that time.
+func writeRejected(w http.ResponseWriter, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// writeFailed answers 502 or 504: the request may have had its effect.
+// writeFailed answers with status 502 or 504: the request may have had its effect.
 func writeFailed(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
--- a/internal/node/response_stream.go
+++ b/internal/node/response_stream.go
@@ -8,31 +8,32 @@
 	"hitchvale/internal/connpool"
 )
 
-// responseStream is a backend's response that is passed on while it comes in.
+// responseStream is the body of a backend's response that is passed on while it arrives.
 type responseStream struct {
-	buffered []byte // what has been read of it so far
-	size     int64  // in bytes; -1: unknown
+	buffered []byte // the first bytes, which have been read already
+	size     int64  // in bytes; -1 if unknown
 	body     io.Reader
 	backend  *connpool.Conn
-	release  func(complete bool) // gives the backend's connection back
+	release  func(complete bool) // gives the backend's connection back to the pool, or closes it
 }
 
-// copyTo passes the response on, and releases the connection. It calls onLastByte before the last byte of a response of
-// known length; one of unknown length ends only after copyTo has returned.
+// copyTo passes the response on and releases the backend's connection. It calls onLastByte before it writes the last
+// byte of a response of known length. A response of unknown length ends only after copyTo has returned, and copyTo does
+// not call onLastByte for it.
 func (s *responseStream) copyTo(w http.ResponseWriter, onLastByte func()) (err error) {
 	complete := false
 	defer func() { s.release(complete) }()
 	client := http.NewResponseController(w)
 	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
 	defer streamBuffers.Put(buffer)
-	passed := int64(0)
+	passedOn := int64(0)
 	if s.size == 0 {
 		onLastByte()
 	}
 	for piece := s.buffered; ; {
 		if len(piece) > 0 {
-			passed += int64(len(piece))
-			if passed == s.size {
+			passedOn += int64(len(piece))
+			if passedOn == s.size {
 				onLastByte()
 			}
 			client.SetWriteDeadline(time.Now().Add(streamStallTimeout))
--- a/internal/node/socket_state.go
+++ b/internal/node/socket_state.go
@@ -7,26 +7,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketState is what the receiving side of a connection holds.
+// socketState is the state of the receiving side of a socket.
 type socketState int
 
 const (
-	socketEmpty      socketState = iota // no unread bytes
-	socketReadable                      // unread bytes
-	socketPeerClosed                    // the peer closed its side or reset the connection, or this side closed it
+	socketEmpty      socketState = iota // there are no unread bytes
+	socketReadable                      // there are unread bytes
+	socketPeerClosed                    // the peer has closed its side or reset the connection, or the node has closed it
 )
 
-// maxPeekTries bounds how often a peek that a signal interrupts is made. One that always is counts as socketEmpty.
+// maxPeekTries bounds how often a peek is tried if signals interrupt it. If every try is interrupted, the socket counts
+// as socketEmpty.
 const maxPeekTries = 8
 
-// peekSocket returns the state of a connection without reading from it.
+// peekSocket returns the state of a connection's socket without taking bytes from it.
 func peekSocket(c syscall.Conn) socketState {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return socketPeerClosed
 	}
 	state := socketEmpty
-	// Control and not Read: another goroutine may be in a read at the same time.
+	// RawConn.Control does not wait for a read that another goroutine has in progress; RawConn.Read would.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, err := 0, error(syscall.EINTR)
@@ -46,11 +47,13 @@
 	return state
 }
 
-// minReceiveWait is the shortest wait that counts: the kernel rounds it to its own ticks, of up to 10 ms.
+// minReceiveWait is the shortest time that sinceLastReceive returns. The kernel's times are less accurate than that: it
+// rounds them to ticks of up to 10 ms.
 const minReceiveWait = 20 * time.Millisecond
 
-// sinceLastReceive returns how long ago the last byte reached this machine on a connection: a request may have waited
-// in the backlog or the socket's buffer. It returns 0 where the system does not tell.
+// sinceLastReceive returns how long ago the last byte of a connection reached this machine. The byte may have waited in
+// the backlog or in the socket's buffer since then. It returns 0 if the system does not know the time, or if the time
+// is below minReceiveWait.
 func sinceLastReceive(c syscall.Conn) time.Duration {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/node/streamed_request.go
+++ b/internal/node/streamed_request.go
@@ -7,14 +7,14 @@
 	"hitchvale/balance"
 )
 
-// uploadEnd is how the sending of a streamed request ended.
-type uploadEnd struct {
-	writeFailed bool // the connection to the backend broke; otherwise its client did
-	complete    bool // the last byte was written
+// uploadResult says how the sending of a streamed body ended.
+type uploadResult struct {
+	writeFailed bool // whether an error came from writing to the backend, and not from reading the client's body
+	complete    bool // the last byte was written without an error
 }
 
-// streamRequest writes a request whose body is still coming from its client, and reads the response, which may come
-// before the body's end. The exchange's time begins with the last byte.
+// streamRequest writes a request while its body is still arriving from the client, and reads the response, which may
+// precede the end of the body. The deadline of the exchange counts from the last byte of the body.
 func (e *upstreamExchange) streamRequest(ctx context.Context) attemptResult {
 	upload := e.request.upload
 	e.conn.SetWriteDeadline(time.Now().Add(streamStallTimeout))
@@ -23,28 +23,29 @@
 		e.discard(ctx, "request not written", err)
 		return attemptResult{status: balance.StatusNotDelivered, notReplayable: upload.anyForwarded()}
 	}
-	sent := make(chan uploadEnd, 1)
-	go e.copyUpload(sent)
+	uploaded := make(chan uploadResult, 1)
+	go e.copyUpload(uploaded)
 	result, err := e.readResponse()
 	if err != nil {
 		upload.abandon()
-		e.transport.pool.Discard(e.conn) // nothing more is written from here on
-		status := e.brokenUploadStatus(ctx, sent, err)
+		e.transport.pool.Discard(e.conn) // from here on nothing more is written
+		status := e.brokenUploadStatus(ctx, uploaded, err)
 		e.transport.logFailure(ctx, e.request, e.conn.Server, "no complete response to a streamed request", err)
 		return attemptResult{status: status, notReplayable: true}
 	}
 	result.notReplayable = true
 	if result.status != balance.StatusSucceeded {
-		upload.abandon() // the backend has refused it, perhaps before its end
+		upload.abandon() // the backend has rejected the request, possibly before the end of the body
 	}
 	return result
 }
 
-// copyUpload passes the body on. After an error of writing the connection stays open, as what the backend sent before
-// it broke off may still be read; after an error of the client it is closed.
-func (e *upstreamExchange) copyUpload(sent chan<- uploadEnd) {
+// copyUpload sends the body to the backend and reports the result on uploaded. After a write error the connection stays
+// open, because a response that the backend sent before the error can still be read. After a write timeout, or if the
+// client's body cannot be read, the connection is closed.
+func (e *upstreamExchange) copyUpload(uploaded chan<- uploadResult) {
 	writeFailed, err := e.request.upload.copyTo(e.conn)
-	sent <- uploadEnd{writeFailed: writeFailed, complete: err == nil}
+	uploaded <- uploadResult{writeFailed: writeFailed, complete: err == nil}
 	switch {
 	case err == nil:
 		e.transport.writtenRequests.Add(1)
@@ -54,17 +55,19 @@
 	}
 }
 
-// brokenUploadStatus is the status of a streamed request without a complete response. It may have run only if its
-// client has sent the last byte, and that was written.
-func (e *upstreamExchange) brokenUploadStatus(ctx context.Context, sent <-chan uploadEnd, err error) balance.Status {
+// brokenUploadStatus returns the status of a streamed request without a complete response. The backend may have run the
+// request only if the client has sent the last byte and this byte was written to the backend.
+func (e *upstreamExchange) brokenUploadStatus(
+	ctx context.Context, uploaded <-chan uploadResult, err error,
+) balance.Status {
 	if e.request.upload.complete.Load() {
-		if end := <-sent; end.complete {
+		if result := <-uploaded; result.complete {
 			return unansweredStatus(ctx, err)
 		}
 		return balance.StatusNotDelivered
 	}
-	if len(sent) > 0 && !(<-sent).writeFailed {
-		return balance.StatusNotSent // its client has not sent it
+	if len(uploaded) > 0 && !(<-uploaded).writeFailed {
+		return balance.StatusNotSent // the client did not send the complete body
 	}
 	return balance.StatusNotDelivered
 }
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// streamStallTimeout is how long the other side may take, or give, nothing of what is streamed.
+	// streamStallTimeout is how long the peer of a stream may neither accept nor send any bytes.
 	streamStallTimeout = 10 * time.Second
-	// streamBufferSize is how much is streamed at once, in bytes.
+	// streamBufferSize is the size of the buffer between reading and writing a stream, in bytes.
 	streamBufferSize = 16 << 10
 )
 
-// streamBuffers are the buffers of streams.
+// streamBuffers holds the buffers that streams reuse.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// timedOut reports whether an error only says that nothing came in time.
+// timedOut reports whether an error is the timeout of a read or a write.
 func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
