--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// noise returns n bytes that don't compress.
-func noise(n int) []byte {
+// incompressible returns n bytes that do not compress well.
+func incompressible(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i>>8) ^ byte(i*7)
@@ -28,8 +28,8 @@
 	return b
 }
 
-// hashing answers with the length and the hash of each request's body.
-func hashing(c net.Conn, br *bufio.Reader) {
+// answerBodyHash is a backend that answers each request with the length and the hash of its body.
+func answerBodyHash(c net.Conn, br *bufio.Reader) {
 	for {
 		r, err := http.ReadRequest(br)
 		if err != nil {
@@ -46,26 +46,27 @@
 	}
 }
 
-// orderHead returns the head of a request of the class "order" with a body of so many bytes.
+// orderHead returns the head of a request of the class "order" with a Content-Length.
 func orderHead(version, id string, length int) string {
 	const fields = "Host: x\r\nX-Trace-Id: %s\r\nX-Qos: order\r\nX-Customer: acme\r\nContent-Length: %d\r\n\r\n"
 	return "POST /x " + version + "\r\n" + fmt.Sprintf(fields, id, length)
 }
 
-// startLarge starts a node that streams, and buffers at most maxBodyBytes of a request.
-func startLarge(t *testing.T, b *rawBackend) *started {
+// startStreaming starts a node with streaming that buffers at most maxBodyBytes of a request.
+func startStreaming(t *testing.T, b *rawBackend) *started {
 	t.Helper()
 	list := listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"})
 	return startWithAdmin(t, list, func(c *Config) {
-		c.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
+		c.Limits.MemoryMB = 8 // so that at most maxBodyBytes of a request are buffered
 	})
 }
 
-// A request over maxBodyBytes that can be buffered is retried when its first backend breaks off, of known and unknown
-// length and without an admin address; long responses and those of unknown length come through.
-func TestLongRequestsAreRetried(t *testing.T) {
-	text := noise(3 * maxBodyBytes)
-	for name, size := range map[string]int64{"sized": int64(len(text)), "chunked": -1} {
+// A buffered request with more than maxBodyBytes is retried if the connection to its first backend breaks. This holds
+// for bodies of known and of unknown length, on a node without an admin address. The response, which is long and of
+// unknown length, is passed on completely.
+func TestBufferedRequestsAreRetried(t *testing.T) {
+	payload := incompressible(3 * maxBodyBytes)
+	for name, size := range map[string]int64{"known length": int64(len(payload)), "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
 			var heads atomic.Int64
 			b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -83,51 +84,53 @@
 			reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"},
 				listed{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
 			n := start(t, testConfig(t, reg.addr, reg.whole))
-			for range 12 { // these pay for another attempt
+			for range 12 { // these requests earn the retry budget
 				do(t, ask(t, n.url+"/paying", "read"))
 			}
 			resp, body := do(t, ask(t, n.url+"/x", "token", func(r *http.Request) {
-				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(text)), size
+				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(payload)), size
 				r.Header.Set("Idempotency-Key", "k")
 			}))
-			if resp.StatusCode != 200 || body != string(text) || heads.Load() != 2 {
-				t.Errorf("%d with %d bytes, %d attempts", resp.StatusCode, len(body), heads.Load())
+			if resp.StatusCode != 200 || body != string(payload) || heads.Load() != 2 {
+				t.Errorf("got status %d with %d bytes after %d attempts, want 200 with %d bytes after 2",
+					resp.StatusCode, len(body), heads.Load(), len(payload))
 			}
-			eventually(t, "what it took of the budget is given back", func() bool {
+			eventually(t, "the memory of the body is released", func() bool {
 				return n.server.bodyMemory.available.Load() == newMemoryBudget(0).available.Load()
 			})
 		})
 	}
 }
 
-// The longest body that is buffered is served, of known and unknown length; TestMalformedRequests has those a byte
-// longer.
+// A body of the greatest length that is buffered is served, with known and with unknown length. TestMalformedRequests
+// covers bodies that are one byte longer.
 func TestLongestBufferedBody(t *testing.T) {
-	addr := newRawBackend(t, "127.0.0.1:0", hashing).Addr().String()
+	addr := newRawBackend(t, "127.0.0.1:0", answerBodyHash).Addr().String()
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: addr, phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
-	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
+	cfg.Limits.MemoryMB = 8 // so that at most maxBodyBytes of a request are buffered
 	n := start(t, cfg)
 	for _, size := range []int64{maxBodyBytes, -1} {
 		resp, body := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(maxBodyBytes))), size
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(incompressible(maxBodyBytes))), size
 		}))
 		if resp.StatusCode != 200 || !strings.HasPrefix(body, fmt.Sprint(maxBodyBytes, " ")) {
-			t.Errorf("length %d: %d %.60q", size, resp.StatusCode, body)
+			t.Errorf("Content-Length %d: got status %d, body %.60q", size, resp.StatusCode, body)
 		}
 	}
 }
 
-// Bodies of any length and form reach a backend unchanged, and a large one is never complete in memory.
+// Request bodies of any length, with Content-Length or with chunks, reach the backend unchanged. A large body is
+// streamed and never complete in memory.
 func TestLargeRequestsAreStreamed(t *testing.T) {
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", answerBodyHash))
 	for _, size := range []int{0, 1, maxBodyBytes, maxBodyBytes + 1, 200 << 10, 3 << 20, 20 << 20} {
 		for _, chunked := range []bool{false, true} {
-			text := noise(size)
-			sum := sha256.Sum256(text)
+			payload := incompressible(size)
+			sum := sha256.Sum256(payload)
 			want := fmt.Sprintf("%d %s", size, hex.EncodeToString(sum[:]))
 			r := ask(t, n.url+"/x", "order", func(r *http.Request) {
-				r.Body, r.ContentLength = io.NopCloser(iotest.HalfReader(bytes.NewReader(text))), int64(size)
+				r.Body, r.ContentLength = io.NopCloser(iotest.HalfReader(bytes.NewReader(payload))), int64(size)
 				if size == 0 {
 					r.Body = http.NoBody
 				} else if chunked {
@@ -136,19 +139,19 @@
 			})
 			resp, body := do(t, r)
 			if resp.StatusCode != 200 || body != want {
-				t.Errorf("%d bytes, chunked %v: %d %q, want %q", size, chunked, resp.StatusCode, body, want)
+				t.Errorf("%d bytes, chunked %v: got status %d, body %q, want %q", size, chunked, resp.StatusCode, body, want)
 			}
 		}
 	}
 	got := stats(t, n)
 	if got["pending"] != 0 || got["completed.order"] != 14 || got["upstream_requests"] != 14 {
-		t.Errorf("figures %v", got)
+		t.Errorf("got statistics %v", got)
 	}
 }
 
-// Responses of any length and form come through complete, and short ones with a Content-Length.
+// Responses of any length and framing are passed on completely, and short responses with a Content-Length.
 func TestLargeResponsesAreStreamed(t *testing.T) {
-	big := string(noise(5 << 20))
+	big := string(incompressible(5 << 20))
 	chunks := func(body string, size int) string {
 		var b strings.Builder
 		for i := 0; i < len(body); i += size {
@@ -162,30 +165,33 @@
 		interim     = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
 	)
 	for name, tc := range map[string]struct {
-		answer string
-		want   string
-		slow   bool // it comes in two parts
+		response string
+		want     string
+		slow     bool // the backend sends the response in two parts
 	}{
-		"sized":       {answer: ok200(big), want: big},
-		"sized, slow": {answer: ok200(big), want: big, slow: true},
-		"chunked":     {answer: chunkedHead + "Trailer: X-Sum\r\n\r\n" + chunks(big, 70_001), want: big},
+		"known length":       {response: ok200(big), want: big},
+		"known length, slow": {response: ok200(big), want: big, slow: true},
+		"chunked":            {response: chunkedHead + "Trailer: X-Sum\r\n\r\n" + chunks(big, 70_001), want: big},
 		"chunked, slow": {
-			answer: chunkedHead + "\r\n" + chunks(big[:40<<10], 999),
-			want:   big[:40<<10],
-			slow:   true,
+			response: chunkedHead + "\r\n" + chunks(big[:40<<10], 999),
+			want:     big[:40<<10],
+			slow:     true,
 		},
-		"small chunks":       {answer: chunkedHead + "\r\n" + chunks("hello there", 3), want: "hello there"},
-		"ends with its end":  {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, want: big},
-		"small, to its end":  {answer: "HTTP/1.0 200 OK\r\n\r\nhello", want: "hello"},
-		"1xx ahead":          {answer: interim + ok200(big), want: big},
-		"beyond the largest": {answer: ok200(strings.Repeat(big, 7)), want: strings.Repeat(big, 7)},
+		"small chunks": {response: chunkedHead + "\r\n" + chunks("hello there", 3), want: "hello there"},
+		"ends with its connection": {
+			response: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big,
+			want:     big,
+		},
+		"small, ends with its connection": {response: "HTTP/1.0 200 OK\r\n\r\nhello", want: "hello"},
+		"after 1xx responses":             {response: interim + ok200(big), want: big},
+		"35 MiB":                          {response: ok200(strings.Repeat(big, 7)), want: strings.Repeat(big, 7)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+			n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 				if _, err := http.ReadRequest(br); err != nil {
 					return
 				}
-				text := tc.answer
+				text := tc.response
 				if tc.slow {
 					cut := len(text) / 2
 					io.WriteString(c, text[:cut])
@@ -196,31 +202,31 @@
 			}))
 			resp, body := do(t, ask(t, n.url+"/x", "order"))
 			if resp.StatusCode != 200 || body != tc.want {
-				t.Errorf("%d with %d bytes, want %d", resp.StatusCode, len(body), len(tc.want))
+				t.Errorf("got status %d with %d bytes, want 200 with %d", resp.StatusCode, len(body), len(tc.want))
 			}
 			if len(tc.want) < 1<<10 && resp.ContentLength != int64(len(tc.want)) {
-				t.Errorf("length %d", resp.ContentLength)
+				t.Errorf("got Content-Length %d, want %d", resp.ContentLength, len(tc.want))
 			}
 			if got := stats(t, n)["completed.order"]; got != 1 {
-				t.Errorf("completed %d", got)
+				t.Errorf("completed.order: got %d, want 1", got)
 			}
 		})
 	}
 }
 
-// A client can tell that a response which broke after some of it was passed on is incomplete, and it is counted as
-// failed.
-func TestClientCanTellABrokenResponse(t *testing.T) {
+// If a response breaks off after a part of it was passed on, the client can tell that it is incomplete. The request is
+// counted as failed.
+func TestBrokenResponseIsVisibleToClient(t *testing.T) {
 	part := strings.Repeat("x", 2*maxBodyBytes)
-	for name, answer := range map[string]string{
-		"sized":   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + part,
-		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + part + "\r\n",
+	for name, response := range map[string]string{
+		"known length": "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + part,
+		"chunked":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + part + "\r\n",
 	} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" to "+version, func(t *testing.T) {
-				n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+				n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 					if _, err := http.ReadRequest(br); err == nil {
-						io.WriteString(c, answer)
+						io.WriteString(c, response)
 					}
 				}))
 				c, err := net.Dial("tcp", n.Addr().String())
@@ -235,31 +241,31 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
 				if err == nil {
-					t.Error("the answer looks whole")
+					t.Error("the response looks complete to the client")
 				}
-				eventually(t, "it is counted as failed", func() bool { return stats(t, n)["failed.order"] == 1 })
+				eventually(t, "the request is counted as failed", func() bool { return stats(t, n)["failed.order"] == 1 })
 			})
 		}
 	}
 }
 
-// A large response that breaks before any of its body has come is answered with a failure.
-func TestResponseThatBreaksBeforeItBegins(t *testing.T) {
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+// If a response breaks off before the first byte of its body, the client gets a 502.
+func TestResponseThatBreaksBeforeItsBodyFails(t *testing.T) {
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
 		}
 	}))
 	if resp, _ := do(t, ask(t, n.url+"/x", "order")); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("got status %d, want 502", resp.StatusCode)
 	}
 	if got := stats(t, n)["failed.order"]; got != 1 {
-		t.Errorf("failed %d", got)
+		t.Errorf("failed.order: got %d, want 1", got)
 	}
 }
 
-// A body that has been streamed in part is not sent again; a backend that breaks off before the last byte never ran
-// the request.
+// A body that has been streamed in part is not sent again. If the connection to the backend breaks before the last
+// byte, the request is rejected with 503, since the backend cannot have run it.
 func TestStreamedRequestIsSentOnce(t *testing.T) {
 	var heads atomic.Int64
 	breaking := func(c net.Conn, br *bufio.Reader) {
@@ -273,23 +279,24 @@
 	n := startWithAdmin(t, listText(1, true, listed{id: "s-a", addr: a.Addr().String(), phase: "ready"},
 		listed{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
 	resp, _ := do(t, ask(t, n.url+"/x", "order", func(r *http.Request) {
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(8<<20))), 8<<20
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(incompressible(8<<20))), 8<<20
 	}))
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("got status %d, want 503", resp.StatusCode)
 	}
 	if got := heads.Load(); got != 1 {
-		t.Errorf("sent %d times", got)
+		t.Errorf("the request was sent %d times, want 1", got)
 	}
-	eventually(t, "it is counted as refused", func() bool { return stats(t, n)["rejected.order"] == 1 })
+	eventually(t, "the request is counted as rejected", func() bool { return stats(t, n)["rejected.order"] == 1 })
 	if got := stats(t, n); got["upstream_requests"] != 0 || got["pending"] != 0 {
-		t.Errorf("figures %v", got)
+		t.Errorf("got statistics %v", got)
 	}
 }
 
-// A backend's rejection before the body's end is passed on at once, also to a client that goes on sending.
-func TestEarlyRejectionIsPassedOnAtOnce(t *testing.T) {
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+// If a backend rejects a request before the end of its body, the rejection is passed on immediately. The node then
+// reads the rest of the body.
+func TestEarlyRejectionIsPassedOnImmediately(t *testing.T) {
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, br)
@@ -302,22 +309,22 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
 	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // nothing of the body has been sent
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // no byte of the body has been sent yet
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("got response %+v, error %v", resp, err)
 	}
-	if _, err := c.Write(noise(1000000)); err != nil {
+	if _, err := c.Write(incompressible(1000000)); err != nil {
 		t.Errorf("the rest of the body is not read: %v", err)
 	}
 }
 
-// A client that stops within its body ends its request, and leaks nothing.
-func TestClientThatStopsWithinABody(t *testing.T) {
-	seen := make(chan error, 1)
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+// If a client disconnects before the end of its body, its request ends, and the backend gets an incomplete request.
+func TestClientThatDisconnectsDuringBody(t *testing.T) {
+	bodyErrors := make(chan error, 1)
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if r, err := http.ReadRequest(br); err == nil && r.URL.Path == "/x" {
 			_, err = io.Copy(io.Discard, r.Body)
-			seen <- err
+			bodyErrors <- err
 		}
 	}))
 	c, err := net.Dial("tcp", n.Addr().String())
@@ -325,23 +332,23 @@
 		t.Fatal(err)
 	}
 	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
-	c.Write(noise(200000))
+	c.Write(incompressible(200000))
 	c.Close()
-	if err := receive(t, "the end at the backend", seen); err == nil {
-		t.Error("the backend took the request for whole")
+	if err := receive(t, "the end of the body at the backend", bodyErrors); err == nil {
+		t.Error("the request looked complete to the backend")
 	}
-	eventually(t, "nothing is open", func() bool { return n.open(t) == 0 && n.server.inFlight.Load() == 0 })
+	eventually(t, "no request is open", func() bool { return n.open(t) == 0 && n.server.inFlight.Load() == 0 })
 	if got := stats(t, n); got["upstream_requests"] != 0 || got["pending"] != 0 {
-		t.Errorf("figures %v", got)
+		t.Errorf("got statistics %v", got)
 	}
 }
 
-// Slow readers of large responses slow their backends down, and the memory in use stays small.
+// Clients that read large responses slowly slow down the backends, and the memory in use stays small.
 func TestSlowReadersCauseBackpressure(t *testing.T) {
 	const size, readers = 32 << 20, 8
-	body := noise(size)
+	body := incompressible(size)
 	var sent atomic.Int64
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
@@ -366,10 +373,10 @@
 		io.WriteString(c, orderHead("HTTP/1.1", fmt.Sprintf("a%p", c), 0))
 		b := make([]byte, 1<<10)
 		if k, err := c.Read(b); err != nil || !strings.HasPrefix(string(b[:k]), "HTTP/1.1 200") {
-			t.Fatalf("%q, %v", b[:k], err)
+			t.Fatalf("got %q, error %v", b[:k], err)
 		}
 	}
-	// Nobody reads on: the backends stop sending.
+	// From here on no client reads, so the backends have to stop sending.
 	last := int64(-1)
 	eventually(t, "the backends stop sending", func() bool {
 		now := sent.Load()
@@ -379,27 +386,28 @@
 		return stalled
 	})
 	if last >= readers*size {
-		t.Error("the responses were taken completely")
+		t.Error("the node read the responses completely")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > readers<<20 {
-		t.Errorf("%d bytes more for %d readers", grown, readers)
+		t.Errorf("the heap grew by %d bytes for %d readers", grown, readers)
 	}
 }
 
-// A body's rate counts only the time that the node waits for its client.
+// The read of a body fails if the client sends it more slowly than minBodyRate or pauses for longer than maxBodyStall.
+// Only the time that the node waits for the client counts, including the time for its head.
 func TestMinimumBodyRate(t *testing.T) {
 	for name, c := range map[string]struct {
-		head, every time.Duration // for the head, and between two pieces
-		piece, size int
+		head, every time.Duration // the time for the head, and before each piece of the body
+		piece, size int           // bytes
 		ok          bool
 	}{
-		"quick":             {0, 0, 1 << 10, 100 << 10, true},
-		"as slow as served": {2 * time.Second, 250 * time.Millisecond, 16 << 10, 2 << 20, true},
-		"too slow":          {0, 500 * time.Millisecond, 1 << 10, 1 << 20, false},
-		"stops":             {0, 2100 * time.Millisecond, 1 << 20, 4 << 20, false},
-		"a byte a while":    {2 * time.Second, 50 * time.Millisecond, 1, 100, false},
+		"fast":                   {0, 0, 1 << 10, 100 << 10, true},
+		"slowest that is served": {2 * time.Second, 250 * time.Millisecond, 16 << 10, 2 << 20, true},
+		"too slow":               {0, 500 * time.Millisecond, 1 << 10, 1 << 20, false},
+		"pause too long":         {0, 2100 * time.Millisecond, 1 << 20, 4 << 20, false},
+		"single bytes":           {2 * time.Second, 50 * time.Millisecond, 1, 100, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -424,53 +432,55 @@
 				}
 				n, err := io.Copy(io.Discard, p)
 				if ok := err == nil && n == int64(c.size); ok != c.ok {
-					t.Errorf("%d bytes, %v", n, err)
+					t.Errorf("read %d of %d bytes, error %v", n, c.size, err)
 				}
 			})
 		})
 	}
 }
 
-// A body over its limit is an error, and a memory budget that is used up has bodies streamed.
+// A body beyond its limit gives errBodyTooLong. When the memory budget is used up, a node with streaming streams even
+// short bodies.
 func TestBodyLimits(t *testing.T) {
 	noDeadline := func(time.Time) error { return nil }
 	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: noDeadline, limit: 4}
 	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v for a body beyond its limit", err)
 	}
 	b := newMemoryBudget(1)
 	if !b.tryAcquire(1<<20/bodyMemoryDivisor) || b.tryAcquire(1) {
-		t.Error("the budget is not kept")
+		t.Error("the budget is not exactly 1 MiB / bodyMemoryDivisor")
 	}
 	if b.reserve(0, 1, false) || !b.reserve(0, maxBodyBytes, true) || b.reserve(maxBodyBytes, 1, true) {
-		t.Error("short bodies are kept, and others only where there is room")
+		t.Error("with a used-up budget, reserve does not grant exactly the guaranteed maxBodyBytes")
 	}
-	n := startLarge(t, newRawBackend(t, "127.0.0.1:0", hashing))
+	n := startStreaming(t, newRawBackend(t, "127.0.0.1:0", answerBodyHash))
 	n.server.bodyMemory.acquire(n.server.bodyMemory.available.Load())
 	resp, body := do(t, ask(t, n.url+"/x", "order")) // "payload"
 	if sum := sha256.Sum256([]byte("payload")); resp.StatusCode != 200 || body != fmt.Sprintf("7 %x", sum) {
-		t.Errorf("%d %q", resp.StatusCode, body)
+		t.Errorf("got status %d, body %q", resp.StatusCode, body)
 	}
 	if n.server.bodyMemory.available.Load() != 0 {
-		t.Errorf("%d left of nothing", n.server.bodyMemory.available.Load())
+		t.Errorf("%d bytes are available, want 0", n.server.bodyMemory.available.Load())
 	}
 }
 
-// discard reads a body to its end, however slowly its client sends: closing the connection over unread bytes would
-// reset it, and lose the response.
+// discard reads a body to its end, even if its client sends slowly. Closing the connection while bytes are unread would
+// reset it, and the client could lose the response.
 func TestDiscardReadsABodyToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &requestStream{source: &slowReader{left: 20}, size: -1}
-		u.discard()
-		if u.err != io.EOF {
-			t.Errorf("stopped early: %v", u.err)
+		stream := &requestStream{source: &slowReader{left: 20}, size: -1}
+		stream.discard()
+		if stream.err != io.EOF {
+			t.Errorf("discard stopped before the end of the body: %v", stream.err)
 		}
 	})
 }
 
-// slowReader gives a byte a second.
+// slowReader returns one byte per second until none is left.
 type slowReader struct{ left int }
 
+// Read returns one byte after a second.
 func (r *slowReader) Read(p []byte) (int, error) {
 	if r.left == 0 {
 		return 0, io.EOF
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A served response is the backend's own, and the request reaches the backend with its end-to-end headers.
-func TestServedAnswerIsTheBackendsOwn(t *testing.T) {
+// The client gets the backend's response unchanged, and the backend gets the request with its end-to-end headers.
+func TestServedResponseIsForwardedUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(r *http.Request) string {
 		got <- r
@@ -34,22 +34,22 @@
 		r.Header.Get("Idempotency-Key") != "key-1" {
 		t.Errorf("backend got %s %s %q %v", r.Method, r.RequestURI, payload, r.Header)
 	}
-	// A client that lists the id among its connection's headers must not make it vanish on the way.
+	// The id is forwarded even if the client names it in the Connection header.
 	if r.Header.Get("X-Trace-Id") != "trace-1" || r.Header.Get("X-Hop") != "" {
-		t.Errorf("headers at the backend: %v", r.Header)
+		t.Errorf("backend got headers %v", r.Header)
 	}
 	var left float64
 	if _, err := fmt.Sscan(r.Header.Get("X-Expires-In"), &left); err != nil || left <= 0 || left >= 9.5 {
-		t.Errorf("X-Expires-In at the backend: %q", r.Header.Get("X-Expires-In"))
+		t.Errorf("backend got X-Expires-In %q", r.Header.Get("X-Expires-In"))
 	}
 }
 
-// A malformed request is rejected with a 4xx at once and reaches no backend.
+// A malformed request is rejected with a 4xx status and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
 	reg := newRegistry(t, listText(1, true, listed{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
 	cfg := testConfig(t, reg.addr, reg.whole)
-	cfg.Limits.MemoryMB = 8 // so that no more than maxBodyBytes of a request are buffered
+	cfg.Limits.MemoryMB = 8 // so that at most maxBodyBytes of a request are buffered
 	n := start(t, cfg)
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -59,19 +59,19 @@
 		change func(*http.Request)
 		want   int
 	}{
-		"no id":           {"read", set("X-Trace-Id", ""), 400},
-		"unknown class":   {"read", set("X-Qos", "gold"), 400},
-		"no class":        {"read", set("X-Qos", ""), 400},
-		"unknown tenant":  {"read", set("X-Customer", "nobody"), 400},
-		"no number":       {"read", set("X-Expires-In", "soon"), 400},
-		"NaN":             {"read", set("X-Expires-In", "NaN"), 400},
-		"infinite":        {"read", set("X-Expires-In", "Inf"), 400},
-		"negative time":   {"read", set("X-Expires-In", "-1"), 400},
-		"two ids":         {"read", func(r *http.Request) { r.Header.Add("X-Trace-Id", "again") }, 400},
-		"keyed, no key":   {"token", set("Idempotency-Key", ""), 400},
-		"unsafe as a GET": {"order", func(r *http.Request) { r.Method = "GET" }, 405},
-		"safe as a POST":  {"read", func(r *http.Request) { r.Method = "POST" }, 405},
-		"other method":    {"order", func(r *http.Request) { r.Method = "DELETE" }, 405},
+		"no id":                   {"read", set("X-Trace-Id", ""), 400},
+		"unknown class":           {"read", set("X-Qos", "gold"), 400},
+		"no class":                {"read", set("X-Qos", ""), 400},
+		"unknown tenant":          {"read", set("X-Customer", "nobody"), 400},
+		"deadline not a number":   {"read", set("X-Expires-In", "soon"), 400},
+		"deadline NaN":            {"read", set("X-Expires-In", "NaN"), 400},
+		"infinite deadline":       {"read", set("X-Expires-In", "Inf"), 400},
+		"negative deadline":       {"read", set("X-Expires-In", "-1"), 400},
+		"two ids":                 {"read", func(r *http.Request) { r.Header.Add("X-Trace-Id", "again") }, 400},
+		"missing idempotency key": {"token", set("Idempotency-Key", ""), 400},
+		"non-idempotent GET":      {"order", func(r *http.Request) { r.Method = "GET" }, 405},
+		"idempotent POST":         {"read", func(r *http.Request) { r.Method = "POST" }, 405},
+		"other method":            {"order", func(r *http.Request) { r.Method = "DELETE" }, 405},
 		"body too long": {"order", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
@@ -81,12 +81,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if resp, _ := do(t, ask(t, n.url+"/api/x", tc.class, tc.change)); resp.StatusCode != tc.want {
-				t.Errorf("answered %d, want %d", resp.StatusCode, tc.want)
+				t.Errorf("got status %d, want %d", resp.StatusCode, tc.want)
 			}
 		})
 	}
 	for name, text := range map[string]string{
-		"no HTTP":         "\x16\x03\x01 hello\r\n\r\n",
+		"not HTTP":        "\x16\x03\x01 hello\r\n\r\n",
 		"negative length": "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n",
 		"two lengths":     "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
 		"huge head":       "GET /api/x HTTP/1.1\r\nHost: x\r\nX-A: " + strings.Repeat("a", 2*maxHeadBytes) + "\r\n\r\n",
@@ -101,10 +101,10 @@
 			go io.WriteString(c, text)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err == nil && (resp.StatusCode < 400 || resp.StatusCode == 429 || resp.StatusCode >= 500) {
-				t.Errorf("answered %d", resp.StatusCode)
+				t.Errorf("got status %d, want a 4xx status except 429", resp.StatusCode)
 			}
 			if err != nil && strings.Contains(err.Error(), "timeout") {
-				t.Error("no answer and no close")
+				t.Error("the node neither responds nor closes the connection")
 			}
 		})
 	}
@@ -113,9 +113,9 @@
 	}
 }
 
-// A silent backend costs an attempt and not the response: that comes before the client's deadline, and is a failure
-// where the request may have run.
-func TestSilentBackendIsAnsweredInTime(t *testing.T) {
+// If a backend never responds, the client gets a 504 before its deadline, since the backend may have run the request.
+// The node closes the attempt's connection.
+func TestSilentBackendGivesGatewayTimeout(t *testing.T) {
 	ended := make(chan error, 4)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err == nil {
@@ -128,17 +128,16 @@
 	began := time.Now()
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order", func(r *http.Request) { r.Header.Set("X-Expires-In", "0.300") }))
 	if resp.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("answered %d", resp.StatusCode)
+		t.Errorf("got status %d, want 504", resp.StatusCode)
 	}
 	if d := time.Since(began); d < 200*time.Millisecond {
-		t.Errorf("given up after %v already", d)
+		t.Errorf("the request failed after %v, before its deadline of 300 ms", d)
 	}
-	// The attempt given up has really ended its connection.
 	receive(t, "the end of the backend's connection", ended)
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
+	eventually(t, "no request is open", func() bool { return n.open(t) == 0 })
 }
 
-// A disconnected client leaves no request, attempt or connection behind.
+// When a client disconnects, its request, its attempt and its connection end.
 func TestDisconnectedClientLeaksNothing(t *testing.T) {
 	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
@@ -156,26 +155,27 @@
 	io.WriteString(c, "GET /api/x HTTP/1.1\r\nHost: x\r\n"+
 		"X-Trace-Id: gone-1\r\nX-Qos: read\r\nX-Customer: acme\r\nX-Expires-In: 9\r\n\r\n")
 	receive(t, "the request at the backend", begun)
-	left := time.Now()
+	disconnected := time.Now()
 	c.(*net.TCPConn).CloseWrite()
 	receive(t, "the end of the attempt's connection", ended)
-	if d := time.Since(left); d > 5*time.Second {
-		t.Errorf("the attempt went on for %v", d)
+	if d := time.Since(disconnected); d > 5*time.Second {
+		t.Errorf("the attempt went on for %v after the disconnect", d)
 	}
-	// No backend has made an answer, so none may be read, not even an empty one of the library's.
+	// The backend has not responded, so the client must not get any response. net/http would send an empty one.
 	c.SetReadDeadline(time.Now().Add(patience))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
-		t.Errorf("answered %q", text)
+		t.Errorf("got response %q, want none", text)
 	}
 	c.Close()
-	eventually(t, "an empty table", func() bool { return n.open(t) == 0 })
-	eventually(t, "no request in flight and no connection", func() bool {
+	eventually(t, "no request is open", func() bool { return n.open(t) == 0 })
+	eventually(t, "no request is in flight and no connection is open", func() bool {
 		return n.server.inFlight.Load() == 0 && n.server.conns.open() == 0
 	})
 }
 
-// A request is rejected whose id is that of an open one: a backend could not tell the two apart.
-func TestIDOfAnOpenRequestIsRejected(t *testing.T) {
+// A request is rejected with 409 if another open request has the same id, since a backend could not distinguish the
+// two.
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -189,18 +189,18 @@
 		_, body := do(t, ask(t, n.url+"/api/x", "order", same))
 		first <- body
 	}()
-	receive(t, "the first at the backend", held)
+	receive(t, "the first request at the backend", held)
 	if resp, _ := do(t, ask(t, n.url+"/api/x", "order", same)); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d", resp.StatusCode)
+		t.Errorf("got status %d for the second request, want 409", resp.StatusCode)
 	}
 	close(hold)
-	if body := receive(t, "the first answer", first); body != "once" {
-		t.Errorf("the first: %q", body)
+	if body := receive(t, "the response to the first request", first); body != "once" {
+		t.Errorf("got %q for the first request", body)
 	}
 }
 
-// A node at its limit of requests rejects further ones with 503 and a Retry-After.
-func TestFullNodeRejects(t *testing.T) {
+// A node with maxInFlight requests in flight rejects further requests with 503 and a Retry-After.
+func TestRequestsBeyondLimitAreRejected(t *testing.T) {
 	hold, held := make(chan struct{}), make(chan struct{}, 4)
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string {
 		held <- struct{}{}
@@ -209,20 +209,20 @@
 	}))
 	n := startOn(t, b.Addr().String())
 	n.onLoop(t, func() {})
-	n.server.inFlight.Store(n.server.maxInFlight - 1) // all places but one are taken
+	n.server.inFlight.Store(n.server.maxInFlight - 1) // one more request is admitted
 	first := make(chan int, 1)
 	go func() {
 		resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 		first <- resp.StatusCode
 	}()
-	receive(t, "the last place taken", held)
+	receive(t, "the admitted request at the backend", held)
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("got status %d and Retry-After %q, want 503 and a time", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	close(hold)
-	if status := receive(t, "the answer of the one taken", first); status != 200 {
-		t.Errorf("the one taken: %d", status)
+	if status := receive(t, "the response to the admitted request", first); status != 200 {
+		t.Errorf("got status %d for the admitted request", status)
 	}
 	n.server.inFlight.Add(1 - n.server.maxInFlight)
 }
@@ -236,7 +236,7 @@
 	n := start(t, cfg)
 	clients, _ := cfg.Limits.divideDescriptors(false)
 	for range 2 * clients {
-		tr := &http.Transport{} // its connection stays open
+		tr := &http.Transport{} // keeps its connection open
 		defer tr.CloseIdleConnections()
 		resp, err := tr.RoundTrip(ask(t, n.url+"/api/x", "read"))
 		if err != nil {
@@ -245,10 +245,10 @@
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Errorf("answered %d", resp.StatusCode)
+			t.Errorf("got status %d", resp.StatusCode)
 		}
 	}
-	busy := clients / 2 // more than there is room for beside the idle ones
+	busy := clients / 2 // more than the limit leaves in addition to the idle connections
 	for range busy {
 		c, err := net.Dial("tcp", n.Addr().String())
 		if err != nil {
@@ -257,36 +257,37 @@
 		defer c.Close()
 		io.WriteString(c, "GET /api/x HTTP/1.1\r\n")
 	}
-	eventually(t, "all of the busy connections at once", func() bool {
+	eventually(t, "all of the busy connections are open at the same time", func() bool {
 		n.server.conns.mu.Lock()
 		defer n.server.conns.mu.Unlock()
-		at := 0
+		notIdle := 0
 		for _, since := range n.server.conns.idleSince {
 			if since.IsZero() {
-				at++
+				notIdle++
 			}
 		}
-		return at >= busy
+		return notIdle >= busy
 	})
 }
 
-// A request that no backend can take is rejected at once, with a Retry-After.
+// A request is rejected immediately, with a Retry-After, if no backend accepts connections.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	l.Close() // nobody is there: connections are refused
+	l.Close() // from now on connections to this address are refused
 	n := startOn(t, addr)
 	began := time.Now()
 	resp, _ := do(t, ask(t, n.url+"/api/x", "order"))
 	var after float64
 	_, err = fmt.Sscan(resp.Header.Get("Retry-After"), &after)
 	if resp.StatusCode != 503 || err != nil || after <= 0 || after > 2 {
-		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("got status %d and Retry-After %q, want 503 and at most 2 s",
+			resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if d := time.Since(began); d > 5*time.Second {
-		t.Errorf("the rejection was delayed for %v", d)
+		t.Errorf("the rejection took %v", d)
 	}
 }
--- a/internal/node/conn_state_test.go
+++ b/internal/node/conn_state_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// tcpPair returns both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,10 +25,10 @@
 	return client, server
 }
 
-// Regression: two requests on idle connections that were being evicted got an orderly close and no response. The
-// reading goroutine took bytes from the kernel after the connection had been marked as closed, and dropped them. Bytes
-// that have been read have to be answered; bytes left unread are reset by the close, and the client sends them again.
-func TestNothingIsReadOfAClosedConnection(t *testing.T) {
+// No bytes are read from a connection after it has been marked as closed. A read of an idle connection that is being
+// evicted must not take bytes from the kernel and drop them: the client would see an orderly close and get no response.
+// If the bytes stay unread, the close resets the connection and the client sends the request again.
+func TestClosedConnectionIsNotRead(t *testing.T) {
 	client, server := tcpPair(t)
 	conn := newClientConn(server, time.Now())
 	read := make(chan int, 1)
@@ -36,15 +36,15 @@
 		n, _ := conn.Read(make([]byte, 1<<10))
 		read <- n
 	}()
-	time.Sleep(20 * time.Millisecond) // it waits for the first byte
+	time.Sleep(20 * time.Millisecond) // until the read waits for the first byte
 	if !conn.closeIfWaiting(false) {
-		t.Fatal("not ended")
+		t.Fatal("the connection was not marked as closed")
 	}
 	io.WriteString(client, "GET /x HTTP/1.1\r\n")
 	if n := receive(t, "the end of the read", read); n > 0 {
-		t.Errorf("%d bytes served after the end", n)
+		t.Errorf("%d bytes were read after the connection was marked as closed", n)
 	}
 	if peekSocket(server.(*net.TCPConn)) != socketReadable {
-		t.Error("what came after the end was read and dropped")
+		t.Error("bytes that arrived after the connection was marked as closed were read and dropped")
 	}
 }
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -14,8 +14,8 @@
 	"hitchvale/internal/monotime"
 )
 
-// However many connections are idle or within a head, requests on new ones are served, and so are those of clients
-// that use theirs.
+// Any number of connections that are idle or have an incomplete head do not lock out other clients: requests on new
+// connections and on connections in use are served.
 func TestIdleClientsDoNotLockOutOthers(t *testing.T) {
 	list := listText(1, true, listed{id: "s-a", addr: newEchoBackend(t).Addr().String(), phase: "ready"})
 	cfg := testConfig(t, newRegistry(t, list).addr, list)
@@ -33,39 +33,39 @@
 		if i%16 != 0 {
 			continue
 		}
-		for name, tr := range map[string]*http.Transport{"new": {DisableKeepAlives: true}, "kept": reused} {
+		for name, tr := range map[string]*http.Transport{"new": {DisableKeepAlives: true}, "reused": reused} {
 			resp, err := tr.RoundTrip(ask(t, n.url+"/x", "read"))
 			if err != nil {
-				t.Fatalf("connection %d, a %s one: %v", i, name, err)
+				t.Fatalf("after %d idle connections, on a %s connection: %v", i+1, name, err)
 			}
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
-				t.Errorf("connection %d, a %s one: %d", i, name, resp.StatusCode)
+				t.Errorf("after %d idle connections, on a %s connection: got status %d", i+1, name, resp.StatusCode)
 			}
 		}
 	}
 	if got := n.listener.openConns(); got > n.maxClientConns {
-		t.Errorf("%d connections, %d allowed", got, n.maxClientConns)
+		t.Errorf("%d connections are open, the limit is %d", got, n.maxClientConns)
 	}
 }
 
-// The connection that has kept the node waiting longest is evicted first, and the wait of one within a head counts a
-// quarter.
+// The connection for whose client the node has waited longest is evicted first. The wait for the rest of a head counts
+// as a quarter of its length.
 func TestSlowestClientIsEvictedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
-		f.streaming = true
+		s := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+		s.streaming = true
 		conn := func() *limitedConn {
 			client := newClientConn(nil, time.Now())
 			c := &limitedConn{Conn: client, client: client}
-			f.conns.track(c, http.StateNew)
+			s.conns.track(c, http.StateNew)
 			return c
 		}
 		received := func(c *limitedConn) { c.client.lastByteAt.Store(monotime.Now()) }
 		expect := func(what string, want *limitedConn) {
 			t.Helper()
-			if got := f.conns.slowest(); got != net.Conn(want) {
+			if got := s.conns.slowest(); got != net.Conn(want) {
 				t.Errorf("%s is not evicted first", what)
 			}
 		}
@@ -74,144 +74,147 @@
 		time.Sleep(time.Second)
 		unused := conn()
 		time.Sleep(time.Second)
-		expect("the silent one", unused)
+		expect("the connection without any bytes", unused)
 		time.Sleep(time.Second)
-		f.conns.track(unused, http.StateActive)
-		expect("the one with half a head", partial)
+		s.conns.track(unused, http.StateActive)
+		expect("the connection with an incomplete head", partial)
 		idle := conn()
-		f.conns.track(idle, http.StateActive)
-		f.conns.track(idle, http.StateIdle)
+		s.conns.track(idle, http.StateActive)
+		s.conns.track(idle, http.StateIdle)
 		time.Sleep(2 * time.Second)
-		expect("the idle one", idle)
-		f.conns.track(idle, http.StateClosed)
+		expect("the idle connection", idle)
+		s.conns.track(idle, http.StateClosed)
 		received(partial)
-		f.conns.track(partial, http.StateActive)
-		if got := f.conns.slowest(); got != nil {
-			t.Error("one that waits for its response is evicted")
+		s.conns.track(partial, http.StateActive)
+		if got := s.conns.slowest(); got != nil {
+			t.Error("a connection whose client waits for its response is evicted")
 		}
 	})
 }
 
-// A head may take two seconds to come; TestMalformedClientsGetAnErrorInTime has those that take longer.
+// A request is served if its head takes two seconds to arrive. TestMalformedClientsGetAnErrorInTime covers heads that
+// take longer.
 func TestSlowHeads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startInMemoryListener(t).dial()
 		defer c.Close()
 		head := "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 		sent := make(chan struct{})
-		go func() { drip(c, head, 2*time.Second/time.Duration(len(head))); close(sent) }()
+		go func() { writeSlowly(c, head, 2*time.Second/time.Duration(len(head))); close(sent) }()
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("%+v, %v", resp, err)
+			t.Errorf("got response %+v, error %v", resp, err)
 		}
 		<-sent
 	})
 }
 
-// A request that crosses the close of its idle connection is not served, since its client sends it again; one that has
-// been read is served, and its connection is not closed under it.
-func TestCrossingRequestIsServedOnceOrNotAtAll(t *testing.T) {
+// A request that crosses the close of its idle connection is not served, since its client sends it again. A request
+// that has been read is served, and its connection is not closed before that.
+func TestRequestCrossingCloseIsServedOnceOrNotAtAll(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-	enders := map[string]func(f *clientServer){
-		"ended as idle":     func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
-		"evicted":           func(f *clientServer) { f.conns.evictSlowest() },
-		"the server's end":  nil,
-		"ended in the read": func(f *clientServer) { f.conns.closeIdle(0, closedDraining) },
+	closers := map[string]func(s *clientServer){
+		"closed as idle":         func(s *clientServer) { s.conns.closeIdle(0, closedDraining) },
+		"evicted":                func(s *clientServer) { s.conns.evictSlowest() },
+		"closed by the server":   nil,
+		"closed during the read": func(s *clientServer) { s.conns.closeIdle(0, closedDraining) },
 	}
-	for name, end := range enders {
+	for name, closeConn := range closers {
 		synctest.Test(t, func(t *testing.T) {
-			f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+			s := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
 			client, server := net.Pipe()
 			defer client.Close()
-			duringRead := func() {}
-			conn := newClientConn(lateConn{server, &duringRead}, time.Now())
+			afterRead := func() {}
+			conn := newClientConn(hookedConn{server, &afterRead}, time.Now())
 			limited := &limitedConn{Conn: conn, client: conn, release: func() {}}
-			f.conns.track(limited, http.StateNew)
-			f.conns.track(limited, http.StateActive)
-			f.conns.track(limited, http.StateIdle)
+			s.conns.track(limited, http.StateNew)
+			s.conns.track(limited, http.StateActive)
+			s.conns.track(limited, http.StateIdle)
 			go io.WriteString(client, text)
-			if name == "ended in the read" {
-				duringRead = func() { end(f) } // the bytes have left the kernel, and the read has not returned
+			if name == "closed during the read" {
+				afterRead = func() { closeConn(s) } // the read has taken the bytes and has not returned yet
 			}
 			hr, err := http.ReadRequest(bufio.NewReader(conn))
-			if name == "ended in the read" {
+			if name == "closed during the read" {
 				if err == nil {
-					t.Errorf("%s: what crossed the close was read", name)
+					t.Errorf("%s: a request that crossed the close was read", name)
 				}
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if end != nil {
-				end(f) // the HTTP server has it, and has not said so
+			if closeConn != nil {
+				closeConn(s) // the HTTP server has read the request, and has not called its ConnState hook yet
 			} else {
 				limited.Close()
 			}
-			f.conns.track(limited, http.StateActive)
+			s.conns.track(limited, http.StateActive)
 			w := httptest.NewRecorder()
 			defer func() {
 				dropped := recover() == http.ErrAbortHandler
 				served := w.Code == http.StatusOK && !conn.isClosedOrRejected()
-				if dropped != (end == nil) || !dropped && !served {
-					t.Errorf("%s: dropped %v, answered %d, closed %v", name, dropped, w.Code, conn.isClosedOrRejected())
+				if dropped != (closeConn == nil) || !dropped && !served {
+					t.Errorf("%s: dropped %v, status %d, closed %v", name, dropped, w.Code, conn.isClosedOrRejected())
 				}
 			}()
-			f.loop.ready.Store(true)
-			f.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), limited)))
+			s.loop.ready.Store(true)
+			s.ServeHTTP(w, hr.WithContext(withClientConn(t.Context(), limited)))
 		})
 	}
 }
 
-// A drain ends only when the requests in flight have their responses; connections without a request are closed for
-// good.
+// A drain ends only when every request in flight has its response. It closes connections without a request, and bytes
+// that are read from them later are not served.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
+		s := newClientServer(newEventLoop(nil, nil, newCounters(nil), quiet()), oneClassSettings(), 64, quiet())
 		conn := func() *limitedConn {
 			client, server := net.Pipe()
 			t.Cleanup(func() { client.Close() })
 			tracked := newClientConn(server, time.Now())
 			c := &limitedConn{Conn: tracked, client: tracked, release: func() {}}
-			f.conns.track(c, http.StateNew)
+			s.conns.track(c, http.StateNew)
 			return c
 		}
 		served, idle := conn(), conn()
 		served.client.addHead(httpframing.Head{})
 		served.client.takeHead()
 		done := make(chan struct{})
-		f.inFlight.Add(1)
-		f.shutdown.start()
-		go func() { f.drain(t.Context()); close(done) }()
-		time.Sleep(time.Until(f.shutdown.earliestKill().Add(time.Second).Time()))
+		s.inFlight.Add(1)
+		s.shutdown.start()
+		go func() { s.drain(t.Context()); close(done) }()
+		time.Sleep(time.Until(s.shutdown.earliestKill().Add(time.Second).Time()))
 		synctest.Wait()
 		closed := func(c *limitedConn) bool { return c.client.isClosedOrRejected() }
 		if closed(served) || !closed(idle) {
-			t.Errorf("ended: the one being served %v, the other %v", closed(served), closed(idle))
+			t.Errorf("closed: connection with a request %v, connection without a request %v; want false and true",
+				closed(served), closed(idle))
 		}
 		select {
 		case <-done:
-			t.Error("finished under a request")
+			t.Error("the drain ended while a request was in flight")
 		default:
 		}
-		f.inFlight.Add(-1)
-		f.conns.track(served, http.StateActive)
-		f.conns.track(served, http.StateIdle)
+		s.inFlight.Add(-1)
+		s.conns.track(served, http.StateActive)
+		s.conns.track(served, http.StateIdle)
 		<-done
 		if idle.client.takeHead(); idle.client.message == messageServing {
-			t.Error("what was read after the end is served")
+			t.Error("a request that was read after the close is served")
 		}
 	})
 }
 
-// lateConn calls a function between a read and its return.
-type lateConn struct {
+// hookedConn calls a function between the read of the underlying connection and the return of Read.
+type hookedConn struct {
 	net.Conn
-	duringRead *func()
+	afterRead *func()
 }
 
-func (c lateConn) Read(p []byte) (int, error) {
+// Read reads from the underlying connection and calls afterRead.
+func (c hookedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	(*c.duringRead)()
+	(*c.afterRead)()
 	return n, err
 }
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -15,13 +15,14 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// pipeListener accepts connections that live in memory.
+// pipeListener is a listener whose connections are in-memory pipes, as testing/synctest requires.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
 	ended chan struct{}
 }
 
+// Accept waits for a call of dial.
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -31,18 +32,20 @@
 	}
 }
 
+// Close ends Accept.
 func (l *pipeListener) Close() error {
 	l.once.Do(func() { close(l.ended) })
 	return nil
 }
 
+// Addr returns an empty address.
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // dial returns the client's end of a new connection.
 func (l *pipeListener) dial() net.Conn {
-	c, s := net.Pipe()
-	l.conns <- s
-	return c
+	client, server := net.Pipe()
+	l.conns <- server
+	return client
 }
 
 // oneClassSettings returns the settings of a node with one class.
@@ -51,26 +54,28 @@
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
-// startInMemoryListener runs the client side of a node on connections in memory; it forwards no request.
+// startInMemoryListener is startInMemoryServer for tests that need only the listener.
 func startInMemoryListener(t *testing.T) *pipeListener {
 	l, _ := startInMemoryServer(t)
 	return l
 }
 
+// startInMemoryServer runs a clientServer on in-memory connections until the test ends. Its event loop does not run, so
+// it forwards no request.
 func startInMemoryServer(t *testing.T) (*pipeListener, *clientServer) {
 	t.Helper()
-	names := oneClassSettings()
-	f := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), quiet()), names, 64, quiet())
+	settings := oneClassSettings()
+	s := newClientServer(newEventLoop(nil, nil, newCounters([]string{"order"}), quiet()), settings, 64, quiet())
 	l := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
-	srv := f.httpServer()
+	srv := s.httpServer()
 	ended := make(chan struct{})
 	go func() { srv.Serve(newLimitListener(l, 64)); close(ended) }()
 	t.Cleanup(func() { srv.Close(); <-ended })
-	return l, f
+	return l, s
 }
 
-// drip writes a text byte by byte, one at each interval.
-func drip(w io.Writer, text string, every time.Duration) {
+// writeSlowly writes a text byte by byte, and waits for the interval after each byte.
+func writeSlowly(w io.Writer, text string, every time.Duration) {
 	for i := range len(text) {
 		if _, err := io.WriteString(w, text[i:i+1]); err != nil {
 			return
@@ -79,37 +84,37 @@
 	}
 }
 
-// A client that sends no proper request, or nothing, gets an error or a close within 3 s of connecting, and leaks
-// nothing.
+// A client that sends a malformed or incomplete request, or no bytes at all, gets an error or a close within 3 s of
+// connecting. No goroutine is left behind.
 func TestMalformedClientsGetAnErrorInTime(t *testing.T) {
-	proper := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-	nameless := "POST /api/x HTTP/1.1\r\nHost: x\r\n"
-	all := func(text string) func(net.Conn) {
+	validHead := "POST /api/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
+	headWithoutID := "POST /api/x HTTP/1.1\r\nHost: x\r\n"
+	writeOnce := func(text string) func(net.Conn) {
 		return func(c net.Conn) { io.WriteString(c, text) }
 	}
 	for name, send := range map[string]func(net.Conn){
-		"nothing":     func(net.Conn) {},
-		"half a head": all("POST /api/x HTTP/1.1\r\nHost"),
-		"a slow head": func(c net.Conn) { drip(c, proper+"\r\n", 100*time.Millisecond) },
-		"no body":     all(proper + "Content-Length: 10\r\n\r\n"),
-		"half a body": all(proper + "Content-Length: 10\r\n\r\nhello"),
-		"a body after a slow one": func(c net.Conn) {
-			drip(c, proper, 20*time.Millisecond)
-			all("Content-Length: 9\r\n\r\n")(c)
+		"no bytes":        func(net.Conn) {},
+		"incomplete head": writeOnce("POST /api/x HTTP/1.1\r\nHost"),
+		"slow head":       func(c net.Conn) { writeSlowly(c, validHead+"\r\n", 100*time.Millisecond) },
+		"no body":         writeOnce(validHead + "Content-Length: 10\r\n\r\n"),
+		"incomplete body": writeOnce(validHead + "Content-Length: 10\r\n\r\nhello"),
+		"no body after a slow head": func(c net.Conn) {
+			writeSlowly(c, validHead, 20*time.Millisecond)
+			writeOnce("Content-Length: 9\r\n\r\n")(c)
 		},
-		"a slow body": func(c net.Conn) {
-			drip(c, proper+"Content-Length: 90\r\n\r\n"+strings.Repeat("x", 90), 20*time.Millisecond)
+		"slow body": func(c net.Conn) {
+			writeSlowly(c, validHead+"Content-Length: 90\r\n\r\n"+strings.Repeat("x", 90), 20*time.Millisecond)
 		},
-		"chunks without end":       all(proper + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"),
-		"bad head, no body":        all(nameless + "Content-Length: 10\r\n\r\n"),
-		"bad head, half a body":    all(nameless + "Content-Length: 10\r\n\r\nhello"),
-		"bad head, chunks":         all(nameless + "Transfer-Encoding: chunked\r\n\r\n"),
-		"both lengths, no body":    all(proper + "Content-Length: 10\r\nTransfer-Encoding: chunked\r\n\r\n"),
-		"health with a body":       all("GET /health/live HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
-		"much too long":            all(proper + "Content-Length: 64000000\r\n\r\n" + strings.Repeat("x", 8<<20)),
-		"expects a continue":       all(proper + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
-		"expects it, no id":        all(nameless + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
-		"the server's own options": all("OPTIONS * HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
+		"chunks without an end":       writeOnce(validHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"),
+		"no id, no body":              writeOnce(headWithoutID + "Content-Length: 10\r\n\r\n"),
+		"no id, incomplete body":      writeOnce(headWithoutID + "Content-Length: 10\r\n\r\nhello"),
+		"no id, chunks":               writeOnce(headWithoutID + "Transfer-Encoding: chunked\r\n\r\n"),
+		"length and chunks, no body":  writeOnce(validHead + "Content-Length: 10\r\nTransfer-Encoding: chunked\r\n\r\n"),
+		"health check with a body":    writeOnce("GET /health/live HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
+		"body beyond any limit":       writeOnce(validHead + "Content-Length: 64000000\r\n\r\n" + strings.Repeat("x", 8<<20)),
+		"expects 100-continue":        writeOnce(validHead + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
+		"expects 100-continue, no id": writeOnce(headWithoutID + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n"),
+		"OPTIONS *":                   writeOnce("OPTIONS * HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -118,14 +123,14 @@
 				c := l.dial()
 				sent := make(chan struct{})
 				go func() { send(c); close(sent) }()
-				// The first byte of a final response counts; the connection must end as well.
+				// The response must come in time, and the connection must be closed in time as well.
 				text, _ := io.ReadAll(c)
 				if d := time.Since(began); d >= 3*time.Second {
-					t.Errorf("the node closed only after %v", d)
+					t.Errorf("the node closed the connection only after %v", d)
 				}
-				answer := strings.TrimPrefix(string(text), "HTTP/1.1 100 Continue\r\n\r\n")
-				if strings.HasPrefix(answer, "HTTP/1.1 200") && name != "health with a body" {
-					t.Errorf("answered as if it had run: %.60q", answer)
+				response := strings.TrimPrefix(string(text), "HTTP/1.1 100 Continue\r\n\r\n")
+				if strings.HasPrefix(response, "HTTP/1.1 200") && name != "health check with a body" {
+					t.Errorf("got a response for a request that was served: %.60q", response)
 				}
 				c.Close()
 				<-sent
@@ -134,8 +139,8 @@
 	}
 }
 
-// A client may take its time between requests, and each request has its own timeout.
-func TestLaterRequestsHaveTheirOwnTime(t *testing.T) {
+// The read timeout applies to each request separately, and not to the time between two requests of a connection.
+func TestEachRequestHasItsOwnTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := startInMemoryListener(t)
 		c := l.dial()
@@ -145,27 +150,27 @@
 			b := make([]byte, 1<<10)
 			n, err := c.Read(b)
 			if err != nil || !strings.HasPrefix(string(b[:n]), "HTTP/1.1 200") {
-				t.Fatalf("answered %q, %v", b[:n], err)
+				t.Fatalf("got response %q, error %v", b[:n], err)
 			}
 			time.Sleep(2 * requestReadTimeout)
 		}
 	})
 }
 
-// "OPTIONS *" is rejected like any other malformed request; the library would answer it itself.
-func TestNoResponseIsTheLibrarysOwn(t *testing.T) {
+// "OPTIONS *" is rejected like any other malformed request. By default net/http would answer it with 200.
+func TestOptionsAsteriskIsRejected(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", answering(func(*http.Request) string { return ok200("") }))
-	status, _ := exchange(t, startOn(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
+	status, _ := exchangeRaw(t, startOn(t, b.Addr().String()), "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status < 400 {
-		t.Errorf("answered %d", status)
+		t.Errorf("got status %d, want at least 400", status)
 	}
 }
 
-// A rejected client has the complete response at once, also while the rest of its body has not come.
-func TestRejectionIsCompleteAtOnce(t *testing.T) {
+// A client whose request is rejected gets the complete response immediately, even if it has not sent its entire body.
+func TestRejectionIsCompleteImmediately(t *testing.T) {
 	for name, head := range map[string]string{
 		"too long": "X-Trace-Id: a\r\nX-Qos: order\r\nContent-Length: 64000000\r\n\r\n",
-		"nameless": "X-Qos: order\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
+		"no id":    "X-Qos: order\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,13 +183,13 @@
 					t.Fatal(err)
 				}
 				if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode/100 != 4 {
-					t.Errorf("%d, %v", resp.StatusCode, err)
+					t.Errorf("got status %d, error %v", resp.StatusCode, err)
 				}
 				if took := time.Since(began); took > 0 {
-					t.Errorf("whole after %v", took)
+					t.Errorf("the response was complete only after %v", took)
 				}
-				io.Copy(io.Discard, c)  // until the node has had enough of it
-				time.Sleep(time.Second) // the server waits for a while before it forgets the connection
+				io.Copy(io.Discard, c)  // until the node closes the connection
+				time.Sleep(time.Second) // the HTTP server waits for a while before its goroutine ends
 			})
 		})
 	}
--- a/internal/node/response_count_test.go
+++ b/internal/node/response_count_test.go
@@ -15,76 +15,82 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// lookingWriter is a client's response writer that reads the node's figures as the last byte is written.
-type lookingWriter struct {
-	header    http.Header
-	got, size int
-	look      func()
+// observingWriter is a client's response writer that calls a function when the last byte is written.
+type observingWriter struct {
+	header     http.Header
+	got, size  int
+	onLastByte func()
 }
 
-func (w *lookingWriter) Header() http.Header              { return w.header }
-func (w *lookingWriter) WriteHeader(int)                  {}
-func (w *lookingWriter) Flush()                           {}
-func (w *lookingWriter) SetWriteDeadline(time.Time) error { return nil }
-func (w *lookingWriter) SetReadDeadline(time.Time) error  { return nil }
-func (w *lookingWriter) Write(p []byte) (n int, err error) {
+func (w *observingWriter) Header() http.Header              { return w.header }
+func (w *observingWriter) WriteHeader(int)                  {}
+func (w *observingWriter) Flush()                           {}
+func (w *observingWriter) SetWriteDeadline(time.Time) error { return nil }
+func (w *observingWriter) SetReadDeadline(time.Time) error  { return nil }
+func (w *observingWriter) Write(p []byte) (n int, err error) {
 	if w.got += len(p); w.got >= w.size {
-		w.look()
+		w.onLastByte()
 	}
 	return len(p), nil
 }
 
-// A client that has read the last byte of a response finds it counted, and its request no longer pending.
+// When the last byte of a response is written, the response is already counted and its request is no longer pending.
 func TestResponsesAreCountedBeforeTheirLastByte(t *testing.T) {
-	body := noise(40 << 10)
+	body := incompressible(40 << 10)
 	streamOf := func(t *testing.T, src io.Reader, size int64) *responseStream {
-		here, there := net.Pipe()
-		t.Cleanup(func() { here.Close(); there.Close() })
-		return &responseStream{buffered: body[:1000], size: size, body: src, backend: &connpool.Conn{Conn: here}, release: func(bool) {}}
+		conn, backend := net.Pipe()
+		t.Cleanup(func() { conn.Close(); backend.Close() })
+		return &responseStream{
+			buffered: body[:1000],
+			size:     size,
+			body:     src,
+			backend:  &connpool.Conn{Conn: conn},
+			release:  func(bool) {},
+		}
 	}
 	complete := finalResponse{kind: responseServed, body: body}
 	rest := func() io.Reader { return bytes.NewReader(body[1000:]) }
 	for name, tc := range map[string]struct {
-		answer func(t *testing.T) finalResponse
-		upload bool
-		broken bool // what comes of it is not whole
+		response func(t *testing.T) finalResponse
+		upload   bool // the body of the request is streamed
+		broken   bool // the response breaks off before its last byte
 	}{
-		"in memory":       {answer: func(*testing.T) finalResponse { return complete }},
-		"after an upload": {upload: true, answer: func(*testing.T) finalResponse { return complete }},
-		"streamed": {answer: func(t *testing.T) finalResponse {
+		"in memory":       {response: func(*testing.T) finalResponse { return complete }},
+		"after an upload": {upload: true, response: func(*testing.T) finalResponse { return complete }},
+		"streamed": {response: func(t *testing.T) finalResponse {
 			return finalResponse{kind: responseServed, stream: streamOf(t, rest(), int64(len(body)))}
 		}},
-		"streamed in bits": {answer: func(t *testing.T) finalResponse {
+		"streamed in pieces": {response: func(t *testing.T) finalResponse {
 			return finalResponse{kind: responseServed, stream: streamOf(t, iotest.HalfReader(rest()), int64(len(body)))}
 		}},
-		"broken off": {broken: true, answer: func(t *testing.T) finalResponse {
+		"broken off": {broken: true, response: func(t *testing.T) finalResponse {
 			cut := io.MultiReader(bytes.NewReader(body[1000:5000]), iotest.ErrReader(errors.New("reset")))
 			return finalResponse{kind: responseServed, stream: streamOf(t, cut, int64(len(body)))}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			loop := newEventLoop(nil, nil, newCounters([]string{"order"}), quiet())
-			f := newClientServer(loop, siteconfig.Settings{}, 64, quiet())
+			s := newClientServer(loop, siteconfig.Settings{}, 64, quiet())
 			r := &request{response: make(chan finalResponse, 1)}
 			if tc.upload {
 				r.forwarded.upload = &requestStream{source: bytes.NewReader(nil), err: io.EOF}
 			}
-			r.response <- tc.answer(t)
-			ends, looked := &f.counters.outcomes[0], false
-			w := &lookingWriter{header: http.Header{}, size: len(body)}
-			w.look = func() {
-				looked = true
-				if n, p := ends.completed.Load(), f.counters.pendingRequests.Load(); n != 1 || p != 0 {
-					t.Errorf("completed %d, pending %d with the last byte, want 1 and 0", n, p)
+			r.response <- tc.response(t)
+			outcomes, lastByteWritten := &s.counters.outcomes[0], false
+			w := &observingWriter{header: http.Header{}, size: len(body)}
+			w.onLastByte = func() {
+				lastByteWritten = true
+				if n, p := outcomes.completed.Load(), s.counters.pendingRequests.Load(); n != 1 || p != 0 {
+					t.Errorf("completed %d, pending %d at the last byte, want 1 and 0", n, p)
 				}
 			}
 			func() {
-				defer func() { _ = recover() }() // a broken answer aborts its handler
-				f.dispatch(w, httptest.NewRequest(http.MethodGet, "/x", nil), r)
+				defer func() { _ = recover() }() // dispatch panics after a broken response
+				s.dispatch(w, httptest.NewRequest(http.MethodGet, "/x", nil), r)
 			}()
-			completed, failed := ends.completed.Load(), ends.failed.Load()
-			if looked == tc.broken || completed+failed != 1 || (failed == 1) != tc.broken {
-				t.Errorf("last byte seen %v, completed %d, failed %d", looked, completed, failed)
+			completed, failed := outcomes.completed.Load(), outcomes.failed.Load()
+			if lastByteWritten == tc.broken || completed+failed != 1 || (failed == 1) != tc.broken {
+				t.Errorf("last byte written %v, completed %d, failed %d", lastByteWritten, completed, failed)
 			}
 		})
 	}
