--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		if len(p) == 1 { // the server's buffer holds one byte; most clients never send more than that
+		if len(p) == 1 { // the HTTP server's buffer of one byte suffices for most clients, which send nothing here
 			p = make([]byte, 1<<10)
 		}
 	}
@@ -190,9 +190,9 @@
 }
 
 const (
-	// peerClosedTries is how often peerClosed looks at the socket at most.
+	// peerClosedTries is how often peerClosed checks the socket at most.
 	peerClosedTries = 8
-	// peerClosedPause is the time between two looks.
+	// peerClosedPause is the time between two checks.
 	peerClosedPause = 250 * time.Microsecond
 )
 
@@ -211,8 +211,8 @@
 	return false
 }
 
-// lastActivity returns when the client last sent bytes. If sent is false it has not sent any, and the time is that of
-// its connecting.
+// lastActivity returns when the client last sent bytes. If it has not sent any, sent is false and at is the time when
+// it connected.
 func (c *clientConn) lastActivity() (at time.Time, sent bool) {
 	if last := c.lastByteAt.Load(); !last.IsZero() {
 		return last.Time(), true
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -116,7 +116,7 @@
 	// for it without a limit.
 	http.NewResponseController(w).SetReadDeadline(head.Start.Add(requestReadTimeout))
 	if head.Fault != nil {
-		s.warnings.Warn("malformed request framing", "fault", head.Fault, "from", hr.RemoteAddr)
+		s.warnings.Warn("request with malformed framing rejected", "fault", head.Fault, "from", hr.RemoteAddr)
 		// This closes the connection, since the start of the next request is unknown.
 		rejectWithText(w, hr, http.StatusBadRequest, head.Fault.Error())
 		return
@@ -187,7 +187,7 @@
 		return
 	}
 	if r.forwarded.upload != nil {
-		// The response may precede the end of the body. No other request can follow on the connection in that case.
+		// If the response precedes the end of the body, no other request can follow on the connection.
 		closeAfterResponse(w)
 		http.NewResponseController(w).EnableFullDuplex()
 	}
@@ -244,7 +244,7 @@
 		http.NewResponseController(w).Flush()
 	}
 	if err != nil {
-		s.warnings.Warn("response aborted", "error", err)
+		s.warnings.Warn("response not passed on completely, closing the client's connection", "error", err)
 		abortResponse(w, hr.ProtoAtLeast(1, 1) || response.stream.size >= 0)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -120,7 +120,7 @@
 // checkAddress checks the address that is the value of a key.
 func checkAddress(key, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return fmt.Errorf("%s: %q is not an IP address with a port (host:port)", key, address)
+		return fmt.Errorf("%s: %q is invalid, it must be an IP address with a port", key, address)
 	}
 	return nil
 }
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// slowHeadFactor divides the wait for a client that has sent a part of its first head, when clients are compared for
-// eviction. Such a client may take this many times as long as a client that has sent nothing, since it wants a
-// response.
+// slowHeadFactor is the factor by which the node waits longer for a client that has sent a part of its first head than
+// for a client that has sent nothing, before it evicts the client. Although such a client is slow, it wants a response.
 const slowHeadFactor = 4
 
 // evictionQuarters is the share of the connection limit, in quarters, above which slow clients are evicted. The last
--- a/internal/node/streamed_request.go
+++ b/internal/node/streamed_request.go
@@ -40,9 +40,9 @@
 	return result
 }
 
-// copyUpload sends the body to the backend and reports the result on uploaded. After a write error the connection stays
-// open, because a response that the backend sent before the error can still be read. After a write timeout, or if the
-// client's body cannot be read, the connection is closed.
+// copyUpload sends the body to the backend and reports the result on uploaded. If the client's body cannot be read, or
+// a write times out, copyUpload closes the connection. After any other write error the connection stays open, because a
+// response that the backend sent before the error can still be read.
 func (e *upstreamExchange) copyUpload(uploaded chan<- uploadResult) {
 	writeFailed, err := e.request.upload.copyTo(e.conn)
 	uploaded <- uploadResult{writeFailed: writeFailed, complete: err == nil}
