--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -150,7 +150,7 @@
 	}
 	switch {
 	case len(c.Registry) == 0:
-		return errors.New("fleet.registry: the list is empty, it must name at least one replica")
+		return errors.New("fleet.registry: no replica is named, the list must have at least one")
 	case c.IntervalMs < minFleetIntervalMs || c.IntervalMs > maxFleetIntervalMs:
 		return fmt.Errorf("fleet.interval_ms: %d is out of range, it must be %d to %d, or 0 for the default of %d",
 			c.IntervalMs, minFleetIntervalMs, maxFleetIntervalMs, defaultFleetIntervalMs)
