--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -40,7 +40,7 @@
 // adminPost sends a POST to the admin address and returns the status.
 func adminPost(t *testing.T, n *testNode, path string) int {
 	t.Helper()
-	resp, _ := roundTrip(t, adminCall(t, n, "POST", path))
+	resp, _ := roundTrip(t, adminRequest(t, n, "POST", path))
 	return resp.StatusCode
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,23 +13,23 @@
 // had a request are closed when no request was in flight for drainIdleTime, or when requests are no longer admitted.
 // Incomplete requests are rejected when the last responses are due. drain returns early when ctx ends, or when no
 // request is in flight and only connections are left that their clients do not close.
-func (f *clientServer) drain(ctx context.Context) {
-	for idle := time.Duration(0); f.conns.open() > 0 && ctx.Err() == nil; idle += shutdownPollInterval {
-		f.conns.closeIdle(0, closedDraining)
-		if f.handedOver.Load() || f.conns.busy() > 0 {
+func (s *clientServer) drain(ctx context.Context) {
+	for idle := time.Duration(0); s.conns.open() > 0 && ctx.Err() == nil; idle += shutdownPollInterval {
+		s.conns.closeIdle(0, closedDraining)
+		if s.handedOver.Load() || s.conns.busy() > 0 {
 			// After a hand-over no client connects to this process, but connected clients may still send a request.
 			idle = 0
 		}
-		if idle >= drainIdleTime || !f.shutdown.admits() {
-			f.conns.closeWaiting()
-			if f.conns.busy() == 0 {
+		if idle >= drainIdleTime || !s.shutdown.admits() {
+			s.conns.closeWithoutRequest()
+			if s.conns.busy() == 0 {
 				return
 			}
 		}
-		if f.shutdown.responsesDue() {
-			f.conns.rejectIncomplete()
+		if s.shutdown.responsesDue() {
+			s.conns.rejectIncomplete()
 		}
-		if f.shutdown.exitDue() && f.inFlight.Load() == 0 {
+		if s.shutdown.exitDue() && s.inFlight.Load() == 0 {
 			return
 		}
 		pause(ctx, shutdownPollInterval)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -30,7 +30,7 @@
 
 // isHealthy reports whether the health check on the admin address succeeds.
 func isHealthy(t *testing.T, n *testNode) bool {
-	resp, _ := roundTrip(t, adminCall(t, n, "GET", "/admin/health"))
+	resp, _ := roundTrip(t, adminRequest(t, n, "GET", "/admin/health"))
 	return resp.StatusCode == http.StatusOK
 }
 
