--- a/cmd/hitchvale/lab.go
+++ b/cmd/hitchvale/lab.go
@@ -152,7 +152,8 @@
 	return c
 }
 
-// labShimCmd returns the command that runs a program of the lab with system call faults.
+// labShimCmd returns the command that runs a program of the lab with system call faults. Its process is the tracer of
+// package sysfault.
 func labShimCmd() *cobra.Command {
 	var planText string
 	var seed uint64
--- a/cmd/hitchvale/lease.go
+++ b/cmd/hitchvale/lease.go
@@ -25,7 +25,7 @@
 	c.PersistentFlags().StringSliceVar(&replicas, "registry", nil, "HTTP addresses of the registry's replicas")
 	newClient := func() (*lease.Client, error) {
 		if len(replicas) == 0 {
-			return nil, usageError(errors.New("--registry: no replica named"))
+			return nil, usageError(errors.New("--registry must name at least one replica"))
 		}
 		return &lease.Client{Replicas: replicas}, nil
 	}
@@ -94,7 +94,7 @@
 		Short: "Print all leases that are held, as JSON",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var lastErr error = usageError(errors.New("--registry: no replica named"))
+			var lastErr error = usageError(errors.New("--registry must name at least one replica"))
 			for _, addr := range *replicas {
 				leases, err := fetchLeases(addr)
 				if err == nil {
--- a/cmd/hitchvale/main.go
+++ b/cmd/hitchvale/main.go
@@ -39,10 +39,11 @@
 func (e exitError) Error() string { return e.err.Error() }
 func (e exitError) Unwrap() error { return e.err }
 
+// usageError and failedError add an exit code to an error.
 func usageError(err error) error  { return exitError{exitUsage, err} }
 func failedError(err error) error { return exitError{exitFailed, err} }
 
-// logFlushTimeout is how long the process waits at its end until the rest of its log is written.
+// logFlushTimeout limits how long the process waits, before it exits, for the rest of its log to be written.
 const logFlushTimeout = 500 * time.Millisecond
 
 func main() {
--- a/cmd/hitchvale/registry.go
+++ b/cmd/hitchvale/registry.go
@@ -50,12 +50,12 @@
 func serveReplica(ctx context.Context, config registry.Config, log *slog.Logger) error {
 	raftListener, err := listen(config.ListenRaft(), log)
 	if err != nil {
-		return fmt.Errorf("raft: %w", err)
+		return fmt.Errorf("opening the raft address: %w", err)
 	}
 	httpListener, err := listen(config.HTTPAddr, log)
 	if err != nil {
 		raftListener.Close()
-		return fmt.Errorf("http: %w", err)
+		return fmt.Errorf("opening the HTTP address: %w", err)
 	}
 	replica, err := registry.Open(config, raftListener, log)
 	if err != nil {
--- a/internal/accept/open.go
+++ b/internal/accept/open.go
@@ -16,8 +16,7 @@
 
 // transientOpenErrors are the transient errors of socket(2), bind(2) and listen(2).
 var transientOpenErrors = []error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
-	syscall.ENOBUFS,
-	syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN}
 
 // IsTransientOpenError reports whether opening a socket failed for a temporary reason on this machine, such as a
 // shortage of descriptors or an address in use.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -36,9 +36,9 @@
 func Listen(address string, node Node, log *slog.Logger) (*Server, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("admin: %w", err)
+		return nil, fmt.Errorf("opening the admin address: %w", err)
 	}
-	listener := newBoundedListener(accept.NewListener(socket, accept.LogRetries(log, "second address")), MaxConns)
+	listener := newBoundedListener(accept.NewListener(socket, accept.LogRetries(log, "admin address")), MaxConns)
 	server := &http.Server{
 		Handler:                      newHandler(node, log),
 		ReadHeaderTimeout:            readTimeout,
@@ -61,7 +61,7 @@
 	stop := context.AfterFunc(ctx, func() { s.http.Close() })
 	defer stop()
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("admin: %w", err)
+		return fmt.Errorf("serving the admin address: %w", err)
 	}
 	return nil
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 // waitTimeout bounds each wait for an expected event.
 const waitTimeout = 20 * time.Second
 
-// fakeNode is a Node with fixed answers.
+// fakeNode is a Node with fixed answers. It knows the backend s-known, and s-stuck, whose cordons fail.
 type fakeNode struct{ ready bool }
 
 func (f *fakeNode) Ready() bool { return f.ready }
@@ -124,7 +124,7 @@
 	go io.Copy(c, io.MultiReader(strings.NewReader("GET /admin/health?"), endless{}))
 	text, err := io.ReadAll(c)
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() || strings.HasPrefix(string(text), "HTTP/1.1 200") {
-		t.Errorf("%.40q, %v", text, err)
+		t.Errorf("got %.40q, error %v; want an error status or a closed connection", text, err)
 	}
 }
 
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// changeTimeout is how long a cordon or an uncordon may take to be in effect. A success after this time counts as too
+// changeTimeout is how long a cordon or an uncordon may take until it is in effect. A success after this time is too
 // late.
 const changeTimeout = 900 * time.Millisecond
 
@@ -87,7 +87,7 @@
 		case errors.Is(err, ErrUnknownBackend):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
-			h.log.Error("cordon call failed", "backend", id, "cordoned", cordoned, "error", err)
+			h.log.Error("cordon or uncordon failed; answering status 503", "backend", id, "cordoned", cordoned, "error", err)
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		default:
 			io.WriteString(w, "ok\n")
--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -41,7 +41,7 @@
 }
 
 // Close writes the queued lines and returns after timeout at the latest. A write that is still blocked then is
-// abandoned. Close must be called once. Lines that are written after it may be lost.
+// abandoned. Close must be called once. Lines that are written after Close may be lost.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.closing)
 	select {
--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -48,7 +48,7 @@
 		return nil
 	})
 	if err != nil || files == 0 {
-		t.Fatalf("%d files, %v", files, err)
+		t.Fatalf("%d files checked, error %v", files, err)
 	}
 }
 
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -23,7 +23,7 @@
 	// server closes an idle connection at that timeout at the latest. If a request is sent while the server closes
 	// the connection, the pool's user can't tell whether the request has run.
 	maxIdlePercent = 70
-	// sweepsPerMaxIdle is how often the pool closes expired connections during the maximum idle time.
+	// sweepsPerMaxIdle is how many times the pool closes expired connections within the maximum idle time.
 	sweepsPerMaxIdle = 8
 	// QuarantineTime is how long a connection stays unused between two requests during a quarantine period. Without
 	// the pause, a surplus response that arrives late would be read as the response to the next request. The pause
@@ -35,7 +35,7 @@
 )
 
 // ErrExhausted is returned by Acquire if the connection limit is reached and no connection is idle.
-var ErrExhausted = errors.New("connection limit reached")
+var ErrExhausted = errors.New("the pool's connection limit is reached and no connection is idle")
 
 // CloseReason is the reason why the pool closed a connection.
 type CloseReason uint8
@@ -211,9 +211,9 @@
 	return 0
 }
 
-// takeIdle closes the expired connections to a server and removes an idle connection from the pool. It returns the most
-// recently used connection whose quarantine has ended, or else the connection whose quarantine ends first. It returns
-// nil if no connection is idle.
+// takeIdle closes the expired connections to a server, and removes and returns one of the other idle connections. It
+// chooses the most recently used connection whose quarantine has ended. If there is none, it chooses the connection
+// whose quarantine ends first. It returns nil if no connection is idle.
 func (p *Pool) takeIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -28,8 +28,8 @@
 	return Server{Addr: l.Addr().String()}
 }
 
-// newTestPool returns a pool whose connections always count as open and without unread bytes. It also returns the
-// number of closed connections by reason.
+// newTestPool returns a pool whose connections always count as open and without unread bytes. It also returns a map in
+// which the pool counts the connections that it closes, by reason.
 func newTestPool(maxOpen int) (*Pool, map[CloseReason]int) {
 	closed := map[CloseReason]int{}
 	return New(Config{
@@ -39,6 +39,7 @@
 	}), closed
 }
 
+// acquire returns a connection from the pool, and fails the test on an error.
 func acquire(t *testing.T, p *Pool, server Server) *Conn {
 	t.Helper()
 	c, err := p.Acquire(context.Background(), server)
@@ -48,8 +49,8 @@
 	return c
 }
 
-// A connection that has been idle for maxIdle is closed and not reused. Its server may close it at the same time, and
-// then it is unknown whether a request on it has run.
+// A connection that has been idle for maxIdle is closed and not reused. Its server may be about to close it, and the
+// pool's user could then not tell whether a request on it has run.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	server := listen(t)
 	p, closed := newTestPool(16)
@@ -89,8 +90,8 @@
 	}
 }
 
-// At the connection limit, Acquire closes the connection that has been idle longest, to whichever server it is open. If
-// no connection is idle, Acquire returns ErrExhausted.
+// At the connection limit, Acquire closes the connection that has been idle longest among the connections to all
+// servers. If no connection is idle, Acquire returns ErrExhausted.
 func TestLimitClosesTheLongestIdleConnection(t *testing.T) {
 	a, b := listen(t), listen(t)
 	p, _ := newTestPool(2)
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -12,8 +12,8 @@
 )
 
 // backoff computes the delay after a failed call. A round is one failure at each replica. The delay doubles from
-// minBackoff to maxBackoff with each round. Within a round the next replica is tried after minBackoff: with the longer
-// delay, each replica that is down would delay the news of a change by that much.
+// minBackoff to maxBackoff with each round. Within a round the next replica is called after minBackoff. If the
+// doubled delay applied there too, each replica that is down would delay the news of a change by the doubled delay.
 type backoff struct {
 	replicas int           // 0 if discovery is not replicated
 	failures int           // since the last success
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,7 +10,7 @@
 )
 
 // All nodes share one discovery service, which serves one call after the other. It also serves queued calls that were
-// abandoned, so a repeated call waits until the abandoned one has been served. The timeouts of calls therefore include
+// abandoned, so a repeated call waits until the abandoned call has been served. The timeouts of calls therefore include
 // time in the queue. Connecting does not wait in the queue.
 const (
 	dialTimeout = time.Second
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,7 +13,7 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// Config configures a Client. Run's goroutine calls OnList and OnFailure, one at a time.
+// Config configures a Client. OnList and OnFailure are called by Run's goroutine, one at a time.
 type Config struct {
 	Address     string   // host and port of discovery, or of the first replica to call
 	Replicas    []string // all replicas of a replicated registry, in failover order; nil if discovery is not replicated
@@ -102,7 +102,7 @@
 		if ctx.Err() != nil || err == nil {
 			continue
 		}
-		warnings.Warn("discovery call failed", "error", err)
+		warnings.Warn("discovery call failed; calling again later", "error", err)
 		c.takeRequests() // requests made during the failed call count as failed too
 		c.onFailure()
 		c.useNextReplica()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -25,12 +25,12 @@
 	l := receive(t, "the complete list", lists)
 	if !l.Complete || l.Revision != 41 || len(l.Members) != 1 || l.Members[0].Zone != 0 ||
 		l.Members[0].StartedAt != 1700000000000*time.Millisecond {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v, want the complete list of revision 41", l)
 	}
 	server.Changes <- discoverytest.FormatList(43, false, member("draining"))
 	l = awaitList(t, "the change", lists, func(l List) bool { return len(l.Members) > 0 })
 	if l.Complete || l.Members[0].Phase != balance.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v, want a change to draining", l)
 	}
 	resumed := func(query string) bool { return strings.HasPrefix(query, "after=43&wait_ms=") }
 	eventually(t, "a watch from the revision of the change", func() bool {
@@ -38,7 +38,7 @@
 	})
 }
 
-// A list may contain any white space between JSON tokens.
+// ParseList accepts white space between JSON tokens.
 func TestParseIndentedList(t *testing.T) {
 	started := member("ready")
 	started.UpSinceMillis = 5
@@ -50,7 +50,7 @@
 	l, err := ParseList(indented.Bytes(), testConfig(t, "").Settings)
 	if err != nil || l.Revision != 41 || !l.Complete || len(l.Members) != 1 ||
 		l.Members[0].StartedAt != 5*time.Millisecond {
-		t.Fatalf("%v: %+v", err, l)
+		t.Fatalf("got %+v, error %v", l, err)
 	}
 }
 
@@ -72,7 +72,7 @@
 			server.Changes <- text
 			l := awaitList(t, "the complete list again", lists, func(l List) bool { return l.Complete })
 			if failures.Load() == 0 || l.Revision != 1 || len(l.Members) != 1 {
-				t.Errorf("%d failures, then %+v", failures.Load(), l)
+				t.Errorf("got %+v after %d failed calls, want revision 1 with 1 member after at least 1", l, failures.Load())
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 	})
 	lists, failures := startClient(t, addr, func(c *Client) { c.fullListTimeout = time.Second })
 	if l := receive(t, "the list", lists); l.Revision != 7 || failures.Load() != 3 {
-		t.Errorf("%d failures, then %+v", failures.Load(), l)
+		t.Errorf("got %+v after %d failed calls, want revision 7 after 3", l, failures.Load())
 	}
 }
 
@@ -132,20 +132,20 @@
 	lists, _ := startClient(t, server.Addr, func(c *Client) { c.requests = requests })
 	select {
 	case <-lists:
-		t.Fatal("called without a request")
+		t.Fatal("the client made a call without a request")
 	case <-time.After(50 * time.Millisecond):
 	}
 	requests <- balance.FetchEndpoints
 	receive(t, "the list", lists)
 	if calls := server.Queries(); len(calls) != 1 || calls[0] != "" {
-		t.Fatalf("calls %q", calls)
+		t.Fatalf("the client made calls with the queries %q, want one call for the complete list", calls)
 	}
 	requests <- balance.WatchEndpoints
 	eventually(t, "a watch", func() bool { return len(server.Queries()) > 2 })
 }
 
 // When the address of discovery changes, the client reads the complete list at the new address immediately, even if a
-// call is open at the old address. It then watches at the new address and makes no more calls to the old one.
+// call is open at the old address. It then watches at the new address and makes no more calls to the old address.
 func TestAddressChangeDuringCall(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		before := discoverytest.NewServer(t, discoverytest.FormatList(90, true, member("ready")))
@@ -164,7 +164,7 @@
 		c.SetAddress(after.Addr)
 		l := awaitList(t, "the list at the new address", lists, func(l List) bool { return l.Complete })
 		if l.Revision != 3 || l.Members[0].Address != "127.0.0.1:2" {
-			t.Errorf("got %+v", l)
+			t.Errorf("got %+v, want revision 3 with the member's new address", l)
 		}
 		calls := len(before.Queries())
 		movedMember.Phase = "draining"
@@ -207,7 +207,7 @@
 	lagging.Changes <- discoverytest.FormatList(44, false, member("draining"))
 	lists, failures := startClient(t, first.Addr, func(c *Client) { c.replicas = []string{first.Addr, lagging.Addr} })
 	if l := receive(t, "the complete list", lists); l.Revision != 41 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v, want revision 41", l)
 	}
 	first.Server.Close()
 	l := awaitList(t, "the change at the other replica", lists, func(l List) bool {
@@ -217,7 +217,7 @@
 		return len(l.Members) > 0
 	})
 	if l.Revision != 44 || l.Members[0].Phase != balance.Draining {
-		t.Fatalf("%+v", l)
+		t.Fatalf("got %+v, want the change to draining of revision 44", l)
 	}
 	if failures.Load() < 2 {
 		t.Fatalf("%d failed calls, want one at the closed replica and one for the lagging answer", failures.Load())
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -44,13 +44,13 @@
 	}
 }
 
-// watchQuery returns the query of a call that discovery answers at the latest after wait.
+// watchQuery returns the query of a call that discovery answers after a change, or without a change after wait.
 func (c *Client) watchQuery(wait time.Duration) string {
 	return fmt.Sprintf("?after=%d&wait_ms=%d", c.position.revision, wait.Milliseconds())
 }
 
-// readList reads the list at a URL. With several replicas no call is hedged: a replica that does not answer in time is
-// given up for the next replica.
+// readList reads the list at a URL. With several replicas no call is hedged. If a replica does not answer in time, the
+// call fails and Run continues with the next replica.
 func (c *Client) readList(ctx context.Context, url string, r listRead) (List, error) {
 	if len(c.replicas) > 1 {
 		return c.get(ctx, url+r.query, r.timeout)
@@ -59,7 +59,7 @@
 }
 
 // hedgedGet makes a call, and a hedged call in addition if the first has no answer after hedgeDelay. It returns the
-// first list. It returns an error if no other call is open or the error wraps ErrMalformed.
+// first list. It returns the error of a failed call only if no other call is open or if the error wraps ErrMalformed.
 func (c *Client) hedgedGet(ctx context.Context, url string, r listRead) (List, error) {
 	type result struct {
 		list List
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -16,8 +16,8 @@
 	"hitchvale/internal/discovery/discoverytest"
 )
 
-// scriptedTransport is a transport to a discovery whose answers a function computes from the number and the query of
-// each call. If the text is "", the call has no answer.
+// scriptedTransport is an http.RoundTripper that stands for discovery. The function answer computes each answer from
+// the number of the call, counted from 0, and its query. If the text is "", the call has no answer.
 type scriptedTransport struct {
 	mu      sync.Mutex
 	queries []string
@@ -41,9 +41,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// A node must know of a change 6 s after a watch stopped answering, or 2 s after the end of the watch's wait if that is
-// later. The client must pass the drain of this test to the caller by then, both where lists are pushed and where they
-// are polled. A watch whose answer is less than hedgeSlack late is not hedged.
+// A node must know of a change at most 6 s after the start of a watch that is not answered, or 2 s after the end of the
+// watch's wait if that is later. The client must pass the drain in this test to the caller by then, both where lists are
+// pushed and where they are polled. A watch whose answer is less than hedgeSlack late is not hedged.
 func TestUnansweredWatchIsHedged(t *testing.T) {
 	const drained = `{"revision":9,"complete":false,"members":
 		[{"id":"s","host_port":"127.0.0.1:1","phase":"draining"}]}`
@@ -127,7 +127,7 @@
 		_, err := c.hedgedGet(t.Context(), "http://127.0.0.1:1/", c.watchRead())
 		want := c.watchWait + hedgeSlack + responseSlack
 		if spent := time.Since(start); !errors.Is(err, context.DeadlineExceeded) || spent != want {
-			t.Errorf("%v after %v", err, spent)
+			t.Errorf("error %v after %v, want %v after %v", err, spent, context.DeadlineExceeded, want)
 		}
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,7 +16,7 @@
 // List is an endpoint list, or a set of changes to one.
 type List struct {
 	Revision int64
-	Complete bool // whether Members holds all endpoints; otherwise it holds those that changed
+	Complete bool // whether Members holds all endpoints; otherwise it holds the changed endpoints
 	Members  []Member
 }
 
@@ -92,11 +92,11 @@
 	_, addressErr := netip.ParseAddrPort(m.HostPort)
 	switch {
 	case phase < 0:
-		return balance.Endpoint{}, fmt.Errorf("phase %q is unknown", m.Phase)
+		return balance.Endpoint{}, fmt.Errorf("phase %q is not one of ready, draining and gone", m.Phase)
 	case addressErr != nil && balance.Phase(phase) != balance.Removed:
 		return balance.Endpoint{}, fmt.Errorf("host_port %q is not an IP address and a port", m.HostPort)
 	case m.UpSinceMillis < 0 || m.UpSinceMillis > math.MaxInt64/int64(time.Millisecond):
-		return balance.Endpoint{}, fmt.Errorf("up_since_ms %d is out of range", m.UpSinceMillis)
+		return balance.Endpoint{}, fmt.Errorf("up_since_ms %d is negative or too large", m.UpSinceMillis)
 	}
 	weight := 1.0
 	if m.Size != nil {
--- a/internal/discovery/requests.go
+++ b/internal/discovery/requests.go
@@ -6,11 +6,11 @@
 	"hitchvale/balance"
 )
 
-// maxQueuedRequests is how many requests may wait for Run. More than one request waits only during a call, and the
-// result of the call answers all of them.
+// maxQueuedRequests is how many requests may wait until Run takes them. More than one request waits only while a call
+// is in progress, and the result of that call answers all waiting requests.
 const maxQueuedRequests = 16
 
-// polls reports whether lists are polled, so that calls are made only on request.
+// polls reports whether lists are polled. If they are, calls are made only on request.
 func (c *Client) polls() bool { return c.requests != nil }
 
 // Request asks for a call, or for the end of a watch. The kind is WatchEndpoints, UnwatchEndpoints or FetchEndpoints.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// A node must know of a change 6 s after discovery has the change and can be reached, even if calls fail or hang in the
-// meantime. A watch without an answer is therefore hedged (hedge.go) after its wait plus hedgeSlack, which is 3 s
-// where lists are pushed and 4 s where they are polled. With several replicas calls are not hedged. Instead the next
-// replica is called after the wait plus responseSlack, which is 4.5 s or 5.5 s.
+// A node must know of a change at most 6 s after discovery has the change and can be reached, even if calls fail or
+// hang in the meantime. A watch without an answer is therefore hedged (hedge.go) after its wait plus hedgeSlack, which
+// is 3 s where lists are pushed and 4 s where they are polled. With several replicas calls are not hedged. Instead the
+// next replica is called after the wait plus responseSlack, which is 4.5 s or 5.5 s.
 const (
 	// pushWatchWait is how long discovery may hold a watch open where lists are pushed.
 	pushWatchWait = 2 * time.Second
 	// pollWatchWait is how long discovery may hold a watch open where lists are polled. It is longer than pushWatchWait
 	// because each call costs discovery work.
 	pollWatchWait = 3 * time.Second
-	// maxWatchGap is how long a watch may have no open call without the risk of a missed change. Discovery ends a watch
-	// that has no open call for 200 ms.
+	// maxWatchGap is the longest time between two calls of a watch without the risk of a missed change. Discovery ends a
+	// watch that has no open call for 200 ms.
 	maxWatchGap = 150 * time.Millisecond
 )
 
 var (
-	errIncomplete   = errors.New("discovery answered a call for the complete list with changes")
+	errIncomplete   = errors.New("discovery answered a call for the complete list with a list of changes")
 	errStaleReplica = errors.New("the replica's list is older than the list held")
 )
 
@@ -97,8 +97,8 @@
 	c.position.url = url
 }
 
-// advance moves the position to the revision of a list that was received. If the revision went back, changes may have
-// been missed, so the next call reads the complete list.
+// advance moves the position to the revision of a list that was received. If changes have a lower
+// revision than the list held, other changes may have been missed, so the next call reads the complete list.
 func (p *position) advance(list List) {
 	p.resumable = list.Complete || list.Revision >= p.revision
 	p.revision = list.Revision
--- a/internal/httpframing/httpframing.go
+++ b/internal/httpframing/httpframing.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Errors of a head for which HTTP parsers differ about the end of the request.
+// A head with one of these errors must be rejected, because HTTP parsers disagree about where its request ends.
 var (
 	ErrLengthAndEncoding = errors.New("the request has both Content-Length and Transfer-Encoding")
-	ErrEncodingInHTTP10  = errors.New("the HTTP/1.0 request has Transfer-Encoding")
-	ErrContentLength     = errors.New("Content-Length is not a single number")
-	ErrFoldedLine        = errors.New("a header line is folded")
+	ErrEncodingInHTTP10  = errors.New("the HTTP/1.0 request has Transfer-Encoding, which HTTP/1.0 does not define")
+	ErrContentLength     = errors.New("Content-Length is given more than once, or its value is not a valid length")
+	ErrFoldedLine        = errors.New("a header line is folded: it starts with white space to continue the previous line")
 )
 
 // Head holds the fields of a request head that determine the end of the request.
@@ -43,7 +43,7 @@
 }
 
 // NewParser returns the parser of a connection that was opened at the given time. The parser splits lines of more than
-// maxLine bytes. The reader of the head must therefore reject a head with much shorter lines than that as too long.
+// maxLine bytes, so maxLine must be much larger than the longest line that the reader of the head accepts.
 func NewParser(maxLine int, opened time.Time) *Parser {
 	return &Parser{maxLine: maxLine, head: Head{Start: opened}}
 }
@@ -93,7 +93,7 @@
 	return &head
 }
 
-// parseField parses one line after the request line.
+// parseField updates the head with one header line.
 func (h *Head) parseField(line string) {
 	if line[0] == ' ' || line[0] == '\t' {
 		h.Err = ErrFoldedLine
--- a/internal/lograte/lograte.go
+++ b/internal/lograte/lograte.go
@@ -18,7 +18,7 @@
 
 	mu         sync.Mutex
 	lastLogged time.Time
-	skipped    int // warnings since lastLogged
+	skipped    int // warnings skipped since lastLogged
 }
 
 // Warn logs a warning, or skips it if the last logged warning is less than minInterval old. The attribute "skipped" of
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -33,8 +33,8 @@
 // wallClockCalls are the methods that lose the monotonic reading of a time.
 var wallClockCalls = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Round": true, "Truncate": true}
 
-// wallClockPackages are not checked. They serve no requests: they run experiments, or only truncate durations.
-var wallClockPackages = map[string]bool{"lab": true, "monotime": true, "sysfault": true, "timeline": true}
+// uncheckedPackages are not checked. They serve no requests: they run experiments, or only truncate durations.
+var uncheckedPackages = map[string]bool{"lab": true, "monotime": true, "sysfault": true, "timeline": true}
 
 // The packages that serve requests must not store a time as a number of the wall clock, because a step of the wall
 // clock would then change the durations computed from it.
@@ -47,7 +47,7 @@
 		switch {
 		case err != nil:
 			return err
-		case wallClockPackages[folder] || wallClockFiles[name]:
+		case uncheckedPackages[folder] || wallClockFiles[name]:
 			return nil
 		case strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go"):
 			checked[folder] = true
--- a/internal/sysfault/filter_linux_amd64.go
+++ b/internal/sysfault/filter_linux_amd64.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The traced program stops only at the system calls that its plan may change. To this end the child process sets a
+// The traced program stops only at the system calls that its plan may change. For this purpose the child process sets a
 // seccomp filter on itself before it executes the program. The filter reports these calls to the tracer and allows all
 // others. It forbids no call.
 
@@ -49,7 +49,7 @@
 	condition *argumentCondition // nil: the program stops at every call with this number
 }
 
-// tracedCalls returns the system calls that a plan may change, and those that the tracer needs to observe.
+// tracedCalls returns the system calls that a plan may change and the system calls that the tracer needs to observe.
 func (p Plan) tracedCalls() []tracedCall {
 	var calls []tracedCall
 	seen := map[Kind]bool{}
@@ -137,7 +137,8 @@
 	return append(code, returnAction(unix.SECCOMP_RET_ALLOW))
 }
 
-// instructions returns the end of a filter that traces a call for which the condition holds, and allows it otherwise.
+// instructions returns instructions that trace a call if the condition holds and allow it otherwise. They end the
+// filter.
 func (c *argumentCondition) instructions() []unix.SockFilter {
 	code := []unix.SockFilter{loadWord(c.offset), maskWord(c.mask)}
 	for i, value := range c.values {
@@ -161,7 +162,7 @@
 }
 
 // execProgram sets the filter of a plan and executes the program that the process's arguments name. It returns only if
-// that fails.
+// one of these steps fails.
 func execProgram(text string) error {
 	plan, err := ParsePlan(text)
 	if err != nil {
--- a/internal/sysfault/plan.go
+++ b/internal/sysfault/plan.go
@@ -1,6 +1,10 @@
 // Package sysfault injects faults into system calls: it runs a program and makes its system calls fail with errors that
 // Linux documents for them. It traces its own child with ptrace, which needs no privileges, and works with any program.
 // A plan says which calls fail, when and how often.
+//
+// The process that calls Run traces the program, so the code calls it the tracer. Names that are written out call it
+// the shim: the command "hitchvale lab shim", the environment variable HITCHVALE_SHIM_PLAN, the key "shimmed" of soak
+// scenarios and the prefix "shim:" of messages. They keep the word because scenario files and other processes use them.
 package sysfault
 
 import (
@@ -13,7 +17,7 @@
 // Kind is a kind of fault.
 type Kind string
 
-// Kinds of faults. Each kind but Clock hits a share of the calls, from the start of the fault to its end.
+// Kinds of faults. Each kind except Clock hits a share of the calls, from the start of the fault to its end.
 const (
 	// Accept makes accept fail with a transient error. The connection stays in the backlog.
 	Accept Kind = "accept"
@@ -23,8 +27,7 @@
 	Interrupt Kind = "interrupt"
 	// ShortTransfer makes reads and writes of sockets transfer fewer bytes than they could.
 	ShortTransfer Kind = "short"
-	// BrokenConnection makes reads fail, on connections that the program has dialed, with the errors of a broken
-	// network.
+	// BrokenConnection makes reads of connections that the program has dialed fail with the errors of a broken network.
 	BrokenConnection Kind = "break"
 	// Open makes the opening of files fail, mostly because no descriptor is left.
 	Open Kind = "open"
@@ -58,7 +61,7 @@
 		case Clock:
 		case Accept, Connect, Interrupt, ShortTransfer, BrokenConnection, Open, Disk:
 			if fault.Share <= 0 || fault.Share > 1 || fault.For <= 0 {
-				return nil, fmt.Errorf("plan: fault %d (%s): share %g must be above 0 and at most 1, and for %v above 0",
+				return nil, fmt.Errorf("plan: fault %d (%s): share %g must be above 0 and at most 1, and for=%v must be above 0",
 					i+1, fault.Kind, fault.Share, fault.For)
 			}
 		default:
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// TestMain runs the tests. The tests also start this executable as the shim, which calls Run, and as the traced
+// TestMain runs the tests. The tests also start this executable as the tracer, which calls Run, and as the traced
 // program.
 func TestMain(m *testing.M) {
 	ExecIfChild()
-	switch os.Getenv("SHIM_TEST") {
-	case "shim":
-		plan, err := ParsePlan(os.Getenv("SHIM_PLAN"))
+	switch os.Getenv("TRACER_TEST") {
+	case "tracer":
+		plan, err := ParsePlan(os.Getenv("TRACER_PLAN"))
 		if err == nil {
-			os.Setenv("SHIM_TEST", "program")
+			os.Setenv("TRACER_TEST", "program")
 			var code int
 			if code, err = Run(plan, 1, os.Args); err == nil {
 				os.Exit(code)
@@ -85,12 +85,12 @@
 func run(t *testing.T, plan Plan) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "SHIM_TEST=shim", "SHIM_PLAN="+plan.String())
+	cmd.Env = append(os.Environ(), "TRACER_TEST=tracer", "TRACER_PLAN="+plan.String())
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	err := cmd.Run()
 	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 7 {
-		t.Fatalf("ended with %v: %s", err, out.String())
+		t.Fatalf("the program ended with %v, want exit code 7: %s", err, out.String())
 	}
 	return out.String()
 }
@@ -124,14 +124,14 @@
 		{Kind: Open, From: from, For: duration, Share: 0.5}})
 	var dial, open int
 	if _, err := fmt.Sscanf(out, "dial %d open %d", &dial, &open); err != nil || dial == 0 || open == 0 {
-		t.Errorf("%s: dial %s, open %s: %v", out, strconv.Itoa(dial), strconv.Itoa(open), err)
+		t.Errorf("%s: %s failed dials, %s failed opens, want some of each: %v", out, strconv.Itoa(dial), strconv.Itoa(open), err)
 	}
 }
 
-// The program ends when its shim is killed.
-func TestProgramEndsWithItsShim(t *testing.T) {
+// The program ends when its tracer is killed.
+func TestProgramEndsWithItsTracer(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "SHIM_TEST=shim", "SHIM_PLAN=[]")
+	cmd.Env = append(os.Environ(), "TRACER_TEST=tracer", "TRACER_PLAN=[]")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -78,8 +78,8 @@
 
 // thread is a thread of the program.
 type thread struct {
-	stopsAtReturn bool      // whether it also stops when its current call returns
-	call          uint64    // number of the last call at which it stopped
+	stopsAtReturn bool      // whether the thread also stops when its current call returns
+	call          uint64    // number of the last call at which the thread stopped
 	args          [3]uint64 // first arguments of that call
 }
 
@@ -102,7 +102,7 @@
 	options := unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC |
 		unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_EXITKILL
 	if err := unix.PtraceSetOptions(t.pid, options); err != nil {
-		return fmt.Errorf("ptrace: %w", err)
+		return fmt.Errorf("setting the trace options of the program: %w", err)
 	}
 	t.threads[t.pid] = &thread{}
 	return unix.PtraceCont(t.pid, 0)
@@ -216,7 +216,7 @@
 	}
 }
 
-// drawError draws the error with which a call fails. It returns 0 if the call does not fail.
+// drawError decides at random whether a call fails, and returns its error. It returns 0 if the call does not fail.
 func (t *tracer) drawError(th *thread) unix.Errno {
 	switch th.call {
 	case unix.SYS_ACCEPT4, unix.SYS_ACCEPT:
@@ -241,8 +241,8 @@
 	return 0
 }
 
-// drawErrorOf draws whether a kind of fault hits a call now, and with which error. It returns 0 if the fault does not
-// hit the call.
+// drawErrorOf decides at random whether a kind of fault hits a call now, and returns one of errs. It returns 0 if the
+// fault does not hit the call.
 func (t *tracer) drawErrorOf(kind Kind, errs []unix.Errno) unix.Errno {
 	if !t.drawHit(kind) {
 		return 0
@@ -250,12 +250,12 @@
 	return errs[t.rng.IntN(len(errs))]
 }
 
-// drawShort draws whether a read or a write is shortened.
+// drawShort decides at random whether a read or a write is shortened.
 func (t *tracer) drawShort(th *thread) bool {
 	return th.args[2] >= minShortTransfer && t.drawHit(ShortTransfer) && t.isSocket(th.args[0])
 }
 
-// drawHit draws whether a kind of fault hits a call now.
+// drawHit decides at random whether a kind of fault hits a call now.
 func (t *tracer) drawHit(kind Kind) bool {
 	share := t.plan.shareAt(kind, time.Since(t.start))
 	return share > 0 && t.rng.Float64() < share
