--- a/cmd/hitchvale/errors_test.go
+++ b/cmd/hitchvale/errors_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	_ "hitchvale/internal/fleet" // this package and the next two imported without a name define kinds of errors
+	_ "hitchvale/internal/fleet" // fleet, maintenance and registry are imported because they define kinds of errors
 	_ "hitchvale/internal/maintenance"
 	"hitchvale/internal/operror"
 	_ "hitchvale/internal/registry"
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -40,8 +40,8 @@
 	os.Exit(m.Run())
 }
 
-// program is the traced program. It makes system calls for 1.5 s and prints which of them failed, the step of its wall
-// clock and the length of a response that it read.
+// program is the traced program. It dials and opens files for 1.5 s and prints how many dials and opens failed, the
+// step of its wall clock and the length of a response that it read.
 func program() {
 	failures := map[string]int{}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sysfault/tracer_linux_amd64.go
+++ b/internal/sysfault/tracer_linux_amd64.go
@@ -32,6 +32,7 @@
 	minShortTransfer = 32
 )
 
+// Errors with which the traced system calls fail.
 var (
 	acceptErrors = []unix.Errno{unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO,
 		unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
