--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -51,7 +51,7 @@
 	process  string
 	retry    *backoff.ExponentialBackOff
 
-	// Used by the goroutine of Run alone.
+	// The next three fields are used only by the goroutine of Run.
 	incarnation     uint64 // of the open session; 0 if there is none
 	lastIncarnation uint64 // the highest incarnation that this process had
 	sequence        uint64 // of the last report
@@ -144,7 +144,7 @@
 }
 
 // acceptView stores a view if it is newer than the stored view, and reports whether it is. An older view arrives if the
-// answer of a former leader is late.
+// response of a former leader is late.
 func (a *Agent) acceptView(v View) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	if status.Session != nil && status.Session.Process == a.process { // the answer to OpenSession was lost
+	if status.Session != nil && status.Session.Process == a.process { // the response to OpenSession was lost
 		a.incarnation = status.Session.Incarnation
 		a.lastIncarnation = status.Session.Incarnation
 		return nil
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -9,9 +9,9 @@
 )
 
 // After its session expired, a process learns that its name has had a later session. If the later session was its own,
-// and only the answer to OpenSession was lost, the process opens a new session. If another process had the later
+// and only the response to OpenSession was lost, the process opens a new session. If another process had the later
 // session, the process is superseded.
-func TestOwnSessionWithLostAnswerDoesNotSupersede(t *testing.T) {
+func TestOwnSessionWithLostResponseDoesNotSupersede(t *testing.T) {
 	for _, lastProcess := range []string{"p", "q"} {
 		synctest.Test(t, func(t *testing.T) {
 			m := newRegistryModel(1)
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// maxResponseBytes bounds the body of an answer.
+	// maxResponseBytes is the maximum number of bytes of a response's body that are read.
 	maxResponseBytes = 8 << 20
 
-	// callTimeout bounds a call, in addition to the time that the registry may hold it.
+	// callTimeout is the timeout of a call, in addition to the time for which the registry may hold the call.
 	callTimeout = 2 * time.Second
 )
 
@@ -33,12 +33,12 @@
 	// CloseSession closes a node's session if it has the given incarnation.
 	CloseSession(ctx context.Context, node string, incarnation uint64) error
 	// SendReport sends a report and waits for a view other than the view that the report echoes. It returns false if
-	// there is none within the given time.
+	// there is no other view within the given time.
 	SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error)
 }
 
 // Client calls the registry over HTTP. It uses one replica at a time, and changes to the next replica if a call gets no
-// usable answer or status 503. Its errors are those of this package. It is safe for concurrent use.
+// usable response or gets status 503. Its errors are those of this package. It is safe for concurrent use.
 type Client struct {
 	Replicas []string // HTTP addresses, at least one
 	HTTP     *http.Client
@@ -81,7 +81,7 @@
 }
 
 // Call makes a call to another part of the registry. It sends body as JSON, or no body if body is nil, and decodes a
-// 2xx answer into out unless out is nil.
+// 2xx response into out unless out is nil.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
 	_, err := c.call(ctx, method, path, body, out, 0)
 	return err
@@ -100,7 +100,7 @@
 	c.mu.Unlock()
 }
 
-// call makes one call, which the registry may hold for up to wait, and returns the status of the answer.
+// call makes one call, which the registry may hold for up to wait, and returns the status of the response.
 func (c *Client) call(ctx context.Context, method, path string, body, out any, wait time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -129,7 +129,7 @@
 	return status, nil
 }
 
-// newRequest returns a request with a JSON body, or without one if body is nil.
+// newRequest returns a request with a JSON body, or without a body if body is nil.
 func newRequest(ctx context.Context, method, host, path string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
@@ -142,7 +142,7 @@
 	return http.NewRequestWithContext(ctx, method, "http://"+host+path, reader)
 }
 
-// exchange sends a request and reads the answer.
+// exchange sends a request and reads the response.
 func (c *Client) exchange(req *http.Request) (status int, body []byte, err error) {
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
@@ -153,22 +153,22 @@
 	return resp.StatusCode, body, err
 }
 
-// decodeError returns the error of an answer whose status is not 2xx: the error of this package that has the answer's
-// code, or ErrRegistryUnreachable if none has it.
+// decodeError returns the error for a response whose status is not 2xx: the error of this package that has the code in
+// the response, or ErrRegistryUnreachable if no error of this package has this code.
 func decodeError(host string, status int, text []byte) error {
-	var answer struct {
+	var response struct {
 		Code  string `json:"code"`
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(text, &answer) != nil || answer.Code == "" {
-		return ErrRegistryUnreachable.Of(host, fmt.Errorf("status %d", status))
+	if json.Unmarshal(text, &response) != nil || response.Code == "" {
+		return ErrRegistryUnreachable.Of(host, fmt.Errorf("status %d without an error code", status))
 	}
 	for _, e := range []*operror.Error{
 		ErrMalformed, ErrSuperseded, ErrSessionNotFound, ErrStaleReport, ErrViewNotReady,
 	} {
-		if e.Code == answer.Code {
-			return e.Of(host, errors.New(answer.Error))
+		if e.Code == response.Code {
+			return e.Of(host, errors.New(response.Error))
 		}
 	}
-	return ErrRegistryUnreachable.Of(host, fmt.Errorf("%s: %s", answer.Code, answer.Error))
+	return ErrRegistryUnreachable.Of(host, fmt.Errorf("%s: %s", response.Code, response.Error))
 }
--- a/internal/fleet/collector.go
+++ b/internal/fleet/collector.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// tenantsPerNode bounds each list of a node's tenants in a view.
+	// tenantsPerNode is the maximum length of each list of a node's tenants in a view.
 	tenantsPerNode = 4
 
 	// maxFreshAgeIntervals is the greatest age of a fresh report, in intervals between views.
@@ -24,7 +24,7 @@
 type latestReport struct {
 	Report
 	echoedViewAt time.Duration // when the view that the report echoes was published
-	ageKnown     bool          // false if the collector does not have echoedViewAt
+	ageKnown     bool          // false if the collector does not know echoedViewAt
 }
 
 // Collector collects the nodes' reports on the leader, for one raft term, and compiles views from them. It reads no
@@ -143,7 +143,8 @@
 }
 
 // mergeEndpoint merges the loads of an endpoint that several nodes report. The loads must be in the order of the nodes'
-// names, so that sums are the same bit for bit. The medians limit the influence of a single faulty node.
+// names, so that the sums are the same bit for bit, in whatever order the reports have arrived. The medians limit the
+// influence of a single faulty node.
 func mergeEndpoint(id string, loads []EndpointLoad) EndpointView {
 	view := EndpointView{ID: id, ReportingNodes: len(loads)}
 	var estimates []float64
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -18,7 +18,7 @@
 )
 
 // The model runs a fleet in one process on virtual time. Agents, sessions and the collector are the real ones. The
-// registry between them is modelled: calls and answers are lost or delayed, and the leader changes. Processes stall,
+// registry between them is modelled: calls and responses are lost or delayed, and the leader changes. Processes stall,
 // crash and start again. Every choice is drawn from a seed.
 
 const modelInterval = time.Second
@@ -32,13 +32,13 @@
 	sessions      *SessionStore
 	revision      int64
 	term          uint64
-	collector     *Collector // nil without a leader
+	collector     *Collector // nil while there is no leader
 	view          View
 	changed       chan struct{} // closed when view changes
 	lastHeartbeat map[string]time.Time
-	noFaults      bool // faults no longer lose or delay calls
+	noFaults      bool // no further call or response is lost or delayed by more than 20 ms
 
-	sentAt   map[string]time.Time   // when a report was made, by reportKey
+	sentAt   map[string]time.Time   // when each report was made, by reportKey
 	views    map[ViewVersion]string // every view published, as text
 	timeline []string
 	// trustArrival is a planted fault: a report counts as made when it arrives.
@@ -135,22 +135,23 @@
 	calls        *sync.WaitGroup
 }
 
-// drawLink draws the delays of a call and of its answer, and whether each of them is lost.
-func (m *registryModel) drawLink() (callDelay, answerDelay time.Duration, callLost, answerLost bool) {
+// drawLink draws the delays of a call and of its response, and whether the call or the response is lost.
+func (m *registryModel) drawLink() (callDelay, responseDelay time.Duration, callLost, responseLost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	callDelay = time.Duration(1+m.rng.IntN(20)) * time.Millisecond
-	answerDelay = time.Duration(1+m.rng.IntN(20)) * time.Millisecond
+	responseDelay = time.Duration(1+m.rng.IntN(20)) * time.Millisecond
 	if m.noFaults {
-		return callDelay, answerDelay, false, false
+		return callDelay, responseDelay, false, false
 	}
 	if m.rng.IntN(8) == 0 {
 		callDelay += time.Duration(m.rng.IntN(9000)) * time.Millisecond
 	}
-	return callDelay, answerDelay, m.rng.IntN(20) == 0, m.rng.IntN(20) == 0
+	return callDelay, responseDelay, m.rng.IntN(20) == 0, m.rng.IntN(20) == 0
 }
 
-// callOverLink makes a call over the link. A call that was sent reaches the registry even if the caller has given up.
+// callOverLink makes a call over the link. A call that is not lost reaches the registry even if the caller has given
+// up.
 func callOverLink[T any](l *link, ctx context.Context, limit time.Duration, call func() (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -161,21 +162,21 @@
 	stall := time.Until(l.stalledUntil)
 	l.mu.Unlock()
 	sleep(l.processEnded, stall)
-	callDelay, answerDelay, callLost, answerLost := l.drawLink()
-	answered := make(chan result, 1)
+	callDelay, responseDelay, callLost, responseLost := l.drawLink()
+	responded := make(chan result, 1)
 	l.calls.Go(func() {
 		if time.Sleep(callDelay); callLost {
 			return
 		}
 		value, err := call()
-		if time.Sleep(answerDelay); !answerLost {
-			answered <- result{value, err}
+		if time.Sleep(responseDelay); !responseLost {
+			responded <- result{value, err}
 		}
 	})
 	timer := time.NewTimer(limit + callTimeout)
 	defer timer.Stop()
 	select {
-	case r := <-answered:
+	case r := <-responded:
 		return r.value, r.err
 	case <-timer.C:
 		return zero, ErrRegistryUnreachable.Of("model", context.DeadlineExceeded)
@@ -221,18 +222,18 @@
 }
 
 func (l *link) SendReport(ctx context.Context, r ReportRequest, wait time.Duration) (View, bool, error) {
-	type answer struct {
+	type response struct {
 		view View
 		ok   bool
 	}
 	l.mu.Lock()
 	l.sentAt[reportKey(r.Node, r.Incarnation, r.Sequence)] = time.Now()
 	l.mu.Unlock()
-	got, err := callOverLink(l, ctx, wait, func() (answer, error) {
+	got, err := callOverLink(l, ctx, wait, func() (response, error) {
 		l.mu.Lock()
 		if l.collector == nil {
 			l.mu.Unlock()
-			return answer{}, ErrViewNotReady.Of("model", nil)
+			return response{}, ErrViewNotReady.Of("model", nil)
 		}
 		if l.trustArrival {
 			r.LastView = ViewVersion{l.collector.term, l.collector.epoch}
@@ -243,7 +244,7 @@
 		}
 		l.mu.Unlock()
 		if err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -252,12 +253,12 @@
 			view, changed := l.view, l.changed
 			l.mu.Unlock()
 			if view.Epoch != 0 && view.ViewVersion != r.LastView {
-				return answer{view, true}, nil
+				return response{view, true}, nil
 			}
 			select {
 			case <-changed:
 			case <-timer.C:
-				return answer{}, nil
+				return response{}, nil
 			}
 		}
 	})
@@ -273,7 +274,7 @@
 }
 
 // playModel plays the schedule of a seed with a number of nodes. It returns the violated invariants and the timeline.
-// If planted, reports count as made when they arrive.
+// If planted is true, the registry has the planted fault trustArrival.
 func playModel(t *testing.T, seed uint64, nodes int, planted bool) (violations, timeline []string) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newRegistryModel(seed)
@@ -435,7 +436,7 @@
 	}
 }
 
-// The model detects a registry that derives a report's age from its arrival.
+// The model detects a registry that derives a report's age from the time of the report's arrival.
 func TestPlantedArrivalAgeIsDetected(t *testing.T) {
 	for seed := range uint64(50) {
 		if violations, _ := playModel(t, seed, 3, true); len(violations) > 0 {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// MaxReportBytes bounds a report's JSON. An endpoint with the longest ID takes up to 200 bytes, so that 1,024 endpoints
-// and the tenants fit.
+// MaxReportBytes is the maximum size of a report's JSON. An endpoint with the longest ID takes up to 200 bytes, so that
+// 1,024 endpoints and the tenants fit.
 const MaxReportBytes = 256 << 10
 
 // trimDivisor determines how much one step of trimming removes: one in trimDivisor entries of a list.
@@ -20,7 +20,7 @@
 type EndpointLoad struct {
 	ID            string  `json:"id"`
 	QueueEstimate float64 `json:"estimate"`    // number of requests of all nodes
-	Outstanding   float64 `json:"outstanding"` // number of this node's attempts
+	Outstanding   float64 `json:"outstanding"` // number of this node's attempts in flight
 	FailureRate   float64 `json:"failures"`    // fraction of attempts, 0 to 1
 }
 
@@ -50,8 +50,8 @@
 }
 
 // ReportRequest is the body of a call that sends a report. LastView is the last view that the node received before it
-// made the report. The report is therefore younger than the publication of LastView, and the leader's clock alone
-// bounds its age.
+// made the report, so that the report was made after the leader published LastView. The leader knows this time on its
+// own clock, and uses the time since then as an upper bound of the report's age. No other clock is involved.
 type ReportRequest struct {
 	Report
 	LastView ViewVersion `json:"echo"`
@@ -63,7 +63,7 @@
 	for _, value := range []float64{m.Connections, m.Descriptors, m.DescriptorLimit, m.CPUFraction, m.InFlight,
 		m.RejectedPerSecond, m.FailedPerSecond} {
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return ErrMalformed.Of(r.Node, errors.New("figures must be finite numbers of at least 0"))
+			return ErrMalformed.Of(r.Node, errors.New("a value in figures is not a finite number of 0 or more"))
 		}
 	}
 	switch {
@@ -72,7 +72,7 @@
 	case r.Incarnation == 0:
 		return ErrMalformed.Of(r.Node, errors.New("incarnation must be above 0"))
 	case r.Omitted < 0:
-		return ErrMalformed.Of(r.Node, errors.New("cut must not be negative"))
+		return ErrMalformed.Of(r.Node, errors.New("cut is negative; it must be 0 or more"))
 	}
 	return nil
 }
@@ -93,7 +93,8 @@
 		case len(text) <= MaxReportBytes:
 			return r, nil
 		case !r.trimLongestList():
-			return Report{}, ErrMalformed.Of(r.Node, fmt.Errorf("JSON longer than %d bytes with empty lists", MaxReportBytes))
+			return Report{}, ErrMalformed.Of(r.Node,
+				fmt.Errorf("the JSON is longer than %d bytes even with empty lists", MaxReportBytes))
 		}
 	}
 }
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -32,11 +32,11 @@
 	case len(s.Site) > maxKeyBytes || len(s.Process) > maxKeyBytes:
 		return ErrMalformed.Of(s.Node, fmt.Errorf("site and process must have at most %d bytes", maxKeyBytes))
 	case s.Process == "":
-		return ErrMalformed.Of(s.Node, errors.New("process must not be empty"))
+		return ErrMalformed.Of(s.Node, errors.New("process is missing"))
 	case s.Incarnation == 0:
 		return ErrMalformed.Of(s.Node, errors.New("incarnation must be above 0"))
 	case err != nil:
-		return ErrMalformed.Of(s.Node, fmt.Errorf("address %q must be an IP address with a port", s.Address))
+		return ErrMalformed.Of(s.Node, fmt.Errorf("address %q is not an IP address with a port", s.Address))
 	case s.TTLms <= 0:
 		return ErrMalformed.Of(s.Node, errors.New("ttl_ms must be above 0"))
 	}
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -22,16 +22,16 @@
 		unchanged bool
 	}{
 		"the next process": {cmd: SessionCommand{"session-open", session("n", "p3", 3)}},
-		"the present process again": {
+		"the current process again": {
 			cmd: SessionCommand{"session-open", session("n", "p2", 2)}, unchanged: true,
 		},
 		"a late call of an older process": {
 			cmd: SessionCommand{"session-open", session("n", "p1", 1)}, want: ErrSuperseded,
 		},
-		"another process with the present incarnation": {
+		"another process with the current incarnation": {
 			cmd: SessionCommand{"session-open", session("n", "p9", 2)}, want: ErrSuperseded,
 		},
-		"the present process with the next incarnation": {
+		"the current process with the next incarnation": {
 			cmd: SessionCommand{"session-open", session("n", "p2", 3)}, want: ErrSuperseded,
 		},
 		"an incarnation two or more above the last": {
@@ -43,7 +43,7 @@
 		"an older process closes": {
 			cmd: SessionCommand{"session-close", session("n", "p1", 1)}, want: ErrSuperseded,
 		},
-		"the present process closes": {cmd: SessionCommand{"session-close", session("n", "p2", 2)}},
+		"the current process closes": {cmd: SessionCommand{"session-close", session("n", "p2", 2)}},
 		"expiry under a name without a session": {
 			cmd: SessionCommand{"session-expire", session("m", "p1", 1)}, want: ErrSessionNotFound,
 		},
@@ -61,7 +61,7 @@
 				t.Fatalf("%v, unchanged %v; want %v, %v", err, outcome.Unchanged, tc.want, tc.unchanged)
 			}
 			if open, ok := s.Open["n"]; err != nil && (!ok || open.Process != "p2" || s.LastIncarnation["n"] != 2) {
-				t.Errorf("a refused command changed the sessions: %+v", s)
+				t.Errorf("a rejected command changed the sessions: %+v", s)
 			}
 			text, _ := s.Encode()
 			if restored := NewSessionStore(); restored.Decode(text, 3) != nil ||
@@ -73,7 +73,7 @@
 }
 
 // Under random commands, each incarnation is given to one session only, the incarnations rise, and only the last
-// incarnation can hold the name.
+// incarnation can have an open session.
 func TestIncarnationsRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, given := NewSessionStore(), map[uint64]string{}
@@ -96,7 +96,8 @@
 			}
 			for incarnation := range uint64(10) {
 				if s.VerifyIncarnation("n", incarnation) == nil && incarnation != s.LastIncarnation["n"] {
-					t.Fatalf("incarnation %d holds the name, and the last incarnation is %d", incarnation, s.LastIncarnation["n"])
+					t.Fatalf("incarnation %d has an open session, and the last incarnation is %d",
+						incarnation, s.LastIncarnation["n"])
 				}
 			}
 		}
--- a/internal/fleet/sessionstore.go
+++ b/internal/fleet/sessionstore.go
@@ -15,8 +15,9 @@
 	// LastIncarnation maps each name to the highest incarnation that it ever had. Entries are kept, so that an older
 	// process stays superseded after the session of the newer process has ended.
 	LastIncarnation map[string]uint64 `json:"last"`
-	// LastProcess maps each name to the process that had LastIncarnation. A process that did not receive the answer to
-	// its opening of a session recognizes by it that the session was its own, even if the session has ended since.
+	// LastProcess maps each name to the process that had LastIncarnation. If a process did not receive the response to
+	// its call that opened a session, LastProcess shows it that the session was its own, even if the session has ended
+	// since.
 	LastProcess map[string]string `json:"by"`
 }
 
@@ -60,13 +61,13 @@
 		return statemachine.Outcome{}, err
 	}
 	node := session.Node
-	present, open := s.Open[node]
-	if open && session.Process == present.Process {
-		if session.Incarnation != present.Incarnation {
+	current, open := s.Open[node]
+	if open && session.Process == current.Process {
+		if session.Incarnation != current.Incarnation {
 			return statemachine.Outcome{}, ErrSuperseded.Of(node,
-				fmt.Errorf("the process has an open session with incarnation %d", present.Incarnation))
+				fmt.Errorf("the process has an open session with incarnation %d", current.Incarnation))
 		}
-		return statemachine.Outcome{Unchanged: true, Value: present}, nil
+		return statemachine.Outcome{Unchanged: true, Value: current}, nil
 	}
 	last := s.LastIncarnation[node]
 	if session.Incarnation <= last {
--- a/internal/fleet/sketch.go
+++ b/internal/fleet/sketch.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxKeyBytes bounds the length of a key. A sketch cuts longer keys to this length.
+// maxKeyBytes is the maximum length of a key. A sketch cuts longer keys to this length.
 const maxKeyBytes = 64
 
 // WeightedKey is a key of a sketch. Its true weight is at most Weight and at least Weight less MaxError.
@@ -17,11 +17,11 @@
 
 // Sketch finds the keys of the greatest weight in a stream, with a fixed number of counters (Space-Saving: Metwally,
 // Agrawal and El Abbadi, "Efficient computation of frequent and top-k elements in data streams", 2005). The weights are
-// exact as long as there are no more keys than counters. With more keys, the sketch has every key whose weight is above
-// Total divided by the number of counters. It is not safe for concurrent use.
+// exact as long as there are no more keys than counters. With more keys, the sketch contains every key whose weight is
+// above Total divided by the number of counters. It is not safe for concurrent use.
 type Sketch struct {
 	capacity int            // number of counters
-	heap     []WeightedKey  // binary heap by compareWeights, the least key first
+	heap     []WeightedKey  // binary heap ordered by compareWeights, the key of the least weight first
 	position map[string]int // index in heap, by key
 	total    float64
 }
@@ -65,8 +65,9 @@
 	s.siftUp(i)
 }
 
-// replaceLeast gives the counter of the least key to a new key. The weight of the old key bounds the weight that the
-// new key may already have had, and so is the new key's MaxError.
+// replaceLeast gives the counter of the key of the least weight to a new key. The new key may already have had a weight
+// before it was dropped from the sketch, but at most the weight of the old key. The weight of the old key is therefore
+// the MaxError of the new key.
 func (s *Sketch) replaceLeast(key string, weight float64) {
 	least := s.heap[0]
 	delete(s.position, least.Key)
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// A sketch of a random stream is compared with exact counts. A key's weight is not too low, and too high by at most
-// MaxError. Every key whose weight is above the total divided by the number of counters is there. There are no more
-// counters than configured. With no more keys than counters, the weights are exact.
+// A sketch of a random stream is compared with exact counts. The weight of a key in the sketch is at least its exact
+// weight, and exceeds it by at most MaxError. The sketch contains every key whose weight is above the total divided by
+// the number of counters. There are no more counters than configured. With no more keys than counters, the weights are
+// exact.
 func TestSketchKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 12).Draw(t, "size")
@@ -67,8 +68,8 @@
 	}
 }
 
-// A trimmed report omits the least loaded endpoints and counts the omitted entries. The report that it is made from
-// does not change.
+// A trimmed report omits the least loaded endpoints and counts the omitted entries. The original report does not
+// change.
 func TestReportsAreTrimmed(t *testing.T) {
 	r := Report{Node: "n1", Incarnation: 1}
 	for i := range 20000 {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -17,7 +17,7 @@
 	Node        string      `json:"node"`
 	Site        string      `json:"site"`
 	Incarnation uint64      `json:"incarnation"`
-	AgeMs       int64       `json:"age_ms"` // upper bound of the report's age; -1 if not known, or without a report
+	AgeMs       int64       `json:"age_ms"` // upper bound of the report's age; -1 without a report or if not known
 	Fresh       bool        `json:"fresh"`  // the report's age is known and at most maxFreshAgeIntervals
 	Draining    bool        `json:"draining,omitempty"`
 	Omitted     int         `json:"cut,omitempty"`
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -23,7 +23,7 @@
 
 // The age of a report is the age of the view that it echoes, whenever the report arrives. A report that was delayed, or
 // that echoes no view of this term, is not fresh. A report that is not newer than the last report, or is of a process
-// without a session, is refused.
+// without a session, is rejected.
 func TestReportAgeComesFromEchoedView(t *testing.T) {
 	const interval = time.Second
 	s := openSessions(t, 2)
@@ -40,7 +40,7 @@
 	for name, tc := range map[string]struct {
 		r     ReportRequest
 		err   error
-		age   int64 // in ms, at 5 intervals
+		age   int64 // expected age in ms, 5 intervals after the start
 		fresh bool
 	}{
 		"echoes the last view":           {r: report(1, 1, ViewVersion{7, 5}), age: 1000, fresh: true},
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -15,7 +15,7 @@
 	// defaultCallTimeout is the timeout of a call to one replica if Client.HTTP is not set.
 	defaultCallTimeout = 2 * time.Second
 
-	// maxResponseBytes is the number of bytes of a response's body that are read.
+	// maxResponseBytes is the maximum number of bytes of a response's body that are read.
 	maxResponseBytes = 64 << 10
 )
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -155,7 +155,8 @@
 }
 
 // ExistingLease returns a Lease for a grant that the caller knows by its holder and token. The caller may only release
-// the lease, such as an operator who ends the lease of another process. The lease is not renewed, and Lost is nil.
+// the lease. For example, an operator uses it to end the lease of another process. The lease is not renewed, and Lost
+// is nil.
 func (c *Client) ExistingLease(name, holder string, token uint64) *Lease {
 	stopped := make(chan struct{})
 	close(stopped)
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -2,7 +2,9 @@
 
 import "hitchvale/internal/statemachine"
 
-// The operations on the plan. The values are stored in the log. Beside each are the fields of Command that it uses.
+// The operations on the plan. The values are stored in the log. The comment next to each operation lists the fields of
+// Command that the operation uses. Only operators are meant to send OpFreeOverdue, but the plan accepts it from any
+// caller.
 const (
 	OpAddRequest      statemachine.Operation = "rota-request"  // Request
 	OpWithdrawRequest statemachine.Operation = "rota-withdraw" // Request.ID
@@ -10,7 +12,7 @@
 	OpAdvanceTurn     statemachine.Operation = "rota-step"     // Machine, Revision, Target
 	OpConfirmDrained  statemachine.Operation = "rota-confirm"  // Machine, Node, Incarnation, ListRevision
 	OpMarkOverdue     statemachine.Operation = "rota-overdue"  // Machine, Revision
-	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision; for operators, which is not enforced
+	OpFreeOverdue     statemachine.Operation = "rota-free"     // Machine, Revision
 )
 
 // Command is a write to the plan.
--- a/internal/maintenance/confirmation.go
+++ b/internal/maintenance/confirmation.go
@@ -16,7 +16,7 @@
 	}
 	if t.State != Draining || c.ListRevision < t.DrainingRevision {
 		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
-			fmt.Errorf("state %s, draining revision %d, list revision of the node %d",
+			fmt.Errorf("the turn has state %s and draining revision %d; the node has list revision %d",
 				t.State, t.DrainingRevision, c.ListRevision))
 	}
 	if t.ConfirmedBy[c.Node] == c.Incarnation {
@@ -29,16 +29,16 @@
 	return statemachine.Outcome{}, nil
 }
 
-// checkConfirmed fails with ErrUnconfirmed unless the present process of every live node has confirmed.
+// checkConfirmed fails with ErrUnconfirmed unless the current process of every live node has confirmed.
 func (p *Plan) checkConfirmed(t *Turn) error {
 	missing := p.unconfirmedNodes(t)
 	if len(missing) > 0 && plantedFault != faultNoConfirmation {
-		return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("nodes %v", missing))
+		return ErrUnconfirmed.Of(t.Machine, fmt.Errorf("no confirmation from nodes %v", missing))
 	}
 	return nil
 }
 
-// unconfirmedNodes returns the live nodes whose present process has not confirmed.
+// unconfirmedNodes returns the live nodes whose current process has not confirmed.
 func (p *Plan) unconfirmedNodes(t *Turn) []string {
 	var missing []string
 	for _, node := range p.sessions.LiveNodes() {
--- a/internal/maintenance/disruption.go
+++ b/internal/maintenance/disruption.go
@@ -13,7 +13,8 @@
 	number int
 }
 
-// disruption is the set of machines that are out of service at the same time, which are those that occupy a slot.
+// disruption is the set of machines that are out of service at the same time, which are the machines that occupy a
+// slot.
 type disruption struct {
 	machines map[string]bool
 	perSite  map[string]int
@@ -81,12 +82,13 @@
 	for _, id := range slices.Sorted(maps.Keys(d.requests)) {
 		request := p.Requests[id]
 		if d.exceeds(request.Budget) {
-			return ErrOverBudget.Of(t.Machine, fmt.Errorf("budget of request %s", id))
+			return ErrOverBudget.Of(t.Machine, fmt.Errorf("this is the budget of request %s", id))
 		}
 		for _, site := range slices.Sorted(maps.Keys(request.CapacityFloor)) {
 			if floor := request.CapacityFloor[site]; ready[site] < floor {
 				return ErrUnderFloor.Of(t.Machine,
-					fmt.Errorf("site %s would have %g ready, and its floor in request %s is %g", site, ready[site], id, floor))
+					fmt.Errorf("site %s would have a ready capacity of %g, and its floor in request %s is %g",
+						site, ready[site], id, floor))
 			}
 		}
 	}
--- a/internal/maintenance/errors.go
+++ b/internal/maintenance/errors.go
@@ -10,7 +10,7 @@
 // operators.
 var (
 	ErrMalformed = operror.Define("rota.malformed", http.StatusBadRequest,
-		"the request is not well formed", "correct the field that the error names")
+		"the request is malformed", "correct the field that the error names")
 	ErrNotFound = operror.Define("rota.unknown", http.StatusNotFound,
 		"no such machine or request",
 		"GET /registry/rota lists the requests and the turns, GET /registry/instances the machines")
--- a/internal/maintenance/invariants_test.go
+++ b/internal/maintenance/invariants_test.go
@@ -20,8 +20,8 @@
 	Returning: Done,
 }
 
-// playRandomCommands applies random commands, valid and invalid ones, and describes the first violated invariant. It
-// returns "" if there is none.
+// playRandomCommands applies random commands, valid and invalid. It returns a description of the first violated
+// invariant, or "" if there is none.
 func playRandomCommands(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	f := newPlanFixture(t)
@@ -84,7 +84,7 @@
 }
 
 // applyAndCheck applies a command and checks its result against the invariants, which it computes independently of the
-// plan. It describes the first violation and returns "" if there is none.
+// plan. It returns a description of the first violation, or "" if there is none.
 func (f *planFixture) applyAndCheck(c Command) string {
 	before := map[string]Turn{}
 	for id, t := range f.plan.Turns {
@@ -115,8 +115,8 @@
 	return ""
 }
 
-// checkLimits describes a scope with more machines out than a budget that applies, or a site with less ready capacity
-// than a floor that applies. It returns "" if there is none.
+// checkLimits checks the budgets and floors that apply. It returns a description of a scope with more machines out than
+// a budget allows, or of a site with less ready capacity than its floor, or "" if there is neither.
 func (f *planFixture) checkLimits() string {
 	count, ready := map[string]int{}, map[string]float64{}
 	for _, m := range f.inventory.machines {
@@ -151,7 +151,8 @@
 	return ""
 }
 
-// checkSnapshot checks that a snapshot restores the plan. It describes the failure and returns "" if there is none.
+// checkSnapshot checks that a snapshot restores the plan. It returns a description of the failure, or "" if there is
+// none.
 func (f *planFixture) checkSnapshot() string {
 	text, err := f.plan.Encode()
 	if err != nil {
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -26,12 +26,12 @@
 )
 
 // settleOrder replaces the order of the waiting machines by an order of their scores on a newer view. It fails with
-// ErrTurnChanged if the view is not newer than the view that the present order was settled on.
+// ErrTurnChanged if the view is not newer than the view that the current order was settled on.
 func (p *Plan) settleOrder(c *Command) (statemachine.Outcome, error) {
 	settled := p.SettledView
 	if c.View.Term < settled.Term || c.View.Term == settled.Term && c.View.Epoch <= settled.Epoch {
 		return statemachine.Outcome{}, ErrTurnChanged.Of("order",
-			fmt.Errorf("the order was settled on view %d.%d", settled.Term, settled.Epoch))
+			fmt.Errorf("the current order was settled on view %d.%d, which is not older", settled.Term, settled.Epoch))
 	}
 	scores := p.scoreWaiting(c.Costs)
 	p.SettledView = c.View
@@ -90,14 +90,14 @@
 func (p *Plan) checkGrant(t *Turn) error {
 	index := slices.Index(p.Order, t.Machine)
 	if index < 0 {
-		return ErrOutOfOrder.Of(t.Machine, errors.New("it is not in the order yet"))
+		return ErrOutOfOrder.Of(t.Machine, errors.New("the machine is not in the settled order yet"))
 	}
 	if err := p.checkDisruption(t); err != nil {
 		return err
 	}
 	for _, id := range p.Order[:index] {
 		if p.checkDisruption(p.Turns[id]) == nil {
-			return ErrOutOfOrder.Of(t.Machine, fmt.Errorf("%s precedes it", id))
+			return ErrOutOfOrder.Of(t.Machine, fmt.Errorf("%s comes before it in the order and fits", id))
 		}
 	}
 	return nil
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,6 +1,6 @@
 // Package maintenance takes machines out of service for maintenance, each in a turn. The nodes read the plan of all
 // turns from the registry and propose commands (Propose). The plan is a state machine of the registry, and Plan.Apply
-// enforces every rule: a command of a stale or faulty proposer is refused and does no harm. docs/ROADMAP.md describes
+// enforces every rule: a command of a stale or faulty proposer is rejected and does no harm. docs/ROADMAP.md describes
 // the design, and docs/registry.md the calls.
 package maintenance
 
@@ -13,7 +13,7 @@
 	"hitchvale/internal/statemachine"
 )
 
-// DisruptionBudget bounds how many machines may be out of service at the same time; 0 means no bound.
+// DisruptionBudget limits how many machines may be out of service at the same time; 0 means no limit.
 type DisruptionBudget struct {
 	Total   int `json:"all,omitempty"`
 	PerSite int `json:"site,omitempty"`
@@ -118,8 +118,8 @@
 	faultNoCompare      = "cas"
 )
 
-// plantedFault is the check to disable, so that tests can show that they detect its absence. The tests of this package
-// assign it, and the lab's tests set it at build time by -ldflags -X. It is empty otherwise.
+// plantedFault is the check to disable, so that tests can show that they detect the absence of the check. The tests of
+// this package assign it, and the lab's tests set it at build time by -ldflags -X. It is empty otherwise.
 var plantedFault string
 
 // Kind implements statemachine.Machine.
@@ -153,7 +153,7 @@
 	return p.applyToTurn(turn, c, nextRevision)
 }
 
-// applyToTurn executes a command on one turn. It fails with ErrTurnChanged unless the command names the turn's present
+// applyToTurn executes a command on one turn. It fails with ErrTurnChanged unless the command names the turn's current
 // revision. The exception is a step to the state that the turn already has: it succeeds at any revision and changes
 // nothing.
 func (p *Plan) applyToTurn(t *Turn, c *Command, nextRevision int64) (statemachine.Outcome, error) {
@@ -179,7 +179,7 @@
 func (p *Plan) markOverdue(t *Turn, nextRevision int64) (statemachine.Outcome, error) {
 	if !t.State.occupiesSlot() || t.Overdue {
 		return statemachine.Outcome{}, ErrInvalidTransition.Of(t.Machine,
-			fmt.Errorf("state %s, overdue %v", t.State, t.Overdue))
+			fmt.Errorf("the turn has state %s, and its overdue mark is %v", t.State, t.Overdue))
 	}
 	t.Overdue = true
 	t.Revision = nextRevision
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// step proposes a step from the present revision of a turn.
+// step proposes a step from the current revision of a turn.
 func (f *planFixture) step(id string, target TurnState) error {
 	revision := int64(0)
 	if t := f.plan.Turns[id]; t != nil {
@@ -182,7 +182,7 @@
 	wantError(t, "quiet after all nodes have confirmed", f.step("s0", Quiet), nil)
 }
 
-// A machine becomes quiet only when the present process of every live node has confirmed.
+// A machine becomes quiet only when the current process of every live node has confirmed.
 func TestQuietNeedsEveryLiveNode(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("q", DisruptionBudget{}, nil, "s0"))
@@ -212,13 +212,13 @@
 }
 
 // If a machine fails while another is out, so that a floor no longer holds, then no machine is granted, the draining
-// one is recalled, and the one that is out stays out.
+// machine is recalled, and the machine that is out stays out.
 func TestMachineFailsWhileAnotherIsOut(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("q", DisruptionBudget{Total: 3}, map[string]float64{"a": 2}, "s0", "s1", "s2"))
 	f.advanceTo("s0", Out)
 	f.advanceTo("s1", Draining)
-	f.inventory.SetDraining("s3", true, 0) // s3 fails: of site a only s2 is left
+	f.inventory.SetDraining("s3", true, 0) // s3 fails: s2 is the only machine of site a that is still ready
 	f.settle(map[string]float64{"s2": 1})
 	wantError(t, "grant below the floor", f.step("s2", Granted), ErrUnderFloor)
 	if got := f.plan.TurnsToRecall(); !slices.Equal(got, []string{"s1"}) {
@@ -294,14 +294,14 @@
 	}
 }
 
-// A request whose floor cannot hold with one of its machines out is refused and not stored.
-func TestUnsatisfiableFloorIsRefused(t *testing.T) {
+// A request whose floor cannot hold with one of its machines out is rejected and not stored.
+func TestUnsatisfiableFloorIsRejected(t *testing.T) {
 	f := newPlanFixture(t)
 	floorOfFour := request("q", DisruptionBudget{}, map[string]float64{"a": 4}, "s0")
 	wantError(t, "a floor of four at a site with four machines", f.apply(floorOfFour), ErrUnderFloor)
 	wantError(t, "a machine that is not listed", f.apply(request("q", DisruptionBudget{}, nil, "s99")), ErrNotFound)
 	if len(f.plan.Requests)+len(f.plan.Turns) != 0 || f.revision != 0 {
-		t.Error("a refused request is stored")
+		t.Error("a rejected request is stored")
 	}
 	floorOfThree := request("q", DisruptionBudget{}, map[string]float64{"a": 3}, "s0", "s1")
 	wantError(t, "a floor of three", f.apply(floorOfThree), nil)
@@ -328,7 +328,7 @@
 	wantError(t, "grant after both machines are back", f.step("s4", Granted), nil)
 }
 
-// Requests that overlap are merged: a machine has one turn, and the tightest budget of the requests that name it binds.
+// Requests that overlap are merged: a machine has one turn, and the budgets of all requests that name it apply.
 func TestOverlappingRequestsAreMerged(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("wide", DisruptionBudget{PerSite: 2}, nil, "s0", "s1", "s2"))
--- a/internal/maintenance/propose.go
+++ b/internal/maintenance/propose.go
@@ -23,7 +23,7 @@
 	FreshNodes   []string       // the nodes that are fresh in the view, sorted
 	ListRevision int64          // the revision of the member list that the node has
 	InFlight     map[string]int // the number of the node's attempts and streams, by machine
-	// ViewsUnchanged is, by machine, the number of views for which the machine's turn has had its present revision.
+	// ViewsUnchanged is, by machine, the number of views for which the machine's turn has had its current revision.
 	ViewsUnchanged map[string]int
 }
 
@@ -133,7 +133,8 @@
 }
 
 // settleOrder proposes a new order if the node's rank is at most the epoch modulo the number of nodes. With each epoch
-// one more node proposes, in case the nodes before it have failed, until only the first node proposes again.
+// one more node proposes, in case the nodes before it in rank have failed. After the epoch in which every node
+// proposes, only the first node proposes again.
 func (p *proposer) settleOrder() {
 	nodes := max(len(p.node.FreshNodes), 1)
 	if proposalRank(p.node.FreshNodes, p.node.Node, orderKey) <= int(p.node.View.Epoch%uint64(nodes)) {
@@ -142,7 +143,7 @@
 }
 
 // grantInOrder proposes to grant every waiting machine, in the settled order. The plan grants a machine only if no
-// machine before it fits, and refuses the others.
+// machine before it fits, and rejects the others.
 func (p *proposer) grantInOrder() {
 	turns := map[string]Turn{}
 	for _, t := range p.plan.Turns {
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Several nodes read the same plan and propose commands, and some of them rarely do because they have failed. Every
+// Several nodes read the same plan and propose commands. Failed nodes propose only in every seventh epoch. Every
 // machine of the request goes out and comes back, and there are never more machines out than the budget allows.
 func TestNodesTakeEveryMachineThroughItsTurn(t *testing.T) {
 	for _, failed := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
@@ -26,7 +26,7 @@
 					}
 				}
 				for _, node := range f.sessions.LiveNodes() {
-					if slices.Contains(failed, node) && epoch%7 != 0 { // a failed node proposes only every seventh epoch
+					if slices.Contains(failed, node) && epoch%7 != 0 {
 						continue
 					}
 					state := NodeState{
@@ -42,7 +42,7 @@
 						if c.Op == "rota-settle" {
 							c.Costs = map[string]float64{"s0": 1, "s1": 2, "s5": 3, "s7": 4}
 						}
-						f.apply(c) // the plan may refuse it
+						f.apply(c) // the plan may reject it
 					}
 				}
 				if violation := f.checkLimits(); violation != "" {
--- a/internal/maintenance/request.go
+++ b/internal/maintenance/request.go
@@ -10,7 +10,7 @@
 	"hitchvale/internal/statemachine"
 )
 
-// maxRequestIDBytes bounds the length of a request's ID.
+// maxRequestIDBytes is the maximum length of a request's ID.
 const maxRequestIDBytes = 128
 
 // validate fails with ErrMalformed if the request cannot be stored. It does not check the floors.
@@ -18,11 +18,11 @@
 	budget := q.Budget
 	switch {
 	case q.ID == "" || len(q.ID) > maxRequestIDBytes:
-		return ErrMalformed.Of("id", fmt.Errorf("length must be 1 to %d bytes", maxRequestIDBytes))
+		return ErrMalformed.Of("id", fmt.Errorf("the ID must have 1 to %d bytes", maxRequestIDBytes))
 	case len(q.Machines) == 0:
-		return ErrMalformed.Of(q.ID, errors.New("machines must name at least one machine"))
+		return ErrMalformed.Of(q.ID, errors.New("machines is empty; it must name at least one machine"))
 	case budget.Total < 0 || budget.PerSite < 0 || budget.PerCell < 0:
-		return ErrMalformed.Of(q.ID, errors.New("budget must not be negative"))
+		return ErrMalformed.Of(q.ID, errors.New("a limit in budget is negative; each must be 0 or more"))
 	case q.ExpectedWorkMs <= 0:
 		return ErrMalformed.Of(q.ID, errors.New("length_ms must be above 0"))
 	}
@@ -33,7 +33,7 @@
 func (q Request) validateFloors() error {
 	for site, floor := range q.CapacityFloor {
 		if math.IsNaN(floor) || floor < 0 {
-			return ErrMalformed.Of(q.ID, fmt.Errorf("floor of %s is %g, and must be a number of at least 0", site, floor))
+			return ErrMalformed.Of(q.ID, fmt.Errorf("floor of site %s: %g is not a number of 0 or more", site, floor))
 		}
 	}
 	return nil
@@ -60,7 +60,8 @@
 		remaining := siteCapacity[m.Site] - m.Capacity
 		if floor := q.CapacityFloor[m.Site]; remaining < floor {
 			return statemachine.Outcome{}, ErrUnderFloor.Of(m.Site,
-				fmt.Errorf("%g is left with %s out and all other machines ready, and the floor is %g", remaining, id, floor))
+				fmt.Errorf("a capacity of %g is left with %s out and all other machines ready, and the floor is %g",
+					remaining, id, floor))
 		}
 	}
 	if err := q.validateFloors(); err != nil {
@@ -97,7 +98,7 @@
 }
 
 // withdrawRequest withdraws a request. The turns of machines that wait for this request alone are deleted. Machines
-// that occupy a slot finish their turns, and the request is deleted with the last of these.
+// that occupy a slot finish their turns, and the request is deleted with the last of these turns.
 func (p *Plan) withdrawRequest(id string, nextRevision int64) (statemachine.Outcome, error) {
 	if _, ok := p.Requests[id]; !ok {
 		return statemachine.Outcome{}, ErrNotFound.Of(id, nil)
@@ -109,8 +110,9 @@
 	return statemachine.Outcome{}, nil
 }
 
-// detachWaiting removes a request from the turns that wait, and deletes those without another request. The turn of a
-// machine that occupies a slot keeps the request, so that its budget and floors apply until the machine is back.
+// detachWaiting removes a request from the turns that wait, and deletes each of them that has no other request. The
+// turn of a machine that occupies a slot keeps the request, so that its budget and floors apply until the machine is
+// back.
 func (p *Plan) detachWaiting(requestID string, nextRevision int64) {
 	for _, machine := range slices.Sorted(maps.Keys(p.Turns)) {
 		t := p.Turns[machine]
--- a/internal/maintenance/transition.go
+++ b/internal/maintenance/transition.go
@@ -73,7 +73,7 @@
 		From:      Draining,
 		To:        Quiet,
 		Proposer:  proposedByNodes,
-		Condition: "the present process of every node with an open session has confirmed",
+		Condition: "the current process of every node with an open session has confirmed",
 		Effect:    "none",
 		check:     (*Plan).checkConfirmed,
 	},
@@ -151,7 +151,7 @@
 func (p *Plan) advance(t *Turn, target TurnState, nextRevision int64) error {
 	transition := findTransition(t.State, target)
 	if transition == nil {
-		return ErrInvalidTransition.Of(t.Machine, fmt.Errorf("from %s to %s", t.State, target))
+		return ErrInvalidTransition.Of(t.Machine, fmt.Errorf("there is no step from %s to %s", t.State, target))
 	}
 	if transition.check != nil {
 		if err := transition.check(p, t); err != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// finishTurn deletes a turn, and those of its requests that have no other turn.
+// finishTurn deletes a turn, and each of its requests that has no other turn.
 func (p *Plan) finishTurn(t *Turn) {
 	delete(p.Turns, t.Machine)
 	p.removeFromOrder(t.Machine)
--- a/internal/operror/operror.go
+++ b/internal/operror/operror.go
@@ -14,7 +14,7 @@
 	Code    string // stable and unique, such as "registry.unknown-member"
 	Meaning string // what failed
 	Remedy  string // what an operator can do
-	Status  int    // status of the HTTP answer that has the error
+	Status  int    // status of the HTTP response that reports the error
 }
 
 // Error is an error of a Kind. errors.Is matches errors of the same code, whatever their subjects and causes are.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -13,7 +13,7 @@
 // Config is the configuration of a replica, which is a TOML file. docs/registry.md lists the keys, and
 // deploy/registry.toml is an example.
 type Config struct {
-	ID        string `toml:"id"`        // raft's server ID; one of Peers, if there are any
+	ID        string `toml:"id"`        // raft's server ID; the ID of one of Peers, if there are any
 	DataDir   string `toml:"data_dir"`  // directory of raft's store and the snapshots
 	HTTPAddr  string `toml:"http"`      // IP address and port of the HTTP interface
 	RaftAddr  string `toml:"raft"`      // IP address and port at which peers dial raft's transport
@@ -21,7 +21,8 @@
 	// RaftListenAddr is the address that raft's transport listens on if it differs from RaftAddr, such as behind a
 	// proxy.
 	RaftListenAddr string `toml:"raft_listen"`
-	// RaftDialHost is the local IP address from which raft dials its peers. If it is empty, the system chooses.
+	// RaftDialHost is the local IP address from which raft dials its peers. If it is empty, the system chooses the
+	// address.
 	RaftDialHost string `toml:"raft_from"`
 	// MaxStaleness is the time after its last contact with the leader during which a follower still serves reads.
 	MaxStaleness tomlfile.Duration `toml:"stale_read"`
@@ -158,11 +159,11 @@
 			"%s is not in the range above 0 and up to raft_timing.heartbeat (%s)",
 			t.LeaderLease, t.Heartbeat)
 	case t.Commit.Duration <= 0:
-		return tomlfile.KeyErrorf("raft_timing.commit", "%s is not above 0", t.Commit)
+		return tomlfile.KeyErrorf("raft_timing.commit", "%s must be above 0", t.Commit)
 	case c.FleetInterval.Duration < minFleetInterval:
 		return tomlfile.KeyErrorf("fleet_interval", "%s is below the minimum of %s", c.FleetInterval, minFleetInterval)
 	case c.MaxStaleness.Duration < 0:
-		return tomlfile.KeyErrorf("stale_read", "%s is negative", c.MaxStaleness)
+		return tomlfile.KeyErrorf("stale_read", "%s is negative; it must be 0 or more", c.MaxStaleness)
 	}
 	return nil
 }
@@ -177,7 +178,7 @@
 	seen := map[string]bool{}
 	for i, p := range c.Peers {
 		if p.ID == "" || seen[p.ID] {
-			return fmt.Errorf("peer %d: key %q: the id is missing or repeated", i+1, "id")
+			return fmt.Errorf("peer %d: key %q: the id is missing or used twice; each id must be unique", i+1, "id")
 		}
 		seen[p.ID] = true
 		if err := p.validate(); err != nil {
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -23,7 +23,7 @@
 		"the lease is not held with this token",
 		"acquire the lease again; writes with the old token are rejected once a newer token has been used")
 	ErrStaleFencingToken = operror.Define("registry.fenced", http.StatusConflict,
-		"the fencing token is lower than one already accepted",
+		"the fencing token is lower than an already accepted token",
 		"the lease has a newer holder that already writes: end the process that sent this call")
 	ErrUnknownOperation = operror.Define("registry.unknown-operation", http.StatusBadRequest,
 		"unknown operation", "run the same version of the program on all replicas")
--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -51,8 +51,8 @@
 // heartbeat table, or "" if the command starts no TTL.
 type ttlStarter interface{ heartbeatKey() string }
 
-// leaseKey returns the heartbeat key of a lease. The prefix separates the key from those of members, which are their
-// IDs.
+// leaseKey returns the heartbeat key of a lease. The prefix distinguishes the key from the keys of members, which are
+// the members' IDs.
 func leaseKey(name string) string { return "lease:" + name }
 
 // sessionKey returns the heartbeat key of a node's session.
@@ -175,8 +175,8 @@
 	return due
 }
 
-// overdueTracker records, by machine ID, since when this leader has seen the machine's turn in state Out, on its
-// monotonic clock. A new leader starts with an empty tracker. It is not safe for concurrent use.
+// overdueTracker records, by machine ID, since when this leader has seen the machine's turn in state Out, on the
+// leader's monotonic clock. A new leader starts with an empty tracker. It is not safe for concurrent use.
 type overdueTracker map[string]turnObservation
 
 // turnObservation is the time at which this leader first saw a turn at its current revision.
@@ -185,8 +185,8 @@
 	firstSeen time.Time
 }
 
-// commands returns the commands that mark turns overdue. A turn is overdue if it has been out for longer than the
-// expected duration of its work. The caller must hold the fsm's read lock.
+// commands returns the commands that mark turns overdue. A turn is overdue if it has been in state Out for longer than
+// the expected duration of the work on its machine. The caller must hold the fsm's read lock.
 func (o overdueTracker) commands(plan *maintenance.Plan, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for id, turn := range plan.Turns {
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -57,7 +57,7 @@
 	return a, ended
 }
 
-// waitUntil waits until ok returns true. It fails the test after 20 s; condition describes the condition.
+// waitUntil waits until ok returns true, and fails the test after 20 s. condition is a description of what ok checks.
 func waitUntil(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// allFresh returns a condition for waitUntil: the agent has a view with that number of nodes, and all of them are
+// allFresh returns a condition for waitUntil: the agent has a view with the given number of nodes, and all of them are
 // fresh.
 func allFresh(a *fleet.Agent, nodes int) func() bool {
 	return func() bool { s := a.Status(); return s.Fresh == nodes && s.Nodes == nodes }
@@ -138,8 +138,9 @@
 	if _, err := client.OpenSession(ctx, s); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := client.SessionStatus(ctx, "n1"); err != nil || h.LastIncarnation != 1 || h.Session == nil {
-		t.Fatalf("status of the open session: %+v, error %v", h, err)
+	status, err := client.SessionStatus(ctx, "n1")
+	if err != nil || status.LastIncarnation != 1 || status.Session == nil {
+		t.Fatalf("status of the open session: %+v, error %v", status, err)
 	}
 	otherProcess := s
 	otherProcess.Process = "older"
@@ -147,11 +148,11 @@
 		t.Errorf("another process opens a session with the same incarnation: error %v", err)
 	}
 	waitUntil(t, "the session has expired", func() bool {
-		h, err := client.SessionStatus(ctx, "n1")
-		return err == nil && h.Session == nil && h.LastIncarnation == 1
+		status, err := client.SessionStatus(ctx, "n1")
+		return err == nil && status.Session == nil && status.LastIncarnation == 1
 	})
 	report := fleet.Report{Node: "n1", Incarnation: 1, Sequence: 1}
-	_, _, err := client.SendReport(ctx, fleet.ReportRequest{Report: report}, 0)
+	_, _, err = client.SendReport(ctx, fleet.ReportRequest{Report: report}, 0)
 	if !errors.Is(err, fleet.ErrSessionNotFound) {
 		t.Errorf("report without an open session: error %v", err)
 	}
@@ -165,11 +166,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a struct{ Code, Error, Remedy string }
-		json.NewDecoder(resp.Body).Decode(&a)
+		var response struct{ Code, Error, Remedy string }
+		json.NewDecoder(resp.Body).Decode(&response)
 		resp.Body.Close()
-		if resp.StatusCode != 400 || a.Code != code || a.Error == "" || a.Remedy == "" {
-			t.Errorf("body %s: status %d, response %+v; want status 400 and code %s", body, resp.StatusCode, a, code)
+		if resp.StatusCode != 400 || response.Code != code || response.Error == "" || response.Remedy == "" {
+			t.Errorf("body %s: status %d, response %+v; want status 400 and code %s", body, resp.StatusCode, response, code)
 		}
 	}
 }
@@ -199,7 +200,7 @@
 			a := fleet.NewAgent(cfg, "p", timed, sampleReport, slog.New(slog.DiscardHandler))
 			wg.Go(func() { a.Run(ctx) })
 		}
-		time.Sleep(3 * time.Second) // until the nodes have opened their sessions
+		time.Sleep(3 * time.Second) // time for the nodes to open their sessions
 		mu.Lock()
 		latenciesMs = latenciesMs[:0]
 		mu.Unlock()
@@ -266,8 +267,9 @@
 		})
 	}
 	for i := range 8 {
-		h := fleet.WeightedKey{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
-		r.TenantsByConnections, r.TenantsByWork = append(r.TenantsByConnections, h), append(r.TenantsByWork, h)
+		tenant := fleet.WeightedKey{Key: fmt.Sprintf("tenant-%d", i), Weight: float64(40 - i)}
+		r.TenantsByConnections = append(r.TenantsByConnections, tenant)
+		r.TenantsByWork = append(r.TenantsByWork, tenant)
 	}
 	return r
 }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -6,7 +6,7 @@
 	"hitchvale/internal/goldenfile"
 )
 
-// The JSON forms that are stored, or exchanged with processes of other versions, are the same as in earlier versions.
+// The JSON that is stored, or sent to processes of other versions, keeps the form that earlier versions wrote.
 func TestGoldenForms(t *testing.T) {
 	goldenfile.RoundTrip[MemberCommand](t, "memberCommand")
 	goldenfile.RoundTrip[LeaseCommand](t, "leaseCommand")
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -49,7 +49,7 @@
 	return r.limitCalls(mux)
 }
 
-// limitCalls rejects calls with ErrTooManyCalls while max_calls others are in flight.
+// limitCalls rejects calls with ErrTooManyCalls while max_calls other calls are in flight.
 func (r *Replica) limitCalls(next http.Handler) http.Handler {
 	inFlight := make(chan struct{}, r.cfg.MaxConcurrentCalls)
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/internal/registry/http_codec.go
+++ b/internal/registry/http_codec.go
@@ -25,7 +25,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return ErrMalformed.Of("body", fmt.Errorf("larger than %d bytes", maxBodyBytes))
+		return ErrMalformed.Of("body", fmt.Errorf("the body is larger than %d bytes", maxBodyBytes))
 	}
 	return ErrMalformed.Of("body", err)
 }
--- a/internal/registry/http_fleet.go
+++ b/internal/registry/http_fleet.go
@@ -25,9 +25,8 @@
 	mux.HandleFunc("DELETE /registry/fleet/sessions/{node}", r.writeHandler(decodeCloseSession, newRevisionResponse))
 }
 
-// serveReport stores a node's report and renews the TTL of the node's session. It responds with the first view of a
-// version other than the one that the report names as the node's last view, or with 204 if there is none within
-// wait_ms.
+// serveReport stores a node's report and renews the TTL of the node's session. It responds with the first view whose
+// version differs from the last view that the report names, or with 204 if there is no other view within wait_ms.
 func (r *Replica) serveReport(w http.ResponseWriter, req *http.Request) {
 	wait, err := parseWait(req)
 	if err != nil {
--- a/internal/registry/http_leader.go
+++ b/internal/registry/http_leader.go
@@ -67,7 +67,8 @@
 	leader := r.leaderHTTPAddr()
 	if leader == "" || req.Header.Get(forwardedHeader) != "" {
 		w.Header().Set("Retry-After", "1")
-		writeError(w, ErrNotLeader.Of(r.cfg.ID, fmt.Errorf("the known leader is at %q", leader)))
+		writeError(w, ErrNotLeader.Of(r.cfg.ID,
+			fmt.Errorf("the call was not forwarded to the leader (known address: %q)", leader)))
 		return
 	}
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: leader})
--- a/internal/registry/http_lease.go
+++ b/internal/registry/http_lease.go
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// parseFencingToken returns the fencing token of a write, or nil if the write has none. It fails with ErrMalformed.
+// parseFencingToken returns the fencing token of a write, or nil if the write has none. It fails with ErrMalformed if
+// the header does not have the form LEASE:TOKEN.
 func parseFencingToken(req *http.Request) (*FencingToken, error) {
 	text := req.Header.Get(fencingTokenHeader)
 	if text == "" {
@@ -94,8 +95,8 @@
 	return &LeaseCommand{Op: opReleaseLease, Lease: lease}, nil
 }
 
-// serveRenew renews a lease's TTL on the leader's clock. It responds with 204 if the holder has the lease with the
-// given token, otherwise with ErrLeaseLost (409). A renewal is not written to the log.
+// serveRenew renews a lease's TTL on the leader's clock. It responds with 204 if the given holder has the lease with
+// the given token, otherwise with ErrLeaseLost (409). A renewal is not written to the log.
 func (r *Replica) serveRenew(w http.ResponseWriter, req *http.Request) {
 	var body holderRequest
 	req.Body = http.MaxBytesReader(w, req.Body, maxBodyBytes)
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -65,7 +65,7 @@
 	}
 	turnResponse struct {
 		Revision int64             `json:"revision"`
-		Turn     *maintenance.Turn `json:"turn"` // null if the call confirms draining or ends a turn
+		Turn     *maintenance.Turn `json:"turn"` // null if the call confirms draining or frees an overdue turn
 	}
 )
 
--- a/internal/registry/http_members.go
+++ b/internal/registry/http_members.go
@@ -15,7 +15,7 @@
 const maxWatchWait = 60 * time.Second
 
 // roleHeader is the response header with the role of the replica that served a complete list. The list from a leader is
-// linearizable; the list from a follower may lag behind by stale_read.
+// linearizable; the list from a follower may lag behind by up to stale_read.
 const (
 	roleHeader   = "X-Registry-Role"
 	roleLeader   = "leader"
@@ -60,7 +60,9 @@
 		writeError(w, r.staleReadError())
 		return
 	}
-	role := r.role() // determined before the read: a replica that is the leader then has every acknowledged write
+	// The role is determined before the read. If the replica is the leader at that time, the list that it reads
+	// afterwards has every write that was acknowledged before the call.
+	role := r.role()
 	var list MemberList
 	r.fsm.read(func(s *State) { list = s.CompleteList() })
 	w.Header().Set(roleHeader, role)
@@ -121,7 +123,7 @@
 		body.Member.Phase = PhaseReady
 	}
 	if body.TTLms < 0 {
-		return nil, ErrMalformed.Of("ttl_ms", errors.New("the value is negative"))
+		return nil, ErrMalformed.Of("ttl_ms", errors.New("the value is negative; it must be 0 or more"))
 	}
 	if body.TTLms == 0 {
 		body.TTLms = r.cfg.DefaultTTL.Milliseconds()
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -25,7 +25,7 @@
 func (r *Replica) applyEarlierTerms() {
 	term := r.raft.CurrentTerm()
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
-		r.log.Warn("barrier of the new leader failed; it does not serve reads in this term", "term", term, "error", err)
+		r.log.Warn("the raft barrier failed; this new leader does not serve reads in this term", "term", term, "error", err)
 		return
 	}
 	r.readableTerm.Store(term)
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -125,7 +125,7 @@
 	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/acquire"), shortTTL); code != 400 {
 		t.Fatalf("acquisition with a TTL shorter than two election timeouts: %d %s", code, text)
 	}
-	// The TTL starts at the grant, which is not earlier than this time.
+	// The TTL starts when the lease is granted, which is not before this time.
 	granted := time.Now()
 	if code, text := acquire(lead, "p1"); code != 200 || !strings.Contains(text, `"token":1`) {
 		t.Fatalf("first grant: %d %s", code, text)
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -117,7 +117,7 @@
 var disableFencing string
 
 // checkToken records the fencing token of a write. It fails with ErrStaleFencingToken if a write with a higher token
-// has already been accepted for the lease. A write without a token passes.
+// has already been accepted for the lease. A write without a token is accepted.
 func (s *leaseStore) checkToken(token *FencingToken) error {
 	if token == nil || disableFencing != "" {
 		return nil
--- a/internal/registry/linearizability_test.go
+++ b/internal/registry/linearizability_test.go
@@ -59,9 +59,10 @@
 }
 
 // runFaultSchedule runs one random fault schedule: three clients write and read three members through random replicas
-// while one replica is stopped and restarted. With a probability of one half that is the leader, otherwise a random
-// replica. A write whose response is lost may take effect at any time after its call. Reads that were not served by a
-// leader are not recorded, since the state of a follower may be out of date by stale_read.
+// while one replica is stopped and restarted. With a probability of one half the stopped replica is the leader,
+// otherwise it is a random replica. A write whose response is lost may take effect at any time after its call. Reads
+// that were not served by a leader are not recorded, since the state of a follower may be out of date by up to
+// stale_read.
 func runFaultSchedule(t *testing.T, c *cluster, seed uint64, h *history) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	keys := []string{fmt.Sprintf("k%d-a", seed), fmt.Sprintf("k%d-b", seed), fmt.Sprintf("k%d-c", seed)}
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -44,9 +44,9 @@
 	case m.Phase != PhaseReady && m.Phase != PhaseDraining:
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("phase %q is neither ready nor draining", m.Phase))
 	case m.Size < 0:
-		return ErrMalformed.Of("member "+m.ID, errors.New("size is negative"))
+		return ErrMalformed.Of("member "+m.ID, errors.New("size is negative; it must be 0 or more"))
 	case m.UpSince < 0:
-		return ErrMalformed.Of("member "+m.ID, errors.New("up_since_ms is negative"))
+		return ErrMalformed.Of("member "+m.ID, errors.New("up_since_ms is negative; it must be 0 or more"))
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("host_port %q is not an IP address with a port", m.HostPort))
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -48,7 +48,7 @@
 	transport *raft.NetworkTransport
 	metrics   *metrics
 
-	// Two of the state machines in the State. They must only be read under the fsm's lock.
+	// sessions and plan are two of the state machines in the State. They must only be read under the fsm's lock.
 	sessions *fleet.SessionStore
 	plan     *maintenance.Plan
 
@@ -59,8 +59,9 @@
 	watchesDone chan struct{} // closed when the watches must end
 	endWatches  func()        // closes watchesDone; further calls do nothing
 
-	// readableTerm is the last term in which this replica, as the leader, has applied every entry of earlier terms.
-	// Until then a new leader must not serve reads, since its state may lack writes that the old leader acknowledged.
+	// readableTerm is the last term in which this replica, as the leader, has applied every entry of earlier terms. A
+	// new leader must not serve reads before it has applied these entries, since its state may lack writes that the old
+	// leader acknowledged.
 	readableTerm atomic.Uint64
 
 	// ackBeforeCommit is an injected fault for the linearizability test: writes are acknowledged before raft has
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -17,7 +17,7 @@
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// currentTermKey is the key under which raft stores its current term. Raft panics if that write fails.
+// currentTermKey is the key under which raft stores its current term. Raft panics if it cannot write this key.
 const currentTermKey = "CurrentTerm"
 
 // retryingStore wraps raft's store so that raft survives a disk that fails for some time. Without it, raft panics if it
@@ -121,7 +121,8 @@
 	s.lastWriteError = err
 	s.mu.Unlock()
 	if err != nil {
-		s.warnings.Warn("raft store write failed", "operation", operation, "error", err)
+		s.warnings.Warn("raft store write failed; the write is retried or the operation fails",
+			"operation", operation, "error", err)
 	}
 	return err
 }
--- a/internal/registry/retryingstore_test.go
+++ b/internal/registry/retryingstore_test.go
@@ -15,7 +15,7 @@
 
 // faultyDisk lets some of the writes of a replica's store fail, like a disk that is temporarily full or broken.
 type faultyDisk struct {
-	failOneIn atomic.Int64 // one in this many writes fails; 0: no write fails
+	failOneIn atomic.Int64 // if n is above 0, every n-th write fails; if 0, no write fails
 	writes    atomic.Int64 // number of writes
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// Close of a replica whose disk fails returns, also while raft retries to save its term.
+// Close returns although the replica's disk fails and raft is retrying to save its term.
 func TestReplicaWithFailedDiskStops(t *testing.T) {
 	c := newCluster(t, 3)
 	lead := c.leader(t)
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -134,7 +134,9 @@
 		return ErrSnapshotUnreadable.Of("",
 			fmt.Errorf("the snapshot has version %d; this program reads versions up to %d", image.Version, snapshotVersion))
 	}
-	if image.Version == 0 { // one object has the fields of both: each state machine decodes its own fields
+	if image.Version == 0 {
+		// One object has the fields of the members and of the leases. Each of the two state machines decodes its own
+		// fields and ignores the others.
 		image.Sections = map[string]json.RawMessage{s.members.Kind(): text, s.leases.Kind(): text}
 	}
 	if err := s.checkSectionKinds(image); err != nil {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -15,8 +15,8 @@
 // Faults is the Process of the faults that the lab or a schedule injects, and the name of their column.
 const Faults = "faults"
 
-// Event is an event of a process. Events with a revision are ordered by it among themselves, even if their times are in
-// another order. All other events are ordered by time.
+// Event is an event of a process. Events with a revision are ordered among themselves by the revision, even if their
+// times are in another order. All other events are ordered by time.
 type Event struct {
 	At       time.Duration // since the start of the run, on one clock
 	Revision int64         // of the registry's state; 0 if the event has none
@@ -92,8 +92,8 @@
 	return b.String()
 }
 
-// allColumns returns the given columns, those of other processes of the events, and the column of the faults at the
-// end.
+// allColumns returns the given columns, then the columns of the other processes that have events, and the column of the
+// faults at the end.
 func allColumns(columns []string, events []Event) []string {
 	columns = slices.Clone(columns)
 	for _, event := range events {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -15,7 +15,7 @@
 func sampleEvents() []Event {
 	return []Event{
 		{At: 10 * ms, Revision: 1, Process: "node-0", Text: "session 1"},
-		{At: 8 * ms, Revision: 2, Process: "node-1", Text: "session 1"}, // its time is early, and its revision orders it
+		{At: 8 * ms, Revision: 2, Process: "node-1", Text: "session 1"}, // before revision 1 by its time
 		{At: 1500 * ms, Process: Faults, Text: "pause node-1"},
 		{At: 2100 * ms, Process: "node-0", Text: "fresh 1 of 2"},
 		{At: 2100*ms + 300*time.Microsecond, Process: "registry-0", Text: "view 1.21"},
@@ -35,7 +35,7 @@
 }
 
 // Merge orders events by revision although their times are in another order, and drops no event.
-func TestMergeKeepsRevisions(t *testing.T) {
+func TestMergeOrdersEventsByRevision(t *testing.T) {
 	merged := Merge(sampleEvents())
 	last := int64(0)
 	for _, e := range merged {
