--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -23,8 +23,8 @@
 	attempts []Attempt
 }
 
-// recordAttempts records the attempts that begin on a link from then on. It ignores heads without a trace id, which are
-// those of health checks.
+// recordAttempts records the attempts that begin on a link from now on. It ignores requests without a trace id, which
+// are health checks.
 func (log *attemptLog) recordAttempts(link *Proxy, node, backend string) {
 	link.observeSent(func(chunk []byte) {
 		trace, ok := headerValue(chunk, "X-Trace-Id: ")
--- a/internal/lab/backend.go
+++ b/internal/lab/backend.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// backendStream is the random stream of a stand-in backend, which differs from the other streams of the same seed.
+	// backendStream is the random stream of a stand-in backend. It keeps the backend's draws independent of other draws
+	// from the same seed.
 	backendStream = 2
 	// hangDuration is how long a hanging request takes in addition to its service time.
 	hangDuration = 2 * time.Second
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// maxExamples bounds the violations of a check that a report describes.
+// maxExamples is the largest number of violations of a check that a report describes.
 const maxExamples = 10
 
 // Check is the result of checking one invariant over a run's history.
@@ -10,12 +10,12 @@
 	Name       string         `json:"name"`
 	OK         bool           `json:"ok"`
 	Violations int            `json:"violations"`
-	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node explains; no violations
+	Excused    int            `json:"excused,omitempty"`  // cases that a fault of the node explains; not violations
 	Reasons    map[string]int `json:"reasons,omitempty"`  // number of excused cases, by kind of fault
-	Examples   []string       `json:"examples,omitempty"` // the first violations, by trace id
+	Examples   []string       `json:"examples,omitempty"` // descriptions of the first violations, sorted
 }
 
-// addViolation counts a violation. The example describes the violation; the first ones are kept.
+// addViolation counts a violation. The example describes the violation; the first maxExamples of them are kept.
 func (c *Check) addViolation(example string) {
 	c.Violations++
 	if len(c.Examples) < maxExamples {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -11,7 +11,7 @@
 const (
 	// clientIdleTimeout is how long a connection may be idle before the client no longer reuses it.
 	clientIdleTimeout = 2 * time.Second
-	// clientDialTimeout bounds the time in which a client connects.
+	// clientDialTimeout bounds the time that a client takes to connect.
 	clientDialTimeout = time.Second
 )
 
@@ -40,7 +40,7 @@
 // errNotAdmitted says that the front sends no new connection to a node.
 var errNotAdmitted = errors.New("the front sends no new connection to this node")
 
-// admit sets whether the front sends new connections to this node.
+// admit sets whether the front, which distributes the clients' connections, sends new connections to this node.
 func (c *client) admit(admitted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -28,31 +28,31 @@
 	readyCallTimeout = time.Second
 )
 
-// cluster holds the processes of one experiment by role, the fault proxies on the links between them, and the addresses
-// they listen on. Each experiment embeds a cluster and adds its load and its faults. The caller of newCluster must call
-// close.
+// cluster holds the processes of one run by role, the fault proxies on the links between them, and the addresses they
+// listen on. The type of each kind of run embeds a cluster and adds the run's load and faults. The caller of newCluster
+// must call close.
 type cluster struct {
 	opts      Options
 	seed      uint64
 	spawner   *spawner
 	addresses *addresses
 	log       *slog.Logger
-	start     time.Time // when the experiment began; all children are ready by then
+	start     time.Time // when the load or the faults began; all children were ready by then
 
 	processes     map[string][]*Process // by role, in the order of their numbers
 	registryAddr  []string              // by replica: the address of its HTTP API
 	links         map[string]*Proxy     // by "FROM:TO", such as "node-1:backend-2", or "client-node-N"
 	callerRouters []*CallerRouter       // by replica: the router that its peers dial
 
-	// registryPlans holds the plan of each replica's failing system calls. A replica without a plan is not traced.
+	// registryPlans holds, by replica, the plan by which its system calls fail. A replica without a plan is not traced.
 	registryPlans map[int]sysfault.Plan
 
 	timelineLog timelineLog
 	timers      sync.WaitGroup // goroutines that undo a fault, or wait for its effects
 
 	mu                 sync.Mutex
-	acknowledgedWrites []acknowledgedWrite // writes that the registry acknowledged
-	injectedFaults     []InjectedFault     // faults that were injected
+	acknowledgedWrites []acknowledgedWrite // in the order in which the registry acknowledged them
+	injectedFaults     []InjectedFault     // in the order in which they were injected
 }
 
 // newCluster creates the run's output folder and claims a block of loopback addresses for its processes.
@@ -175,9 +175,9 @@
 }
 
 // recordFault records an injected fault for the report.
-func (cluster *cluster) recordFault(mark InjectedFault) {
+func (cluster *cluster) recordFault(injected InjectedFault) {
 	cluster.mu.Lock()
-	cluster.injectedFaults = append(cluster.injectedFaults, mark)
+	cluster.injectedFaults = append(cluster.injectedFaults, injected)
 	cluster.mu.Unlock()
 }
 
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -55,7 +55,7 @@
 
 // The registry's leader is partitioned from its peers while clients still reach it. It acknowledges no write and serves
 // no read after stale_read. The majority elects a new leader and accepts writes. After the partition, every replica has
-// the acknowledged writes, and no replica has the refused write.
+// the acknowledged writes, and no replica has the write that the partitioned leader did not acknowledge.
 func TestPartitionedLeaderAcknowledgesNoWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// driverStream is the random stream of the driver, which differs from the other streams of the same seed.
+	// driverStream is the random stream of the driver. It keeps the driver's draws independent of other draws from the
+	// same seed.
 	driverStream = 3
 	// responseGrace is how long after its deadline a client still waits for its final response (FLEET).
 	responseGrace = 500 * time.Millisecond
-	// maxDisconnectDelay is the longest time after which a client that disconnects early does so.
+	// maxDisconnectDelay is the longest time from drawing a request until its client disconnects early.
 	maxDisconnectDelay = 100 * time.Millisecond
-	// maxInFlight bounds the driver's requests in flight. A request above the bound is not sent, and is counted.
+	// maxInFlight bounds the driver's requests in flight. A request above the bound is not sent, and counts as unsent.
 	maxInFlight = 2048
 	// stalledClientInterval is the number of requests of which one is replaced by a stalled client, if the load has
 	// stalled clients.
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -1,15 +1,15 @@
 package lab
 
-// The kinds of faults in a scenario file, with their targets. A fault with a For is undone after that time.
+// The kinds of faults in a scenario file, with their targets. A fault whose field For is set is undone after that time.
 const (
 	faultKill      = "kill"      // node-N, backend-N, registry-N: SIGKILL
-	faultPower     = "power"     // a list of processes, which are all killed at the same time
+	faultPower     = "power"     // a list of processes, which all get SIGKILL at the same time
 	faultTerminate = "term"      // node-N, backend-N, registry-N: SIGTERM
 	faultPause     = "pause"     // node-N, backend-N, registry-N: SIGSTOP, and SIGCONT after For
 	faultRestart   = "restart"   // node-N, backend-N, registry-N: killed if it still runs, and started again
 	faultFill      = "fill"      // node-N, registry-N: Bytes are written into its temporary or data folder
 	faultReload    = "hup"       // node-N: discovery moves to another address, and the node gets SIGHUP
-	faultHold      = "hold"      // node-N: SIGSTOP, and SIGCONT after For; it opens no fault window
+	faultHold      = "hold"      // node-N: as pause, but too short to excuse requests, so it opens no fault window
 	faultUpgrade   = "upgrade"   // node-N: a second process takes over, and the first gets SIGTERM
 	faultDrain     = "drain"     // backend-N: listed as draining in discovery
 	faultRejoin    = "rejoin"    // backend-N: killed, started again and listed as ready and just started
@@ -17,7 +17,7 @@
 	faultPartition = "partition" // a link: connections carry no data
 	faultDelay     = "delay"     // a link: every chunk of data is delayed by Delay
 	faultReset     = "reset"     // a link: every open connection is reset
-	faultDrop      = "drop"      // a link: a Share of the new connections is reset
+	faultDrop      = "drop"      // a link: the share Share of the new connections is reset
 )
 
 // Fault is one step of a scenario's schedule. The comments on the kinds say which targets and fields each kind uses.
--- a/internal/lab/fault_schedule.go
+++ b/internal/lab/fault_schedule.go
@@ -19,13 +19,13 @@
 		case <-time.After(time.Until(run.start.Add(fault.At.Duration))):
 		}
 		err := run.injectFault(ctx, fault)
-		mark := InjectedFault{At: time.Since(run.start).Seconds(), Kind: fault.Kind, Target: fault.Target}
+		injected := InjectedFault{At: time.Since(run.start).Seconds(), Kind: fault.Kind, Target: fault.Target}
 		if err != nil {
-			mark.Error = err.Error()
+			injected.Error = err.Error()
 		}
 		run.log.Info("fault injected", "component", "lab", "kind", fault.Kind, "target", fault.Target, "error",
-			mark.Error)
-		run.recordFault(mark)
+			injected.Error)
+		run.recordFault(injected)
 	}
 }
 
--- a/internal/lab/fleet_faults.go
+++ b/internal/lab/fleet_faults.go
@@ -60,7 +60,7 @@
 		name := processName(roleRegistry, leader)
 		return run.partition(ctx, duration, name+":registry-*", "registry-*:"+name)
 	}
-	// fleetFaultBoth
+	// The remaining kind is fleetFaultBoth.
 	run.recordFaultEvent(faultPause, node.Name)
 	node.Signal(syscall.SIGSTOP)
 	err := run.killLeader(ctx)
--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// fleetFaultStream is the random stream of a fleet run's faults. It keeps their draws independent of others of the
-	// same seed.
+	// fleetFaultStream is the random stream of a fleet run's faults. It keeps their draws independent of other draws from
+	// the same seed.
 	fleetFaultStream = 0xf1ee7
 	// readerPollInterval is the time between two samples of one reader of the view.
 	readerPollInterval = 20 * time.Millisecond
 )
 
-// fleetRun is the experiment of the fleet's shared view. It runs real nodes and replicas, injects faults, and samples
-// the view of each reader: every node and every replica.
+// fleetRun is a run of the fleet's shared view. It starts real nodes and replicas, injects faults, and samples the view
+// of each reader. The readers are all nodes and all replicas.
 type fleetRun struct {
 	*loadRun
 	views *viewRecorder
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,7 @@
 // Package lab is the fault lab, which tests the program as real processes on loopback: nodes, registry replicas and
 // stand-in backends. It places a TCP fault proxy on every link, injects faults on a schedule and records the outcome of
 // every request. It then checks invariants over that history and writes a report with plots. A scenario file says which
-// experiment is run: nodes under load, a soak, a lease, a fleet's shared view or maintenance turns.
+// kind of run to start: nodes under load, a soak, a lease, a fleet's shared view or maintenance turns.
 package lab
 
 import (
@@ -24,11 +24,12 @@
 	if scenario.Soak != nil {
 		return runSoak(ctx, scenario, opts)
 	}
-	return runExperiment(ctx, scenario, opts)
+	return runOnce(ctx, scenario, opts)
 }
 
-// runExperiment runs the kind of experiment that the scenario describes, once.
-func runExperiment(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
+// runOnce runs a scenario with its present seed and returns the report. It picks the kind of run by the tables that the
+// scenario has.
+func runOnce(ctx context.Context, scenario Scenario, opts Options) (Report, error) {
 	cluster, err := newCluster(opts, scenario.Seed)
 	if err != nil {
 		return Report{}, err
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -186,12 +186,12 @@
 	}
 }
 
-// Faults that are compiled into each way in which a node's process ends are detected. Without them, the same scenarios
-// pass.
+// The check of final responses detects a fault that is compiled into one of the ways in which a node's process ends.
+// Without the fault, the same scenario passes.
 func TestFaultyShutdownsAreDetected(t *testing.T) {
 	t.Parallel()
 	const scenario = `
-name = "planted"
+name = "faulty shutdown"
 seed = 5
 duration = "7s"
 nodes = 2
@@ -334,14 +334,14 @@
 }
 
 // Five candidates compete for a lease under 200 faults drawn from five seeds. The holder is killed, paused past its
-// TTL, partitioned from the registry or sent SIGTERM, or the registry's leader is killed, or both at the same time. No
-// two holders have writes accepted out of token order, and stale writes of paused holders were attempted and refused.
-// The run waits for the new holder after each fault. The takeover time also depends on the machine, so this test leaves
-// its check to the report, and BenchmarkTakeover measures it.
+// TTL, partitioned from the registry or sent SIGTERM, the registry's leader is killed, or the holder is paused while
+// the leader is killed. The registry accepts writes only in the order of their tokens, and rejects the stale writes that
+// paused holders send. The run waits for the new holder after each fault. The takeover time also depends on the machine,
+// so this test leaves its check to the report, and BenchmarkTakeover measures it.
 func TestLeaseIsSafeUnderFaults(t *testing.T) {
 	t.Parallel()
 	const runs, faultsPerRun = 5, 40
-	var accepted, refused, faults atomic.Int64
+	var accepted, rejected, faults atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range runs {
 			t.Run(strconv.Itoa(11+seed), func(t *testing.T) {
@@ -352,15 +352,15 @@
 					t.Errorf("%s: %d violations, first %v", c.Name, c.Violations, c.Examples)
 				}
 				accepted.Add(int64(r.Lease.AcceptedWrites))
-				refused.Add(int64(r.Lease.RejectedWrites))
+				rejected.Add(int64(r.Lease.RejectedWrites))
 				faults.Add(int64(r.Lease.Faults))
 				t.Logf("takeover ms by kind: %+v; %d grants", r.Lease.Takeover, r.Lease.Grants)
 			})
 		}
 	})
-	if faults.Load() != runs*faultsPerRun || refused.Load() == 0 || accepted.Load() < runs*faultsPerRun {
-		t.Fatalf("the runs did not exercise fencing: %d faults, %d accepted writes, %d refused writes", faults.Load(),
-			accepted.Load(), refused.Load())
+	if faults.Load() != runs*faultsPerRun || rejected.Load() == 0 || accepted.Load() < runs*faultsPerRun {
+		t.Fatalf("the runs did not exercise fencing: %d faults, %d accepted writes, %d rejected writes", faults.Load(),
+			accepted.Load(), rejected.Load())
 	}
 }
 
--- a/internal/lab/lease_run.go
+++ b/internal/lab/lease_run.go
@@ -12,14 +12,14 @@
 const (
 	// leaseName is the name of the lease that the candidates compete for.
 	leaseName = "duty"
-	// leaseFaultStream is the random stream of a lease run's faults. It keeps their draws independent of others of the
-	// same seed.
+	// leaseFaultStream is the random stream of a lease run's faults. It keeps their draws independent of other draws from
+	// the same seed.
 	leaseFaultStream = 0xd07
 	// holderPollInterval is the time between two polls of the registry for the lease's holder.
 	holderPollInterval = 5 * time.Millisecond
 )
 
-// leaseRun is the experiment in which candidates compete for a lease while faults are injected.
+// leaseRun is a run in which candidates compete for a lease while faults are injected.
 type leaseRun struct {
 	*cluster
 	scenario Scenario
--- a/internal/lab/load_run.go
+++ b/internal/lab/load_run.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// loadRun is the experiment of nodes between clients and backends: a load is sent while faults are injected at their
-// times. Its methods may be called by several goroutines. cluster.mu guards the fields that change during the run.
+// loadRun is a run of nodes between clients and backends: a load is sent while faults are injected at their times. Its
+// methods may be called by several goroutines. cluster.mu guards the fields that change during the run.
 type loadRun struct {
 	*cluster
 	scenario  Scenario
--- a/internal/lab/load_setup.go
+++ b/internal/lab/load_setup.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Paths that children answer with status 200 once they are ready.
+// Children answer calls of these paths with status 200 once they are ready.
 const (
 	livePath           = "/health/live"
 	readyPath          = "/health/ready"
@@ -106,7 +106,7 @@
 	}
 	discovery, err = run.openView(name)
 	if err != nil {
-		return "", nil, fmt.Errorf("discovery for %s: %w", name, err)
+		return "", nil, fmt.Errorf("discovery view for %s: %w", name, err)
 	}
 	return discovery, nil, nil
 }
--- a/internal/lab/maintenance_run.go
+++ b/internal/lab/maintenance_run.go
@@ -9,13 +9,14 @@
 
 const (
 	// maintenanceFaultStream is the random stream of a maintenance run's faults. It keeps their draws independent of
-	// others of the same seed.
+	// other draws from the same seed.
 	maintenanceFaultStream = 0x307a
 	// notificationGrace is how long after its fault a node may still lack the changes that it missed during the fault.
 	notificationGrace = time.Second
 )
 
-// maintenanceRun is the experiment in which an operator takes all backends out for maintenance under load.
+// maintenanceRun is a run in which an operator takes all backends out for maintenance under load. In the maintenance
+// plan, each backend is a machine.
 type maintenanceRun struct {
 	*loadRun
 	members []Member // the backends as they are registered, by number
@@ -74,16 +75,16 @@
 		completed.addViolation(operatorErr.Error())
 	}
 	report := Summarize(run.scenario.Name, run.start, history, run.injectedFaults, unsent, run.starts(),
-		run.noAttemptWhileOut(history), run.budgetCheck.result(), completed.result())
+		run.noExecutionWhileOut(history), run.budgetCheck.result(), completed.result())
 	if report.Timeline, err = run.drawTimeline(nil); err != nil {
 		return report, err
 	}
 	return report, report.Write(run.opts.Out)
 }
 
-// noAttemptWhileOut checks that no machine executed a request while it was out. A request is excused if its node had a
-// fault in that time or up to notificationGrace before, and so could not be notified.
-func (run *maintenanceRun) noAttemptWhileOut(history History) Check {
+// noExecutionWhileOut checks that no machine executed a request while it was out. A request is excused if its node had
+// a fault in that time or up to notificationGrace before it, because the node may not have been notified then.
+func (run *maintenanceRun) noExecutionWhileOut(history History) Check {
 	check := Check{Name: "nothing reaches a machine between quiet and returning"}
 	nodes := history.nodes()
 	for _, execution := range history.Executions {
--- a/internal/lab/maintenance_scenario.go
+++ b/internal/lab/maintenance_scenario.go
@@ -29,7 +29,7 @@
 func (maintenanceScenario MaintenanceScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Fleet == nil:
-		return tomlfile.KeyErrorf("work", "[work] needs a [fleet], which takes the machines out")
+		return tomlfile.KeyErrorf("work", "[work] needs a [fleet], whose nodes arrange the maintenance turns")
 	case maintenanceScenario.Budget < 1 || maintenanceScenario.Budget >= scenario.Backends:
 		return tomlfile.KeyErrorf("work.budget", "%d must be at least 1 and below the number of backends (%d)",
 			maintenanceScenario.Budget, scenario.Backends)
--- a/internal/lab/operator.go
+++ b/internal/lab/operator.go
@@ -81,14 +81,14 @@
 	start := time.Now()
 	turn, err := run.advanceTurn(ctx, turn, maintenance.Out)
 	if err != nil {
-		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Out, err)
+		return fmt.Errorf("advancing the turn of %s to %s: %w", turn.Machine, maintenance.Out, err)
 	}
 	if err := run.restartMachine(ctx, turn.Machine, start); err != nil {
 		return err
 	}
 	turn, err = run.advanceTurn(ctx, turn, maintenance.Returning)
 	if err != nil {
-		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Returning, err)
+		return fmt.Errorf("advancing the turn of %s to %s: %w", turn.Machine, maintenance.Returning, err)
 	}
 	_, err = run.advanceTurn(ctx, turn, maintenance.Done)
 	var rejected *statusError
@@ -96,7 +96,7 @@
 		return nil // an earlier call ended the turn, and its response was lost
 	}
 	if err != nil {
-		return fmt.Errorf("turn of %s to %s: %w", turn.Machine, maintenance.Done, err)
+		return fmt.Errorf("advancing the turn of %s to %s: %w", turn.Machine, maintenance.Done, err)
 	}
 	return nil
 }
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -16,13 +16,13 @@
 const (
 	kindServed             = "served"
 	kindRejected           = "refused"     // 429 or 503
-	kindFailed             = "failed"      // another status, or an incomplete response that the client recognizes as one
+	kindFailed             = "failed"      // another status, or a response that the client recognizes as incomplete
 	kindBroken             = "broken"      // sent completely, and the connection ended without a response
 	kindNoResponse         = "none"        // sent completely, and no response came in time
-	kindClosedUnread       = "shut"        // two connections were closed unread: failed, but not lost (TERMS)
+	kindClosedUnread       = "shut"        // the node closed two connections unread: failed, but not lost (TERMS)
 	kindClientDisconnected = "left"        // the client closed the connection before the response came
 	kindUnconnected        = "unconnected" // no node accepted a connection, so nothing was sent
-	kindIncomplete         = "unwritten"   // the connection broke before the last byte was sent: not accepted
+	kindIncomplete         = "unwritten"   // the connection broke before the last byte was sent, so no node accepted it
 )
 
 // Outcome is what a client saw of one request. Times are Unix times in nanoseconds.
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// proxyDialTimeout bounds the time in which a proxy connects to its target.
+	// proxyDialTimeout bounds the time that a proxy takes to connect to its target.
 	proxyDialTimeout = 3 * time.Second
 	// proxyBufferBytes is the size of the largest chunk that a proxy reads and forwards.
 	proxyBufferBytes = 32 << 10
@@ -169,7 +169,7 @@
 	p.workers.Go(func() { p.serve(c) })
 }
 
-// track adds a connection to those that Reset and Close reset. It returns false if the proxy has closed.
+// track adds a connection to the connections that Reset and Close reset. It returns false if the proxy has closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +180,7 @@
 	return true
 }
 
-// untrack removes a connection from the tracked ones and closes it.
+// untrack closes a connection and removes it from the connections that Reset and Close reset.
 func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
@@ -230,8 +230,8 @@
 	abort(c)
 }
 
-// pipe copies data from src to dst, subject to the partition and the delay, until one of them ends. It passes the end
-// of src on to dst.
+// pipe copies data from src to dst, subject to the partition and the delay, until one of the connections ends. It
+// passes the end of src on to dst.
 func (p *Proxy) pipe(dst, src net.Conn) {
 	buffer := make([]byte, proxyBufferBytes)
 	for {
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// errNoLeaderToKill is the error of a fault at the registry's leader when no replica leads.
+// errNoLeaderToKill says that a fault could not kill the registry's leader, because no replica leads.
 var errNoLeaderToKill = errors.New("the registry has no leader to kill")
 
 const (
@@ -23,7 +23,7 @@
 	acknowledgeTimeout = 10 * time.Second
 	// registryCallTimeout bounds one call to a replica.
 	registryCallTimeout = 2 * time.Second
-	// registryRetryInterval is the time between two tries of a registry call that is repeated until it succeeds.
+	// registryRetryInterval is the time between two attempts of a registry call that is repeated until it succeeds.
 	registryRetryInterval = 50 * time.Millisecond
 )
 
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// leads tells whether a replica reports that it is the leader.
+// leads reports whether a replica says that it is the leader.
 func (cluster *cluster) leads(ctx context.Context, addr string) bool {
 	var status struct {
 		State string `json:"state"`
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -36,9 +36,9 @@
 	Served     int     `json:"served"`
 	Rejected   int     `json:"refused"`
 	Failed     int     `json:"failed"`
-	Unanswered int     `json:"unanswered"` // excused ones included
-	P50        float64 `json:"p50_ms"`     // latency of served requests
-	P99        float64 `json:"p99_ms"`     // latency of served requests
+	Unanswered int     `json:"unanswered"` // including excused requests
+	P50        float64 `json:"p50_ms"`     // median latency of served requests
+	P99        float64 `json:"p99_ms"`     // 99th percentile of the same latencies
 }
 
 // InjectedFault is a fault as it was injected, and the error if that failed.
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -8,7 +8,7 @@
 	"hitchvale/internal/tomlfile"
 )
 
-// Scenario is one experiment, as a TOML file describes it.
+// Scenario describes a run of the lab, or the runs of a soak. It is read from a TOML file.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	Seed     uint64   `toml:"seed"`
@@ -18,7 +18,7 @@
 	// Registries is the number of registry replicas (hitchvale registry serve) that serve discovery. With 0 the lab serves
 	// a stand-in discovery, with a proxy for each pair of a node and a backend.
 	Registries int `toml:"registries"`
-	// DrainGrace is how long a draining backend may still receive requests (the settings' drainGrace).
+	// DrainGrace is how long a backend may still receive requests after it was set draining (the settings' drainGrace).
 	DrainGrace Duration        `toml:"grace"`
 	Load       Load            `toml:"load"`
 	Backend    BackendBehavior `toml:"backend"`
@@ -54,7 +54,7 @@
 	// SplitRequestShare is the share whose client sends the beginning of the request long before the remainder. A new
 	// process of a node is not ready while the old process has such a request.
 	SplitRequestShare float64 `toml:"begun"`
-	// StalledClients adds peers that send half a request and stay connected.
+	// StalledClients replaces some requests by clients that send the beginning of a request and then stay connected.
 	StalledClients bool `toml:"improper"`
 }
 
@@ -64,7 +64,8 @@
 	ErrorShare  float64  `toml:"errors"` // share answered with status 500
 	ResetShare  float64  `toml:"resets"` // share executed and then ended by a reset of the connection
 	HangShare   float64  `toml:"hangs"`  // share answered after hangDuration
-	// RunTwice executes every POST twice. It is a deliberate fault that the lab's checks must detect.
+	// RunTwice makes the backends record two executions of every POST. It is a deliberate fault that the lab's checks must
+	// detect.
 	RunTwice bool `toml:"twice"`
 }
 
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -26,7 +26,7 @@
 	if share := scenario.Backend.ErrorShare; share < 0 || share > 1 {
 		return tomlfile.KeyErrorf("backend.errors", "%g is outside 0 to 1", share)
 	}
-	if err := scenario.checkExperiment(); err != nil {
+	if err := scenario.checkTables(); err != nil {
 		return err
 	}
 	for i, fault := range scenario.Faults {
@@ -78,8 +78,8 @@
 // minClientDeadline is the shortest client deadline that a scenario may set.
 const minClientDeadline = 10 * time.Millisecond
 
-// checkExperiment checks the tables [fleet], [soak] and [work], which add to or replace the [[fault]] schedule.
-func (scenario Scenario) checkExperiment() error {
+// checkTables checks the tables [fleet], [soak] and [work], which add to or replace the [[fault]] schedule.
+func (scenario Scenario) checkTables() error {
 	if scenario.Fleet != nil {
 		if err := scenario.Fleet.check(scenario); err != nil {
 			return err
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -18,7 +18,7 @@
 		"unknown fault kind": {base + "[[fault]]\nat = \"1s\"\nkind = \"explode\"\ntarget = [\"node-0\"]\n",
 			`"explode" is not a fault kind`},
 		"unknown node": {base + "[[fault]]\nat = \"1s\"\nkind = \"kill\"\ntarget = [\"node-2\"]\n",
-			`there are 2 of node`},
+			`the scenario has 2 node processes`},
 		"invalid link": {base + "[[fault]]\nat = \"1s\"\nkind = \"partition\"\ntarget = [\"node-0:node-1\"]\n",
 			`not a link`},
 		"drain of a node": {base + "[[fault]]\nat = \"1s\"\nkind = \"drain\"\ntarget = [\"node-0\"]\n",
@@ -50,7 +50,7 @@
 		DrainedAt:  map[string]time.Time{"backend-4": drainedAt},
 		DrainGrace: time.Second,
 	}
-	check := history.noAttemptAfterDrain()
+	check := history.noExecutionAfterDrain()
 	if check.OK || check.Violations != 1 || check.Excused != 1 || !strings.HasPrefix(check.Examples[0], "a ") {
 		t.Fatalf("check %+v, want the violation by request a and request b excused", check)
 	}
--- a/internal/lab/soak_checks.go
+++ b/internal/lab/soak_checks.go
@@ -24,15 +24,15 @@
 	notifiedAt map[string]time.Time // by node: when discovery wrote the drain to the node
 }
 
-// verifySoak checks the invariants that only a soak has; Verify checks those of every load run. lastUp is when
-// discovery last came back from an outage.
+// verifySoak checks the invariants that only a soak has. Verify checks the invariants of every load run. lastUp is when
+// the last outage of discovery ended.
 func (h History) verifySoak(drains map[string][]*drainPeriod, lastUp time.Time) []Check {
 	outcomes := make(map[string]Outcome, len(h.Outcomes))
 	for _, outcome := range h.Outcomes {
 		outcomes[outcome.Trace] = outcome
 	}
 	return []Check{h.noAttemptAfterDisconnect(outcomes), h.deadlinesForwarded(outcomes), h.keyedWithinWindow(outcomes),
-		h.noAttemptInDrain(drains, lastUp)}
+		h.noAttemptAfterDrain(drains, lastUp)}
 }
 
 // noAttemptAfterDisconnect checks that no attempt begins later than disconnectGrace after its client disconnected.
@@ -114,9 +114,9 @@
 	return times
 }
 
-// sentAt returns when the attempt that led to an execution was sent. That attempt is the last one of the request at the
-// backend before the execution, which may follow long after its attempt where the request hangs. An execution without
-// an attempt counts as sent when it was executed.
+// sentAt returns when the attempt that led to an execution was sent. That attempt is the request's last attempt at the
+// backend before the execution. The execution may come long after the attempt if the request hangs. An execution
+// without an attempt counts as sent when it was executed.
 func (times attemptTimes) sentAt(execution Execution) int64 {
 	sentAt := execution.At
 	for _, at := range times[attemptKey{execution.Trace, execution.Backend}] {
@@ -127,9 +127,9 @@
 	return sentAt
 }
 
-// noAttemptInDrain checks that no attempt begins at a draining backend later than DrainGrace after the node counts as
-// notified of the drain.
-func (h History) noAttemptInDrain(drains map[string][]*drainPeriod, lastUp time.Time) Check {
+// noAttemptAfterDrain checks that no attempt begins at a draining backend later than DrainGrace after the node counts
+// as notified of the drain.
+func (h History) noAttemptAfterDrain(drains map[string][]*drainPeriod, lastUp time.Time) Check {
 	check := Check{Name: "nothing begins at a draining backend past the grace"}
 	for _, attempt := range h.Attempts {
 		begin := time.Unix(0, attempt.At)
--- a/internal/lab/soak_draw.go
+++ b/internal/lab/soak_draw.go
@@ -6,10 +6,12 @@
 	"time"
 )
 
-// soakFaultStream is the random stream of a soak's faults. It keeps their draws independent of others of the same seed.
+// soakFaultStream is the random stream of a soak's faults. It keeps their draws independent of other draws from the
+// same seed.
 const soakFaultStream = 0x50a1
 
-// groupSpan is the time within which all faults of a group begin. Most faults last longer, so those of a group overlap.
+// groupSpan is the time within which all faults of a group begin. Most faults last longer, so the faults
+// of a group overlap.
 const groupSpan = 300 * time.Millisecond
 
 // faultDrawer draws a soak's faults. They depend only on the scenario and its seed.
@@ -22,7 +24,7 @@
 // drawSoak returns the faults of a soak, sorted by time.
 func drawSoak(scenario Scenario) []Fault {
 	drawer := &faultDrawer{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, soakFaultStream))}
-	// No group starts within one client deadline of the end of the load.
+	// No group starts within one client deadline of the end of the load, so that load follows the last faults.
 	end := scenario.Duration.Duration - scenario.Load.Deadline.Duration
 	for at := scenario.Soak.FirstFaultAt.Duration; at < end; at += scenario.Soak.GroupInterval.Duration {
 		drawer.drawGroup(at)
@@ -31,8 +33,8 @@
 	return drawer.faults
 }
 
-// drawGroup draws the faults of a group. About half of them hit the same node and backend as the fault before, because
-// faults that coincide at one process are rarely tested together.
+// drawGroup draws the faults of a group. About half of them hit the same node and backend as the previous fault,
+// because faults that coincide at one process are rarely tested together.
 func (drawer *faultDrawer) drawGroup(at time.Duration) {
 	node := drawer.rng.IntN(drawer.scenario.Nodes)
 	backend := drawer.rng.IntN(drawer.scenario.Backends)
@@ -158,7 +160,7 @@
 	}
 }
 
-// drawLinkFault breaks the links of one node to all backends, or of all nodes to one backend.
+// drawLinkFault adds a fault on the links of one node to all backends, or of all nodes to one backend.
 func (drawer *faultDrawer) drawLinkFault(at time.Duration, node, backend string) {
 	link := []string{node + ":backend-*", "node-*:" + backend}[drawer.rng.IntN(2)]
 	kind := []string{faultPartition, faultDelay, faultReset}[drawer.rng.IntN(3)]
@@ -170,7 +172,7 @@
 }
 
 // drawUpgrade replaces a node's process. Most sequences add a fault of the successor soon after. In about half of all
-// draws, every other backend is paused too.
+// draws, every second backend is paused too.
 func (drawer *faultDrawer) drawUpgrade(sequence faultSequence, at time.Duration, node string) {
 	if drawer.rng.IntN(2) == 0 {
 		drawer.drawPausedBackends(at)
@@ -197,7 +199,7 @@
 	}
 }
 
-// drawPausedBackends pauses every other backend soon after at. All of them have the same pause.
+// drawPausedBackends pauses every second backend soon after at. All of these pauses begin and end at the same time.
 func (drawer *faultDrawer) drawPausedBackends(at time.Duration) {
 	from := at + drawer.span(0, 800*time.Millisecond)
 	duration := drawer.span(time.Second, 2500*time.Millisecond)
--- a/internal/lab/soak_run.go
+++ b/internal/lab/soak_run.go
@@ -48,7 +48,7 @@
 	for range scenario.Soak.Seeds {
 		seedOpts := opts
 		seedOpts.Out = filepath.Join(opts.Out, fmt.Sprintf("seed-%d", scenario.Seed))
-		report, err := runExperiment(ctx, scenario.forSeed(), seedOpts)
+		report, err := runOnce(ctx, scenario.forSeed(), seedOpts)
 		result := newSeedResult(scenario.Seed, report, err)
 		if encodeErr := json.NewEncoder(results).Encode(result); encodeErr != nil {
 			return sum, fmt.Errorf("output: %w", encodeErr)
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -9,10 +9,10 @@
 	FirstFaultAt  Duration `toml:"quiet"` // from the start of the load
 	GroupInterval Duration `toml:"every"` // from one group of faults to the next
 	GroupSize     int      `toml:"bout"`  // faults in a group
-	// TracedShare is the share of nodes, 0 to 1, that are traced: some of their system calls fail by a plan.
+	// TracedShare is the share of nodes, 0 to 1, that are traced. Some of a traced node's system calls fail by a plan.
 	TracedShare float64 `toml:"shimmed"`
-	// Upgrades adds faults that replace a node's process by a second one. Some replace it again while the first process
-	// is still shutting down.
+	// Upgrades adds faults that replace a node's process by a second one. Some of them replace the second process while
+	// the first one is still shutting down.
 	Upgrades bool `toml:"upgrades"`
 	// Deadlines are client deadlines, of which each seed uses one. If there are none, each seed uses the load's deadline.
 	Deadlines []Duration `toml:"deadlines"`
--- a/internal/lab/starvation.go
+++ b/internal/lab/starvation.go
@@ -20,7 +20,7 @@
 	minStarvation = 60 * time.Millisecond
 )
 
-// starvation is a time in which a child waited for a processor, measured from the kernel's statistics on its threads
+// starvation is a period in which a child waited for a processor, measured from the kernel's statistics on its threads
 // (schedstat). It excuses no violation. It shows whether a check may have failed only because the machine was busy.
 type starvation struct {
 	Child string        `json:"child"`
--- a/internal/lab/system_call_plan.go
+++ b/internal/lab/system_call_plan.go
@@ -7,11 +7,11 @@
 	"hitchvale/internal/sysfault"
 )
 
-// systemCallStream plus the node's number is the random stream of the node's plan. It keeps the draws independent of
-// others of the same seed.
+// systemCallStream plus a node's number is the random stream of the node's plan. It keeps the plan's draws independent
+// of other draws from the same seed.
 const systemCallStream = 0x5419
 
-// isTraced tells whether a node runs under a tracer that makes its system calls fail by a drawn plan.
+// isTraced reports whether a node runs under a tracer that makes its system calls fail by a drawn plan.
 func (scenario Scenario) isTraced(node int) bool {
 	return scenario.Soak != nil && float64(node) < scenario.Soak.TracedShare*float64(scenario.Nodes)
 }
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if n := scenario.count(role); index >= n {
-		return fmt.Errorf("%q: there are %d of %s in the scenario, numbered from 0", target, n, role)
+		return fmt.Errorf("%q: the scenario has %d %s processes, numbered from 0", target, n, role)
 	}
 	switch kind {
 	case faultReload, faultHold, faultUpgrade:
