--- a/internal/lab/addresses.go
+++ b/internal/lab/addresses.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// claimPort is the port on which a run listens at the first address of its block. No other run can claim the block
-	// meanwhile.
+	// claimPort is the port on which a run listens at the first address of its block. While it listens, no other run can
+	// claim the block.
 	claimPort = 9
 	// maxClaimAttempts bounds the search for a free block.
 	maxClaimAttempts = 256
--- a/internal/lab/candidate.go
+++ b/internal/lab/candidate.go
@@ -42,7 +42,7 @@
 	defer file.Close()
 	log := &eventLog{encoder: json.NewEncoder(file), holder: c.ID + "." + strconv.Itoa(os.Getpid())}
 	client := &lease.Client{Replicas: c.Replicas, HTTP: &http.Client{Timeout: c.TTL / 2}}
-	var lastToken uint64 // of the last grant, which the registry may still count as held after Lost
+	var lastToken uint64 // of the last grant; the registry may still count that grant as held after Lost
 	for ctx.Err() == nil {
 		held, err := client.Acquire(ctx, c.LeaseName, log.holder, c.TTL)
 		if errors.Is(err, context.Canceled) {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// putIdle adds a connection to the idle ones, for reuse.
+// putIdle keeps a connection idle, so that a later request can reuse it.
 func (c *client) putIdle(conn *clientConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
--- a/internal/lab/cluster_test.go
+++ b/internal/lab/cluster_test.go
@@ -62,22 +62,23 @@
 	if err := registerMember(ctx, c, c.registryAddr[0], "before"); err != nil {
 		t.Fatal(err)
 	}
-	old := c.leaderIndex(ctx)
-	links := c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", old), fmt.Sprintf("registry-*:registry-%d", old)})
+	oldLeader := c.leaderIndex(ctx)
+	links := c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", oldLeader),
+		fmt.Sprintf("registry-*:registry-%d", oldLeader)})
 	if len(links) != 4 {
 		t.Fatalf("%d links of the leader, want 4", len(links))
 	}
 	for _, p := range links {
 		p.Partition(true)
 	}
-	majority := c.registryAddr[(old+1)%3]
-	if err := registerMember(ctx, c, c.registryAddr[old], "lost"); err == nil {
+	majority := c.registryAddr[(oldLeader+1)%3]
+	if err := registerMember(ctx, c, c.registryAddr[oldLeader], "lost"); err == nil {
 		t.Error("a leader without a majority acknowledged a write")
 	}
 	waitFor(t, "a write at the majority", func() bool { return registerMember(ctx, c, majority, "during") == nil })
 	// After the old leader has stepped down, it may serve reads for stale_read, like every follower.
 	waitFor(t, "the partitioned replica to refuse reads", func() bool {
-		err := c.registryCall(ctx, http.MethodGet, c.registryAddr[old], "/registry/instances", nil, nil)
+		err := c.registryCall(ctx, http.MethodGet, c.registryAddr[oldLeader], "/registry/instances", nil, nil)
 		return err != nil && strings.Contains(err.Error(), "503")
 	})
 	for _, p := range links {
@@ -106,11 +107,11 @@
 func TestOneWayPartitionDoesNotStopWrites(t *testing.T) {
 	t.Parallel()
 	c, ctx := testCluster(t, 3)
-	lead := c.leaderIndex(ctx)
-	for _, p := range c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", lead)}) {
+	leader := c.leaderIndex(ctx)
+	for _, p := range c.matchLinks([]string{fmt.Sprintf("registry-%d:registry-*", leader)}) {
 		p.Partition(true)
 	}
-	addr := c.registryAddr[(lead+1)%3]
+	addr := c.registryAddr[(leader+1)%3]
 	waitFor(t, "a write at another replica", func() bool { return registerMember(ctx, c, addr, "one") == nil })
 }
 
@@ -132,9 +133,9 @@
 			acknowledged = append(acknowledged, id)
 		}
 		cancel()
-		if lead := c.leaderIndex(ctx); !killed && lead >= 0 && time.Until(end) < 5*time.Second {
+		if leader := c.leaderIndex(ctx); !killed && leader >= 0 && time.Until(end) < 5*time.Second {
 			killed = true
-			p := c.processes["registry"][lead]
+			p := c.processes["registry"][leader]
 			p.Kill()
 			if err := p.Start(c.spawner); err != nil {
 				t.Fatal(err)
@@ -150,12 +151,12 @@
 	for i, p := range c.processes["registry"] {
 		starts += p.starts()
 		waitFor(t, "the acknowledged writes at "+p.Name, func() bool {
-			var l listResponse
-			if c.registryCall(ctx, http.MethodGet, c.registryAddr[i], "/registry/instances", nil, &l) != nil {
+			var list listResponse
+			if c.registryCall(ctx, http.MethodGet, c.registryAddr[i], "/registry/instances", nil, &list) != nil {
 				return false
 			}
 			have := map[string]bool{}
-			for _, m := range l.Members {
+			for _, m := range list.Members {
 				have[m.ID] = true
 			}
 			return !slices.ContainsFunc(acknowledged, func(id string) bool { return !have[id] })
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -80,7 +80,7 @@
 	d.wakeWatches()
 }
 
-// SetPhase changes a member's phase. It raises the revision if the phase is a different one.
+// SetPhase changes a member's phase. It raises the revision if the member was in another phase.
 func (d *Discovery) SetPhase(id, phase string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -47,12 +47,12 @@
 
 // report writes the report and the timeline. faultErr is the error of injectDrawnFaults.
 func (run *fleetRun) report(faultErr error) (Report, error) {
-	settled := Check{Name: "every node is fresh in every view again after each fault"}
+	freshness := Check{Name: "every node is fresh in every view again after each fault"}
 	if faultErr != nil {
-		settled.addViolation(faultErr.Error())
+		freshness.addViolation(faultErr.Error())
 	}
 	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.injectedFaults, Starts: run.starts(),
-		Checks: append(run.views.checks(), settled.result())}
+		Checks: append(run.views.checks(), freshness.result())}
 	for _, check := range report.Checks {
 		report.Passed = report.Passed && check.OK
 	}
--- a/internal/lab/fleet_view.go
+++ b/internal/lab/fleet_view.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// sampleReplica records the view that a replica returns: its own where it is the leader, otherwise the leader's.
+// sampleReplica records the view that a replica returns: its own view if it is the leader, otherwise the leader's.
 func (run *fleetRun) sampleReplica(ctx context.Context, m int) error {
 	var text json.RawMessage
 	addr := run.registryAddr[m]
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -335,9 +335,9 @@
 
 // Five candidates compete for a lease under 200 faults drawn from five seeds. The holder is killed, paused past its
 // TTL, partitioned from the registry or sent SIGTERM, the registry's leader is killed, or the holder is paused while
-// the leader is killed. The registry accepts writes only in the order of their tokens, and rejects the stale writes that
-// paused holders send. The run waits for the new holder after each fault. The takeover time also depends on the machine,
-// so this test leaves its check to the report, and BenchmarkTakeover measures it.
+// the leader is killed. The registry accepts writes only in the order of their tokens, and rejects the stale writes
+// that paused holders send. The run waits for the new holder after each fault. The takeover time also depends on the
+// machine, so this test leaves its check to the report, and BenchmarkTakeover measures it.
 func TestLeaseIsSafeUnderFaults(t *testing.T) {
 	t.Parallel()
 	const runs, faultsPerRun = 5, 40
--- a/internal/lab/lease_faults.go
+++ b/internal/lab/lease_faults.go
@@ -13,7 +13,7 @@
 type leaseFault struct {
 	Kind   string `json:"kind"`
 	At     int64  `json:"at"`     // Unix time in nanoseconds
-	Holder string `json:"holder"` // of the lease when the fault was injected
+	Holder string `json:"holder"` // the lease's holder when the fault was injected
 	Target string `json:"target"`
 }
 
--- a/internal/lab/maintenance_run.go
+++ b/internal/lab/maintenance_run.go
@@ -25,8 +25,8 @@
 	budgetCheck Check
 }
 
-// outPeriod is a period in which a machine is out. It begins when the operator has read that the machine is quiet, and
-// ends before the call that registers the machine again.
+// outPeriod is a period in which a machine is out for maintenance. It begins when the operator has read that the
+// machine is quiet, and ends before the call that registers the machine again.
 type outPeriod struct {
 	machine string
 	start   time.Time
--- a/internal/lab/maintenance_scenario.go
+++ b/internal/lab/maintenance_scenario.go
@@ -11,7 +11,7 @@
 type MaintenanceScenario struct {
 	Budget        int      `toml:"budget"` // the most backends that may be out at the same time
 	Kinds         []string `toml:"kinds"`  // kinds of faults to draw from; empty: no faults
-	FaultInterval Duration `toml:"every"`  // time from the end of one fault to the next
+	FaultInterval Duration `toml:"every"`  // time from the end of one fault to the start of the next
 }
 
 // The kinds of faults of a maintenance scenario.
--- a/internal/lab/stalled_clients.go
+++ b/internal/lab/stalled_clients.go
@@ -39,8 +39,8 @@
 }
 
 // sendIncompleteRequest sends the beginning of a request. It returns the time until the node answered with an error or
-// closed the connection, and whether that happened within timeout. A node that accepts no connection counts as one that
-// closes it immediately.
+// closed the connection, and whether that happened within timeout. A node that accepts no connection counts as a node
+// that closes the connection immediately.
 func (c *client) sendIncompleteRequest(timeout time.Duration) (elapsed time.Duration, ended bool) {
 	conn, err := c.dial()
 	if err != nil {
--- a/internal/lab/starvation.go
+++ b/internal/lab/starvation.go
@@ -25,7 +25,7 @@
 type starvation struct {
 	Child string        `json:"child"`
 	At    time.Time     `json:"at"`
-	For   time.Duration `json:"for_ns"` // of the thread that waited longest
+	For   time.Duration `json:"for_ns"` // how long the thread that waited longest waited
 }
 
 // starvationLog records when children were starved.
