--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -311,10 +311,11 @@
 	}
 	// Every node got the revisions of both drains.
 	if p := r.Propagation; p.N != 3*2 || p.Max >= float64(propagationTimeout.Milliseconds()) {
-		t.Errorf("propagation of the drains: %+v", p)
+		t.Errorf("propagation of the drains %+v, want 6 samples below %s", p, propagationTimeout)
 	}
 	if len(r.Checks) != 4 || r.Counts["served"] == 0 || r.Starts["registry-1"] != 2 {
-		t.Errorf("checks %d, counts %v, starts %v", len(r.Checks), r.Counts, r.Starts)
+		t.Errorf("%d checks, counts %v, starts %v, want 4 checks, served requests and 2 starts of registry-1",
+			len(r.Checks), r.Counts, r.Starts)
 	}
 }
 
