--- a/internal/lab/fleet_run.go
+++ b/internal/lab/fleet_run.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// fleetFaultStream is the random stream of a fleet run's faults. It keeps their draws independent of others of the
-	// same seed.
+	// fleetFaultStream is the random stream of a fleet run's faults. It keeps their draws independent of other draws from
+	// the same seed.
 	fleetFaultStream = 0xf1ee7
 	// readerPollInterval is the time between two samples of one reader of the view.
 	readerPollInterval = 20 * time.Millisecond
 )
 
-// fleetRun is the experiment of the fleet's shared view. It runs real nodes and replicas, injects faults, and samples
-// the view of each reader: every node and every replica.
+// fleetRun is a run of the fleet's shared view. It starts real nodes and replicas, injects faults, and samples the view
+// of each reader. The readers are all nodes and all replicas.
 type fleetRun struct {
 	*loadRun
 	views *viewRecorder
@@ -47,12 +47,12 @@
 
 // report writes the report and the timeline. faultErr is the error of injectDrawnFaults.
 func (run *fleetRun) report(faultErr error) (Report, error) {
-	settled := Check{Name: "every node is fresh in every view again after each fault"}
+	freshness := Check{Name: "every node is fresh in every view again after each fault"}
 	if faultErr != nil {
-		settled.addViolation(faultErr.Error())
+		freshness.addViolation(faultErr.Error())
 	}
 	report := Report{Scenario: run.scenario.Name, Passed: true, Faults: run.injectedFaults, Starts: run.starts(),
-		Checks: append(run.views.checks(), settled.result())}
+		Checks: append(run.views.checks(), freshness.result())}
 	for _, check := range report.Checks {
 		report.Passed = report.Passed && check.OK
 	}
--- a/internal/lab/maintenance_scenario.go
+++ b/internal/lab/maintenance_scenario.go
@@ -11,7 +11,7 @@
 type MaintenanceScenario struct {
 	Budget        int      `toml:"budget"` // the most backends that may be out at the same time
 	Kinds         []string `toml:"kinds"`  // kinds of faults to draw from; empty: no faults
-	FaultInterval Duration `toml:"every"`  // time from the end of one fault to the next
+	FaultInterval Duration `toml:"every"`  // time from the end of one fault to the start of the next
 }
 
 // The kinds of faults of a maintenance scenario.
@@ -29,7 +29,7 @@
 func (maintenanceScenario MaintenanceScenario) check(scenario Scenario) error {
 	switch {
 	case scenario.Fleet == nil:
-		return tomlfile.KeyErrorf("work", "[work] needs a [fleet], which takes the machines out")
+		return tomlfile.KeyErrorf("work", "[work] needs a [fleet], whose nodes arrange the maintenance turns")
 	case maintenanceScenario.Budget < 1 || maintenanceScenario.Budget >= scenario.Backends:
 		return tomlfile.KeyErrorf("work.budget", "%d must be at least 1 and below the number of backends (%d)",
 			maintenanceScenario.Budget, scenario.Backends)
