--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -1,8 +1,8 @@
 // Command hitchvale-node runs one load-balancing node. It reads its configuration from the file that BALANCER_CONFIG
 // names. If BALANCER_ADMIN is set, it replaces the address of the admin server in the file.
 //
-// On SIGHUP the node reads the configuration again, on SIGTERM it shuts down gracefully. It exits with status 1 and one
-// line on standard error if it can't start or its listener fails.
+// On SIGHUP the node reads the configuration again, and on SIGTERM it shuts down gracefully. It exits with status 1 and
+// one line on standard error if it can't start or its listener fails.
 package main
 
 import (
@@ -113,7 +113,7 @@
 			continue
 		}
 		retrying := !time.Now().After(retryUntil)
-		log.Error("configuration reload failed", "error", err, "retrying", retrying)
+		log.Error("configuration reload failed, keeping the current configuration", "error", err, "retrying", retrying)
 		if retrying {
 			retry = time.After(backoff)
 			backoff = min(2*backoff, reloadMaxBackoff)
@@ -124,7 +124,7 @@
 const (
 	// memoryTenths is the part of the memory limit, in tenths, that the Go runtime may use.
 	memoryTenths = 7
-	// sharedMemoryTenths is that part for a node with an admin address, whose successor may run at the same time.
+	// sharedMemoryTenths is this part for a node with an admin address, whose successor may run at the same time.
 	sharedMemoryTenths = 4
 	// gcPercent makes the garbage collector run seldom. Near the memory limit it runs more often by itself.
 	gcPercent = 200
--- a/cmd/hitchvale-node/main_test.go
+++ b/cmd/hitchvale-node/main_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// patience bounds every wait for something that must happen. It may be long: with the faults that the tests guard
-// against, the awaited event never happens.
-const patience = 20 * time.Second
+// testTimeout limits every wait of the tests for something that must happen. It may be long: with the faults that the
+// tests guard against, the awaited event never happens.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
 	if os.Getenv("GLENCART_TEST_RUN") != "" {
@@ -181,7 +181,7 @@
 }
 
 // A configuration that can't be read at SIGHUP is retried until it can be read. The node has to use the list of the new
-// discovery address 4 s after the signal.
+// discovery address at most 4 s after the signal.
 func TestHangupBeforeTheFileIsComplete(t *testing.T) {
 	before, calledBefore := startDiscovery(t)
 	after, calledAfter := startDiscovery(t)
@@ -195,7 +195,7 @@
 	p.configure(after)
 	select {
 	case <-calledAfter:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("discovery was not called at its new address")
 	}
 	p.Process.Signal(syscall.SIGTERM)
@@ -220,7 +220,7 @@
 // answers reports whether the node answers a request. The node has no backend, so the expected answer is a rejection
 // with status 503.
 func (p *process) answers() bool {
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.listen+"/api", nil)
 	if err != nil {
 		p.t.Fatal(err)
@@ -257,7 +257,7 @@
 		if err != nil {
 			t.Errorf("the node exited with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the node does not exit")
 	}
 }
--- a/cmd/hitchvale-node/shutdown_test.go
+++ b/cmd/hitchvale-node/shutdown_test.go
@@ -110,7 +110,7 @@
 // run completes the request at its delay after SIGTERM, and reads the response.
 func (c *lateClient) run(sigterm time.Time) {
 	time.Sleep(time.Until(sigterm.Add(c.delay)))
-	c.SetDeadline(sigterm.Add(c.delay + shutdownDeadline + patience))
+	c.SetDeadline(sigterm.Add(c.delay + shutdownDeadline + testTimeout))
 	if _, err := io.WriteString(c, c.rest()); err == nil {
 		c.sent = time.Now()
 	}
@@ -197,12 +197,14 @@
 	s.terminate(second)
 }
 
+// killSuccessorBefore kills the successor before the first process gets SIGTERM.
 func (s *shutdownScenario) killSuccessorBefore() {
 	s.first.replace().Process.Kill()
 	time.Sleep(50 * time.Millisecond)
 	s.terminate(s.first)
 }
 
+// killSuccessorAfter kills the successor after the first process has got SIGTERM.
 func (s *shutdownScenario) killSuccessorAfter() {
 	second := s.first.replace()
 	s.terminate(s.first)
@@ -210,6 +212,7 @@
 	second.Process.Kill()
 }
 
+// terminateSuccessorFirst sends SIGTERM to the successor during the hand-over, and later to the first process.
 func (s *shutdownScenario) terminateSuccessorFirst() {
 	second := s.first.start()
 	time.Sleep(20 * time.Millisecond) // the successor may have inherited the listener by then
@@ -218,6 +221,7 @@
 	s.terminate(s.first)
 }
 
+// terminateBoth sends SIGTERM to the first process and to its successor.
 func (s *shutdownScenario) terminateBoth() {
 	second := s.first.replace()
 	s.connect(second)
@@ -225,6 +229,7 @@
 	s.terminate(second)
 }
 
+// signalRepeatedly sends further signals to the first process after SIGTERM.
 func (s *shutdownScenario) signalRepeatedly() {
 	s.first.replace()
 	s.terminate(s.first)
@@ -237,6 +242,7 @@
 // maxStall is the longest time for which a process may stall.
 const maxStall = 150 * time.Millisecond
 
+// stallAtStart stalls the first process when it gets SIGTERM.
 func (s *shutdownScenario) stallAtStart() {
 	s.first.replace()
 	s.first.Process.Signal(syscall.SIGSTOP)
@@ -245,6 +251,7 @@
 	s.first.Process.Signal(syscall.SIGCONT)
 }
 
+// stallAtEnd stalls the first process when it writes its last responses.
 func (s *shutdownScenario) stallAtEnd() {
 	s.first.replace()
 	s.terminate(s.first)
@@ -254,6 +261,7 @@
 	s.first.Process.Signal(syscall.SIGCONT)
 }
 
+// startSuccessorLate starts a successor while the first process shuts down.
 func (s *shutdownScenario) startSuccessorLate() {
 	s.terminate(s.first)
 	time.Sleep(100 * time.Millisecond)
@@ -297,7 +305,7 @@
 func (p *process) replace() *process {
 	p.t.Helper()
 	next := p.start()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + next.admin + "/admin/health")
 		if err != nil {
 			continue
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// flakyListener is a listener whose Accept fails in the calls that fails selects, with the errors in errs in turn.
+// flakyListener is a listener whose Accept fails if fails returns true for the number of the call. The failures return
+// the errors in errs in turn.
 type flakyListener struct {
 	net.Listener
 	errs  []error
--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -77,7 +77,7 @@
 	}
 	roundTrip(t, newClientRequest(t, n.url+"/fine", "read"))
 	roundTrip(t, newClientRequest(t, n.url+"/error", "read")) // there is no other backend for a retry
-	// A client that disconnects ends its request. The request is counted in any one outcome.
+	// A client that disconnects ends its request. The request is counted in one outcome, which may be any.
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for receive(t, "the slow request", paths) != "/slow" {
--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -34,13 +34,13 @@
 	transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 	r := attemptOnce(t, transport, to, newForwardedRequest("first"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "x" {
-		t.Fatalf("first attempt: %v", r)
+		t.Fatalf("first attempt: got status %v, body %q, want succeeded with \"x\"", r.status, r.body)
 	}
 	if r := attemptOnce(t, transport, to, newForwardedRequest("second")); r.status != balance.StatusConnectionLost {
 		t.Errorf("second attempt: status %v, want connection lost, because the request may have run", r.status)
 	}
 	if n := b.accepted.Load(); n != 1 || len(arrived) != 2 {
-		t.Errorf("%d connections, %d requests", n, len(arrived))
+		t.Errorf("the backend got %d connections and %d requests, want 1 and 2", n, len(arrived))
 	}
 }
 
@@ -53,14 +53,14 @@
 	addr := b.Addr().String()
 	transport, to := newTestTransport(t), connpool.Server{Addr: addr}
 	if r := attemptOnce(t, transport, to, newForwardedRequest("old")); r.status != balance.StatusSucceeded {
-		t.Fatalf("%v", r.status)
+		t.Fatalf("before the restart: status %v, want succeeded", r.status)
 	}
 	b.Close()
 	resetConn(receive(t, "the old connection", conns))
 	newRawBackend(t, addr, serve)
 	r := attemptOnce(t, transport, to, newForwardedRequest("new"))
 	if r.status != balance.StatusSucceeded || string(r.body) != "new" {
-		t.Errorf("after the restart: %v %q", r.status, r.body)
+		t.Errorf("after the restart: status %v, body %q, want succeeded with \"new\"", r.status, r.body)
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, id := range []string{"one", "two"} {
 		r := attemptOnce(t, transport, to, newForwardedRequest(id))
 		if r.status != balance.StatusSucceeded || string(r.body) != id {
-			t.Errorf("%s: %v %q", id, r.status, r.body)
+			t.Errorf("%s: status %v, body %q", id, r.status, r.body)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		})
 		transport, to := newTestTransport(t), connpool.Server{Addr: b.Addr().String()}
 		if transport.pool.Quarantine() != 0 {
-			t.Error("quarantine before any surplus bytes")
+			t.Error("the quarantine starts before any surplus bytes")
 		}
 		attemptOnce(t, transport, to, newForwardedRequest("one"))
 		<-wrote
@@ -162,7 +162,7 @@
 	}
 	r := attemptOnce(t, transport, connpool.Server{Addr: a.Addr().String()}, newForwardedRequest("id"))
 	if r.status != balance.StatusNotSent {
-		t.Errorf("without room for a connection: status %v", r.status)
+		t.Errorf("without room for a connection: status %v, want not sent", r.status)
 	}
 	transport.pool.Discard(c)
 }
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -81,9 +81,9 @@
 				}
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body)
 			})
-			reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"},
+			service := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"},
 				listEntry{id: "s-b", addr: b.Addr().String(), phase: "ready"}))
-			n := startNode(t, testConfig(t, reg.addr, reg.completeList))
+			n := startNode(t, testConfig(t, service.addr, service.completeList))
 			for range 12 { // these requests earn the retry budget
 				roundTrip(t, newClientRequest(t, n.url+"/paying", "read"))
 			}
@@ -106,8 +106,8 @@
 // covers bodies that are one byte longer.
 func TestLongestBufferedBody(t *testing.T) {
 	addr := newRawBackend(t, "127.0.0.1:0", answerBodyHash).Addr().String()
-	reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: addr, phase: "ready"}))
-	cfg := testConfig(t, reg.addr, reg.completeList)
+	service := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: addr, phase: "ready"}))
+	cfg := testConfig(t, service.addr, service.completeList)
 	cfg.Limits.MemoryMB = 8 // so that at most maxBodyBytes of a request are buffered
 	n := startNode(t, cfg)
 	for _, size := range []int64{maxBodyBytes, -1} {
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -99,7 +99,7 @@
 	// Both requests are sent in one write, so that the read of the first body also yields the head of the second request.
 	status, rest := exchangeRaw(t, n, sized+chunked)
 	if status != http.StatusOK || !strings.HasPrefix(rest, "HTTP/1.1 200") || !strings.HasSuffix(rest, "hello") {
-		t.Errorf("got status %d, then %q", status, rest)
+		t.Errorf("got status %d, then %q; want 200 twice, the second with the body \"hello\"", status, rest)
 	}
 	if !strings.Contains(rest, "Connection: close") {
 		t.Errorf("the connection stays open after a chunked body: %q", rest)
--- a/internal/node/client_server.go
+++ b/internal/node/client_server.go
@@ -141,7 +141,7 @@
 	s.serveRequest(w, hr, head.Start)
 }
 
-// requestHead returns what the head of a request says about the end of the request. If the node has closed the
+// requestHead returns the result of checking the framing of a request's head. If the node has closed the
 // connection, open is false and the request must not be served.
 func requestHead(hr *http.Request, received time.Time) (head httpframing.Head, open bool) {
 	if c, ok := clientConnOf(hr.Context()); ok {
@@ -183,7 +183,7 @@
 	if notAdmitted {
 		s.warnings.Warn("request rejected during shutdown", "request", r.id, "class", r.class)
 		s.counters.recordOutcome(r.class, responseRejected)
-		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is about to end")
+		rejectWithText(w, hr, http.StatusServiceUnavailable, "this process is shutting down and rejects new requests")
 		return
 	}
 	if r.forwarded.upload != nil {
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -26,29 +26,29 @@
 		r.Header.Set("X-Hop", "1")
 	}))
 	if resp.StatusCode != 200 || body != "abcde" || resp.Header.Get("Content-Type") != "text/x-menu" {
-		t.Errorf("client got %d %q %v", resp.StatusCode, body, resp.Header)
+		t.Errorf("the client got status %d, body %q, headers %v", resp.StatusCode, body, resp.Header)
 	}
 	r := receive(t, "the request at the backend", got)
 	payload, _ := io.ReadAll(r.Body)
 	if r.Method != "POST" || r.RequestURI != "/api/a%2Fb/7f3a?x=1&y=%20" || string(payload) != "payload" ||
 		r.Header.Get("Idempotency-Key") != "key-1" {
-		t.Errorf("backend got %s %s %q %v", r.Method, r.RequestURI, payload, r.Header)
+		t.Errorf("the backend got %s %s, body %q, headers %v", r.Method, r.RequestURI, payload, r.Header)
 	}
 	// The id is forwarded even if the client names it in the Connection header.
 	if r.Header.Get("X-Trace-Id") != "trace-1" || r.Header.Get("X-Hop") != "" {
-		t.Errorf("backend got headers %v", r.Header)
+		t.Errorf("the backend got headers %v, want X-Trace-Id and no X-Hop", r.Header)
 	}
 	var left float64
 	if _, err := fmt.Sscan(r.Header.Get("X-Expires-In"), &left); err != nil || left <= 0 || left >= 9.5 {
-		t.Errorf("backend got X-Expires-In %q", r.Header.Get("X-Expires-In"))
+		t.Errorf("the backend got X-Expires-In %q, want above 0 and below 9.5", r.Header.Get("X-Expires-In"))
 	}
 }
 
 // A malformed request is rejected with a 4xx status and reaches no backend.
 func TestMalformedRequests(t *testing.T) {
 	b := newRawBackend(t, "127.0.0.1:0", respondWith(func(*http.Request) string { return okResponse("") }))
-	reg := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
-	cfg := testConfig(t, reg.addr, reg.completeList)
+	service := newDiscoveryService(t, formatList(1, true, listEntry{id: "s-a", addr: b.Addr().String(), phase: "ready"}))
+	cfg := testConfig(t, service.addr, service.completeList)
 	cfg.Limits.MemoryMB = 8 // so that at most maxBodyBytes of a request are buffered
 	n := startNode(t, cfg)
 	set := func(name, value string) func(*http.Request) {
@@ -196,7 +196,7 @@
 	}
 	close(hold)
 	if body := receive(t, "the response to the first request", first); body != "once" {
-		t.Errorf("got %q for the first request", body)
+		t.Errorf("got body %q for the first request, want \"once\"", body)
 	}
 }
 
--- a/internal/node/conn_state.go
+++ b/internal/node/conn_state.go
@@ -10,7 +10,7 @@
 )
 
 // errNoHead is the fault of a request that the HTTP server read although httpframing found no head for it.
-var errNoHead = errors.New("no head")
+var errNoHead = errors.New("the head of the request was not found")
 
 // connPhase says whether requests on a client's connection are served.
 type connPhase uint8
@@ -60,9 +60,9 @@
 }
 
 // readUnlessClosed calls read, which must not block, and marks the connection as receiving if read returned bytes. If
-// the node has closed the connection, it returns net.ErrClosed without calling read. Both happen in one step under the
-// lock: the close resets bytes that are still unread, and the client sends them again, whereas bytes that have been
-// read have to be answered.
+// the node has closed the connection, it returns net.ErrClosed without calling read. The check and the read are one
+// step under the lock: the close resets bytes that are still unread, and the client sends them again, whereas bytes
+// that have been read have to be answered.
 func (s *connState) readUnlessClosed(read func() (int, error)) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,8 +155,9 @@
 	return s.phase == connRejected
 }
 
-// closeIf moves an open connection without a complete head to connClosed if the condition holds as well. It reports
-// whether it did; from then on no bytes are read from the connection. The condition is called under the lock.
+// closeIf moves an open connection without a complete head to connClosed if the condition holds as well. It returns
+// true if it has moved the connection; no bytes are read from the connection afterwards. The condition is called under
+// the lock.
 func (s *connState) closeIf(condition func(message messagePhase) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/conn_tracker.go
+++ b/internal/node/conn_tracker.go
@@ -201,7 +201,8 @@
 }
 
 // closeIfWaiting closes a connection if the node still waits for a request on it and no byte of the request has been
-// received. With includePartial, it also closes a connection with an incomplete head. It reports whether it did.
+// received. With includePartial, it also closes a connection with an incomplete head. It reports whether it closed
+// the connection.
 func closeIfWaiting(c net.Conn, includePartial bool) bool {
 	limited, ok := c.(*limitedConn)
 	if !ok || !limited.client.closeIfWaiting(includePartial) {
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -14,7 +14,7 @@
 
 // startWithRecord starts a node with two backends, whose cordon file is in dir. served sends a request and returns the
 // id of the backend that answered.
-func startWithRecord(t *testing.T, dir string) (n *testNode, reg *discoveryService, served func() string) {
+func startWithRecord(t *testing.T, dir string) (n *testNode, service *discoveryService, served func() string) {
 	t.Helper()
 	var members []listEntry
 	for _, id := range []string{"s-a", "s-b"} {
@@ -27,11 +27,11 @@
 		members = append(members, listEntry{id: id, addr: b.Addr().String(), phase: "ready"})
 	}
 	list := formatList(1, true, members...)
-	reg = newDiscoveryService(t, list)
-	cfg := testConfig(t, reg.addr, list)
+	service = newDiscoveryService(t, list)
+	cfg := testConfig(t, service.addr, list)
 	cfg.Admin, cfg.StateDir = "127.0.0.1:0", dir
 	n = startNode(t, cfg)
-	return n, reg, func() string {
+	return n, service, func() string {
 		_, body := roundTrip(t, newClientRequest(t, n.url+"/x", "read"))
 		return body
 	}
@@ -58,7 +58,7 @@
 // that contains the backend does not end the cordon.
 func TestCordonAppliesUntilUncordoned(t *testing.T) {
 	dir := t.TempDir()
-	n, reg, served := startWithRecord(t, dir)
+	n, service, served := startWithRecord(t, dir)
 	other, _, servedByOther := startWithRecord(t, dir)
 	for range 2 { // the second cordon changes nothing
 		if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
@@ -66,17 +66,17 @@
 		}
 	}
 	if !neverServes(served, "s-a") {
-		t.Error("served by a cordoned backend")
+		t.Error("a cordoned backend served a request")
 	}
 	if got := stats(t, n); got["members"] != 2 || got["members_unavailable"] != 1 {
-		t.Errorf("statistics: %v", got)
+		t.Errorf("got statistics %v, want 2 members of which 1 is unavailable", got)
 	}
-	reg.changes <- formatList(2, true,
+	service.changes <- formatList(2, true,
 		listEntry{id: "s-a", addr: "127.0.0.1:9", phase: "ready", up: time.Now().UnixMilli()},
 		listEntry{id: "s-b", addr: n.backendAddr(t, "s-b"), phase: "ready"})
 	eventually(t, "the list is applied", func() bool { return n.backendAddr(t, "s-a") == "127.0.0.1:9" })
 	if !neverServes(served, "s-a") {
-		t.Error("served by a cordoned backend after a list that contains it")
+		t.Error("a cordoned backend served a request after a list that contains the backend")
 	}
 	eventually(t, "the other process applies the cordon", func() bool {
 		return stats(t, other)["members_unavailable"] == 1
@@ -126,7 +126,7 @@
 				t.Errorf("got status %d", got)
 			}
 			if !neverServes(served, "s-a") {
-				t.Error("served by a cordoned backend")
+				t.Error("a cordoned backend served a request")
 			}
 			c, err := newCordonFile(dir, "n1", nopLog()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
@@ -149,7 +149,7 @@
 func TestUpdateStartsFromTheKnownRecord(t *testing.T) {
 	f := newCordonFile(t.TempDir(), "n/1", nopLog())
 	if strings.Contains(filepath.Base(f.path), "/") {
-		t.Errorf("path %q", f.path)
+		t.Errorf("the path %q contains the slash of the node's name", f.path)
 	}
 	ctx := context.Background()
 	a, err := f.update(ctx, cordonRecord{}, "a", true, 10*time.Second)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); len(body) != size || err != nil {
-		t.Errorf("%d bytes, %v", len(body), err)
+		t.Errorf("got %d bytes of the response, error %v, want %d bytes", len(body), err, size)
 	}
 }
 
@@ -180,7 +180,7 @@
 func TestIncompleteHeadsAtShutdown(t *testing.T) {
 	const text = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
 	synctest.Test(t, func(t *testing.T) {
-		l, f := startInMemoryServer(t)
+		l, server := startInMemoryServer(t)
 		send := func(c net.Conn, text string) { go io.WriteString(c, text) }
 		answered := func(c net.Conn) error {
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -200,12 +200,12 @@
 		}
 		send(reused, text[:20])
 		synctest.Wait()
-		f.shutdown.longestDeadline = maxDeadlineInGrace
-		f.shutdown.start()
+		server.shutdown.longestDeadline = maxDeadlineInGrace
+		server.shutdown.start()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		drained := make(chan struct{})
-		go func() { f.drain(ctx); close(drained) }()
+		go func() { server.drain(ctx); close(drained) }()
 		if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("read from the idle connection: %v, want EOF", err)
 		}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -57,7 +57,7 @@
 	// The request has not run, so the Balancer may retry it. It may also reject it, because a node that has just started
 	// has no retry budget.
 	if body := receive(t, "the response", answered); body == "old" {
-		t.Errorf("response %q", body)
+		t.Errorf("the draining backend served the request: response %q", body)
 	}
 	for range 3 {
 		if _, body := roundTrip(t, newClientRequest(t, s.url+"/api/x", "order")); body != "other" {
@@ -122,7 +122,7 @@
 			t.Errorf("the first discovery call has the query %q", first)
 		}
 		if n.loop.ready.Load() && answers {
-			t.Error("ready before the list of the discovery service was read")
+			t.Error("the node is ready before it has read the list of the discovery service")
 		}
 		if answers {
 			close(release)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,7 +12,7 @@
 // drain closes the connections of clients as they become idle, and returns when none is left. Connections that never
 // had a request are closed when no request was in flight for drainIdleTime, or when requests are no longer admitted.
 // Incomplete requests are rejected when the last responses are due. drain returns early when ctx ends, or when no
-// request is in flight and only connections are left that their clients do not close.
+// request is in flight and the clients do not close the remaining connections.
 func (s *clientServer) drain(ctx context.Context) {
 	for idle := time.Duration(0); s.conns.open() > 0 && ctx.Err() == nil; idle += shutdownPollInterval {
 		s.conns.closeIdle(0, closedDraining)
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -78,7 +78,7 @@
 			})
 			resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read"))
 			if resp.StatusCode != http.StatusOK || body != "fresh" {
-				t.Errorf("response to a new client: %d %q", resp.StatusCode, body)
+				t.Errorf("response to a new client: status %d, body %q, want 200 and \"fresh\"", resp.StatusCode, body)
 			}
 			open, _ := n.pool.Size()
 			if clients := n.listener.openConns(); clients+open+reservedDescriptors > cfg.Limits.Sockets {
@@ -104,7 +104,7 @@
 		return removed
 	})
 	if resp, _ := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order")); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("got status %d, want 200", resp.StatusCode)
 	}
 }
 
@@ -134,7 +134,7 @@
 	})
 	resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "order"))
 	if resp.StatusCode != http.StatusOK || body == "old" {
-		t.Errorf("response after the drain: %d %q", resp.StatusCode, body)
+		t.Errorf("response after the drain: status %d, body %q, want 200 from the new backend", resp.StatusCode, body)
 	}
 	close(release)
 	if body := receive(t, "the delayed response", first); body != "old" {
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -39,14 +39,14 @@
 	backendsByEndpointID []*backend          // the index is the Balancer's id
 	cordons              cordonRecord
 	cordonTimes          map[string]cordonTimes // on the loop's clock, by the backend's id
-	listRevision         int64                  // of the last endpoint list
+	listRevision         int64                  // revision of the last endpoint list
 	lastListAt           time.Duration          // when this process last received a list from discovery; 0: never
 	awaitingFirstList    bool                   // the node is not ready before discovery has pushed a list
 	running              bool                   // set by run; state applied before run is older than this process
 	ready                atomic.Bool            // the node is ready: some backend may be sent requests
 
 	timers       timerQueue
-	queuedEvents []balance.Event // by the current message
+	queuedEvents []balance.Event // events that the current message has caused
 	handling     bool            // the Balancer is handling an event
 	actions      []balance.Action
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// now returns the loop's clock. It starts at the Unix time of newEventLoop and advances with the monotonic clock, so it
-// never steps back.
+// now returns the time on the loop's clock. The clock starts at the Unix time of newEventLoop and advances with the
+// monotonic clock, so it never steps back.
 func (l *eventLoop) now() time.Duration { return l.clockOrigin + time.Since(l.startedAt) }
 
 // run handles messages and timers until quit is closed.
@@ -139,7 +139,7 @@
 // loop, with the time at which the iteration began.
 func (l *eventLoop) publishStatistics(began time.Duration) {
 	now := l.now()
-	l.statistics.longestTurn = max(l.statistics.longestTurn, now-began)
+	l.statistics.longestIteration = max(l.statistics.longestIteration, now-began)
 	if now-l.gaugesPublishedAt >= gaugeInterval {
 		l.publishGauges(now)
 	}
--- a/internal/node/fault_injection.go
+++ b/internal/node/fault_injection.go
@@ -25,8 +25,8 @@
 	faultSuccessor = "successor"
 )
 
-// faultDeadline is the longest deadline of a lengthened schedule. It moves the instants of the schedule far behind
-// SIGKILL.
+// faultDeadline is the longest deadline of a lengthened schedule. It moves the instants of the schedule far beyond
+// the time of SIGKILL.
 const faultDeadline = 10 * time.Second
 
 // dropInjected is set once faultDropInDrain has had its effect.
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// shutdownContext bounds how long a shutdown waits for bodies that are being forwarded, which it can't end itself.
+// shutdownContext bounds how long a shutdown waits for bodies that are being forwarded. The shutdown can't end them.
 // Where bodies are streamed they may have any length, so there is no bound; SIGKILL ends a process that takes too long.
 func (n *Node) shutdownContext() (context.Context, context.CancelFunc) {
 	if n.server.streaming {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// returnToPredecessor closes the connection to the predecessor when this process shuts down. A predecessor that still
-// runs then accepts again; it may outlive this process, and does not accept while the connection is open.
+// returnToPredecessor closes the connection to the predecessor when this process shuts down. The predecessor does not
+// accept while the connection is open. If it still runs, it accepts again after the close, since it may outlive this
+// process.
 func (h *handover) returnToPredecessor() {
 	if h.predecessor != nil {
 		h.predecessor.Close()
@@ -90,7 +91,7 @@
 		n.succeedPredecessor(ctx)
 		stop()
 		if n.server.shutdown.started() {
-			return // the next successor takes over from the predecessor, if that still runs
+			return // the next successor takes over from the predecessor, if the predecessor still runs
 		}
 	}
 	listener, err := listenUnix(h.socketPath)
--- a/internal/node/handover_predecessor.go
+++ b/internal/node/handover_predecessor.go
@@ -36,7 +36,7 @@
 	done, err = n.assistSuccessor(ctx, successor, state)
 	if !done && ctx.Err() == nil && faultShutdown != faultSuccessor {
 		// This process accepts again even during its shutdown: no other process would serve the backlog of the listener
-		// that both processes had.
+		// that both processes share.
 		n.setHandedOver(false)
 		n.shareDescriptors(descriptorUsage{})
 		n.log.Error("successor ended, serving again", "error", err)
@@ -154,7 +154,7 @@
 
 // releaseDescriptors closes connections that this process does not need to finish its requests. It returns the
 // remaining usage, and whether any connection is in use. reserved is the last reported number of connections to
-// backends. The number never rises again, since the successor uses the others.
+// backends. The number never rises again, since the successor uses the other connections.
 func (n *Node) releaseDescriptors(reserved int) (usage descriptorUsage, active bool) {
 	// A request that begins in this process now might not end in time. A client whose connection is closed sends its
 	// request again on a new connection.
--- a/internal/node/handover_state.go
+++ b/internal/node/handover_state.go
@@ -40,7 +40,7 @@
 		return nil
 	}
 	// The clocks of the processes differ if the wall clock was stepped between their starts.
-	var clockOffset time.Duration // from the predecessor's clock to this process's
+	var clockOffset time.Duration // from the predecessor's clock to the clock of this process
 	if state.Now > 0 {
 		clockOffset = l.now() - state.Now
 	}
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -30,7 +30,7 @@
 	}
 	predecessor.SetDeadline(time.Now().Add(handoverStepTimeout))
 	if err := h.receiveOffer(predecessor); err != nil {
-		h.log.Error("predecessor does not hand over, starting beside it", "error", err)
+		h.log.Error("predecessor does not hand over, starting while it keeps running", "error", err)
 		predecessor.Close()
 		return
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -17,7 +17,7 @@
 	"hitchvale/balance"
 )
 
-// startProcess starts a startProcess of the node whose files are in dir; another one may run already.
+// startProcess starts a process of the node whose files are in dir. Another process of the node may already run.
 func startProcess(t *testing.T, dir, listen, list string, change ...string) *testNode {
 	t.Helper()
 	cfg := testConfig(t, newDiscoveryService(t, list).addr, list, change...)
@@ -166,12 +166,12 @@
 func TestPredecessorServesAgainAfterSuccessorEnds(t *testing.T) {
 	predecessor, h := startHandover(t)
 	if got, ok := h.inheritedList(predecessor.cfg); !ok || got.Members[0].ID != "s-a" || got.Revision != 1 {
-		t.Errorf("inherited list %+v", got)
+		t.Errorf("got inherited list %+v, want revision 1 with backend s-a", got)
 	}
 	state, usage, err := h.takeOver()
 	if err != nil || usage.BackendConns < reservedBackendConns ||
 		len(state.EndpointIDs) != 1 || state.EndpointIDs[0] != "s-a" {
-		t.Fatalf("%+v, %+v, %v", state, usage, err)
+		t.Fatalf("hand-over: got state %+v, descriptor usage %+v, error %v", state, usage, err)
 	}
 	var handedOver bool
 	predecessor.runOnLoop(t, func() { handedOver = predecessor.server.handedOver.Load() })
@@ -320,7 +320,7 @@
 	defer c.Close()
 	select {
 	case <-accepted:
-		t.Error("accepted while paused")
+		t.Error("the listener accepted a connection while it was paused")
 	case <-time.After(20 * time.Millisecond):
 	}
 	l.setPaused(false)
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -23,11 +23,11 @@
 	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	r := receive(t, "the health check", done)
 	if r.status != balance.StatusSucceeded || r.load.Active != 7 || r.load.CPU != 0.5 {
-		t.Errorf("%+v", r)
+		t.Errorf("got result %+v, want status succeeded, 7 active and CPU 0.5", r)
 	}
 	body.Store("\x00\x01")
 	transport.checkHealth(connpool.Server{Addr: b.Addr().String()}, func(r attemptResult) { done <- r })
 	if r := receive(t, "the second health check", done); r.load.Has != 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("got result %+v for a malformed report, want an empty load", r)
 	}
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -93,7 +93,7 @@
 func (e attemptEvent) String() string { return attemptEventNames[e] }
 
 // next returns the state after an event. It returns the same state and false if the event is no longer allowed: a
-// cancelled attempt never writes, an attempt that has begun to write is not cancelledBeforeWrite, and a result is
+// cancelled attempt never writes, an attempt that has begun to write never becomes attemptCancelled, and a result is
 // recorded once.
 func (s attemptState) next(event attemptEvent) (attemptState, bool) {
 	switch {
--- a/internal/node/limit_listener.go
+++ b/internal/node/limit_listener.go
@@ -12,7 +12,7 @@
 )
 
 // limitListener is a listener that bounds how many accepted connections are open at the same time. Further connections
-// wait in the backlog, since accepting them would run the process out of descriptors. Its methods are safe for
+// wait in the backlog, since accepting them would use up the descriptors of the process. Its methods are safe for
 // concurrent use, except that only one goroutine may call Accept.
 //
 // It can be paused during a hand-over, so that the node's other process accepts instead.
@@ -81,7 +81,7 @@
 }
 
 // Accept waits for a free slot and a connection. It retries after transient errors, since net/http would end the server
-// at most of them. It returns an error only if every later call would fail too.
+// after most of them. It returns an error only if every later call would fail too.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		if err := l.acquireSlot(); err != nil {
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 		if !paused {
-			l.setPaused(false) // the pause has ended already: clears the deadline that it set
+			l.setPaused(false) // the pause has ended already; this clears the deadline that the pause set
 		}
 	}
 }
--- a/internal/node/load_report.go
+++ b/internal/node/load_report.go
@@ -32,7 +32,7 @@
 func (t *upstreamTransport) readLoadReport(text string) balance.Load {
 	load, err := parseLoadReport(text)
 	if err != nil {
-		t.loadReportLog.Warn("malformed load report", "error", err)
+		t.loadReportLog.Warn("malformed load report, ignoring it", "error", err)
 	}
 	return load
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -13,8 +13,8 @@
 const turnTimeout = 2 * time.Second
 
 // maintenanceDriver advances the maintenance turns of machines. After each view of the fleet that has turns, it reads
-// the plan and submits the commands that maintenance.Propose returns. They include this node's confirmations for
-// machines at which it has nothing in flight. The driver runs on the goroutine of the fleet's agent, between two
+// the plan and submits the commands that maintenance.Propose returns. The commands include this node's confirmations
+// for machines at which it has nothing in flight. The driver runs on the goroutine of the fleet's agent, between two
 // reports.
 type maintenanceDriver struct {
 	node           *Node
@@ -53,7 +53,7 @@
 	}
 	for _, command := range maintenance.Propose(plan, state) {
 		if err := d.submit(ctx, command); err != nil && command.Op == maintenance.OpAdvanceTurn {
-			d.node.log.Info("maintenance step rejected",
+			d.node.log.Info("maintenance step rejected, deciding again after the next view",
 				"machine", command.Machine, "target", command.Target, "error", err)
 		}
 	}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -54,7 +54,7 @@
 		Classes: []balance.Class{{Deadline: time.Second}}}}
 }
 
-// startInMemoryListener is startInMemoryServer for tests that need only the listener.
+// startInMemoryListener calls startInMemoryServer and returns only the listener.
 func startInMemoryListener(t *testing.T) *pipeListener {
 	l, _ := startInMemoryServer(t)
 	return l
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -97,7 +97,7 @@
 
 func (discoveryFailed) handle(l *eventLoop) { l.handle(balance.DiscoveryFailed{}) }
 
-// firstListOverdue reports that the time is over in which discovery should have pushed a first endpoint list.
+// firstListOverdue reports that the time has passed within which discovery should have pushed a first endpoint list.
 type firstListOverdue struct{}
 
 func (firstListOverdue) handle(l *eventLoop) { l.stopAwaitingFirstList() }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -198,6 +198,6 @@
 // Reload applies a new configuration to the running node. It only takes over the address of discovery; all other keys
 // keep the values that the process started with.
 func (n *Node) Reload(cfg Config) {
-	n.log.Info("configuration replaced", "discovery", cfg.Discovery)
+	n.log.Info("configuration replaced, using its address of discovery", "discovery", cfg.Discovery)
 	n.discovery.SetAddress(cfg.Discovery)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -42,7 +42,8 @@
 	}
 	late, body := roundTrip(t, newClientRequest(t, n.url+"/api/late", "order"))
 	if late.StatusCode != 200 || body != "done" || !late.Close {
-		t.Errorf("request on a new connection during the shutdown: %d %q, closed: %t", late.StatusCode, body, late.Close)
+		t.Errorf("request on a new connection during the shutdown: status %d, body %q, closed %t",
+			late.StatusCode, body, late.Close)
 	}
 	eventually(t, "the end of accepting connections", func() bool {
 		c, err := net.Dial("tcp", n.Addr().String())
@@ -52,11 +53,11 @@
 		return err != nil
 	})
 	if d := time.Since(began); d < 400*time.Millisecond {
-		t.Errorf("connections were accepted for only %v", d)
+		t.Errorf("connections were accepted for only %v, want at least 400 ms", d)
 	}
 	close(release)
 	if resp := receive(t, "the response to the slow request", slow); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the slow request: %d, closed: %t", resp.StatusCode, resp.Close)
+		t.Errorf("the slow request: status %d, closed %t, want 200 and true", resp.StatusCode, resp.Close)
 	}
 	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
@@ -135,7 +136,7 @@
 		return resp.StatusCode == 200
 	})
 	if resp, body := roundTrip(t, newClientRequest(t, n.url+"/api/x", "read")); resp.StatusCode != 200 || body != "x" {
-		t.Fatalf("%d %q", resp.StatusCode, body)
+		t.Fatalf("got status %d, body %q, want 200 and \"x\"", resp.StatusCode, body)
 	}
 }
 
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -95,12 +95,12 @@
 	}
 	settings.Config.PollDiscovery, settings.Config.Instances = polled, instances
 	settings.Config.Rules.PollInterval = 10 * time.Second
-	bal, err := balance.New(settings.Config, seed)
+	balancer, err := balance.New(settings.Config, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := newBackendPool(1, balance.Limits{}, new(closeCounters))
-	l := newEventLoop(bal, newUpstreamTransport(pool, false, new(atomic.Int64), nopLog()), newCounters(nil), nopLog())
+	l := newEventLoop(balancer, newUpstreamTransport(pool, false, new(atomic.Int64), nopLog()), newCounters(nil), nopLog())
 	var receivedAfter atomic.Int64 // time from the end of the outage to the list with the change
 	from := time.Now().Add(10*time.Second + time.Duration(seed)*300*time.Millisecond)
 	service := &discoveryOutage{from: from, until: from.Add(length), fault: fault}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,7 +17,7 @@
 	// minQueuedDatagrams is the length of the queue of outgoing datagrams in a fleet with fewer peers than this.
 	minQueuedDatagrams = 64
 	// peerReadRetryDelay is the delay after a failed read. A read fails with an ICMP error that an earlier datagram
-	// caused, or for a shortage of resources that may last.
+	// caused, or because of a shortage of resources that may last.
 	peerReadRetryDelay = 2 * time.Millisecond
 )
 
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -45,7 +45,7 @@
 	peer.WriteToUDP([]byte(strings.Repeat("x", maxDatagramBytes+1)), to)
 	peer.WriteToUDP([]byte("hello"), to)
 	if got := receive(t, "a datagram", received); got != (message{1, "hello"}) {
-		t.Errorf("received %+v", got)
+		t.Errorf("received %+v, want \"hello\" from peer 1", got)
 	}
 	// Datagrams that are too long or for an unknown peer are not sent.
 	p.enqueue(1, make([]byte, maxDatagramBytes+1))
@@ -56,7 +56,7 @@
 	for _, want := range []string{"one", "all"} {
 		n, _, err := peer.ReadFromUDP(buf)
 		if err != nil || string(buf[:n]) != want {
-			t.Errorf("sent %q %v, want %q", buf[:n], err, want)
+			t.Errorf("the peer received %q, error %v, want %q", buf[:n], err, want)
 		}
 	}
 	cancel()
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -110,7 +110,7 @@
 	h := hr.Header
 	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
-			return nil, badRequest("%s: given more than once", name)
+			return nil, badRequest("%s: the header is given more than once", name)
 		}
 	}
 	r := &request{
@@ -119,14 +119,14 @@
 		clientRetry: h.Get("X-Second-Try") == "1",
 	}
 	if r.id == "" {
-		return nil, badRequest("X-Trace-Id: missing")
+		return nil, badRequest("X-Trace-Id: the header is missing")
 	}
 	if r.class = slices.Index(s.settings.Classes, h.Get("X-Qos")); r.class < 0 {
-		return nil, badRequest("X-Qos: no such class")
+		return nil, badRequest("X-Qos: the header is missing or does not name a class")
 	}
 	if len(s.settings.Tenants) > 0 {
 		if r.tenant = slices.Index(s.settings.Tenants, h.Get("X-Customer")); r.tenant < 0 {
-			return nil, badRequest("X-Customer: no such customer")
+			return nil, badRequest("X-Customer: the header is missing or does not name a customer")
 		}
 	}
 	repeatability := s.settings.Config.Classes[r.class].Repeatability
@@ -135,11 +135,11 @@
 		method = http.MethodGet
 	}
 	if hr.Method != method {
-		cause := fmt.Errorf("requests of this class use %s", method)
+		cause := fmt.Errorf("requests of this class must use the method %s", method)
 		return nil, &requestError{status: http.StatusMethodNotAllowed, cause: cause}
 	}
 	if repeatability == balance.IdempotencyKey && h.Get("Idempotency-Key") == "" {
-		return nil, badRequest("Idempotency-Key: missing")
+		return nil, badRequest("Idempotency-Key: the header is missing, requests of this class must have it")
 	}
 	return r, nil
 }
@@ -154,7 +154,7 @@
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
-		return 0, badRequest("X-Expires-In: not a time in seconds")
+		return 0, badRequest("X-Expires-In: the value must be a number of seconds, 0 or more")
 	}
 	return min(left, time.Duration(min(seconds, maxExpiresIn)*float64(time.Second))), nil
 }
@@ -183,7 +183,7 @@
 		// 503: the request was not forwarded, so that a retry is harmless.
 		return &requestError{status: http.StatusServiceUnavailable, cause: err}
 	}
-	return &requestError{status: http.StatusRequestTimeout, cause: errors.New("body cut short")}
+	return &requestError{status: http.StatusRequestTimeout, cause: errors.New("the request body is incomplete")}
 }
 
 // socketWait returns how long ago the last byte of a request reached this machine.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -131,7 +131,7 @@
 	if response.deadlineExceeded {
 		l.statistics.deadlineExceeded++
 	}
-	l.unservedRequestLog.Warn("request not served", "request", r.id, "class", r.class,
+	l.unservedRequestLog.Warn("request not served, sending an error response", "request", r.id, "class", r.class,
 		"rejected", response.kind == responseRejected, "deadline_exceeded", response.deadlineExceeded,
 		"attempts", len(r.attempts), "last_status", r.lastStatus(), "retry_after", response.retryAfter)
 	r.response <- response
--- a/internal/node/request_body.go
+++ b/internal/node/request_body.go
@@ -20,9 +20,9 @@
 
 var (
 	// errBodyTooLong is returned for a body that is longer than the node accepts.
-	errBodyTooLong = errors.New("body too long")
+	errBodyTooLong = errors.New("the body is too long")
 	// errBodyMemory is returned for a body that cannot be buffered because the memory budget is used up at present.
-	errBodyMemory = errors.New("no memory left for the body now")
+	errBodyMemory = errors.New("the node has no memory for the body at present")
 )
 
 // requestBody is the body of a request: either buffered completely, or a stream.
--- a/internal/node/respond.go
+++ b/internal/node/respond.go
@@ -14,8 +14,9 @@
 // closeAfterResponse has the HTTP server close the connection after the current response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// rejectWithText answers a request that cannot be served with a line of text, and closes the connection. Unlike
-// http.Error it sets Content-Length, so that the client has the complete response before the rest of its body is read.
+// rejectWithText sends a line of text as the response to a request that cannot be served, and closes the connection.
+// Unlike http.Error it sets Content-Length, so that the client has the complete response before the rest of its body is
+// read.
 func rejectWithText(w http.ResponseWriter, hr *http.Request, status int, text string) {
 	closeAfterResponse(w)
 	h := w.Header()
@@ -56,7 +57,7 @@
 		}
 		writeFailed(w, status)
 	case responseDuplicate:
-		http.Error(w, "another request with this id is open", http.StatusConflict)
+		http.Error(w, "another request with the same X-Trace-Id is in progress", http.StatusConflict)
 	}
 	return nil
 }
@@ -99,8 +100,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeRejected answers 503: the request was not run, and a retry is harmless. If retryAfter is positive, the response
-// asks the client to wait for that time.
+// writeRejected answers with status 503: the request was not run, and a retry is harmless. If retryAfter is positive,
+// the response asks the client to wait for that time.
 func writeRejected(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -54,7 +54,7 @@
 		n.log.Error("listener lost, shutting down", "error", err)
 		return fmt.Errorf("accepting on %s, restart the node: %w", n.cfg.Listen, err)
 	case <-replaced:
-		n.log.Info("replaced by successor")
+		n.log.Info("replaced by successor, ending this process")
 	case <-ctx.Done():
 	}
 	return nil
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("%d datagrams queued for %d peers", got, tc.nodes)
 			}
 			s := runNode(t, n)
-			eventually(t, "ready", s.loop.ready.Load)
+			eventually(t, "readiness", s.loop.ready.Load)
 			var known, ready int
 			s.runOnLoop(t, func() {
 				for _, x := range s.loop.backendsByID {
--- a/internal/node/socket_state.go
+++ b/internal/node/socket_state.go
@@ -47,8 +47,8 @@
 	return state
 }
 
-// minReceiveWait is the shortest time that sinceLastReceive returns. The kernel's times are less accurate than that: it
-// rounds them to ticks of up to 10 ms.
+// minReceiveWait is the shortest time that sinceLastReceive returns. Shorter times are not accurate, because the
+// kernel rounds them to ticks of up to 10 ms.
 const minReceiveWait = 20 * time.Millisecond
 
 // sinceLastReceive returns how long ago the last byte of a connection reached this machine. The byte may have waited in
--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -22,7 +22,7 @@
 	healthChecks     int
 	dials            int64         // dials of connections to backends
 	discoveryCalls   int64         // calls to discovery
-	longestTurn      time.Duration // the longest time that the loop took for one message and the timers due after it
+	longestIteration time.Duration // the longest time that the loop took for one message and the timers due after it
 }
 
 // due reports whether it is time to log the statistics.
@@ -51,7 +51,7 @@
 			"health_checks", s.healthChecks,
 			"dials", s.dials,
 			"discovery_calls", s.discoveryCalls,
-			"longest_turn", s.longestTurn,
+			"longest_turn", s.longestIteration,
 			"usable_endpoints", state.UsableEndpoints,
 			"queue_budget", state.QueueBudget,
 			"unloaded_latency", state.UnloadedLatency,
--- a/internal/node/testbackend_test.go
+++ b/internal/node/testbackend_test.go
@@ -128,4 +128,4 @@
 }
 
 // queries returns the query strings of all calls so far.
-func (r *discoveryService) queries() []string { return r.Queries() }
+func (s *discoveryService) queries() []string { return s.Queries() }
--- a/internal/node/testnode_test.go
+++ b/internal/node/testnode_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// testTimeout limits every wait of the tests.
+// testTimeout limits every wait of the tests for something that must happen.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"nInstances":1,"zones":["a","b"],"skus":["m"],
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -141,10 +141,10 @@
 	case errors.Is(err, connpool.ErrExhausted):
 		return balance.StatusNotSent
 	case accept.IsTransientOpenError(err):
-		t.logFailure(ctx, request, to, "no connection: this machine is short of resources", err)
+		t.logFailure(ctx, request, to, "no connection to the backend: this machine is short of resources", err)
 		return balance.StatusNotSent
 	}
-	t.logFailure(ctx, request, to, "no connection", err)
+	t.logFailure(ctx, request, to, "no connection to the backend", err)
 	return balance.StatusNotDelivered
 }
 
@@ -170,7 +170,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	t.exchangeFailureLog.Warn("attempt failed",
+	t.exchangeFailureLog.Warn("attempt failed, reporting its status to the balancer",
 		"reason", reason, "request", request.header.Get("X-Trace-Id"), "backend", to.Addr, "error", err)
 }
 
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -183,7 +183,7 @@
 	l.Close()
 	r := attemptOnce(t, newTestTransport(t), connpool.Server{Addr: addr}, newForwardedRequest("refused"))
 	if r.status != balance.StatusNotDelivered {
-		t.Errorf("refused connection: %v", r.status)
+		t.Errorf("refused connection: status %v, want not delivered", r.status)
 	}
 
 	// The socket buffers are far smaller than the body, and the backend resets the connection after a part of the body.
@@ -213,7 +213,7 @@
 	m.method, m.body = "POST", make([]byte, maxBodyBytes)
 	r = attemptOnce(t, transport, connpool.Server{Addr: l.Addr().String()}, m)
 	if r.status != balance.StatusNotDelivered {
-		t.Errorf("connection broken before the last byte: %v", r.status)
+		t.Errorf("connection broken before the last byte: status %v, want not delivered", r.status)
 	}
 }
 
--- a/internal/node/upstream_response.go
+++ b/internal/node/upstream_response.go
@@ -76,7 +76,7 @@
 			return resp, nil
 		}
 	}
-	return nil, errors.New("too many 1xx responses")
+	return nil, errors.New("too many 1xx responses before the final response")
 }
 
 // finishResponse releases the connection to the pool if it can carry another request, and closes it otherwise. If the
@@ -95,8 +95,8 @@
 	e.transport.pool.Release(e.conn)
 }
 
-// readBody reads the body of a response, completely if there is memory for it. Of a body that is to be streamed it
-// reads at least the first byte, because the node can still give another response to the client if the read fails
+// readBody reads the body of a response, completely if there is memory for it. If the body has to be streamed, readBody
+// reads at least its first byte, because the node can still give another response to the client if the read fails
 // before any byte has been forwarded. A body that may not be streamed must not exceed maxBodyBytes.
 func (t *upstreamTransport) readBody(resp *http.Response, mayStream bool) (body []byte, complete bool, err error) {
 	size := resp.ContentLength
@@ -154,8 +154,8 @@
 	}
 }
 
-// responseStatus returns the status of an attempt by the head of its response. Only a 503 or 504 with neverRanHeader
-// means that the backend has not run the request.
+// responseStatus returns the status that the head of a response gives its attempt. Only a 503 or 504 with
+// neverRanHeader means that the backend has not run the request.
 func responseStatus(resp *http.Response) balance.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/node/upstream_response_test.go
+++ b/internal/node/upstream_response_test.go
@@ -49,7 +49,7 @@
 				deadline := time.Now().Add(300 * time.Millisecond)
 				transport.start(new(upstreamCall), to, newForwardedRequest("id"), deadline, func(r attemptResult) { done <- r })
 				if r := receive(t, "the result of the attempt", done); r.status != want || len(r.body) > 0 {
-					t.Errorf("status %v with %q after %v", r.status, r.body, r.elapsed)
+					t.Errorf("status %v, body %q after %v, want %v without a body", r.status, r.body, r.elapsed, want)
 				}
 				receive(t, "the end of the connection", ended)
 				if open, _ := transport.pool.Size(); open != 0 {
@@ -76,7 +76,7 @@
 		for _, id := range []string{"one", "two"} {
 			r := attemptOnce(t, transport, to, newForwardedRequest(id))
 			if r.status != balance.StatusSucceeded || string(r.body) != id {
-				t.Errorf("%s: status %v, %q", id, r.status, r.body)
+				t.Errorf("%s: status %v, body %q", id, r.status, r.body)
 			}
 			<-wrote
 		}
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Only this file uses the wall clock for calculations, and converts wall clock times of other machines to the event
-// loop's clock. The rest of the package measures time on the monotonic clock (package monotime).
+// Only this file calculates with the wall clock, and converts wall clock times of other machines to the event loop's
+// clock. The rest of the package measures time on the monotonic clock (package monotime).
 
 // wallClock returns the current Unix time.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
