--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -31,7 +31,7 @@
 	}
 	h.answerLate(200)
 	if h.b.queueBudget.fraction != minQueueBudget {
-		t.Errorf("queue budget %v after 200 late answers", h.b.queueBudget.fraction)
+		t.Errorf("queue budget %v after 200 late answers, want %v", h.b.queueBudget.fraction, minQueueBudget)
 	}
 	h.serve(3000, idempotent, in20ms)
 	if h.b.queueBudget.fraction < initialQueueBudget {
@@ -154,8 +154,8 @@
 	}
 }
 
-// A class whose latency objective is no longer than its work has no slack of its own. It must not take the slack of the
-// other classes.
+// A class whose latency objective is no longer than its work has no slack. It must not reduce the slack of the other
+// classes.
 func TestClassWithoutSlackDoesNotReduceTheSlackOfOthers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[nonIdempotent].LatencyObjective = 20 * ms
@@ -202,8 +202,8 @@
 	}
 }
 
-// A request does not join a queue that takes longer than the slack, however long answers have been in time. It would be
-// late, and so would all requests behind it.
+// A request is not sent to a queue that takes longer than the slack, even if answers have been in time for a long
+// period. The request would be late, and so would all requests queued after it.
 func TestMaxWaitNeverExceedsTheSlack(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(20000, idempotent, in20ms)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -10,7 +10,7 @@
 
 // Balancer makes the decisions of one node. It holds the state of each rule and dispatches events to the
 // rules. Each rule has its own state type and its own file. A Balancer must not be used from two goroutines
-// at once.
+// at the same time.
 type Balancer struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -40,8 +40,8 @@
 	retryBudget    retryBudget
 }
 
-// New returns a Balancer for one node. Each instance should have a seed of its own; the same seed and events
-// give the same actions. New returns an error if cfg has a negative count or time.
+// New returns a Balancer for one node. Each instance should have its own seed; the same seed and events give
+// the same actions. New returns an error if cfg has a negative count or time.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if err := validate(&cfg); err != nil {
 		return nil, err
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// balance.go is the file that a newcomer reads first, so its length and its lines stay printable.
-func TestMainFileStaysPrintable(t *testing.T) {
+// balance.go is the file that a newcomer reads first, so the number of its lines and their length are limited.
+func TestBalanceFileHasFewAndShortLines(t *testing.T) {
 	f, err := os.Open("balance.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -5,11 +5,11 @@
 // the actions that the node has to carry out, in order, to the slice that it is given. The package has no clock, no
 // goroutine and no I/O: the caller passes the time, and the same events with the same seed give the same actions.
 //
-// The caller must pass events in the order in which they happened, with a time that never goes back; a time before that
-// of the last event is replaced by the last event's time. The caller must pass exactly one AttemptEnded for each
+// The caller must pass events in the order in which they happened, with a time that never goes back; a time before the
+// last event's time is replaced by the last event's time. The caller must pass exactly one AttemptEnded for each
 // Forward, and a TimerFired for each SetTimer at its time or soon after. After a restart of the node the caller must
-// build a new Balancer and pass the endpoint list again. A Balancer must not be used from two goroutines at once.
-// Events that name a request, attempt, timer or endpoint that the Balancer does not know are ignored.
+// build a new Balancer and pass the endpoint list again. A Balancer must not be used from two goroutines at the same
+// time. Events that name a request, attempt, timer or endpoint that the Balancer does not know are ignored.
 //
 // Each rule has a file: request.go has the life cycle of a request, selection.go the choice of its endpoint,
 // admission.go the bound on the queue beyond which a request is rejected, and retry.go the conditions for another
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// If health checks are cheap and fresh, a request waits for those of its own tick. In a large fleet all older queue
-// estimates are out of date, and the smallest estimate is the most outdated one.
+// If health checks are cheap and fresh, a request waits for the health checks of its own tick. In a large fleet all
+// older queue estimates are out of date, and the smallest estimate is the most outdated one.
 func TestArrivalsWaitForTheirHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.HealthCheck = 0
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -59,8 +59,7 @@
 	}
 }
 
-// A single slow first answer must not be taken for the unloaded latency of its class: the first answers count by their
-// mean.
+// A single slow first answer must not set the unloaded latency of its class: the mean of the first answers is used.
 func TestFirstAnswersAreAveraged(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
@@ -98,10 +97,10 @@
 }
 
 // Queue estimates are old in a large fleet, so a request may have waited in a queue that no estimate shows. An answer
-// that took many times its work hint must not be taken for unloaded. Otherwise the limit on waits would grow with the
-// queue until endpoints are overloaded. An endpoint that is somewhat slower than the hint still counts, and so does any
-// answer without a hint.
-func TestAnswersFarBeyondTheirHintAreNotUnloaded(t *testing.T) {
+// that took many times its work hint must not count as unloaded. Otherwise the limit on waits would grow with the queue
+// until endpoints are overloaded. An answer that took somewhat longer than its hint still counts as unloaded, and so
+// does any answer without a hint.
+func TestAnswersFarBeyondTheirHintDoNotCountAsUnloaded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		hint, spent time.Duration
 		want        float64 // unloaded latency after 200 such answers, seconds
@@ -142,9 +141,9 @@
 	}
 }
 
-// A node of a large fleet gets an answer from an endpoint rarely. Its estimate for the endpoint must not be ten seconds
-// old.
-func TestRareAnswersCountMore(t *testing.T) {
+// A node of a large fleet rarely gets an answer from a given endpoint. A few answers must therefore change the mean
+// latency of the endpoint within seconds. Otherwise the estimate would be ten seconds old.
+func TestMeanLatencyFollowsRareAnswers(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	h.serve(100, idempotent, in20ms)
 	e := h.b.endpoints[1]
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -6,7 +6,7 @@
 )
 
 // In a large fleet it takes seconds to check all endpoints. An endpoint without a report is expected to have the mean
-// load. A single report of its own hardly changes this, but many reports do.
+// load. A single report of the endpoint barely changes the expected load, but many reports change it.
 func TestEndpointsWithoutReportsHaveTheMeanLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	h.handle(loadReported(1, 10))
@@ -47,8 +47,8 @@
 	}
 }
 
-// The mean load of a zone with more traffic than it can handle must not be taken for that of all endpoints. Otherwise
-// the other zones stay idle.
+// The mean load of a zone with more traffic than it can handle must not be used as the expected load of endpoints in
+// other zones. Otherwise the other zones stay idle.
 func TestEachZoneHasItsOwnMeanLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0),
 		listedEndpoint(3, 1, 1), listedEndpoint(4, 1, 1))
@@ -62,8 +62,8 @@
 	}
 }
 
-// A node of a large fleet gets one load report a second, from one endpoint of many. If this endpoint has three requests
-// more by chance, the entire zone must not look full.
+// A node of a large fleet gets one load report a second, from one endpoint of many. If this endpoint has three more
+// requests by chance, the node must not treat the entire zone as full.
 func TestOneReportHardlyChangesTheZoneMean(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	for range 50 {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -52,8 +52,8 @@
 }
 
 // recordOutcome updates an endpoint's failure rate and last activity by an outcome of this node's own attempts. Health
-// checks are not enough, because an endpoint that fails fast looks idle to them. Cancelled and unsent attempts tell
-// nothing about the endpoint.
+// checks are not enough, because an endpoint that fails fast looks idle to them. Cancelled and unsent attempts give no
+// information about the endpoint.
 func (b *Balancer) recordOutcome(e *endpointState, status Status, a *attempt, elapsed time.Duration) {
 	switch status {
 	case StatusSucceeded, StatusRejected:
@@ -79,8 +79,8 @@
 	}
 }
 
-// updateOutlier updates the mean failure rate by that of an endpoint. It logs when the endpoint becomes an outlier,
-// whose traffic is withheld, and when it has recovered.
+// updateOutlier updates the mean failure rate with an endpoint's failure rate. It logs when the endpoint becomes an
+// outlier, whose traffic is withheld, and when the endpoint has recovered.
 func (b *Balancer) updateOutlier(e *endpointState) {
 	b.outliers.updateMeanFailureRate(e.failureRate, len(b.usable))
 	switch {
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// An endpoint without attempts in flight is not unresponsive. Otherwise a healthy endpoint would get no more requests
-// for good after an attempt times out that was sent before the endpoint's last activity.
+// An endpoint without attempts in flight is not unresponsive. Otherwise, after the timeout of an attempt that was sent
+// before the endpoint's last activity, a healthy endpoint would never get requests again.
 func TestEndpointWithoutAttemptsIsNotUnresponsive(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(50, idempotent, in20ms)
--- a/balance/queueestimate.go
+++ b/balance/queueestimate.go
@@ -18,9 +18,9 @@
 }
 
 // otherNodesLoad is the estimated present load of other nodes on an endpoint. It moves from the reported load to the
-// expected load at the pace at which the queue turns over. If nodes took an old report literally, all of them would
-// send at the same time to the endpoint that was idle then. In a large fleet the smallest reported load is also the
-// oldest.
+// expected load at the pace at which the queue turns over. If nodes used an old report unchanged, all of them would
+// send at the same time to the endpoint that was idle when the report was made. In a large fleet the smallest reported
+// load is also the oldest.
 func (b *Balancer) otherNodesLoad(e *endpointState) float64 {
 	expected := b.expectedLoad(e)
 	return expected + (e.reportedLoad-expected)*b.reportWeight(e, expected)
@@ -64,7 +64,7 @@
 	}
 }
 
-// decayAbandonedAndUnaccepted is called once a window, because a load report may be late or never come.
+// decayAbandonedAndUnaccepted is called once a window, because a load report may be late or never arrive.
 func (e *endpointState) decayAbandonedAndUnaccepted() {
 	e.unaccepted -= unacceptedDecay * e.unaccepted
 	e.abandoned -= abandonedDecay * e.abandoned
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// An old load report counts only in part. If nodes took it literally, every node would send to the endpoint that was
-// idle then.
-func TestOldReportsCountPartly(t *testing.T) {
+// An old load report has less weight than a new one. With full weight, every node would send to the endpoint that was
+// idle at the time of the report.
+func TestOldReportsHaveLessWeight(t *testing.T) {
 	for _, c := range []struct {
 		gap, serviceTime time.Duration
 		staysHigh        bool
@@ -60,7 +60,7 @@
 }
 
 // On a site without health checks no report clears the unaccepted attempts, so their count must decay.
-func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
+func TestUnacceptedAttemptsDecayWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
 	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
@@ -76,7 +76,7 @@
 }
 
 // As the queue turns over, the estimate moves from the reported load to the expected load of the endpoint.
-func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
+func TestOldReportedLoadApproachesTheExpectedLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(50, idempotent, in20ms)
 	e := h.b.endpoints[1]
@@ -94,9 +94,9 @@
 }
 
 // An unaccepted attempt counts as queued at its endpoint until the next load report, or until its count has decayed. If
-// health checks are few and some are lost, a count without decay would keep an idle endpoint without requests for good.
-// An attempt that was never sent tells nothing about the endpoint and is not counted. Abandoned attempts have a test of
-// their own.
+// health checks are few and some are lost, a count without decay would keep an idle endpoint without requests forever.
+// An attempt that was never sent gives no information about the endpoint and is not counted. Another test covers
+// abandoned attempts.
 func TestUnacceptedAttemptsFade(t *testing.T) {
 	for status, want := range map[Status]float64{
 		StatusNotDelivered:     1,
@@ -157,7 +157,7 @@
 	}
 }
 
-// A lost attempt counts as unaccepted, whoever ended it.
+// A lost attempt counts as unaccepted, even if it is cancelled later.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(50, idempotent, in20ms)
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if sends > 400*11/10+1 || sends < 420 {
-		t.Errorf("%d attempts for 400 requests", sends)
+		t.Errorf("%d attempts for 400 requests, want 420 to 441", sends)
 	}
 }
 
@@ -40,7 +40,8 @@
 	}
 }
 
-// A retry goes to an endpoint that has not had the request. If no such endpoint is left, the request is answered.
+// A retry goes to an endpoint to which the request has not been sent. If no such endpoint is left, the request is
+// answered.
 func TestRetriesGoToOtherEndpoints(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	h.serve(50, idempotent, in20ms)
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -19,8 +19,8 @@
 // endpoint is excluded if it is full for the request, if it had the request before, if the request might run twice, or
 // if it has too little slow start credit. Ties are broken at random, with equal probability.
 //
-// The cost is that of costSeconds without the slow start surcharge, with this node's attempts in flight counted a
-// second time. If they were counted once, nothing would keep each node from settling on endpoints of its own.
+// The cost is computed as in costSeconds, but without the slow start surcharge and with this node's attempts in flight
+// counted a second time. If they were counted once, each node could keep sending to the same few endpoints.
 func (b *Balancer) selectEndpoint(r *request, maxWaitSeconds float64) *endpointState {
 	var best *endpointState
 	least, ties := 0.0, 0
@@ -59,8 +59,8 @@
 	return queue + b.failureCostSeconds(e) + unresponsive + b.crossZoneCostSeconds(e)
 }
 
-// crossZoneCostSeconds is the time that crossing zones must save to be worth its price. It leaves out the network time,
-// which the measured latencies contain already.
+// crossZoneCostSeconds is the time that a request to another zone must save to be worth its price. The network time is
+// left out, because the measured latencies contain it already.
 func (b *Balancer) crossZoneCostSeconds(e *endpointState) float64 {
 	if e.Zone == b.cfg.Zone {
 		return 0
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// If two endpoints are equally loaded, one by this node and the other by other nodes, a request goes to the latter.
-// Otherwise each node would keep sending to the same few endpoints.
+// If this node's attempts load one endpoint, and the attempts of other nodes load another endpoint equally, a request
+// goes to the endpoint that the other nodes load. Otherwise each node would keep sending to the same few endpoints.
 func TestOwnAttemptsCountTwice(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	own, other := h.b.endpoints[1], h.b.endpoints[2]
--- a/balance/slowstartfleet_test.go
+++ b/balance/slowstartfleet_test.go
@@ -59,7 +59,7 @@
 	return f
 }
 
-// restart replaces a node by a new process. The requests in flight of the old process go on at the endpoints.
+// restart replaces a node by a new process. The endpoints continue to process the requests of the old process.
 func (f *testFleet) restart(t *testing.T, i int) {
 	cfg := f.cfg
 	cfg.Index = i
@@ -138,9 +138,10 @@
 // them, and with most nodes restarted a moment after the notification. Under overload a part of the budget must be
 // used.
 //
-// A node knows its part without asking other nodes. It grants slowStartMargin of the budget, times the work a second
-// that one warm endpoint does for it or times 1/Instances if that is more. All nodes together get no more work from a
-// warm endpoint than it can do. If a grant is less than one request, the node grants one request at random.
+// A node computes its part without asking other nodes. It grants slowStartMargin of the budget, times the work a second
+// that one warm endpoint does for the node, or times 1/Instances if 1/Instances is larger. All nodes together get no
+// more work from a warm endpoint than it can do. If a grant is less than one request, the node grants one request at
+// random.
 func TestFleetDoesNotOverloadEndpointsInSlowStart(t *testing.T) {
 	for _, instances := range []int{1, 8, 30} {
 		for _, work := range []time.Duration{16 * ms, 60 * ms} {
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -128,8 +128,8 @@
 }
 
 // Without quotas that show the request rate, the size of a subset follows the rate of arrivals. If a node of a large
-// fleet with few requests a second used all endpoints, it would send to each of them once in several seconds, and know
-// none of them.
+// fleet with few requests a second used all endpoints, it would send to each of them once in several seconds, and its
+// estimates would be out of date.
 func TestSubsetSizeFollowsTheRequestRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Instances = nil, 80
--- a/balance/tenantquota_test.go
+++ b/balance/tenantquota_test.go
@@ -16,7 +16,7 @@
 		return h.b.maxWaitSeconds(h.request(idempotent, tenant))
 	}
 	if maxWait(0) >= maxWait(1) { // the first tenant has used up its quota
-		t.Errorf("maximum wait %v s beyond the quota and %v s within it", maxWait(0), maxWait(1))
+		t.Errorf("maximum wait %v s beyond the quota and %v s within it, want less beyond the quota", maxWait(0), maxWait(1))
 	}
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// A tenant may use its quota unevenly. A node that has had no request of the tenant for long accepts one second's worth
-// of its own part at the same time as within the quota, or four requests if that is more.
+// A tenant may use its quota unevenly. A node that has had no request of the tenant for a long time counts a burst as
+// within the quota if it has at most four requests, or at most one second of the node's part of the quota.
 func TestQuotaBurst(t *testing.T) {
 	for name, c := range map[string]struct {
 		quotaPerSecond float64
--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -126,7 +126,7 @@
 	memoryTenths = 7
 	// sharedMemoryTenths is this part for a node with an admin address, whose successor may run at the same time.
 	sharedMemoryTenths = 4
-	// gcPercent makes the garbage collector run seldom. Near the memory limit it runs more often by itself.
+	// gcPercent makes the garbage collector run rarely. Near the memory limit the runtime runs it more often.
 	gcPercent = 200
 )
 
--- a/internal/codestyle/codestyle_test.go
+++ b/internal/codestyle/codestyle_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// checkDeclaration checks a declaration of constants, variables or types. The doc comment of a group counts for each
+// checkDeclaration checks a declaration of constants, variables or types. The doc comment of a group applies to each
 // name in the group.
 func checkDeclaration(decl *ast.GenDecl, report func(ast.Node, string, ...any)) {
 	for _, spec := range decl.Specs {
--- a/internal/fleet/collector.go
+++ b/internal/fleet/collector.go
@@ -37,7 +37,8 @@
 	published [viewHistoryEpochs]time.Duration // by epoch modulo viewHistoryEpochs
 }
 
-// NewCollector returns a collector without reports for a term. The caller must compile a view once an interval.
+// NewCollector returns a collector for a raft term. It has no reports yet. The caller must compile one view in each
+// interval.
 func NewCollector(term uint64, interval time.Duration) *Collector {
 	return &Collector{term: term, interval: interval, reports: map[string]latestReport{}}
 }
@@ -143,8 +144,8 @@
 }
 
 // mergeEndpoint merges the loads of an endpoint that several nodes report. The loads must be in the order of the nodes'
-// names, so that the sums are the same bit for bit, in whatever order the reports have arrived. The medians limit the
-// influence of a single faulty node.
+// names, so that the sums are the same bit for bit and do not depend on the order in which reports arrive. The medians
+// limit the influence of a single faulty node.
 func mergeEndpoint(id string, loads []EndpointLoad) EndpointView {
 	view := EndpointView{ID: id, ReportingNodes: len(loads)}
 	var estimates []float64
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -437,7 +437,7 @@
 }
 
 // The model detects a registry that derives a report's age from the time of the report's arrival.
-func TestPlantedArrivalAgeIsDetected(t *testing.T) {
+func TestModelDetectsAgeDerivedFromArrival(t *testing.T) {
 	for seed := range uint64(50) {
 		if violations, _ := playModel(t, seed, 3, true); len(violations) > 0 {
 			return
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -107,7 +107,7 @@
 }
 
 // drainPeriods returns the periods in which each backend drained, and when the last outage ended. The caller must not
-// read the periods while the run goes on.
+// read the periods while the run is in progress.
 func (d *Discovery) drainPeriods() (periods map[string][]*drainPeriod, lastUp time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/driver.go
+++ b/internal/lab/driver.go
@@ -19,7 +19,7 @@
 	maxDisconnectDelay = 100 * time.Millisecond
 	// maxInFlight bounds the driver's requests in flight. A request above the bound is not sent, and counts as unsent.
 	maxInFlight = 2048
-	// stalledClientInterval is the number of requests of which one is replaced by a stalled client, if the load has
+	// stalledClientInterval is the interval, in requests, at which a stalled client replaces a request, if the load has
 	// stalled clients.
 	stalledClientInterval = 100
 )
--- a/internal/lab/fault_window.go
+++ b/internal/lab/fault_window.go
@@ -29,7 +29,7 @@
 	run.mu.Unlock()
 }
 
-// recordExit records the present time in a node's fault windows as the time when its killed process had exited.
+// recordExit records the current time as the exit time in the fault windows of a node whose process was killed.
 func (run *loadRun) recordExit(role string, i int) {
 	if role != roleNode {
 		return
--- a/internal/lab/lease_check.go
+++ b/internal/lab/lease_check.go
@@ -93,7 +93,7 @@
 		figures.Points = append(figures.Points, TakeoverPoint{Kind: fault.Kind, Ms: ms})
 		bound := ttl + takeoverGrace
 		if fault.Kind == leaseFaultBoth {
-			bound += ttl // the next leader grants the lease only after a full TTL of its own
+			bound += ttl // the next leader grants the lease only after one more full TTL
 		}
 		if ms < 0 || time.Duration(ms*1e6) > bound {
 			check.addViolation(fmt.Sprintf("%s of %s: takeover after %.0f ms (-1: none)", fault.Kind, fault.Target, ms))
--- a/internal/lab/proxy.go
+++ b/internal/lab/proxy.go
@@ -51,7 +51,7 @@
 	return p, nil
 }
 
-// newProxy returns a proxy that does not listen itself. It gets its connections by handle.
+// newProxy returns a proxy without a listener. The caller passes each connection to handle.
 func newProxy(target string, seed uint64) *Proxy {
 	return &Proxy{target: target, conns: map[net.Conn]struct{}{}, refused: map[string]bool{},
 		rng: rand.New(rand.NewPCG(seed, 1))}
--- a/internal/lab/registry_client.go
+++ b/internal/lab/registry_client.go
@@ -119,7 +119,8 @@
 	return 0, fmt.Errorf("%s %s: no replica acknowledged the write: %w", method, path, lastErr)
 }
 
-// registerBackends registers the backends in the registry. Each member's host_port is that of the backend's proxy.
+// registerBackends registers the backends in the registry. Each member's host_port is the address of the backend's
+// proxy.
 func (cluster *cluster) registerBackends(ctx context.Context, members []Member) error {
 	for _, member := range members {
 		body := map[string]any{"member": member}
@@ -197,7 +198,7 @@
 }
 
 // checkAcknowledgedWrites checks that the newest list has every acknowledged write: each member is in the phase that
-// was acknowledged last, and the list's revision is not below that of the write.
+// was acknowledged last, and the list's revision is not below the write's revision.
 func (cluster *cluster) checkAcknowledgedWrites(ctx context.Context) Check {
 	check := Check{Name: "no acknowledged registry write is lost"}
 	if len(cluster.registryAddr) == 0 {
--- a/internal/lab/soak_draw.go
+++ b/internal/lab/soak_draw.go
@@ -67,8 +67,8 @@
 // faultSequence is a drawn fault together with its follow-up faults, such as a restart.
 type faultSequence int
 
-// The sequences. Their order is that of the drawn numbers. Sequences from plainSequenceCount on are drawn only in a
-// soak with upgrades.
+// The sequences, in the order of the drawn numbers. Sequences from plainSequenceCount on are drawn only in a soak with
+// upgrades.
 const (
 	sequenceTerminate faultSequence = iota
 	sequenceReloadThenTerminate
--- a/internal/lab/soak_scenario.go
+++ b/internal/lab/soak_scenario.go
@@ -24,9 +24,9 @@
 }
 
 const (
-	// claimDeadlineSeeds is the number of seeds of which one uses ClaimDeadline.
+	// claimDeadlineSeeds is the interval, in seeds, between two seeds that use ClaimDeadline.
 	claimDeadlineSeeds = 3
-	// idleConnectionSeeds is the number of seeds of which one holds idle connections.
+	// idleConnectionSeeds is the interval, in seeds, between two seeds with idle connections.
 	idleConnectionSeeds = 4
 )
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -84,7 +84,7 @@
 	}
 	second := <-acquired
 	if took := time.Since(released); second == nil || second.Token <= first.Token || took > 200*time.Millisecond {
-		t.Fatalf("after the release the candidate has lease %+v after %s", second, took)
+		t.Fatalf("the candidate acquired lease %+v %s after the release, want a higher token within 200ms", second, took)
 	}
 	stop()
 	stopped := time.Now()
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -1,7 +1,7 @@
 // Package maintenance takes machines out of service for maintenance, each in a turn. The nodes read the plan of all
 // turns from the registry and propose commands (Propose). The plan is a state machine of the registry, and Plan.Apply
-// enforces every rule: a command of a stale or faulty proposer is rejected and does no harm. docs/ROADMAP.md describes
-// the design, and docs/registry.md the calls.
+// enforces every rule: a command of a stale or faulty proposer is rejected and changes nothing. docs/ROADMAP.md
+// describes the design, and docs/registry.md the calls.
 package maintenance
 
 import (
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -184,7 +184,7 @@
 }
 
 // A machine becomes quiet only when the current process of every live node has confirmed.
-func TestQuietNeedsEveryLiveNode(t *testing.T) {
+func TestMachineIsQuietOnlyAfterEveryLiveNodeConfirms(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("q", DisruptionBudget{}, nil, "s0"))
 	f.advanceTo("s0", Draining)
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -8,7 +8,7 @@
 
 // Several nodes read the same plan and propose commands. Failed nodes propose only in every seventh epoch. Every
 // machine of the request goes out and comes back, and there are never more machines out than the budget allows.
-func TestNodesTakeEveryMachineThroughItsTurn(t *testing.T) {
+func TestProposalsCompleteTheTurnOfEveryMachine(t *testing.T) {
 	for _, failed := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
 		t.Run(fmt.Sprint(failed), func(t *testing.T) {
 			f := newPlanFixture(t)
--- a/internal/node/backend_pool_test.go
+++ b/internal/node/backend_pool_test.go
@@ -115,7 +115,7 @@
 }
 
 // Surplus bytes start the quarantine, whether they arrive with the response or while the connection is idle.
-func TestSurplusStartsQuarantine(t *testing.T) {
+func TestSurplusBytesStartQuarantine(t *testing.T) {
 	for name, late := range map[string]bool{"with the response": false, "while idle": true} {
 		wrote := make(chan struct{}, 1)
 		b := newRawBackend(t, "127.0.0.1:0", func(c net.Conn, br *bufio.Reader) {
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -104,9 +104,9 @@
 	return used
 }
 
-// awaitsDisconnect reports whether a read of size bytes is the one by which the HTTP server watches for a disconnect:
-// the server has a complete request and reads the first byte after it. If the end of the body is not known here
-// (openEnded), this read is recognized by its size, since it is the only read of a single byte.
+// awaitsDisconnect reports whether the HTTP server uses a read of size bytes to watch for a disconnect: the server has
+// a complete request and reads the first byte after it. If the end of the body is not known here (openEnded), this read
+// is recognized by its size, since it is the only read of a single byte.
 func (c *clientConn) awaitsDisconnect(size int) bool {
 	return c.hasCompleteHead() && (!c.openEnded || size == 1)
 }
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Each read ends where a head or a body ends, whatever the pieces in which the bytes arrive.
+// Each read ends where a head or a body ends, regardless of how the incoming bytes are split.
 func TestReadStopsAtEndOfHeadOrBody(t *testing.T) {
 	first := "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n"
 	second := "GET /b HTTP/1.1\n\n"
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -160,7 +160,7 @@
 	c.(*net.TCPConn).CloseWrite()
 	receive(t, "the end of the attempt's connection", ended)
 	if d := time.Since(disconnected); d > 5*time.Second {
-		t.Errorf("the attempt went on for %v after the disconnect", d)
+		t.Errorf("the attempt continued for %v after the disconnect", d)
 	}
 	// The backend has not responded, so the client must not get any response. net/http would send an empty one.
 	c.SetReadDeadline(time.Now().Add(testTimeout))
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -12,7 +12,7 @@
  "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"peer_listen":"127.0.0.4:7946","peers":["127.0.0.6:7946"],
  "peers_all":"127.0.0.7:7946","known":{"revision":41,"complete":true,"members":[]},"settings":` + testSettings + `}`
 
-func TestConfig(t *testing.T) {
+func TestParseConfigReadsAValidConfig(t *testing.T) {
 	cfg, err := ParseConfig([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -19,7 +19,7 @@
 	shutdownPollInterval = 10 * time.Millisecond
 )
 
-// shutDown shuts this process down according to its schedule (shutdownSchedule). The process goes on accepting until
+// shutDown shuts this process down according to its schedule (shutdownSchedule). The process continues to accept until
 // clients send nothing new, answers every request that it has read, and closes each connection after a response or once
 // it is idle. All of this is done before the earliest time at which the process may be killed.
 func (n *Node) shutDown(server *http.Server) error {
--- a/internal/node/handover_successor.go
+++ b/internal/node/handover_successor.go
@@ -118,7 +118,7 @@
 	defer h.predecessor.Close()
 	for !n.loop.ready.Load() && ctx.Err() == nil {
 		if n.server.shutdown.started() {
-			return // this process is shutting down, so the predecessor goes on serving
+			return // this process is shutting down, so the predecessor continues to serve
 		}
 		pause(ctx, shutdownPollInterval)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -110,11 +110,11 @@
 		c.Close()
 	}
 	if body := receive(t, "the response to the queued request", queued); body != "done" {
-		t.Errorf("response to the queued request: %q", body)
+		t.Errorf("response to the queued request: %q, want \"done\"", body)
 	}
 	close(release)
 	if body := receive(t, "the response to the slow request", slow); body != "done" {
-		t.Errorf("response to the slow request: %q", body)
+		t.Errorf("response to the slow request: %q, want \"done\"", body)
 	}
 	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -21,7 +21,7 @@
 }
 
 // Datagrams are exchanged with the configured peers only, and datagrams that are too long are dropped.
-func TestGossip(t *testing.T) {
+func TestGossipWithConfiguredPeersOnly(t *testing.T) {
 	peer, stranger := listenUDP(t), listenUDP(t)
 	p, err := listenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: peer.LocalAddr().String(),
 		Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()}})
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -16,7 +16,7 @@
 const firstListTimeout = 3 * time.Second
 
 // Run serves until ctx ends, a successor has replaced this process, or the listener can't accept any more. Run then
-// shuts down gracefully and returns. The error is that of the listener.
+// shuts down gracefully and returns. The error comes from the listener.
 func (n *Node) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
@@ -97,7 +97,7 @@
 	})
 }
 
-// runAdmin starts the admin server, if it is configured. The node goes on serving requests if that server ends.
+// runAdmin starts the admin server, if it is configured. The node continues to serve requests if the admin server ends.
 func (n *Node) runAdmin(ctx context.Context, running *sync.WaitGroup) {
 	if n.admin == nil {
 		return
--- a/internal/node/wallclock.go
+++ b/internal/node/wallclock.go
@@ -14,9 +14,9 @@
 //
 // Either wall clock may have been stepped. A start time in the future is replaced by now; otherwise the backend would
 // stay in slow start for as long as the clocks differ. A start time in the past is no earlier than the previous list
-// that this process received, because that list did not have it. A backend that joins or restarts while the node runs
-// is therefore always in slow start. The result is late by the delay of discovery, so the backend gets fewer requests
-// rather than more. For the first list of a process, only the wall clock is available.
+// that this process received, because that list did not contain the backend's process. A backend that joins or restarts
+// while the node runs is therefore always in slow start. The result is late by the delay of discovery, so the backend
+// gets fewer requests rather than more. For the first list of a process, only the wall clock is available.
 func (l *eventLoop) localStartTime(wallStart time.Duration) time.Duration {
 	if wallStart == 0 {
 		return 0
--- a/internal/registry/snapshotstore_test.go
+++ b/internal/registry/snapshotstore_test.go
@@ -40,6 +40,6 @@
 	c.restart(0)
 	c.leader(t)
 	if got := c.replicas[0].Status(); got.Revision != want || want < 25 {
-		t.Fatalf("after the restart: revision %d, want %d, which must be at least 25", got.Revision, want)
+		t.Fatalf("revision %d after the restart, %d before it; want equal revisions of at least 25", got.Revision, want)
 	}
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("after all commands: members %+v, leases %+v", s.members, s.leases)
 	}
 	if _, err := s.ParseCommand([]byte(`{"op":"no-such-operation"}`)); !errors.Is(err, ErrUnknownOperation) {
-		t.Errorf("unknown operation: error %v", err)
+		t.Errorf("unknown operation: error %v, want ErrUnknownOperation", err)
 	}
 }
 
--- a/internal/simproto/action_test.go
+++ b/internal/simproto/action_test.go
@@ -20,7 +20,7 @@
 }
 
 // Each action is written as one line of the protocol.
-func TestActions(t *testing.T) {
+func TestActionsAreEncodedAsLines(t *testing.T) {
 	for want, a := range map[string]balance.Action{
 		"call_out node=node_3 requestId=r backend=51530247 limit=80000000": {Kind: balance.Forward, Request: "r",
 			Endpoint: 51530247, Timeout: 80 * time.Millisecond},
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -28,7 +28,8 @@
 // maxRoutingKey is the largest integer that a float64 holds exactly.
 const maxRoutingKey = 1<<53 - 1
 
-// decodeEvent fills in m from the fields of an event. A message with another name becomes Unknown.
+// decodeEvent fills in m from the fields of an event. If the name of the message is not that of an event, the message
+// becomes Unknown.
 func decodeEvent(m *Message, f *fields) {
 	m.Event = event(m, f)
 	if m.Event == nil {
--- a/internal/simproto/event_test.go
+++ b/internal/simproto/event_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each event of the protocol is read as the matching event of package balance.
-func TestEvents(t *testing.T) {
+func TestEventsAreDecoded(t *testing.T) {
 	const id = "5d3a91c4-a8f6-4e6c-a7c4-4415b8b3b467"
 	for line, want := range map[string]balance.Event{
 		"work_item node=node_3 requestId=" + id + " band=2 userGroup=1 routeKey=9007199254740991 timeBudget=240000000 " +
@@ -39,7 +39,7 @@
 }
 
 // Each status name is read as its Status, and only three of them prove that the attempt never ran.
-func TestEveryStatusHasItsName(t *testing.T) {
+func TestStatusNamesAreDecoded(t *testing.T) {
 	names := []string{"delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"}
 	for i, name := range names {
 		m := readOne(t, "probe_result node=n backend=1 spent=1 status="+name)
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -9,7 +9,7 @@
 	"hitchvale/balance"
 )
 
-// Reader reads messages from the simulator. It must not be used from two goroutines at once.
+// Reader reads messages from the simulator. It must not be used from two goroutines at the same time.
 type Reader struct {
 	in   *bufio.Reader
 	line int
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -40,7 +40,7 @@
 }
 
 // The endpoints of a list and the events that refer to it are read.
-func TestListsOfEndpoints(t *testing.T) {
+func TestEndpointListsAreDecoded(t *testing.T) {
 	ms, err := readAll(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
 		"entry launched=6100000000 backend=7 nominal=1.5 phase=ready\n"+
@@ -66,7 +66,7 @@
 }
 
 // The settings of a new node are mapped to its Config.
-func TestSettings(t *testing.T) {
+func TestSettingsAreMappedToTheConfig(t *testing.T) {
 	m := readOne(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1,`+
 		` "new": [1], "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
 		` "membershipMode": "ask", "loadReport": {"source": "inline"}, "limits": {"maxAttempts": 4, "peers": true},`+
@@ -119,7 +119,7 @@
 }
 
 // The names in the settings do not influence the decisions: with other names the Config is the same.
-func TestNamesDoNotReachTheConfig(t *testing.T) {
+func TestNamesDoNotChangeTheConfig(t *testing.T) {
 	conf := func(n string) string {
 		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + n + `1"}], "skus": ["` + n + `2"],` +
 			` "tenants": [{"name": "` + n + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + n + `4"], "tiers": ["` + n + `5"]}`
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFirstAndBetween(t *testing.T) {
+func TestFirstAndBetweenFindEventsInTime(t *testing.T) {
 	is := func(process, prefix string) func(Event) bool {
 		return func(e Event) bool { return e.Process == process && strings.HasPrefix(e.Text, prefix) }
 	}
