--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -18,7 +18,8 @@
 		rejected += len(ofKind(Reject, h.last))
 	}
 	if sent+rejected != 200 || rejected < 100 || sent < 8 {
-		t.Errorf("%d forwarded, %d rejected of 200 requests at the same time", sent, rejected)
+		t.Errorf("of 200 requests at the same time %d forwarded, want at least 8; %d rejected, want at least 100",
+			sent, rejected)
 	}
 }
 
@@ -27,7 +28,8 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	h.serve(1000, idempotent, in20ms)
 	if h.b.queueBudget.fraction < 2*initialQueueBudget || h.b.queueBudget.fraction > maxQueueBudget {
-		t.Fatalf("queue budget %v while all answers are in time", h.b.queueBudget.fraction)
+		t.Fatalf("queue budget %v while all answers are in time, want %v to %v", h.b.queueBudget.fraction,
+			2*initialQueueBudget, maxQueueBudget)
 	}
 	h.answerLate(200)
 	if h.b.queueBudget.fraction != minQueueBudget {
@@ -35,7 +37,7 @@
 	}
 	h.serve(3000, idempotent, in20ms)
 	if h.b.queueBudget.fraction < initialQueueBudget {
-		t.Errorf("queue budget %v after 3000 answers in time", h.b.queueBudget.fraction)
+		t.Errorf("queue budget %v after 3000 answers in time, want at least %v", h.b.queueBudget.fraction, initialQueueBudget)
 	}
 }
 
@@ -53,7 +55,7 @@
 		h.endAttempt(fmt.Sprint(i), 0, 1, StatusTimedOut)
 	}
 	if h.b.queueBudget.fraction != was {
-		t.Errorf("queue budget went from %v to %v", was, h.b.queueBudget.fraction)
+		t.Errorf("queue budget went from %v to %v, want no change", was, h.b.queueBudget.fraction)
 	}
 }
 
@@ -69,13 +71,15 @@
 		high := h.b.maxWaitSeconds(h.request(idempotent, -1))
 		low := h.b.maxWaitSeconds(h.request(nonIdempotent, -1))
 		if high < 2*low {
-			t.Errorf("by work %v: maximum wait %v s at a high priority, %v s at a low one", byWork, high, low)
+			t.Errorf("by work %v: maximum wait %v s at a high priority, want at least twice the %v s at a low priority",
+				byWork, high, low)
 		}
 		heavyRequest := h.request(idempotent, -1)
 		heavyRequest.workHint = time.Second
 		heavy := h.b.maxWaitSeconds(heavyRequest)
 		if byWork != (heavy == high) {
-			t.Errorf("by work %v: maximum wait %v s for a heavy request, %v s for a usual one", byWork, heavy, high)
+			t.Errorf("by work %v: maximum wait %v s for a heavy request, %v s for a usual one, want equal waits: %v",
+				byWork, heavy, high, byWork)
 		}
 	}
 }
@@ -105,7 +109,8 @@
 	h.serve(200, idempotent, func(EndpointID) time.Duration { return 600 * ms })
 	got := h.b.maxWaitSeconds(h.request(idempotent, -1))
 	if h.b.slackSeconds() != 0 || got < minQueueBudget*0.5 {
-		t.Errorf("slack %v, maximum wait %v s when answers take 0.6 s", h.b.slackSeconds(), got)
+		t.Errorf("slack %v s when answers take 0.6 s, want 0; maximum wait %v s, want at least %v", h.b.slackSeconds(), got,
+			minQueueBudget*0.5)
 	}
 }
 
@@ -123,7 +128,8 @@
 		h.advance(400 * ms)
 		h.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 400 * ms, Final: true})
 		if got := h.b.queueBudget.fraction < 0.3; got != lowers || h.b.queueBudget.fraction > 0.3 {
-			t.Errorf("queue at arrival %v: queue budget from 0.3 to %v", queue, h.b.queueBudget.fraction)
+			t.Errorf("queue at arrival %v: queue budget from 0.3 to %v, want it lowered: %v",
+				queue, h.b.queueBudget.fraction, lowers)
 		}
 	}
 }
@@ -150,7 +156,8 @@
 		return h.b.queueBudget.fraction
 	}
 	if busy, idle := after(20*ms), after(50*ms); busy > 0.2 || idle > busy*1.1 {
-		t.Errorf("after a second of late answers: queue budget %v with 50 answers a second, %v with 20", busy, idle)
+		t.Errorf("after a second of late answers: queue budget %v with 50 answers a second, want at most 0.2; "+
+			"%v with 20, want at most 10 %% more", busy, idle)
 	}
 }
 
@@ -172,7 +179,7 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(20, idempotent, in20ms)
 	if h.b.queueBudget.answerGapSeconds > 0.5 {
-		t.Errorf("mean gap of %v s after answers every 10 ms", h.b.queueBudget.answerGapSeconds)
+		t.Errorf("mean gap of %v s after answers every 10 ms, want at most 0.5", h.b.queueBudget.answerGapSeconds)
 	}
 }
 
@@ -196,7 +203,7 @@
 			was := h.b.queueBudget.fraction
 			h.handle(AttemptEnded{Request: "x", Endpoint: 1, Status: StatusTimedOut, Elapsed: time.Second})
 			if less := h.b.queueBudget.fraction < was; less != tc.less {
-				t.Errorf("the queue budget went from %v to %v", was, h.b.queueBudget.fraction)
+				t.Errorf("the queue budget went from %v to %v, want it lowered: %v", was, h.b.queueBudget.fraction, tc.less)
 			}
 		})
 	}
@@ -208,12 +215,14 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(20000, idempotent, in20ms)
 	if h.b.queueBudget.fraction <= initialQueueBudget {
-		t.Fatalf("the queue budget is %v after many answers in time", h.b.queueBudget.fraction)
+		t.Fatalf("queue budget %v after many answers in time, want more than %v", h.b.queueBudget.fraction,
+			initialQueueBudget)
 	}
 	e := h.b.endpoints[1]
 	h.setOtherNodesLoad(1, 1.5*h.b.slackSeconds()/h.b.serviceSeconds(e))
 	e.reportedAt, h.b.probeAdmission.rejected = h.now, 1 // no probe admission
 	if acts := h.arrive("x", idempotent); len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("with a wait of %.3f s and a slack of %.3f s: %+v", h.b.expectedWaitSeconds(e), h.b.slackSeconds(), acts)
+		t.Errorf("with a wait of %.3f s and a slack of %.3f s: actions %+v, want a Reject", h.b.expectedWaitSeconds(e),
+			h.b.slackSeconds(), acts)
 	}
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if len(h.logs) > 12 {
-		t.Errorf("%d log lines: %q", len(h.logs), h.logs)
+		t.Errorf("%d log lines, want at most 12: %q", len(h.logs), h.logs)
 	}
 }
 
@@ -70,7 +70,7 @@
 		h.handle(nil),
 	} {
 		if len(acts) != 0 {
-			t.Errorf("actions for an unknown or repeated event: %+v", acts)
+			t.Errorf("actions for an unknown or repeated event: %+v, want none", acts)
 		}
 	}
 	for range 50 {
@@ -81,7 +81,7 @@
 	}
 	for id, s := range h.b.endpoints {
 		if s.inFlight != 0 || math.IsNaN(h.b.costSeconds(s)) {
-			t.Errorf("endpoint %d: %+v", id, *s)
+			t.Errorf("endpoint %d has attempts in flight or no valid cost: %+v", id, *s)
 		}
 	}
 }
@@ -104,11 +104,11 @@
 		PeerMessage{Peer: 1, Payload: []byte{1, 2}},
 	} {
 		if acts := ofKind(Forward, h.handle(ev)); len(acts) != 0 {
-			t.Errorf("%+v: forwarded: %+v", ev, acts)
+			t.Errorf("event %+v: forwarded %+v, want nothing", ev, acts)
 		}
 	}
 	if h.handle(ClientDisconnected{Request: "x"}); len(h.last) != 0 {
-		t.Errorf("actions after the client has disconnected: %+v", h.last)
+		t.Errorf("actions after the client has disconnected: %+v, want none", h.last)
 	}
 }
 
@@ -117,11 +117,11 @@
 	for _, cfg := range []Config{{Instances: -1}, {Index: -1}, {Limits: Limits{MaxAttempts: -1}},
 		{Classes: []Class{{Deadline: -1}}}} {
 		if _, err := New(cfg, 1); err == nil {
-			t.Errorf("accepted %+v", cfg)
+			t.Errorf("New accepted %+v, want an error", cfg)
 		}
 	}
 	if _, err := New(Config{}, 1); err != nil {
-		t.Errorf("rejected an empty Config: %v", err)
+		t.Errorf("New rejected an empty Config: %v", err)
 	}
 }
 
--- a/balance/cordon.go
+++ b/balance/cordon.go
@@ -32,8 +32,8 @@
 	b.chooseSubset()
 }
 
-// resetAtUncordon reports whether the start time in a list lies within the endpoint's last cordon. The endpoint's state
-// was then reset already when it was uncordoned.
+// resetAtUncordon reports whether the start time in a list lies within the endpoint's last cordon. In that case the
+// endpoint's state was already reset when the endpoint was uncordoned.
 func (b *Balancer) resetAtUncordon(listed Endpoint) bool {
 	c := b.cordons[listed.ID]
 	return !c.active && c.uncordonedAt > 0 && c.cordonedAt <= listed.StartedAt && listed.StartedAt <= c.uncordonedAt
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -58,7 +58,7 @@
 		for i := range perSecond {
 			timers := ofKind(SetTimer, b.Handle(time.Hour, ev, nil))
 			if len(timers) != 1 {
-				t.Fatalf("%+v", timers)
+				t.Fatalf("timers %+v after a list, want one", timers)
 			}
 			perSecond[i][int(timers[0].Delay/time.Second)]++
 			if len(ofKind(WatchEndpoints, b.Handle(time.Hour, TimerFired{ID: timers[0].TimerID}, nil))) != 1 {
@@ -114,7 +114,7 @@
 				}
 				timers := ofKind(SetTimer, acts)
 				if len(timers) != 1 {
-					t.Fatalf("%+v", acts)
+					t.Fatalf("actions %+v, want one SetTimer", acts)
 				}
 				longest = max(longest, timers[0].Delay)
 				sum += timers[0].Delay
--- a/balance/endpointstate_test.go
+++ b/balance/endpointstate_test.go
@@ -18,7 +18,7 @@
 	old.StartedAt = h.now
 	h.handle(EndpointsListed{Kind: ListChanges, Endpoints: []Endpoint{old}})
 	if e.slowStartCreditSeconds < 0 || e.servedWorkSeconds != 0 || e.meanLatencySeconds != 0 || e.knownSince != h.now {
-		t.Errorf("state after the restart: %+v", *e)
+		t.Errorf("the state after the restart still has values of the old process: %+v", *e)
 	}
 }
 
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -70,7 +70,7 @@
 	now += 2 * time.Second
 	predecessor.Handle(now, TimerFired{}, nil)
 	if c := predecessor.endpoints[3].slowStartCreditSeconds; c <= 0 {
-		t.Errorf("credit %v after the process takes new requests again", c)
+		t.Errorf("credit %v after the process takes new requests again, want more than 0", c)
 	}
 }
 
@@ -87,7 +87,7 @@
 	for _, at := range []time.Duration{0, 900 * time.Millisecond} {
 		b.Handle(now+at, TimerFired{}, nil)
 		if c := b.endpoints[1].slowStartCreditSeconds; c > 0 {
-			t.Errorf("credit %v after %v", c, at)
+			t.Errorf("credit %v after %v, want none", c, at)
 		}
 	}
 	b.Handle(now+1100*time.Millisecond, TimerFired{}, nil)
--- a/balance/healthchecks_test.go
+++ b/balance/healthchecks_test.go
@@ -49,7 +49,7 @@
 		h.arrive(fmt.Sprint("burst", i), nonIdempotent)
 	}
 	if h.b.healthChecks.credit > 2*maxHealthChecksPerTick {
-		t.Errorf("a credit of %v checks", h.b.healthChecks.credit)
+		t.Errorf("a credit of %v checks, want at most %v", h.b.healthChecks.credit, 2*maxHealthChecksPerTick)
 	}
 }
 
@@ -62,7 +62,7 @@
 	h.handle(RequestArrived{Request: "left", Class: idempotent, TimeLeft: time.Second})
 	h.handle(RequestArrived{Request: "stays", Class: idempotent, TimeLeft: time.Second})
 	if len(h.b.awaitingChecks) != 2 {
-		t.Fatalf("%d requests are waiting", len(h.b.awaitingChecks))
+		t.Fatalf("%d requests are waiting, want 2", len(h.b.awaitingChecks))
 	}
 	h.handle(ClientDisconnected{Request: "left"})
 	if sent := ofKind(Forward, h.handle(TimerFired{ID: h.b.timers.lastID})); len(sent) != 1 || sent[0].Request != "stays" {
@@ -90,7 +90,7 @@
 		checks += len(ofKind(HealthCheck, h.arrive(fmt.Sprint(i), idempotent)))
 	}
 	if checks < 5 || checks > 6 {
-		t.Errorf("%d checks for 5 endpoints", checks)
+		t.Errorf("%d checks for 5 endpoints, want 5 or 6", checks)
 	}
 }
 
@@ -103,7 +103,8 @@
 	h.handle(RequestArrived{Request: "x", TimeLeft: time.Second})
 	checks := ofKind(HealthCheck, h.last)
 	if len(checks) != maxHealthChecksPerTick || len(ofKind(Forward, h.last)) != 0 {
-		t.Fatalf("%d checks and %d forwards at the arrival", len(checks), len(ofKind(Forward, h.last)))
+		t.Fatalf("%d checks and %d forwards at the arrival, want %d and 0", len(checks), len(ofKind(Forward, h.last)),
+			maxHealthChecksPerTick)
 	}
 	h.advance(ms)
 	for _, id := range []EndpointID{1, 3} {
@@ -119,7 +120,7 @@
 	h.handle(RequestArrived{Request: "y", TimeLeft: time.Second})
 	timers := ofKind(SetTimer, h.last)
 	if wait := timers[len(timers)-1]; wait.Delay > 15*ms {
-		t.Errorf("delayed for %v", wait.Delay)
+		t.Errorf("the request is delayed for %v, want at most 15ms", wait.Delay)
 	} else if h.handle(TimerFired{ID: wait.TimerID}); len(ofKind(Forward, h.last)) != 1 {
 		t.Error("not forwarded when the wait ended")
 	}
--- a/balance/latencystats_test.go
+++ b/balance/latencystats_test.go
@@ -16,11 +16,12 @@
 		h.b.updateServiceTime(e, h.request(idempotent, 0), &attempt{endpoint: e}, 100*ms)
 	}
 	if starting, peer := h.b.serviceSeconds(e), h.b.serviceSeconds(h.b.endpoints[1]); starting < 2*peer {
-		t.Errorf("service time %v in slow start, %v at a warm endpoint", starting, peer)
+		t.Errorf("service time %v in slow start, want at least twice the %v at a warm endpoint", starting, peer)
 	}
 	e.StartedAt = 1
 	if starting, warm := h.b.serviceSeconds(e), h.b.serviceSeconds(h.b.endpoints[1]); starting > 1.5*warm {
-		t.Errorf("service time %v once warm, %v at an endpoint that was always warm", starting, warm)
+		t.Errorf("service time %v once warm, want at most 1.5 times the %v at an endpoint that was always warm",
+			starting, warm)
 	}
 }
 
@@ -35,7 +36,8 @@
 		h.serve(1, idempotent, in20ms)
 	}
 	if now := h.b.serviceSeconds(e); now > 2*h.b.latency.meanServiceSeconds {
-		t.Errorf("service time %v s after a minute and a half, mean %v s", now, h.b.latency.meanServiceSeconds)
+		t.Errorf("service time %v s after a minute and a half, want at most twice the mean of %v s", now,
+			h.b.latency.meanServiceSeconds)
 	}
 }
 
@@ -55,7 +57,7 @@
 		h.handle(AttemptEnded{Request: id, Endpoint: 1, Elapsed: 100 * ms, Final: true})
 	}
 	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; unloaded != was {
-		t.Errorf("unloaded latency went from %v to %v s", was, unloaded)
+		t.Errorf("unloaded latency went from %v to %v s, want no change", was, unloaded)
 	}
 }
 
@@ -65,7 +67,7 @@
 	h.serve(1, idempotent, func(EndpointID) time.Duration { return 280 * ms })
 	h.serve(9, idempotent, in20ms)
 	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; math.Abs(unloaded-0.046) > 0.001 {
-		t.Errorf("unloaded latency %v s, the mean of the answers is 0.046", unloaded)
+		t.Errorf("unloaded latency %v s, want the mean of the answers, 0.046", unloaded)
 	}
 }
 
@@ -79,7 +81,7 @@
 	h := newHarness(t, testConfig(), endpoints...)
 	h.serve(40, idempotent, func(EndpointID) time.Duration { return 100 * ms })
 	if h.b.latency.meanServiceSeconds < 0.08 {
-		t.Errorf("service time %v after 40 answers of 100 ms", h.b.latency.meanServiceSeconds)
+		t.Errorf("mean service time %v s after 40 answers of 100 ms, want at least 0.08", h.b.latency.meanServiceSeconds)
 	}
 }
 
@@ -92,7 +94,8 @@
 	h.handle(RequestArrived{Request: "x", ExpectedWork: 20 * ms, TimeLeft: time.Second})
 	h.handle(AttemptEnded{Request: "x", Endpoint: 1, Elapsed: 200 * ms, Final: true})
 	if unloaded := h.b.latency.classes[idempotent].unloadedSeconds; unloaded < 0.015 || unloaded > 0.025 {
-		t.Errorf("unloaded latency %v s after an answer of 200 ms behind five requests, with a work hint of 20 ms", unloaded)
+		t.Errorf("unloaded latency %v s after an answer of 200 ms behind five requests, want about the work hint of 0.020",
+			unloaded)
 	}
 }
 
@@ -137,7 +140,8 @@
 		h.b.updateServiceTime(e, req, &attempt{endpoint: e, queueAtSend: 12}, 20*ms)
 	}
 	if is := h.b.warmServiceSeconds(e); is > was/4 {
-		t.Errorf("service time went from %v to %v s after three equally fast answers behind twelve requests", was, is)
+		t.Errorf("service time went from %v to %v s after three equally fast answers behind twelve requests, "+
+			"want at most a quarter", was, is)
 	}
 }
 
@@ -153,6 +157,7 @@
 		h.b.updateServiceTime(e, req, &attempt{endpoint: e}, 120*ms)
 	}
 	if e.meanLatencySeconds < was+70e-3 {
-		t.Errorf("the mean latency went from %.3f to %.3f s in three seconds with answers of 0.120 s", was, e.meanLatencySeconds)
+		t.Errorf("the mean latency went from %.3f to %.3f s in three seconds with answers of 0.120 s, "+
+			"want a rise of at least 0.070", was, e.meanLatencySeconds)
 	}
 }
--- a/balance/loadaverage_test.go
+++ b/balance/loadaverage_test.go
@@ -11,14 +11,14 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0), listedEndpoint(3, 0, 0))
 	h.handle(loadReported(1, 10))
 	if o := h.b.otherNodesLoad(h.b.endpoints[1]); o != 10 {
-		t.Errorf("load %v after a first report of 10", o)
+		t.Errorf("load %v after a first report of 10, want 10", o)
 	}
 	for i := range 100 {
 		h.advance(5 * time.Second)
 		h.handle(loadReported(2, float64(10+i%2)))
 	}
 	if o := h.b.otherNodesLoad(h.b.endpoints[3]); o < 9 || o > 11 {
-		t.Errorf("load %v at an endpoint without reports, 10 at the others", o)
+		t.Errorf("load %v at an endpoint without reports, want 9 to 11 as at the others", o)
 	}
 	h.advance(5 * time.Second)
 	h.handle(loadReported(3, 0))
@@ -32,7 +32,7 @@
 		h.handle(loadReported(1, 10))
 	}
 	if o := h.b.expectedLoad(h.b.endpoints[3]); o > 2 {
-		t.Errorf("expected load %v at an endpoint that always reports 0", o)
+		t.Errorf("expected load %v at an endpoint that always reports 0, want at most 2", o)
 	}
 }
 
@@ -43,7 +43,7 @@
 	h.advance(time.Second)
 	h.handle(loadReported(1, 10))
 	if o := h.b.otherNodesLoad(h.b.endpoints[2]); o < 5 {
-		t.Errorf("load %v at an endpoint without reports, 10 at the first endpoint with a report", o)
+		t.Errorf("load %v at an endpoint without reports, want at least 5 after a first report of 10", o)
 	}
 }
 
@@ -58,7 +58,7 @@
 		h.handle(loadReported(3, 0))
 	}
 	if here, there := h.b.expectedLoad(h.b.endpoints[2]), h.b.expectedLoad(h.b.endpoints[4]); here < 8 || there > 2 {
-		t.Errorf("expected load %v and %v at endpoints without reports in a full and an idle zone", here, there)
+		t.Errorf("expected load %v in a full zone, want at least 8; %v in an idle zone, want at most 2", here, there)
 	}
 }
 
@@ -75,6 +75,6 @@
 	h.advance(time.Second)
 	h.handle(loadReported(2, 4))
 	if more := h.b.loads.zoneMean(0) - was; more <= 0 || more > 0.5 {
-		t.Errorf("three requests more at one endpoint raise the mean of its zone by %.2f", more)
+		t.Errorf("three more requests at one endpoint raise the mean of its zone by %.2f, want above 0, at most 0.5", more)
 	}
 }
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -19,7 +19,8 @@
 		h.advance(c.wait)
 		h.handle(loadReported(1, c.report))
 		if e := h.b.queueEstimate(h.b.endpoints[1]); e < 3 || e > 3.1 {
-			t.Errorf("queue estimate %v with three in flight since %v and a report of %v", e, c.wait, c.report)
+			t.Errorf("queue estimate %v with three attempts in flight since %v and a report of %v, want 3 to 3.1",
+				e, c.wait, c.report)
 		}
 	}
 }
@@ -59,7 +60,7 @@
 		h.handle(loadReported(1, 9))
 	}
 	if after := h.b.expectedLoad(h.b.endpoints[1]); after != before {
-		t.Errorf("the expected load went from %v to %v by repeated reports", before, after)
+		t.Errorf("repeated reports moved the expected load from %v to %v, want no change", before, after)
 	}
 }
 
@@ -81,6 +82,7 @@
 		}
 	}
 	if repeats == 0 || repeats > maxRepeatChecks || h.b.reportInterval.seconds > 0.1 {
-		t.Errorf("%v repeated checks, learned report interval %v s", repeats, h.b.reportInterval.seconds)
+		t.Errorf("%v repeated checks, want 1 to %v; learned report interval %v s, want at most 0.1", repeats,
+			maxRepeatChecks, h.b.reportInterval.seconds)
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -23,7 +23,8 @@
 	first := h.forwardedTo()
 	h.arrive("b", idempotent)
 	if second := h.forwardedTo(); first+second != 3 {
-		t.Errorf("with a request in flight at endpoint %d the next one went to %d", first, second)
+		t.Errorf("with a request in flight at endpoint %d the next request went to %d, want the other endpoint",
+			first, second)
 	}
 }
 
@@ -48,7 +49,7 @@
 	h.serve(50, idempotent, in20ms)
 	h.serve(60, nonIdempotent, func(EndpointID) time.Duration { return 0 })
 	if n := h.serve(40, idempotent, in20ms); n[1]+n[2] < 20 {
-		t.Errorf("only %v of 40 requests were sent", n)
+		t.Errorf("endpoints got %v of 40 requests, want at least 20 in total", n)
 	}
 }
 
@@ -65,12 +66,12 @@
 		}
 	}
 	if h.b.endpoints[1].inFlight != 1 || h.b.endpoints[2].inFlight != 1 {
-		t.Fatal("both attempts went to one endpoint")
+		t.Fatal("both attempts went to one endpoint, want one attempt at each endpoint")
 	}
 	h.endAttempt(answered, 0, 1, StatusSucceeded)
 	h.advance(300 * ms)
 	if n := h.serve(30, idempotent, in20ms); n[2] != 0 {
-		t.Errorf("%d of 30 requests went to the unresponsive endpoint", n[2])
+		t.Errorf("%d of 30 requests went to the unresponsive endpoint, want none", n[2])
 	}
 }
 
@@ -123,7 +124,7 @@
 	h.advance(10 * ms)
 	h.handle(TimerFired{})
 	if c := h.b.costSeconds(e); c != was {
-		t.Errorf("cost %v s after 10 ms, %v s immediately", c, was)
+		t.Errorf("cost %v s after 10 ms, want the %v s from before", c, was)
 	}
 	h.advance(time.Second)
 	h.handle(TimerFired{})
--- a/balance/probeadmission_test.go
+++ b/balance/probeadmission_test.go
@@ -33,7 +33,8 @@
 			}
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("%s: %d of %d requests sent to an endpoint that seems full", name, sent, all)
+			t.Errorf("%s: %d of %d requests sent to an endpoint that seems full, want %d to %d", name, sent, all,
+				c.least, c.most)
 		}
 	}
 }
--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -10,11 +10,11 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(5, idempotent, in20ms)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
-		t.Errorf("queue estimate %v after all requests were answered", e)
+		t.Errorf("queue estimate %v after all requests were answered, want 0", e)
 	}
 	h.arrive("x", idempotent)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
-		t.Errorf("queue estimate %v with one request in flight", e)
+		t.Errorf("queue estimate %v with one request in flight, want 1", e)
 	}
 }
 
@@ -24,11 +24,11 @@
 	h.arrive("x", idempotent)
 	h.endAttempt("x", 0, 1, StatusRejected)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
-		t.Errorf("queue estimate %v after an attempt that was not accepted", e)
+		t.Errorf("queue estimate %v after an attempt that was not accepted, want 1", e)
 	}
 	h.handle(loadReported(1, 0))
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
-		t.Errorf("queue estimate %v after a report", e)
+		t.Errorf("queue estimate %v after a report of 0, want 0", e)
 	}
 }
 
@@ -53,8 +53,8 @@
 		h.handle(loadReported(2, 10))
 		h.handle(loadReported(1, 0))
 		if staysHigh := h.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
-			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v",
-				c.gap, c.serviceTime, h.b.queueEstimate(e))
+			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v, want it above 5: %v",
+				c.gap, c.serviceTime, h.b.queueEstimate(e), c.staysHigh)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		h.handle(ClientDisconnected{})
 	}
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e > 0.1 {
-		t.Errorf("queue estimate %v after 20 windows without a report", e)
+		t.Errorf("queue estimate %v after 20 windows without a report, want at most 0.1", e)
 	}
 }
 
@@ -84,12 +84,12 @@
 	e.reportedLoad, e.reportedAt = 10, h.now
 	h.handle(TimerFired{})
 	if estimate := h.b.queueEstimate(e); estimate != 10 {
-		t.Errorf("queue estimate %v just after a report of 10", estimate)
+		t.Errorf("queue estimate %v just after a report of 10, want 10", estimate)
 	}
 	h.advance(10 * time.Second)
 	h.handle(TimerFired{})
 	if estimate := h.b.queueEstimate(e); estimate > 2.2 {
-		t.Errorf("queue estimate %v ten seconds after the report, expected load 2", estimate)
+		t.Errorf("queue estimate %v ten seconds after the report, want at most 2.2 with an expected load of 2", estimate)
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -36,7 +36,7 @@
 	h.advance(time.Second)
 	acts := h.endAttempt("x", 0, to, StatusRejected)
 	if len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("actions after a rejection at the deadline: %+v", acts)
+		t.Errorf("actions after a rejection at the deadline: %+v, want only a Reject", acts)
 	}
 }
 
@@ -51,7 +51,7 @@
 	second := h.forwardedTo()
 	acts := h.endAttempt("x", 1, second, StatusRejected)
 	if second == first || len(ofKind(Forward, acts)) != 0 || len(ofKind(Reject, acts)) != 1 {
-		t.Errorf("sent to endpoint %d, then to %d, then %+v", first, second, acts)
+		t.Errorf("sent to endpoint %d, then to %d, then %+v; want the other endpoint, then a Reject", first, second, acts)
 	}
 }
 
@@ -60,7 +60,7 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(1000, idempotent, in20ms)
 	if h.b.retryBudget.retries != maxRetryBudget {
-		t.Errorf("%v retries saved up", h.b.retryBudget.retries)
+		t.Errorf("retry budget %v after 1000 requests, want %v", h.b.retryBudget.retries, maxRetryBudget)
 	}
 }
 
@@ -73,7 +73,7 @@
 	to := h.forwardedTo()
 	h.handle(StreamStarted{Request: "x", Endpoint: to})
 	if acts := h.endAttempt("x", 0, to, StatusConnectionLost); len(acts) != 0 {
-		t.Errorf("actions after the connection of a started stream was lost: %+v", acts)
+		t.Errorf("actions after the connection of a started stream was lost: %+v, want none", acts)
 	}
 }
 
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -11,12 +11,14 @@
 	h.serve(50, idempotent, in20ms)
 	n := h.serve(200, idempotent, func(id EndpointID) time.Duration { return time.Duration(id*id) * 20 * ms })
 	if n[2]*4 > n[1] {
-		t.Errorf("the endpoint that is four times as slow got %d of 200 requests", n[2])
+		t.Errorf("the endpoint that is four times as slow got %d of 200 requests, want at most a quarter of the other's %d",
+			n[2], n[1])
 	}
 }
 
-// If this node's attempts load one endpoint, and the attempts of other nodes load another endpoint equally, a request
-// goes to the endpoint that the other nodes load. Otherwise each node would keep sending to the same few endpoints.
+// If this node's attempts load one endpoint, and the attempts of other nodes load another endpoint about equally, a
+// request goes to the endpoint that the other nodes load. Otherwise each node would keep sending to the same few
+// endpoints.
 func TestOwnAttemptsCountTwice(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	own, other := h.b.endpoints[1], h.b.endpoints[2]
@@ -25,7 +27,7 @@
 	own.lastActivityAt = h.now
 	h.arrive("x", idempotent)
 	if to := h.forwardedTo(); to != 2 {
-		t.Errorf("sent to endpoint %d, which has this node's own attempts", to)
+		t.Errorf("sent to endpoint %d, which has this node's own attempts; want endpoint 2", to)
 	}
 }
 
@@ -34,7 +36,7 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0), listedEndpoint(2, 0, 0))
 	h.serve(50, idempotent, in20ms)
 	if n := h.serve(100, idempotent, func(EndpointID) time.Duration { return 500 * ms }); n[1]+n[2] < 100 {
-		t.Errorf("only %v of 100 requests were sent to idle endpoints", n)
+		t.Errorf("idle endpoints got %v of 100 requests, want 100 in total", n)
 	}
 }
 
@@ -45,11 +47,11 @@
 	h := newHarness(t, cfg, listedEndpoint(1, 0, 0), listedEndpoint(2, 1, 1))
 	h.serve(50, idempotent, in20ms)
 	if n := h.serve(100, idempotent, in20ms); n[2] > 5 {
-		t.Errorf("%d of 100 requests crossed zones to an equally fast endpoint", n[2])
+		t.Errorf("%d of 100 requests crossed zones to an equally fast endpoint, want at most 5", n[2])
 	}
 	fasterInOtherZone := func(id EndpointID) time.Duration { return time.Duration(3-id) * 100 * ms }
 	if n := h.serve(300, idempotent, fasterInOtherZone); n[2] < 100 {
-		t.Errorf("only %d of 300 requests crossed zones to a much faster endpoint", n[2])
+		t.Errorf("%d of 300 requests crossed zones to a much faster endpoint, want at least 100", n[2])
 	}
 }
 
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// In any OverloadWindow an endpoint in slow start gets less than this node's part of what it can do. The load is
-// counted as work, so a heavy request counts as much as many light ones.
+// In any OverloadWindow an endpoint in slow start gets less work than this node's part of the work that the endpoint
+// can do. The load is counted as work, so a heavy request counts as much as many light ones.
 func TestEndpointsInSlowStartAreNotOverloaded(t *testing.T) {
 	for _, heavy := range []bool{false, true} {
 		cfg := testConfig()
@@ -61,7 +61,7 @@
 			}
 		}
 		if len(at) < 10 {
-			t.Errorf("heavy %v: the endpoint in slow start got only %d requests", heavy, len(at))
+			t.Errorf("heavy %v: the endpoint in slow start got %d requests, want at least 10", heavy, len(at))
 		}
 	}
 }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -71,7 +71,7 @@
 	}
 	for _, listed := range endpoints {
 		if n := users[listed.ID]; n < nodesPerEndpoint/4 || n > 3*nodesPerEndpoint {
-			t.Errorf("%d of 100 nodes use endpoint %d", n, listed.ID)
+			t.Errorf("%d of 100 nodes use endpoint %d, want %d to %d", n, listed.ID, nodesPerEndpoint/4, 3*nodesPerEndpoint)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		h.handle(EndpointsListed{Kind: ListChanges})
 	}
 	if n := len(h.b.usable); n > 2*size {
-		t.Errorf("%d endpoints in addition to a subset of %d", n-size, size)
+		t.Errorf("%d outliers in addition to a subset of %d endpoints, want at most %[2]d", n-size, size)
 	}
 	h = newHarness(t, cfg, endpoints...)
 	for i := range 1000 {
@@ -123,7 +123,7 @@
 		h.arrive(fmt.Sprint(i), idempotent)
 	}
 	if n := len(h.b.usable); n > size {
-		t.Errorf("the subset has %d endpoints after rejected requests", n)
+		t.Errorf("the subset has %d endpoints after rejected requests, want at most %d", n, size)
 	}
 }
 
@@ -149,7 +149,7 @@
 			}
 		}
 		if n := len(h.b.usable); n < c.least || n > c.most {
-			t.Errorf("%d requests a second: the node uses %d endpoints", c.perSecond, n)
+			t.Errorf("%d requests a second: the node uses %d endpoints, want %d to %d", c.perSecond, n, c.least, c.most)
 		}
 	}
 }
--- a/cmd/hitchvale-node/shutdown_test.go
+++ b/cmd/hitchvale-node/shutdown_test.go
@@ -23,7 +23,7 @@
 // The failure: during an upgrade, clients sent their first requests 1.2 s after the old process got SIGTERM, on
 // connections that they had opened before. The process kept unused connections for the longest deadline plus 0.6 s and
 // gave requests on them their whole deadline, since it applied the limit by the time of SIGKILL only if no other
-// process of the node ran (restart). Every request sent 0.7 s after SIGTERM or later was then without a response at
+// process of the node ran (restart). Every request sent 0.7 s after SIGTERM or later therefore had no response at
 // SIGKILL. At a restart no request was lost.
 func TestEarliestKillFindsNothingUnanswered(t *testing.T) {
 	for scenario, terminate := range map[string]func(*shutdownScenario){
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -18,8 +18,9 @@
 )
 
 // Discovery is the lab's stand-in for the registry. It has one endpoint list, and each change raises the list's
-// revision. Each node gets the list from a view: a listener of its own, at which a backend's host_port is the node's
-// proxy to that backend. The caller of NewDiscovery must call Close. The methods may be called by several goroutines.
+// revision. Each node gets the list from its own view. A view is a listener whose list gives, as the host_port of a
+// backend, the address of the node's proxy to that backend. The caller of NewDiscovery must call Close. The methods may
+// be called by several goroutines.
 type Discovery struct {
 	mu        sync.Mutex
 	revision  int64
--- a/internal/lab/spawner.go
+++ b/internal/lab/spawner.go
@@ -7,9 +7,9 @@
 )
 
 // spawner starts every child of the lab from one goroutine, which is locked to its OS thread until close. Linux sends
-// the parent-death signal to a child when the thread that forked the child exits, even if the lab's process lives on.
-// The runtime may end threads that no goroutine is locked to, which would kill their children too early. Each child
-// leads a process group of its own, so that a signal to the group also reaches the processes that the child started.
+// the parent-death signal to a child when the thread that forked the child exits, even if the lab's process continues
+// to run. The runtime may end threads that no goroutine is locked to, which would kill their children too early. Each
+// child leads its own process group, so that a signal to the group also reaches the processes that the child started.
 type spawner struct {
 	requests chan spawnRequest
 	done     chan struct{}
--- a/internal/node/graceful_shutdown.go
+++ b/internal/node/graceful_shutdown.go
@@ -109,7 +109,7 @@
 }
 
 // failOpenRequests fails every request that has no final response at responseDeadline, including requests that were
-// admitted before SIGTERM and have a later deadline of their own. Responses that are being streamed continue.
+// admitted before SIGTERM and have a later deadline. Responses that are being streamed continue.
 func (l *eventLoop) failOpenRequests() {
 	var open []*request
 	for _, r := range l.requests {
