--- a/cmd/hitchvale/main_test.go
+++ b/cmd/hitchvale/main_test.go
@@ -36,7 +36,7 @@
 		var stdout, stderr bytes.Buffer
 		code := run(context.Background(), c.args, &stdout, &stderr)
 		if code != c.code || !strings.Contains(stderr.String(), c.stderr) {
-			t.Errorf("%v: exit code %d, standard error %q", c.args, code, stderr.String())
+			t.Errorf("%v: exit code %d, standard error %q; want %d, %q", c.args, code, stderr.String(), c.code, c.stderr)
 		}
 	}
 }
@@ -68,7 +68,8 @@
 		var stdout, stderr bytes.Buffer
 		if code := run(context.Background(), []string{"recover", c.verb, dir}, &stdout, &stderr); code != c.code ||
 			!strings.Contains(stdout.String()+stderr.String(), c.output) {
-			t.Fatalf("recover %s: exit code %d, output %s %s", c.verb, code, stdout.String(), stderr.String())
+			t.Fatalf("recover %s: exit code %d, output %s %s; want %d, %q", c.verb, code, stdout.String(), stderr.String(),
+				c.code, c.output)
 		}
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -41,7 +41,7 @@
 func TestEmptyBatches(t *testing.T) {
 	out, _, err := runInput(t, "clock atTime=1\nyour_turn\nclock atTime=1\nyour_turn\n")
 	if err != nil || out != "ack\nack\n" {
-		t.Fatalf("%q %v", out, err)
+		t.Fatalf("got output %q, error %v; want two replies without actions", out, err)
 	}
 }
 
@@ -50,7 +50,7 @@
 	out, _, err := runInput(t, startNodes(1, 2)+"clock atTime=2000000000\n"+arrival(1, "a")+arrival(2, "b")+"your_turn\n")
 	if err != nil || !strings.Contains(out, "call_out node=node_1 requestId=a backend=101") ||
 		!strings.Contains(out, "call_out node=node_2 requestId=b backend=102") {
-		t.Fatalf("%s %v", out, err)
+		t.Fatalf("got output %s, error %v; want request a at backend 101, request b at backend 102", out, err)
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Fatal(err1, err2)
 	}
 	if a, b := strings.Join(lines(x, "node_2"), "\n"), strings.Join(lines(y, "node_2"), "\n"); a != b || a == "" {
-		t.Errorf("together:\n%s\nalone:\n%s", a, b)
+		t.Errorf("actions of node_2 together with another node:\n%s\nalone, want the same:\n%s", a, b)
 	}
 }
 
@@ -99,7 +99,7 @@
 func TestSkippedMessagesAreReported(t *testing.T) {
 	out, warnings, err := runInput(t, "clock atTime=1\nbell node=node_9 mark=1\nweather sky=blue\nyour_turn\n")
 	if err != nil || out != "ack\n" || !strings.Contains(warnings, "node_9") || !strings.Contains(warnings, "weather") {
-		t.Fatalf("%q %q %v", out, warnings, err)
+		t.Fatalf("got output %q, warnings %q, error %v; want warnings about node_9 and weather", out, warnings, err)
 	}
 }
 
--- a/internal/discovery/address_test.go
+++ b/internal/discovery/address_test.go
@@ -45,7 +45,7 @@
 			c.SetAddress("127.0.0.1:2")
 			moved := time.Now()
 			if query := <-calls; query != "" || time.Since(moved) > 0 {
-				t.Errorf("polled=%v: called with %q after %v", polled, query, time.Since(moved))
+				t.Errorf("polled=%v: called with %q after %v, want an empty query immediately", polled, query, time.Since(moved))
 			}
 			cancel()
 			<-ended
--- a/internal/fleet/agent_test.go
+++ b/internal/fleet/agent_test.go
@@ -36,7 +36,8 @@
 			err := a.openSession(t.Context())
 			if lastProcess == "p" && (err != nil || a.incarnation != 3) ||
 				lastProcess == "q" && !errors.Is(err, ErrSuperseded) {
-				t.Errorf("after a session of process %s: incarnation %d, %v", lastProcess, a.incarnation, err)
+				t.Errorf("after a session of process %s: incarnation %d, error %v; want 3 if it is p, ErrSuperseded if it is q",
+					lastProcess, a.incarnation, err)
 			}
 			synctest.Wait()
 			m.calls.Wait()
--- a/internal/fleet/sketch_test.go
+++ b/internal/fleet/sketch_test.go
@@ -24,16 +24,16 @@
 		}
 		top := s.Top(size)
 		if len(top) > size || s.Total() != total || len(s.position) != len(s.heap) {
-			t.Fatalf("%d counters of %d, total %v of %v", len(top), size, s.Total(), total)
+			t.Fatalf("%d counters, want at most %d; total %v, want %v", len(top), size, s.Total(), total)
 		}
 		found := map[string]bool{}
 		for i, k := range top {
 			found[k.Key] = true
 			if w := exact[k.Key]; w > k.Weight || w < k.Weight-k.MaxError || len(exact) <= size && w != k.Weight {
-				t.Fatalf("%+v, true weight %v", k, w)
+				t.Fatalf("entry %+v, want its bounds to contain the exact weight %v", k, w)
 			}
 			if i > 0 && k.Weight > top[i-1].Weight {
-				t.Fatalf("out of order: %+v", top)
+				t.Fatalf("the keys are not ordered by weight: %+v", top)
 			}
 		}
 		for key, w := range exact {
@@ -55,12 +55,12 @@
 	fill()
 	for _, k := range s.Top(64) {
 		if len(k.Key) > maxKeyBytes {
-			t.Errorf("a key of %d bytes is stored", len(k.Key))
+			t.Errorf("a key of %d bytes is stored, want at most %d", len(k.Key), maxKeyBytes)
 		}
 	}
 	s.Clear()
 	if s.Add("a", 1); s.Total() != 1 || len(s.Top(9)) != 1 {
-		t.Errorf("after Clear: %v", s.Top(9))
+		t.Errorf("one key was added after Clear: got %v, want one key of weight 1", s.Top(9))
 	}
 	s.Add("a", -1)
 	if s.Total() != 1 {
@@ -91,7 +91,7 @@
 	}
 	for i, load := range trimmed.Endpoints {
 		if load.Outstanding < 3 {
-			t.Fatalf("%+v is reported, and endpoints with more load are omitted", load)
+			t.Fatalf("endpoint %+v is reported, and endpoints with more load are omitted", load)
 		}
 		if i > 0 && load.ID <= trimmed.Endpoints[i-1].ID {
 			t.Fatal("the endpoints are not sorted by ID")
@@ -112,6 +112,7 @@
 		r.TenantsByWork = append(r.TenantsByWork, tenant)
 	}
 	if trimmed, err := r.Trimmed(); err != nil || trimmed.Omitted != 0 || len(trimmed.Endpoints) != 1024 {
-		t.Errorf("%d endpoints, %d omitted, %v", len(trimmed.Endpoints), trimmed.Omitted, err)
+		t.Errorf("%d endpoints, %d omitted, error %v; want 1024, 0 and no error",
+			len(trimmed.Endpoints), trimmed.Omitted, err)
 	}
 }
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -60,7 +60,7 @@
 				t.Fatalf("error %v, want %v", err, tc.err)
 			}
 			if err := c.Add(s, tc.r); tc.err == nil && !errors.Is(err, ErrStaleReport) {
-				t.Errorf("the same report again: %v", err)
+				t.Errorf("adding the same report again: error %v, want ErrStaleReport", err)
 			}
 			v := c.Compile(s, 1, 5*interval)
 			if n := v.Nodes[0]; n.AgeMs != tc.age || n.Fresh != tc.fresh {
@@ -112,7 +112,7 @@
 	first := compile(1)
 	for seed := range uint64(20) {
 		if text := compile(seed); string(text) != string(first) {
-			t.Fatalf("%s\n%s", text, first)
+			t.Fatalf("seed %d: the view depends on the order of the reports:\n%s\nwant\n%s", seed, text, first)
 		}
 	}
 	var v View
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -233,7 +233,7 @@
 		}
 	}
 	if turn := f.plan.Turns["s1"]; !f.inventory.machine("s1").Ready || turn.State != Waiting {
-		t.Errorf("after the recall: %+v", turn)
+		t.Errorf("after the recall: turn %+v, want a ready machine whose turn is waiting", turn)
 	}
 	if len(f.plan.TurnsToRecall()) != 0 {
 		t.Error("a machine is still to be recalled after the recall")
@@ -335,7 +335,7 @@
 	f.mustApply(request("wide", DisruptionBudget{PerSite: 2}, nil, "s0", "s1", "s2"))
 	f.mustApply(request("tight", DisruptionBudget{PerCell: 1}, nil, "s0", "s1"))
 	if n := len(f.plan.Turns); n != 3 || len(f.plan.Turns["s0"].Requests) != 2 {
-		t.Fatalf("%d turns, %+v", n, f.plan.Turns["s0"])
+		t.Fatalf("%d turns, want 3; the turn of s0 is %+v, want two requests", n, f.plan.Turns["s0"])
 	}
 	f.settle(map[string]float64{"s0": 1, "s1": 2, "s2": 3})
 	wantError(t, "grant of s0", f.step("s0", Granted), nil)
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -64,7 +64,8 @@
 				}
 			}
 			if len(done) != 4 {
-				t.Fatalf("only %v completed their turns; turns %+v, order %v", done, f.plan.ListTurns(), f.plan.Order)
+				t.Fatalf("machines that completed their turns: %v, want 4; turns %+v, order %v",
+					done, f.plan.ListTurns(), f.plan.Order)
 			}
 		})
 	}
@@ -110,10 +111,10 @@
 		}
 		slices.Sort(ranks)
 		if !slices.Equal(ranks, []int{0, 1, 2, 3, 4}) {
-			t.Fatalf("the ranks for %s are %v", key, ranks)
+			t.Fatalf("the ranks for %s are %v, want 0 to 4", key, ranks)
 		}
 	}
 	if len(firsts) != len(nodes) {
-		t.Errorf("only %v are the first for a key", firsts)
+		t.Errorf("nodes with rank 0 for some key: %v, want all %d nodes", firsts, len(nodes))
 	}
 }
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -167,6 +167,6 @@
 	}
 	left := time.Duration(seconds * float64(time.Second))
 	if left > deadline-backlogWait+150*time.Millisecond || left < deadline-backlogWait-testTimeout/4 {
-		t.Errorf("the backend got %v of %v after %v in the backlog", left, deadline, backlogWait)
+		t.Errorf("the backend got a deadline of %v, want about %v less %v in the backlog", left, deadline, backlogWait)
 	}
 }
--- a/internal/node/admin_view_test.go
+++ b/internal/node/admin_view_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	resp, body := roundTrip(t, adminRequest(t, n, "GET", "/admin/stats"))
 	if resp.StatusCode != http.StatusOK {
-		t.Fatalf("got status %d for the statistics", resp.StatusCode)
+		t.Fatalf("got status %d for the statistics, want 200", resp.StatusCode)
 	}
 	out := map[string]int{}
 	for line := range strings.Lines(body) {
@@ -116,7 +116,7 @@
 // A node without an admin address in its configuration has no admin server.
 func TestNoAdminServerWithoutAddress(t *testing.T) {
 	if n := startNodeWith(t, "127.0.0.1:9"); n.admin != nil {
-		t.Error("the node has an admin server")
+		t.Error("the node has an admin server, want none without an address")
 	}
 }
 
--- a/internal/node/body_test.go
+++ b/internal/node/body_test.go
@@ -115,7 +115,7 @@
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(incompressible(maxBodyBytes))), size
 		}))
 		if resp.StatusCode != 200 || !strings.HasPrefix(body, fmt.Sprint(maxBodyBytes, " ")) {
-			t.Errorf("Content-Length %d: got status %d, body %.60q", size, resp.StatusCode, body)
+			t.Errorf("Content-Length %d: got status %d, body %.60q, want 200 and the size", size, resp.StatusCode, body)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	}
 	got := stats(t, n)
 	if got["pending"] != 0 || got["completed.order"] != 14 || got["upstream_requests"] != 14 {
-		t.Errorf("got statistics %v", got)
+		t.Errorf("got statistics %v, want 0 pending, 14 completed orders and 14 upstream requests", got)
 	}
 }
 
@@ -311,7 +311,7 @@
 	io.WriteString(c, orderHead("HTTP/1.1", "a", 1_000_000))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // no byte of the body has been sent yet
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Fatalf("got response %+v, error %v", resp, err)
+		t.Fatalf("got response %+v, error %v, want 503 with Connection: close", resp, err)
 	}
 	if _, err := c.Write(incompressible(1000000)); err != nil {
 		t.Errorf("the rest of the body is not read: %v", err)
@@ -373,7 +373,7 @@
 		io.WriteString(c, orderHead("HTTP/1.1", fmt.Sprintf("a%p", c), 0))
 		b := make([]byte, 1<<10)
 		if k, err := c.Read(b); err != nil || !strings.HasPrefix(string(b[:k]), "HTTP/1.1 200") {
-			t.Fatalf("got %q, error %v", b[:k], err)
+			t.Fatalf("got response %q, error %v, want status 200", b[:k], err)
 		}
 	}
 	// From here on no client reads, so the backends have to stop sending.
@@ -391,7 +391,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > readers<<20 {
-		t.Errorf("the heap grew by %d bytes for %d readers", grown, readers)
+		t.Errorf("the heap grew by %d bytes for %d readers, want at most 1 MiB a reader", grown, readers)
 	}
 }
 
@@ -432,7 +432,7 @@
 				}
 				n, err := io.Copy(io.Discard, p)
 				if ok := err == nil && n == int64(c.size); ok != c.ok {
-					t.Errorf("read %d of %d bytes, error %v", n, c.size, err)
+					t.Errorf("read %d of %d bytes, error %v, want a complete read: %v", n, c.size, err, c.ok)
 				}
 			})
 		})
@@ -445,7 +445,7 @@
 	noDeadline := func(time.Time) error { return nil }
 	p := &minRateBody{source: strings.NewReader("hello"), setReadDeadline: noDeadline, limit: 4}
 	if _, err := io.ReadAll(p); !errors.Is(err, errBodyTooLong) {
-		t.Errorf("got error %v for a body beyond its limit", err)
+		t.Errorf("got error %v for a body beyond its limit, want errBodyTooLong", err)
 	}
 	b := newMemoryBudget(1)
 	if !b.tryAcquire(1<<20/bodyMemoryDivisor) || b.tryAcquire(1) {
@@ -458,7 +458,7 @@
 	n.server.bodyMemory.acquire(n.server.bodyMemory.available.Load())
 	resp, body := roundTrip(t, newClientRequest(t, n.url+"/x", "order")) // "payload"
 	if sum := sha256.Sum256([]byte("payload")); resp.StatusCode != 200 || body != fmt.Sprintf("7 %x", sum) {
-		t.Errorf("got status %d, body %q", resp.StatusCode, body)
+		t.Errorf("got status %d, body %q, want 200, the size and the checksum of the body", resp.StatusCode, body)
 	}
 	if n.server.bodyMemory.available.Load() != 0 {
 		t.Errorf("%d bytes are available, want 0", n.server.bodyMemory.available.Load())
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -134,7 +134,7 @@
 					continue // the body follows
 				}
 				if h, _ := c.takeHead(); h.Err != nil || h.LastOnConnection || h.ContentLength != []int64{0, 3, 0}[i] {
-					t.Errorf("got head %+v after %q", h, got)
+					t.Errorf("got head %+v after %q, want a valid head that keeps the connection open", h, got)
 				}
 				c.markIdle() // the server reads the next request after its response
 			}
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -109,7 +109,7 @@
 		})
 	}
 	if n := b.accepted.Load(); n != 0 {
-		t.Errorf("%d connections reached the backend", n)
+		t.Errorf("%d connections reached the backend, want none", n)
 	}
 }
 
@@ -160,7 +160,7 @@
 	c.(*net.TCPConn).CloseWrite()
 	receive(t, "the end of the attempt's connection", ended)
 	if d := time.Since(disconnected); d > 5*time.Second {
-		t.Errorf("the attempt continued for %v after the disconnect", d)
+		t.Errorf("the attempt continued for %v after the disconnect, want at most 5s", d)
 	}
 	// The backend has not responded, so the client must not get any response. net/http would send an empty one.
 	c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -223,7 +223,7 @@
 	}
 	close(hold)
 	if status := receive(t, "the response to the admitted request", first); status != 200 {
-		t.Errorf("got status %d for the admitted request", status)
+		t.Errorf("got status %d for the admitted request, want 200", status)
 	}
 	n.server.inFlight.Add(1 - n.server.maxInFlight)
 }
@@ -246,7 +246,7 @@
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Errorf("got status %d", resp.StatusCode)
+			t.Errorf("got status %d, want 200", resp.StatusCode)
 		}
 	}
 	busy := clients / 2 // more than the limit leaves in addition to the idle connections
@@ -289,6 +289,6 @@
 			resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if d := time.Since(began); d > 5*time.Second {
-		t.Errorf("the rejection took %v", d)
+		t.Errorf("the rejection took %v, want at most 5s", d)
 	}
 }
--- a/internal/node/conn_tracker_test.go
+++ b/internal/node/conn_tracker_test.go
@@ -41,7 +41,7 @@
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
-				t.Errorf("after %d idle connections, on a %s connection: got status %d", i+1, name, resp.StatusCode)
+				t.Errorf("after %d idle connections, on a %s connection: got status %d, want 200", i+1, name, resp.StatusCode)
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 		go func() { writeSlowly(c, head, 2*time.Second/time.Duration(len(head))); close(sent) }()
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("got response %+v, error %v", resp, err)
+			t.Errorf("got response %+v, error %v, want status 200", resp, err)
 		}
 		<-sent
 	})
@@ -155,7 +155,8 @@
 				dropped := recover() == http.ErrAbortHandler
 				served := w.Code == http.StatusOK && !conn.isClosedOrRejected()
 				if dropped != (closeConn == nil) || !dropped && !served {
-					t.Errorf("%s: dropped %v, status %d, closed %v", name, dropped, w.Code, conn.isClosedOrRejected())
+					t.Errorf("%s: dropped %v, want %v; status %d, closed %v, want 200 on an open connection unless dropped",
+						name, dropped, closeConn == nil, w.Code, conn.isClosedOrRejected())
 				}
 			}()
 			s.loop.ready.Store(true)
--- a/internal/node/cordon_file_test.go
+++ b/internal/node/cordon_file_test.go
@@ -62,7 +62,7 @@
 	other, _, servedByOther := startWithRecord(t, dir)
 	for range 2 { // the second cordon changes nothing
 		if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
-			t.Fatalf("got status %d", got)
+			t.Fatalf("cordon: got status %d, want 200", got)
 		}
 	}
 	if !neverServes(served, "s-a") {
@@ -85,7 +85,7 @@
 		t.Error("the other process sends to a cordoned backend")
 	}
 	if got := adminPost(t, other, "/admin/uncordon/s-a"); got != http.StatusOK {
-		t.Fatalf("got status %d", got)
+		t.Fatalf("uncordon: got status %d, want 200", got)
 	}
 	eventually(t, "the backend is used again", func() bool { return servedByOther() == "s-a" })
 	eventually(t, "the first process applies the uncordon", func() bool { return stats(t, n)["members_unavailable"] == 0 })
@@ -123,14 +123,14 @@
 			}
 			n, _, served := startWithRecord(t, dir)
 			if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusOK {
-				t.Errorf("got status %d", got)
+				t.Errorf("cordon: got status %d, want 200", got)
 			}
 			if !neverServes(served, "s-a") {
 				t.Error("a cordoned backend served a request")
 			}
 			c, err := newCordonFile(dir, "n1", nopLog()).load()
 			if err != nil || !c.Backends["s-a"].Cordoned {
-				t.Errorf("got record %v, error %v", c, err)
+				t.Errorf("got record %v, error %v, want s-a cordoned", c, err)
 			}
 		})
 	}
@@ -140,7 +140,7 @@
 func TestCordonFailsIfRecordCannotBeWritten(t *testing.T) {
 	n, _, _ := startWithRecord(t, filepath.Join(t.TempDir(), "missing"))
 	if got := adminPost(t, n, "/admin/cordon/s-a"); got != http.StatusServiceUnavailable {
-		t.Errorf("got status %d", got)
+		t.Errorf("cordon without a directory for the record: got status %d, want 503", got)
 	}
 }
 
@@ -159,7 +159,7 @@
 	os.Remove(f.path)
 	b, err := f.update(ctx, a, "b", true, 9*time.Second)
 	if err != nil || !b.Backends["a"].Cordoned || !b.Backends["b"].Cordoned || b.Version <= a.Version {
-		t.Errorf("got record %+v, error %v", b, err)
+		t.Errorf("got record %+v, error %v, want a and b cordoned and a higher version", b, err)
 	}
 	unlock, err := f.lock(ctx)
 	if err != nil {
@@ -198,7 +198,7 @@
 	starting := newCordonFile(dir, "n1", nopLog())
 	starting.readFile = failingRead(3)
 	if c := starting.loadAtStart(); !c.Backends["a"].Cordoned {
-		t.Errorf("a process that starts has the record %+v", c)
+		t.Errorf("a process that starts has the record %+v, want a cordoned", c)
 	}
 	watching := newCordonFile(dir, "n1", nopLog())
 	watching.loadAtStart()
@@ -211,7 +211,7 @@
 	select {
 	case c := <-records:
 		if !c.Backends["b"].Cordoned {
-			t.Errorf("a process that watches received the record %+v", c)
+			t.Errorf("a process that watches received the record %+v, want b cordoned", c)
 		}
 	case <-time.After(testTimeout):
 		t.Error("a process that watches does not receive the change")
@@ -223,6 +223,6 @@
 	}
 	c, err := newCordonFile(dir, "n1", nopLog()).load()
 	if err != nil || !c.Backends["a"].Cordoned || !c.Backends["b"].Cordoned {
-		t.Errorf("got record %+v, error %v", c, err)
+		t.Errorf("got record %+v, error %v, want a and b cordoned", c, err)
 	}
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -63,10 +63,10 @@
 	eventually(t, "the end of all connections", func() bool { return s.server.conns.open() == 0 })
 	last := newClientRequest(t, s.url+"/api/last", "read", func(r *http.Request) { r.Header.Set("X-Trace-Id", "last") })
 	if _, body := roundTrip(t, last); body != "last" {
-		t.Errorf("the last request got the body %q", body)
+		t.Errorf("the last request got the body %q, want \"last\"", body)
 	}
 	for id := receive(t, "the last request", arrived); id != "last"; id = receive(t, "the last request", arrived) {
-		t.Errorf("%q reached a backend", id)
+		t.Errorf("request %q reached a backend, want only the last request there", id)
 	}
 }
 
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -91,7 +91,7 @@
 	t.Cleanup(func() { cancel(); <-ended })
 	eventually(t, "the first discovery call", func() bool { return len(service.queries()) > 0 })
 	if first := service.queries()[0]; !strings.HasPrefix(first, "after=41&wait_ms=") {
-		t.Errorf("the first discovery call has the query %q", first)
+		t.Errorf("the first discovery call has the query %q, want after=41 and a wait", first)
 	}
 }
 
@@ -119,7 +119,7 @@
 		done := make(chan struct{})
 		go func() { n.Run(ctx); close(done) }()
 		if first := receive(t, "the first discovery call", queries); first != "after=1&wait_ms=0" {
-			t.Errorf("the first discovery call has the query %q", first)
+			t.Errorf("the first discovery call has the query %q, want after=1 without a wait", first)
 		}
 		if n.loop.ready.Load() && answers {
 			t.Error("the node is ready before it has read the list of the discovery service")
--- a/internal/node/endpoint_list_test.go
+++ b/internal/node/endpoint_list_test.go
@@ -138,6 +138,6 @@
 	}
 	close(release)
 	if body := receive(t, "the delayed response", first); body != "old" {
-		t.Errorf("the delayed response has the body %q", body)
+		t.Errorf("the delayed response has the body %q, want \"old\"", body)
 	}
 }
--- a/internal/node/fleet_member_test.go
+++ b/internal/node/fleet_member_test.go
@@ -46,7 +46,7 @@
 			`,"settings":` + testSettings + `}`))
 		switch {
 		case want == "" && (err != nil || cfg.Fleet.IntervalMs != 1000 || cfg.Fleet.Tenants != 64):
-			t.Errorf("%s: got error %v, settings %+v", text, err, cfg.Fleet)
+			t.Errorf("%s: got error %v, settings %+v, want the defaults 1000 and 64", text, err, cfg.Fleet)
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%s: got error %v, want %s", text, err, want)
 		}
@@ -89,14 +89,14 @@
 	metrics := report.Metrics
 	if connsOfAcme(report) != 3 || metrics.Connections < 3 || metrics.Descriptors <= metrics.Connections ||
 		metrics.DescriptorLimit == 0 {
-		t.Errorf("got report %+v", report)
+		t.Errorf("got report %+v, want three connections of acme and the usage of descriptors", report)
 	}
 	work := report.TenantsByWork
 	if len(work) != 1 || work[0].Key != "acme" || work[0].Weight < 0.010 {
-		t.Errorf("got work by tenant %+v", report.TenantsByWork)
+		t.Errorf("got work by tenant %+v, want at least 0.010 of acme only", report.TenantsByWork)
 	}
 	if len(report.Endpoints) != 1 || report.Endpoints[0].ID != "s-a" {
-		t.Errorf("got endpoints %+v", report.Endpoints)
+		t.Errorf("got endpoints %+v, want only s-a", report.Endpoints)
 	}
 	for _, c := range clients {
 		c.CloseIdleConnections()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -141,7 +141,7 @@
 	text := make([]byte, 1<<10)
 	n, err := c.Read(text)
 	if !strings.HasPrefix(string(text[:n]), "HTTP/1.1 200") {
-		t.Errorf("got response %q, error %v", text[:n], err)
+		t.Errorf("got response %q, error %v, want status 200", text[:n], err)
 	}
 }
 
--- a/internal/node/load_report_test.go
+++ b/internal/node/load_report_test.go
@@ -11,10 +11,10 @@
 	l, err := parseLoadReport("TEXT inflight=7, queue=2, util=0.61, other=3")
 	if err != nil || l.Active != 7 || l.Waiting != 2 || l.CPU != 0.61 ||
 		l.Has != balance.HasActive|balance.HasWaiting|balance.HasCPU {
-		t.Errorf("valid report: got %+v, error %v", l, err)
+		t.Errorf("valid report: got %+v, error %v, want 7 active, 2 waiting and 0.61 CPU", l, err)
 	}
 	if l, err := parseLoadReport(" \n"); err != nil || l.Has != 0 {
-		t.Errorf("empty report: got %+v, error %v", l, err)
+		t.Errorf("empty report: got %+v, error %v, want a Load without fields", l, err)
 	}
 	for _, text := range []string{
 		"TEXT inflight", "inflight=x", "inflight=NaN", "inflight=-1", "inflight=1e300", "\x00\xff",
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -150,7 +150,7 @@
 			b := make([]byte, 1<<10)
 			n, err := c.Read(b)
 			if err != nil || !strings.HasPrefix(string(b[:n]), "HTTP/1.1 200") {
-				t.Fatalf("got response %q, error %v", b[:n], err)
+				t.Fatalf("got response %q, error %v, want status 200", b[:n], err)
 			}
 			time.Sleep(2 * requestReadTimeout)
 		}
@@ -183,7 +183,7 @@
 					t.Fatal(err)
 				}
 				if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode/100 != 4 {
-					t.Errorf("got status %d, error %v", resp.StatusCode, err)
+					t.Errorf("got status %d, error %v, want a complete response with a status 4xx", resp.StatusCode, err)
 				}
 				if took := time.Since(began); took > 0 {
 					t.Errorf("the response was complete only after %v", took)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -42,7 +42,7 @@
 	}
 	late, body := roundTrip(t, newClientRequest(t, n.url+"/api/late", "order"))
 	if late.StatusCode != 200 || body != "done" || !late.Close {
-		t.Errorf("request on a new connection during the shutdown: status %d, body %q, closed %t",
+		t.Errorf("request on a new connection during the shutdown: status %d, body %q, closed %t, want 200, done, true",
 			late.StatusCode, body, late.Close)
 	}
 	eventually(t, "the end of accepting connections", func() bool {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -128,6 +128,6 @@
 	<-ended
 	<-ended
 	if took := time.Duration(receivedAfter.Load()); took == 0 || took > 6*time.Second {
-		t.Errorf("seed %d, outage of %v: change received %v after its end", seed, length, took)
+		t.Errorf("seed %d, outage of %v: change received %v after its end, want at most 6s", seed, length, took)
 	}
 }
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -36,7 +36,7 @@
 				n.peers.enqueue(i, []byte("hello"))
 			}
 			if got := len(n.peers.outgoing); got != tc.nodes {
-				t.Errorf("%d datagrams queued for %d peers", got, tc.nodes)
+				t.Errorf("%d datagrams queued for %d peers, want one for each peer", got, tc.nodes)
 			}
 			s := runNode(t, n)
 			eventually(t, "readiness", s.loop.ready.Load)
@@ -49,11 +49,11 @@
 				}
 			})
 			if known != tc.backends || ready != tc.backends {
-				t.Errorf("%d of %d backends known, %d ready", known, tc.backends, ready)
+				t.Errorf("%d of %d backends known, %d ready, want all", known, tc.backends, ready)
 			}
 			resp, body := roundTrip(t, newClientRequest(t, s.url+"/x", "read"))
 			if resp.StatusCode != http.StatusOK || body != "yes" {
-				t.Errorf("got status %d, body %q", resp.StatusCode, body)
+				t.Errorf("got status %d, body %q, want 200 and \"yes\"", resp.StatusCode, body)
 			}
 			t.Logf("heap in use: %d KiB more than before, including the test's own data", (heapInUse()-before)>>10)
 		})
--- a/internal/node/wallclock_test.go
+++ b/internal/node/wallclock_test.go
@@ -72,7 +72,7 @@
 				}
 			}
 			if startedAt, _ := n.startTimeOf(t, "old"); startedAt != 0 {
-				t.Errorf("the old backend counts as started at %v", startedAt)
+				t.Errorf("the old backend counts as started at %v, want 0", startedAt)
 			}
 		})
 	}
--- a/internal/registry/changelog_test.go
+++ b/internal/registry/changelog_test.go
@@ -26,7 +26,7 @@
 	got := s.ChangesSince(3)
 	if got.Revision != 5 || got.Complete || len(got.Members) != 2 ||
 		got.Members[0].Phase != PhaseDraining || got.Members[1].ID != "b" || got.Members[1].Phase != PhaseGone {
-		t.Fatalf("changes since revision 3: %+v", got)
+		t.Fatalf("changes since revision 3: %+v, want two members, a draining one and b gone", got)
 	}
 	for range 20 { // 40 changes drop revisions 1 to 5 from the change log
 		s.Apply(&MemberCommand{Op: "phase", ID: "c", Phase: PhaseDraining})
@@ -37,6 +37,6 @@
 	}
 	result := s.Apply(&MemberCommand{Op: "phase", ID: "zz", Phase: PhaseReady})
 	if !errors.Is(result.Err, ErrMemberNotFound) || result.Revision != s.Revision {
-		t.Fatalf("setting the phase of an unknown member: %+v", result)
+		t.Fatalf("setting the phase of an unknown member: %+v, want ErrMemberNotFound and no new revision", result)
 	}
 }
--- a/internal/registry/fleet_test.go
+++ b/internal/registry/fleet_test.go
@@ -88,7 +88,7 @@
 	}
 	v, _, _ := agents[0].View()
 	if v.Endpoints[0].ReportingNodes != 3 || v.Endpoints[0].QueueEstimate != 2 || v.Nodes[1].Metrics.Connections != 7 {
-		t.Errorf("view of three nodes: %+v", v)
+		t.Errorf("view of three nodes: %+v, want three reporting nodes, a queue estimate of 2 and 7 connections", v)
 	}
 
 	texts := map[string]string{}
@@ -140,12 +140,12 @@
 	}
 	status, err := client.SessionStatus(ctx, "n1")
 	if err != nil || status.LastIncarnation != 1 || status.Session == nil {
-		t.Fatalf("status of the open session: %+v, error %v", status, err)
+		t.Fatalf("status of the open session: %+v, error %v, want last incarnation 1 and a session", status, err)
 	}
 	otherProcess := s
 	otherProcess.Process = "older"
 	if _, err := client.OpenSession(ctx, otherProcess); !errors.Is(err, fleet.ErrSuperseded) {
-		t.Errorf("another process opens a session with the same incarnation: error %v", err)
+		t.Errorf("another process opens a session with the same incarnation: error %v, want ErrSuperseded", err)
 	}
 	waitUntil(t, "the session has expired", func() bool {
 		status, err := client.SessionStatus(ctx, "n1")
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -39,7 +39,7 @@
 				switch {
 				case ok && l.Holder != h:
 					if !errors.Is(r.Err, ErrLeaseHeld) {
-						t.Fatalf("acquisition of a lease that another process holds: %+v", r)
+						t.Fatalf("acquisition of a lease that another process holds: %+v, want ErrLeaseHeld", r)
 					}
 				case ok:
 					if r.Err != nil || leaseOf(r).Token != l.Token {
@@ -62,7 +62,7 @@
 				l, ok := m.held[n]
 				if ok && l.Token == token && (op == "lease-expire" || l.Holder == h) {
 					if r.Err != nil {
-						t.Fatalf("%s: %v", op, r.Err)
+						t.Fatalf("%s with the current token: error %v, want none", op, r.Err)
 					}
 					delete(m.held, n)
 				} else if !errors.Is(r.Err, ErrLeaseLost) {
@@ -81,7 +81,7 @@
 					return
 				}
 				if r.Err != nil {
-					t.Fatalf("fenced write with token %d: %v", token, r.Err)
+					t.Fatalf("fenced write with token %d: error %v, want none", token, r.Err)
 				}
 				m.accepted[n] = token
 			},
@@ -123,12 +123,12 @@
 	}
 	shortTTL := `{"holder":"p1","ttl_ms":50}`
 	if code, text := call(t, "POST", url(lead, "/registry/leases/duty/acquire"), shortTTL); code != 400 {
-		t.Fatalf("acquisition with a TTL shorter than two election timeouts: %d %s", code, text)
+		t.Fatalf("acquisition with a TTL shorter than two election timeouts: %d %s, want 400", code, text)
 	}
 	// The TTL starts when the lease is granted, which is not before this time.
 	granted := time.Now()
 	if code, text := acquire(lead, "p1"); code != 200 || !strings.Contains(text, `"token":1`) {
-		t.Fatalf("first grant: %d %s", code, text)
+		t.Fatalf("first grant: %d %s, want 200 and token 1", code, text)
 	}
 	if code, _ := acquire((lead+1)%3, "p2"); code != 409 {
 		t.Fatalf("acquisition of a held lease: status %d, want 409", code)
@@ -140,7 +140,7 @@
 		code, text = acquire(lead, "p2")
 	}
 	if waited := time.Since(granted); code != 200 || !strings.Contains(text, `"token":2`) || waited < 300*time.Millisecond {
-		t.Fatalf("acquisition after the TTL: %d %s after %s", code, text, waited)
+		t.Fatalf("acquisition after the TTL: %d %s after %s, want 200 and token 2 after at least 300ms", code, text, waited)
 	}
 	writeWithToken := func(token string) int {
 		body := strings.NewReader(`{"member":{"id":"s","host_port":"127.0.0.1:1"}}`)
@@ -162,10 +162,10 @@
 	// After a release another process acquires the lease immediately.
 	release := url(lead, "/registry/leases/duty/release")
 	if code, text := call(t, "POST", release, `{"holder":"p2","token":2}`); code != 200 {
-		t.Fatalf("release: %d %s", code, text)
+		t.Fatalf("release: %d %s, want 200", code, text)
 	}
 	if code, text := acquire(lead, "p3"); code != 200 || !strings.Contains(text, `"token":3`) {
-		t.Fatalf("acquisition after the release: %d %s", code, text)
+		t.Fatalf("acquisition after the release: %d %s, want 200 and token 3", code, text)
 	}
 	// The leader stops while p3 holds the lease. The next leader grants the lease to p4 only after a full TTL.
 	c.stop(lead)
@@ -177,7 +177,7 @@
 		code, _ = acquire(next, "p4")
 	}
 	if waited := time.Since(stopped); code != 200 || waited < 300*time.Millisecond {
-		t.Fatalf("acquisition after a change of the leader: status %d after %s", code, waited)
+		t.Fatalf("acquisition after a change of the leader: status %d after %s, want 200 after at least 300ms", code, waited)
 	}
 }
 
--- a/internal/registry/maintenance_test.go
+++ b/internal/registry/maintenance_test.go
@@ -147,6 +147,6 @@
 	status, code = callJSON(t, "DELETE", url("/registry/rota/requests/q"), nil, nil)
 	expect("withdrawal of the request", status, code, 200, "")
 	if read(); len(plan.Turns) != 0 {
-		t.Errorf("turns after the withdrawal of the request: %+v", plan.Turns)
+		t.Errorf("turns after the withdrawal of the request: %+v, want none", plan.Turns)
 	}
 }
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -45,13 +45,13 @@
 	for i := range 20 {
 		body := fmt.Sprintf(`{"member":{"id":"s-%d","host_port":"127.0.0.1:%d","size":1}}`, i, 9000+i)
 		if code, text := call(t, "POST", "http://"+follower+"/registry/members", body); code != 200 {
-			t.Fatalf("write %d: %d %s", i, code, text)
+			t.Fatalf("write %d: %d %s, want 200", i, code, text)
 		}
 	}
 	for _, malformed := range []string{`{"member":{"host_port":"127.0.0.1:1"}}`, `{"member":{"id":"x","host_port":"nowhere"}}`,
 		`{"member":`, `{"member":{"id":"x","host_port":"127.0.0.1:1","phase":"asleep"}}`, `{"membr":{}}`} {
 		if code, text := call(t, "POST", "http://"+follower+"/registry/members", malformed); code != 400 {
-			t.Fatalf("malformed write %s: %d %s", malformed, code, text)
+			t.Fatalf("malformed write %s: %d %s, want 400", malformed, code, text)
 		}
 	}
 	c.stop(lead)
@@ -66,14 +66,14 @@
 	}
 	var l MemberList
 	if err := json.Unmarshal([]byte(text), &l); code != 200 || err != nil {
-		t.Fatalf("read from the new leader: %d %s", code, text)
+		t.Fatalf("read from the new leader: %d %s, want 200 and a list", code, text)
 	}
 	if l.Revision != 20 || len(l.Members) != 20 {
 		t.Fatalf("list from the new leader: revision %d, %d members, want 20 and 20", l.Revision, len(l.Members))
 	}
 	code, text = call(t, "PUT", "http://"+c.http[next]+"/registry/members/s-3/phase", `{"phase":"draining"}`)
 	if code != 200 || !strings.Contains(text, `"revision":21`) {
-		t.Fatalf("set the phase on the new leader: %d %s", code, text)
+		t.Fatalf("set the phase on the new leader: %d %s, want 200 and revision 21", code, text)
 	}
 	_, text = call(t, "GET", "http://"+c.http[next]+"/metrics", "")
 	for _, want := range []string{
--- a/internal/registry/snapshotstore_test.go
+++ b/internal/registry/snapshotstore_test.go
@@ -19,7 +19,7 @@
 		for i := from; i < to; i++ {
 			body := fmt.Sprintf(`{"member":{"id":"s-%d","host_port":"127.0.0.1:%d"}}`, i, 1000+i)
 			if code, text := call(t, "POST", "http://"+c.http[0]+"/registry/members", body); code != 200 {
-				t.Fatalf("write %d: %d %s", i, code, text)
+				t.Fatalf("write %d: %d %s, want 200", i, code, text)
 			}
 		}
 	}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -64,7 +64,8 @@
 		s.Apply(&MemberCommand{Op: "register", Member: Member{ID: "a", HostPort: "127.0.0.1:1", Phase: PhaseReady}})
 		err := s.Decode([]byte(text))
 		if !errors.Is(err, ErrSnapshotUnreadable) || s.Revision != 1 || len(s.members.Records) != 1 {
-			t.Errorf("%s: error %v; then revision %d, members %v", name, err, s.Revision, s.members.Records)
+			t.Errorf("%s: error %v, want ErrSnapshotUnreadable; then revision %d, members %v, want the earlier state",
+				name, err, s.Revision, s.members.Records)
 		}
 	}
 }
@@ -84,7 +85,7 @@
 			t.Fatal(err)
 		}
 		if r := s.Apply(c); r.Err != nil || r.Revision != int64(i+1) {
-			t.Fatalf("%s: %+v", line, r)
+			t.Fatalf("command %s: result %+v, want revision %d", line, r, i+1)
 		}
 		text, err := EncodeCommand(c)
 		if err != nil || json.Valid(text) == false || !strings.Contains(string(text), string(c.Operation())) {
@@ -139,7 +140,7 @@
 			t.Fatal(err)
 		}
 		if r := s.Apply(cmd); r.Revision != step.revision || (r.Err != nil) != step.fails {
-			t.Errorf("count by %d: %+v", step.by, r)
+			t.Errorf("count by %d: result %+v, want revision %d, failure %v", step.by, r, step.revision, step.fails)
 		}
 	}
 	text, _ := s.Encode()
--- a/internal/simproto/event_test.go
+++ b/internal/simproto/event_test.go
@@ -49,7 +49,7 @@
 		}
 		proves := name == "shed" || name == "dial_failed" || name == "unused"
 		if status.NeverRan() != proves {
-			t.Errorf("%s: NeverRan is %v", name, !proves)
+			t.Errorf("%s: NeverRan is %v, want %v", name, !proves, proves)
 		}
 	}
 }
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	ms, err := readAll(t, line+"\n")
 	if err != nil || len(ms) != 1 {
-		t.Fatalf("%s: %d messages, %v", line, len(ms), err)
+		t.Fatalf("%s: %d messages, error %v; want one message", line, len(ms), err)
 	}
 	return ms[0]
 }
@@ -77,7 +77,7 @@
 		Limits: balance.Limits{MaxAttempts: 4, Gossip: true}, Rules: balance.Rules{SlowStartFraction: 0.25},
 		Weights: balance.RoughWeights, PriorityPerWork: true, Tick: 2 * time.Millisecond}
 	if m.Seed != 1<<64-1 || !reflect.DeepEqual(m.Config, want) {
-		t.Errorf("got %+v", m.Config)
+		t.Errorf("got seed %d, Config\n%+v\nwant seed %d, Config\n%+v", m.Seed, m.Config, uint64(1<<64-1), want)
 	}
 }
 
@@ -94,7 +94,7 @@
 			CPUPerRequest: 10500 * time.Nanosecond},
 		Prices: balance.Prices{Connection: 0.5, Discovery: 0.25}}
 	if !reflect.DeepEqual(m.Config, want) {
-		t.Errorf("got %+v", m.Config)
+		t.Errorf("got Config\n%+v\nwant\n%+v", m.Config, want)
 	}
 	for conf, names := range map[string]string{
 		`{"index": 3, "nInstances": 3}`:                                  "index",
@@ -113,7 +113,7 @@
 		_, err := readAll(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
 		if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "conf") ||
 			!strings.Contains(err.Error(), names) {
-			t.Errorf("%s: %v", conf, err)
+			t.Errorf("%s: error %v, want the line, the field and %q", conf, err, names)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			` "tenants": [{"name": "` + n + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + n + `4"], "tiers": ["` + n + `5"]}`
 	}
 	if a, b := readOne(t, conf("old")), readOne(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
-		t.Errorf("%+v\n%+v", a.Config, b.Config)
+		t.Errorf("the names changed the Config from\n%+v\nto\n%+v", a.Config, b.Config)
 	}
 }
 
@@ -175,7 +175,7 @@
 
 func TestUnknownMessagesAreSkipped(t *testing.T) {
 	if m := readOne(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
-		t.Errorf("got %+v", m)
+		t.Errorf("got message %+v, want an unknown message weather", m)
 	}
 }
 
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -40,7 +40,7 @@
 	last := int64(0)
 	for _, e := range merged {
 		if e.Revision != 0 && e.Revision != last+1 {
-			t.Fatalf("revision %d after %d", e.Revision, last)
+			t.Fatalf("revision %d follows revision %d, want %d", e.Revision, last, last+1)
 		} else if e.Revision != 0 {
 			last = e.Revision
 		}
@@ -55,7 +55,7 @@
 		return func(e Event) bool { return e.Process == process && strings.HasPrefix(e.Text, prefix) }
 	}
 	if e, ok := First(sampleEvents(), "node-0", "fresh", 1500*ms); !ok || e.At != 2100*ms {
-		t.Errorf("First returned %+v, %v", e, ok)
+		t.Errorf("First returned %+v, %v, want an event at 2.1s", e, ok)
 	}
 	if _, ok := First(sampleEvents(), "node-0", "fresh", 2200*ms); ok {
 		t.Error("First returned an event before the given time")
