--- a/balance/healthchecks.go
+++ b/balance/healthchecks.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// stopAwaitingChecks places all waiting requests when a request has waited for the longest time. An endpoint whose
-// check has no result by then is not a good choice.
+// stopAwaitingChecks places all waiting requests if a request still waits at the end of its longest wait. Results that
+// are still missing are not awaited, because an endpoint that has not answered its check by then is not a good choice.
 func (b *Balancer) stopAwaitingChecks(r *request) {
 	if slices.Contains(b.awaitingChecks, r) {
 		b.placeWaitingRequests()
--- a/balance/request.go
+++ b/balance/request.go
@@ -68,7 +68,7 @@
 	if r.incomplete {
 		r.deadline = math.MaxInt64
 	} else {
-		// Every request gets its final answer by its deadline, however its attempts end.
+		// Every request gets its final answer by its deadline, regardless of how its attempts end.
 		b.setTimer(ev.TimeLeft, timer{kind: requestDeadline, request: r})
 	}
 	b.sendHealthChecks()
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A complete list names every endpoint, in this node's subset or not. An endpoint that it does not name is removed and
-// must not come back into the subset.
+// A complete list names every endpoint, inside and outside of this node's subset. An endpoint that the list does not
+// name is removed and must not return to the subset.
 func TestCompleteListRemovesEndpointsOutsideTheSubset(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 100
--- a/cmd/hitchvale-node/main.go
+++ b/cmd/hitchvale-node/main.go
@@ -124,7 +124,8 @@
 const (
 	// memoryTenths is the part of the memory limit, in tenths, that the Go runtime may use.
 	memoryTenths = 7
-	// sharedMemoryTenths is this part for a node with an admin address, whose successor may run at the same time.
+	// sharedMemoryTenths replaces memoryTenths on a node with an admin address, whose successor may run at the same
+	// time.
 	sharedMemoryTenths = 4
 	// gcPercent makes the garbage collector run rarely. Near the memory limit the runtime runs it more often.
 	gcPercent = 200
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -87,8 +87,8 @@
 	return received, nil
 }
 
-// switchURL sets the URL to read from. Another discovery may use other revision numbers, so the complete list is read
-// after a change of the URL. Replicas of one registry use the same numbers, so a watch continues.
+// switchURL sets the URL to read from. Another discovery service may use other revision numbers, so the complete list
+// is read after a change of the URL. Replicas of one registry use the same numbers, so a watch continues.
 func (c *Client) switchURL(url string) {
 	if c.position.url != "" && c.position.url != url && c.replicas == nil {
 		c.position.resumable = false
--- a/internal/lab/stalled_clients.go
+++ b/internal/lab/stalled_clients.go
@@ -11,7 +11,7 @@
 	// stalledClientTimeout is the time within which a node must answer a stalled client with an error or close its
 	// connection.
 	stalledClientTimeout = 3 * time.Second
-	// schedulingSlack is how much later than stalledClientTimeout the node may do so on a busy machine.
+	// schedulingSlack is how long after stalledClientTimeout the error or the close may still come on a busy machine.
 	schedulingSlack = 250 * time.Millisecond
 )
 
--- a/internal/node/memory_budget.go
+++ b/internal/node/memory_budget.go
@@ -39,7 +39,7 @@
 }
 
 // reserve takes n more bytes for a request that holds some bytes already, and reports whether the request may have
-// them. If guaranteed is set, the request may always hold maxBodyBytes in all, even if the budget is exhausted: the
+// them. If guaranteed is set, the request may always hold maxBodyBytes in total, even if the budget is exhausted: the
 // limit of connections bounds the number of such requests.
 func (b *memoryBudget) reserve(held, n int64, guaranteed bool) bool {
 	if held+n <= b.maxPerRequest && b.tryAcquire(n) {
@@ -55,5 +55,5 @@
 // acquire takes n bytes even if they are not available.
 func (b *memoryBudget) acquire(n int64) { b.available.Add(-n) }
 
-// release gives n bytes back.
+// release returns n bytes to the budget.
 func (b *memoryBudget) release(n int64) { b.available.Add(n) }
