--- a/balance/queueestimate_test.go
+++ b/balance/queueestimate_test.go
@@ -10,11 +10,11 @@
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(5, idempotent, in20ms)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
-		t.Errorf("queue estimate %v after all requests were answered", e)
+		t.Errorf("queue estimate %v after all requests were answered, want 0", e)
 	}
 	h.arrive("x", idempotent)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
-		t.Errorf("queue estimate %v with one request in flight", e)
+		t.Errorf("queue estimate %v with one request in flight, want 1", e)
 	}
 }
 
@@ -24,17 +24,17 @@
 	h.arrive("x", idempotent)
 	h.endAttempt("x", 0, 1, StatusRejected)
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 1 {
-		t.Errorf("queue estimate %v after an attempt that was not accepted", e)
+		t.Errorf("queue estimate %v after an attempt that was not accepted, want 1", e)
 	}
 	h.handle(loadReported(1, 0))
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e != 0 {
-		t.Errorf("queue estimate %v after a report", e)
+		t.Errorf("queue estimate %v after a report of 0, want 0", e)
 	}
 }
 
-// An old load report counts only in part. If nodes took it literally, every node would send to the endpoint that was
-// idle then.
-func TestOldReportsCountPartly(t *testing.T) {
+// An old load report has less weight than a new one. With full weight, every node would send to the endpoint that was
+// idle at the time of the report.
+func TestOldReportsHaveLessWeight(t *testing.T) {
 	for _, c := range []struct {
 		gap, serviceTime time.Duration
 		staysHigh        bool
@@ -53,14 +53,14 @@
 		h.handle(loadReported(2, 10))
 		h.handle(loadReported(1, 0))
 		if staysHigh := h.b.queueEstimate(e) > 5; staysHigh != c.staysHigh {
-			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v",
-				c.gap, c.serviceTime, h.b.queueEstimate(e))
+			t.Errorf("reports every %v, service time %v: the queue estimate of 10 became %v, want it above 5: %v",
+				c.gap, c.serviceTime, h.b.queueEstimate(e), c.staysHigh)
 		}
 	}
 }
 
 // On a site without health checks no report clears the unaccepted attempts, so their count must decay.
-func TestUnacceptedAttemptsFadeWithoutHealthChecks(t *testing.T) {
+func TestUnacceptedAttemptsDecayWithoutHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.HealthChecks = false
 	h := newHarness(t, cfg, listedEndpoint(1, 0, 0))
@@ -71,12 +71,12 @@
 		h.handle(ClientDisconnected{})
 	}
 	if e := h.b.queueEstimate(h.b.endpoints[1]); e > 0.1 {
-		t.Errorf("queue estimate %v after 20 windows without a report", e)
+		t.Errorf("queue estimate %v after 20 windows without a report, want at most 0.1", e)
 	}
 }
 
 // As the queue turns over, the estimate moves from the reported load to the expected load of the endpoint.
-func TestReportedLoadFadesIntoTheExpectedLoad(t *testing.T) {
+func TestOldReportedLoadApproachesTheExpectedLoad(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(50, idempotent, in20ms)
 	e := h.b.endpoints[1]
@@ -84,19 +84,19 @@
 	e.reportedLoad, e.reportedAt = 10, h.now
 	h.handle(TimerFired{})
 	if estimate := h.b.queueEstimate(e); estimate != 10 {
-		t.Errorf("queue estimate %v just after a report of 10", estimate)
+		t.Errorf("queue estimate %v just after a report of 10, want 10", estimate)
 	}
 	h.advance(10 * time.Second)
 	h.handle(TimerFired{})
 	if estimate := h.b.queueEstimate(e); estimate > 2.2 {
-		t.Errorf("queue estimate %v ten seconds after the report, expected load 2", estimate)
+		t.Errorf("queue estimate %v ten seconds after the report, want at most 2.2 with an expected load of 2", estimate)
 	}
 }
 
 // An unaccepted attempt counts as queued at its endpoint until the next load report, or until its count has decayed. If
-// health checks are few and some are lost, a count without decay would keep an idle endpoint without requests for good.
-// An attempt that was never sent tells nothing about the endpoint and is not counted. Abandoned attempts have a test of
-// their own.
+// health checks are few and some are lost, a count without decay would keep an idle endpoint without requests forever.
+// An attempt that was never sent gives no information about the endpoint and is not counted. Another test covers
+// abandoned attempts.
 func TestUnacceptedAttemptsFade(t *testing.T) {
 	for status, want := range map[Status]float64{
 		StatusNotDelivered:     1,
@@ -157,7 +157,7 @@
 	}
 }
 
-// A lost attempt counts as unaccepted, whoever ended it.
+// A lost attempt counts as unaccepted, even if it is cancelled later.
 func TestLostAttemptCountsAsUnaccepted(t *testing.T) {
 	h := newHarness(t, testConfig(), listedEndpoint(1, 0, 0))
 	h.serve(50, idempotent, in20ms)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -18,8 +18,9 @@
 )
 
 // Discovery is the lab's stand-in for the registry. It has one endpoint list, and each change raises the list's
-// revision. Each node gets the list from a view: a listener of its own, at which a backend's host_port is the node's
-// proxy to that backend. The caller of NewDiscovery must call Close. The methods may be called by several goroutines.
+// revision. Each node gets the list from its own view. A view is a listener whose list gives, as the host_port of a
+// backend, the address of the node's proxy to that backend. The caller of NewDiscovery must call Close. The methods may
+// be called by several goroutines.
 type Discovery struct {
 	mu        sync.Mutex
 	revision  int64
@@ -107,7 +108,7 @@
 }
 
 // drainPeriods returns the periods in which each backend drained, and when the last outage ended. The caller must not
-// read the periods while the run goes on.
+// read the periods while the run is in progress.
 func (d *Discovery) drainPeriods() (periods map[string][]*drainPeriod, lastUp time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/maintenance/propose_test.go
+++ b/internal/maintenance/propose_test.go
@@ -8,7 +8,7 @@
 
 // Several nodes read the same plan and propose commands. Failed nodes propose only in every seventh epoch. Every
 // machine of the request goes out and comes back, and there are never more machines out than the budget allows.
-func TestNodesTakeEveryMachineThroughItsTurn(t *testing.T) {
+func TestProposalsCompleteTheTurnOfEveryMachine(t *testing.T) {
 	for _, failed := range [][]string{nil, {"n0"}, {"n0", "n2"}} {
 		t.Run(fmt.Sprint(failed), func(t *testing.T) {
 			f := newPlanFixture(t)
@@ -64,7 +64,8 @@
 				}
 			}
 			if len(done) != 4 {
-				t.Fatalf("only %v completed their turns; turns %+v, order %v", done, f.plan.ListTurns(), f.plan.Order)
+				t.Fatalf("machines that completed their turns: %v, want 4; turns %+v, order %v",
+					done, f.plan.ListTurns(), f.plan.Order)
 			}
 		})
 	}
@@ -110,10 +111,10 @@
 		}
 		slices.Sort(ranks)
 		if !slices.Equal(ranks, []int{0, 1, 2, 3, 4}) {
-			t.Fatalf("the ranks for %s are %v", key, ranks)
+			t.Fatalf("the ranks for %s are %v, want 0 to 4", key, ranks)
 		}
 	}
 	if len(firsts) != len(nodes) {
-		t.Errorf("only %v are the first for a key", firsts)
+		t.Errorf("nodes with rank 0 for some key: %v, want all %d nodes", firsts, len(nodes))
 	}
 }
--- a/internal/node/client_conn_test.go
+++ b/internal/node/client_conn_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// Each read ends where a head or a body ends, whatever the pieces in which the bytes arrive.
+// Each read ends where a head or a body ends, regardless of how the incoming bytes are split.
 func TestReadStopsAtEndOfHeadOrBody(t *testing.T) {
 	first := "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\n"
 	second := "GET /b HTTP/1.1\n\n"
@@ -134,7 +134,7 @@
 					continue // the body follows
 				}
 				if h, _ := c.takeHead(); h.Err != nil || h.LastOnConnection || h.ContentLength != []int64{0, 3, 0}[i] {
-					t.Errorf("got head %+v after %q", h, got)
+					t.Errorf("got head %+v after %q, want a valid head that keeps the connection open", h, got)
 				}
 				c.markIdle() // the server reads the next request after its response
 			}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -42,7 +42,7 @@
 	}
 	late, body := roundTrip(t, newClientRequest(t, n.url+"/api/late", "order"))
 	if late.StatusCode != 200 || body != "done" || !late.Close {
-		t.Errorf("request on a new connection during the shutdown: status %d, body %q, closed %t",
+		t.Errorf("request on a new connection during the shutdown: status %d, body %q, closed %t, want 200, done, true",
 			late.StatusCode, body, late.Close)
 	}
 	eventually(t, "the end of accepting connections", func() bool {
@@ -110,11 +110,11 @@
 		c.Close()
 	}
 	if body := receive(t, "the response to the queued request", queued); body != "done" {
-		t.Errorf("response to the queued request: %q", body)
+		t.Errorf("response to the queued request: %q, want \"done\"", body)
 	}
 	close(release)
 	if body := receive(t, "the response to the slow request", slow); body != "done" {
-		t.Errorf("response to the slow request: %q", body)
+		t.Errorf("response to the slow request: %q, want \"done\"", body)
 	}
 	if err := receive(t, "the end of the node", n.err); err != nil {
 		t.Error(err)
--- a/internal/registry/snapshotstore_test.go
+++ b/internal/registry/snapshotstore_test.go
@@ -19,7 +19,7 @@
 		for i := from; i < to; i++ {
 			body := fmt.Sprintf(`{"member":{"id":"s-%d","host_port":"127.0.0.1:%d"}}`, i, 1000+i)
 			if code, text := call(t, "POST", "http://"+c.http[0]+"/registry/members", body); code != 200 {
-				t.Fatalf("write %d: %d %s", i, code, text)
+				t.Fatalf("write %d: %d %s, want 200", i, code, text)
 			}
 		}
 	}
@@ -40,6 +40,6 @@
 	c.restart(0)
 	c.leader(t)
 	if got := c.replicas[0].Status(); got.Revision != want || want < 25 {
-		t.Fatalf("after the restart: revision %d, want %d, which must be at least 25", got.Revision, want)
+		t.Fatalf("revision %d after the restart, %d before it; want equal revisions of at least 25", got.Revision, want)
 	}
 }
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -34,13 +34,13 @@
 	t.Helper()
 	ms, err := readAll(t, line+"\n")
 	if err != nil || len(ms) != 1 {
-		t.Fatalf("%s: %d messages, %v", line, len(ms), err)
+		t.Fatalf("%s: %d messages, error %v; want one message", line, len(ms), err)
 	}
 	return ms[0]
 }
 
 // The endpoints of a list and the events that refer to it are read.
-func TestListsOfEndpoints(t *testing.T) {
+func TestEndpointListsAreDecoded(t *testing.T) {
 	ms, err := readAll(t, "clock atTime=5\nlist sheet=15 elements=2\n"+
 		"entry backend=51530247 stripe=4 nominal=1 generationHw=2 rackZone=1 phase=draining\n"+
 		"entry launched=6100000000 backend=7 nominal=1.5 phase=ready\n"+
@@ -66,7 +66,7 @@
 }
 
 // The settings of a new node are mapped to its Config.
-func TestSettings(t *testing.T) {
+func TestSettingsAreMappedToTheConfig(t *testing.T) {
 	m := readOne(t, `spawn node=node_1 salt=18446744073709551615 conf={"nInstances": 3, "index": 2, "zone": 1,`+
 		` "new": [1], "classes": [{"aim": 5, "deadline": 6, "effect": "token", "keyScope": "zone", "window": 7, "points": 2.5}],`+
 		` "membershipMode": "ask", "loadReport": {"source": "inline"}, "limits": {"maxAttempts": 4, "peers": true},`+
@@ -77,7 +77,7 @@
 		Limits: balance.Limits{MaxAttempts: 4, Gossip: true}, Rules: balance.Rules{SlowStartFraction: 0.25},
 		Weights: balance.RoughWeights, PriorityPerWork: true, Tick: 2 * time.Millisecond}
 	if m.Seed != 1<<64-1 || !reflect.DeepEqual(m.Config, want) {
-		t.Errorf("got %+v", m.Config)
+		t.Errorf("got seed %d, Config\n%+v\nwant seed %d, Config\n%+v", m.Seed, m.Config, uint64(1<<64-1), want)
 	}
 }
 
@@ -94,7 +94,7 @@
 			CPUPerRequest: 10500 * time.Nanosecond},
 		Prices: balance.Prices{Connection: 0.5, Discovery: 0.25}}
 	if !reflect.DeepEqual(m.Config, want) {
-		t.Errorf("got %+v", m.Config)
+		t.Errorf("got Config\n%+v\nwant\n%+v", m.Config, want)
 	}
 	for conf, names := range map[string]string{
 		`{"index": 3, "nInstances": 3}`:                                  "index",
@@ -113,19 +113,19 @@
 		_, err := readAll(t, "clock atTime=1\nspawn node=n salt=1 conf="+conf+"\n")
 		if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "conf") ||
 			!strings.Contains(err.Error(), names) {
-			t.Errorf("%s: %v", conf, err)
+			t.Errorf("%s: error %v, want the line, the field and %q", conf, err, names)
 		}
 	}
 }
 
 // The names in the settings do not influence the decisions: with other names the Config is the same.
-func TestNamesDoNotReachTheConfig(t *testing.T) {
+func TestNamesDoNotChangeTheConfig(t *testing.T) {
 	conf := func(n string) string {
 		return `spawn node=node_1 salt=1 conf={"classes": [{"aim": 5, "name": "` + n + `1"}], "skus": ["` + n + `2"],` +
 			` "tenants": [{"name": "` + n + `3", "share": 1, "quotaPerS": 5}], "zones": ["` + n + `4"], "tiers": ["` + n + `5"]}`
 	}
 	if a, b := readOne(t, conf("old")), readOne(t, conf("new")); !reflect.DeepEqual(a.Config, b.Config) {
-		t.Errorf("%+v\n%+v", a.Config, b.Config)
+		t.Errorf("the names changed the Config from\n%+v\nto\n%+v", a.Config, b.Config)
 	}
 }
 
@@ -175,7 +175,7 @@
 
 func TestUnknownMessagesAreSkipped(t *testing.T) {
 	if m := readOne(t, "weather node=node_3 sky=blue"); m.Kind != Unknown || m.Name != "weather" {
-		t.Errorf("got %+v", m)
+		t.Errorf("got message %+v, want an unknown message weather", m)
 	}
 }
 
