--- a/internal/registry/changelog.go
+++ b/internal/registry/changelog.go
@@ -8,24 +8,24 @@
 // memberChange is one change of the member list.
 type memberChange struct {
 	Revision int64
-	Member   Member // as it was after the change; in phase gone if it was removed
+	Member   Member // the member after the change; in phase gone if it was removed
 }
 
-// changeLog remembers the last changes of the member list, so that a watch gets what changed since a revision. It holds
+// changeLog keeps the last changes of the member list, so that a watch can get the changes since a revision. It holds
 // every change after compactedRevision. It is not part of snapshots.
 type changeLog struct {
-	changes           []memberChange // a circular buffer that has its full capacity from the start
-	oldest            int            // index of the oldest change, once the buffer is full
-	compactedRevision int64          // of the last change that was dropped from the buffer
-	lastRevision      int64          // of the last change of the list
+	changes           []memberChange // a circular buffer with a fixed capacity
+	oldest            int            // index of the oldest change if the buffer is full, otherwise 0
+	compactedRevision int64          // revision of the last change that was dropped from the buffer
+	lastRevision      int64          // revision of the last change of the list
 }
 
-// newChangeLog returns an empty log of the given size, at least 1.
+// newChangeLog returns an empty log that holds size changes, or 1 if size is less.
 func newChangeLog(size int) changeLog {
 	return changeLog{changes: make([]memberChange, 0, max(size, 1))}
 }
 
-// append adds a change, in place of the oldest one if the log is full.
+// append adds a change. If the log is full, the change replaces the oldest one.
 func (l *changeLog) append(c memberChange) {
 	l.lastRevision = c.Revision
 	if len(l.changes) < cap(l.changes) {
@@ -37,7 +37,7 @@
 	l.oldest = (l.oldest + 1) % len(l.changes)
 }
 
-// reset empties the log for a list restored at a revision: earlier changes count as compacted.
+// reset empties the log after the list has been restored at a revision. Earlier changes count as compacted.
 func (l *changeLog) reset(revision int64) {
 	l.changes = l.changes[:0]
 	l.oldest = 0
@@ -45,8 +45,8 @@
 	l.lastRevision = revision
 }
 
-// since returns the members that changed after a revision that is not below compactedRevision, each once in its last
-// form, sorted by ID.
+// since returns the members that changed after a revision, sorted by ID. Each member appears once, in its latest form.
+// The revision must not be below compactedRevision.
 func (l *changeLog) since(revision int64) []Member {
 	latest := map[string]Member{}
 	for i := range l.changes {
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,38 +6,43 @@
 	"hitchvale/internal/operror"
 )
 
-// The errors of the registry. A call that fails with one has changed nothing, except that a write that fails with
-// ErrNotCommitted or ErrDiskFailed may be committed later. docs/oncall.md lists them for operators.
+// The errors of the registry. A call that fails with one of them has changed nothing, except that a write that fails with
+// ErrNotCommitted, ErrDiskFailed or, after a loss of the leadership, ErrNotLeader may be committed later. docs/oncall.md
+// lists the errors for operators.
 var (
 	ErrMalformed = operror.Define("registry.malformed", http.StatusBadRequest,
-		"the call is not well formed", "correct the field that the error names; docs/registry.md has the calls")
+		"the call is malformed", "correct the field that the error names; docs/registry.md describes the calls")
 	ErrMemberNotFound = operror.Define("registry.unknown-member", http.StatusNotFound,
-		"no such member", "read GET /registry/instances for the ids there are; register the member first")
+		"no such member", "look up the ids with GET /registry/instances, or register the member first")
 	ErrMemberChanged = operror.Define("registry.changed-since", http.StatusConflict,
-		"changed since it was read", "read it again and decide anew")
+		"the member has changed since it was read", "read the member again and decide again")
 	ErrLeaseHeld = operror.Define("registry.lease-held", http.StatusConflict,
-		"the lease is held by another", "wait for its TTL, or end its holder with SIGTERM so that it steps down")
+		"the lease is held by another process",
+		"wait until its TTL has elapsed, or end its holder with SIGTERM so that the holder releases it")
 	ErrLeaseLost = operror.Define("registry.lease-lost", http.StatusConflict,
-		"the lease is not held with that token", "acquire it anew; what the old token wrote since is refused")
+		"the lease is not held with this token",
+		"acquire the lease again; writes with the old token are rejected once a newer token has been used")
 	ErrStaleFencingToken = operror.Define("registry.fenced", http.StatusConflict,
 		"the fencing token is lower than one already accepted",
-		"a successor acts already: end the process that sent this")
+		"a newer holder of the lease already writes: end the process that sent this call")
 	ErrUnknownOperation = operror.Define("registry.unknown-operation", http.StatusBadRequest,
-		"no such operation", "run one version of the program on all replicas")
+		"unknown operation", "run the same version of the program on all replicas")
 	ErrSnapshotUnreadable = operror.Define("registry.snapshot", http.StatusServiceUnavailable,
-		"the snapshot cannot be taken in",
-		"run hitchvale recover check DIR; start the newest version of the program that ran here")
+		"the snapshot cannot be restored",
+		"run hitchvale recover check DIR; start the newest version of the program that has used this data_dir")
 	ErrNotLeader = operror.Define("registry.not-leader", http.StatusServiceUnavailable,
-		"this replica does not lead",
-		"ask the leader that the error names; if there is none, see that a majority of replicas runs")
+		"this replica is not the leader",
+		"call the leader that the error names; if it names none, check that a majority of the replicas is running")
 	ErrNotCommitted = operror.Define("registry.not-committed", http.StatusServiceUnavailable,
-		"the write may or may not be committed later",
-		"read before writing again; see that a majority of replicas runs")
+		"the write is not known to be committed and may still be committed later",
+		"read the state before writing again; check that a majority of the replicas is running")
 	ErrReplicaStale = operror.Define("registry.not-fresh", http.StatusServiceUnavailable,
-		"this replica has not heard from a leader lately", "ask another replica; see that this one reaches its peers")
+		"this replica has had no recent contact with a leader",
+		"call another replica; check that this replica can reach its peers")
 	ErrDiskFailed = operror.Define("registry.disk", http.StatusServiceUnavailable,
-		"this replica can't write to its folder; a write that it was asked for may or may not be committed later",
-		"make room on the disk of data_dir, or replace the disk; the replica comes back by itself; ask another one meanwhile")
+		"this replica cannot write to its data_dir; a write sent to it may still be committed later",
+		"free space on the disk of data_dir, or replace the disk; the replica recovers without a restart; "+
+			"call another replica until then")
 	ErrTooManyCalls = operror.Define("registry.busy", http.StatusServiceUnavailable,
-		"too many calls at once", "ask again after Retry-After; raise max_calls or add replicas")
+		"too many calls in flight", "retry after the time in Retry-After; raise max_calls or add replicas")
 )
--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -10,33 +10,34 @@
 	"hitchvale/internal/statemachine"
 )
 
-// expiryInterval is how often the leader looks for elapsed TTLs.
+// expiryInterval is the interval at which the leader looks for elapsed TTLs and overdue turns.
 const expiryInterval = 100 * time.Millisecond
 
-// heartbeatTable holds when the leader last got a heartbeat for each record with a TTL, on its monotonic clock. It is
-// not replicated: a new leader starts with an empty table, which gives every record its full TTL again, since a record
-// must not expire early for heartbeats that only the old leader got.
+// heartbeatTable holds the time at which the leader last received a heartbeat for each record with a TTL, on the
+// leader's monotonic clock. It is not replicated. A new leader starts with an empty table, which gives every record its
+// full TTL again: a record must not expire because the new leader lacks a heartbeat that only the old leader received.
+// It is safe for concurrent use.
 type heartbeatTable struct {
 	mu   sync.Mutex
-	last map[string]time.Time
+	last map[string]time.Time // by heartbeat key
 }
 
-// reset forgets all heartbeats.
+// reset removes all heartbeats.
 func (t *heartbeatTable) reset() {
 	t.mu.Lock()
 	t.last = map[string]time.Time{}
 	t.mu.Unlock()
 }
 
-// record notes a heartbeat now.
+// record stores the current time as the last heartbeat of a key.
 func (t *heartbeatTable) record(key string) {
 	t.mu.Lock()
 	t.last[key] = time.Now()
 	t.mu.Unlock()
 }
 
-// elapsedLocked reports whether a TTL has passed without a heartbeat. The TTL of a key that is not in the table starts
-// now. The caller holds mu.
+// elapsedLocked reports whether the TTL of a key has elapsed since its last heartbeat. The TTL of a key that is not in
+// the table starts now. The caller must hold mu.
 func (t *heartbeatTable) elapsedLocked(key string, ttlMs int64, now time.Time) bool {
 	last, ok := t.last[key]
 	if !ok {
@@ -46,12 +47,14 @@
 	return now.Sub(last) > time.Duration(ttlMs)*time.Millisecond
 }
 
-// ttlStarter is a command that starts a TTL once it is applied. Its key in the heartbeat table is "" if it starts none.
+// ttlStarter is a command that may start a TTL when it is applied. heartbeatKey returns the record's key in the heartbeat
+// table, or "" if the command starts no TTL.
 type ttlStarter interface{ heartbeatKey() string }
 
-// leaseKey and sessionKey keep leases and sessions apart from members, whose keys are their IDs.
+// leaseKey returns the heartbeat key of a lease. The prefix separates the key from those of members, which are their IDs.
 func leaseKey(name string) string { return "lease:" + name }
 
+// sessionKey returns the heartbeat key of a node's session.
 func sessionKey(node string) string { return "session:" + node }
 
 func (c *MemberCommand) heartbeatKey() string {
@@ -68,12 +71,13 @@
 	return ""
 }
 
-// openSessionCommand is the command that opens a session, which starts its TTL.
+// openSessionCommand is the command that opens a session. It starts the session's TTL.
 type openSessionCommand struct{ fleet.SessionCommand }
 
 func (c *openSessionCommand) heartbeatKey() string { return sessionKey(c.Session.Node) }
 
-// Heartbeat renews a member's TTL. It fails with ErrNotLeader on a follower and with ErrMemberNotFound.
+// Heartbeat renews a member's TTL. It fails with ErrNotLeader on a follower, and with ErrMemberNotFound if the list has
+// no such member.
 func (r *Replica) Heartbeat(id string) error {
 	if !r.IsLeader() {
 		return ErrNotLeader.Of(r.cfg.ID, nil)
@@ -87,33 +91,34 @@
 	return nil
 }
 
-// runExpiry follows the leadership of this replica and, while it leads, expires records with an elapsed TTL and marks
-// overdue turns, until ctx ends.
+// runExpiry runs until ctx ends. While this replica is the leader, it expires records whose TTL has elapsed and marks
+// overdue turns. When the replica becomes the leader, it also prepares the replica to serve reads.
 func (r *Replica) runExpiry(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	leading := false
-	overdue := overdueClock{}
+	overdue := overdueTracker{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case leading = <-r.raft.LeaderCh():
+		case leading = <-r.raft.LeaderCh(): // sends at each gain and loss of the leadership
 			r.heartbeats.reset()
-			overdue = overdueClock{}
+			overdue = overdueTracker{}
 			if leading {
 				r.applyEarlierTerms()
 			}
 		case <-ticker.C:
 			if leading {
-				r.commitExpiries(overdue)
+				r.commitDueCommands(overdue)
 			}
 		}
 	}
 }
 
-// commitExpiries writes the commands that are due now. A command that fails is due again at the next call.
-func (r *Replica) commitExpiries(overdue overdueClock) {
+// commitDueCommands writes the commands that expire records and mark overdue turns. If a command fails, the next call
+// tries it again.
+func (r *Replica) commitDueCommands(overdue overdueTracker) {
 	now := time.Now()
 	var due []statemachine.Command
 	r.fsm.read(func(s *State) {
@@ -127,12 +132,13 @@
 	for _, c := range due {
 		result, err := r.Write(c)
 		if err == nil && result.Err == nil {
-			r.log.Info("expiry committed", "command", c, "revision", result.Revision)
+			r.log.Info("committed the expiry of a record or an overdue turn", "command", c, "revision", result.Revision)
 		}
 	}
 }
 
-// expiredMembers returns the commands that expire members. The caller holds heartbeats.mu, as for the next two.
+// expiredMembers returns the commands that expire members whose heartbeats have stopped. The caller must hold
+// heartbeats.mu and the fsm's read lock.
 func (r *Replica) expiredMembers(s *State, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for id, record := range s.members.Records {
@@ -143,7 +149,8 @@
 	return due
 }
 
-// expiredLeases returns the commands that expire leases whose renewals stopped.
+// expiredLeases returns the commands that expire leases whose renewals have stopped. The caller must hold heartbeats.mu
+// and the fsm's read lock.
 func (r *Replica) expiredLeases(s *State, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for name, lease := range s.leases.ByName {
@@ -154,7 +161,8 @@
 	return due
 }
 
-// expiredSessions returns the commands that expire sessions whose reports stopped.
+// expiredSessions returns the commands that expire sessions whose reports have stopped. The caller must hold
+// heartbeats.mu and the fsm's read lock.
 func (r *Replica) expiredSessions(now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for node, session := range r.sessions.Open {
@@ -166,18 +174,19 @@
 	return due
 }
 
-// overdueClock measures, by machine, how long its turn has been out, on the leader's monotonic clock. A new leader
-// starts with an empty one.
-type overdueClock map[string]turnObservation
+// overdueTracker records, by machine ID, since when this leader has seen the machine's turn in state Out, on its
+// monotonic clock. A new leader starts with an empty tracker. It is not safe for concurrent use.
+type overdueTracker map[string]turnObservation
 
-// turnObservation is when this leader first saw a turn at its present revision.
+// turnObservation is the time at which this leader first saw a turn at its current revision.
 type turnObservation struct {
 	revision  int64
 	firstSeen time.Time
 }
 
-// commands returns the commands that mark turns overdue: those out for longer than the work was expected to take.
-func (o overdueClock) commands(plan *maintenance.Plan, now time.Time) []statemachine.Command {
+// commands returns the commands that mark turns overdue. A turn is overdue if it has been out for longer than the
+// expected duration of its work. The caller must hold the fsm's read lock.
+func (o overdueTracker) commands(plan *maintenance.Plan, now time.Time) []statemachine.Command {
 	var due []statemachine.Command
 	for id, turn := range plan.Turns {
 		if turn.State != maintenance.Out || turn.Overdue {
--- a/internal/registry/http_fleet.go
+++ b/internal/registry/http_fleet.go
@@ -43,7 +43,7 @@
 		return
 	}
 	r.heartbeats.record(sessionKey(report.Node))
-	view, err := r.views.waitForOther(req.Context(), report.LastView, wait)
+	view, err := r.views.waitForOtherView(req.Context(), report.LastView, wait)
 	if err != nil {
 		return // the client has closed the call
 	}
@@ -56,7 +56,7 @@
 
 // serveView answers with the latest view.
 func (r *Replica) serveView(w http.ResponseWriter, req *http.Request) {
-	view, _ := r.views.last()
+	view, _ := r.views.latestView()
 	if view == nil || !r.canServeReads() {
 		writeError(w, fleet.ErrViewNotReady.Of(r.cfg.ID, nil))
 		return
--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -133,7 +133,7 @@
 	if err := decodeBody(req, &version); err != nil {
 		return nil, err
 	}
-	view, err := r.views.latestVersion(version)
+	view, err := r.views.latestViewOfVersion(version)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/http_members.go
+++ b/internal/registry/http_members.go
@@ -88,7 +88,7 @@
 		var listRevision int64 // of the list's last change: changes of other records are no event for a watch
 		changed := r.fsm.read(func(s *State) {
 			revision = s.Revision
-			listRevision = s.members.log.lastRevision
+			listRevision = s.members.changes.lastRevision
 			list = s.ChangesSince(after)
 		})
 		if listRevision > after || after > revision {
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -6,10 +6,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// IsLeader reports whether this replica leads now.
+// IsLeader reports whether this replica is currently the leader.
 func (r *Replica) IsLeader() bool { return r.raft.State() == raft.Leader }
 
-// leaderHTTPAddr returns the HTTP address of the leader as the configuration names it; "" if it is not known.
+// leaderHTTPAddr returns the leader's HTTP address from the configuration, or "" if the leader is not known.
 func (r *Replica) leaderHTTPAddr() string {
 	_, id := r.raft.LeaderWithID()
 	for _, p := range r.cfg.Peers {
@@ -20,21 +20,22 @@
 	return ""
 }
 
-// applyEarlierTerms makes a new leader ready to serve reads: a barrier waits until every entry that was committed
-// before its term is applied.
+// applyEarlierTerms prepares a new leader to serve reads. It waits, with a raft barrier, until this replica has applied
+// every entry that was committed in earlier terms.
 func (r *Replica) applyEarlierTerms() {
 	term := r.raft.CurrentTerm()
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
-		r.log.Warn("leader not ready to serve reads", "term", term, "error", err)
+		r.log.Warn("barrier of the new leader failed; it does not serve reads in this term", "term", term, "error", err)
 		return
 	}
 	r.readableTerm.Store(term)
-	r.log.Info("leadership acquired", "term", term)
+	r.log.Info("became the leader and serves reads", "term", term)
 }
 
-// canServeReads reports whether this replica may serve reads: as leader, once it has applied every entry of earlier
-// terms; as follower, if its last contact with the leader is not older than stale_read. With a failed disk it may not:
-// a follower that can't write still gets heartbeats, but no entries.
+// canServeReads reports whether this replica may serve reads. The leader may serve them after it has applied every entry
+// of earlier terms. A follower may serve them while its last contact with the leader is not older than stale_read. A
+// replica whose last disk write failed may not serve reads: a follower that cannot write still receives heartbeats from
+// the leader, but its state does not advance.
 func (r *Replica) canServeReads() bool {
 	if r.store.lastError() != nil {
 		return false
@@ -46,7 +47,8 @@
 	return !lastContact.IsZero() && time.Since(lastContact) <= r.cfg.MaxStaleness.Duration
 }
 
-// staleReadError returns the error of a read that this replica may not serve.
+// staleReadError returns the error for a read that this replica may not serve: ErrDiskFailed if its last disk write
+// failed, otherwise ErrReplicaStale.
 func (r *Replica) staleReadError() error {
 	if err := r.store.lastError(); err != nil {
 		return ErrDiskFailed.Of(r.cfg.ID, err)
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,15 +7,15 @@
 	"hitchvale/internal/statemachine"
 )
 
-// Lease is a duty that one holder has at a time, as a lock with a sequencer in Chubby or a lease in etcd.
+// Lease is a lock with a TTL that one holder has at a time, like a lock with a sequencer in Chubby or a lease in etcd.
 type Lease struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
-	Token  uint64 `json:"token"` // the fencing token of the grant; it rises with every grant of any lease
+	Token  uint64 `json:"token"` // the fencing token of the grant; every grant of any lease gets a higher token
 	TTLms  int64  `json:"ttl_ms"`
 }
 
-// FencingToken is what a write on a duty's behalf carries: the lease, and the token that its holder was granted.
+// FencingToken identifies the grant of a lease under which a write is made: the lease and the token of the grant.
 type FencingToken struct {
 	Lease string `json:"lease"`
 	Token uint64 `json:"token"`
@@ -28,8 +28,8 @@
 	opExpireLease  statemachine.Operation = "lease-expire"
 )
 
-// LeaseCommand is a write of the leases. opAcquireLease uses the lease's name, holder and TTL, opReleaseLease its name,
-// holder and token, opExpireLease its name and token.
+// LeaseCommand is a write to the leases. opAcquireLease uses the lease's name, holder and TTL, opReleaseLease uses its
+// name, holder and token, and opExpireLease uses its name and token.
 type LeaseCommand struct {
 	Op    statemachine.Operation `json:"op"`
 	Lease Lease                  `json:"lease"`
@@ -38,11 +38,11 @@
 // Operation returns the command's operation.
 func (c *LeaseCommand) Operation() statemachine.Operation { return c.Op }
 
-// leaseStore is the state machine of the leases.
+// leaseStore is the state machine of the leases. It is not safe for concurrent use.
 type leaseStore struct {
-	ByName    map[string]Lease `json:"leases"`
-	LastToken uint64           `json:"tokens"` // of the last grant
-	// AcceptedTokens is, by lease, the highest token of a fenced write that was accepted.
+	ByName    map[string]Lease `json:"leases"` // the leases that are held
+	LastToken uint64           `json:"tokens"` // the token of the last grant
+	// AcceptedTokens holds, by lease name, the highest fencing token of an accepted write.
 	AcceptedTokens map[string]uint64 `json:"fenced"`
 }
 
@@ -50,16 +50,17 @@
 	return &leaseStore{ByName: map[string]Lease{}, AcceptedTokens: map[string]uint64{}}
 }
 
-// Kind is part of statemachine.Machine.
+// Kind implements statemachine.Machine.
 func (s *leaseStore) Kind() string { return "leases" }
 
-// Commands is part of statemachine.Machine.
+// Commands implements statemachine.Machine.
 func (s *leaseStore) Commands() map[statemachine.Operation]func() statemachine.Command {
 	empty := func() statemachine.Command { return &LeaseCommand{} }
 	return statemachine.CommandConstructors(empty, opAcquireLease, opReleaseLease, opExpireLease)
 }
 
-// Apply executes a LeaseCommand and returns the lease. It fails with ErrMalformed, ErrLeaseHeld or ErrLeaseLost.
+// Apply executes a LeaseCommand. The value of its outcome is the lease that was granted, released or expired. It fails
+// with ErrMalformed, ErrLeaseHeld or ErrLeaseLost.
 func (s *leaseStore) Apply(cmd statemachine.Command, _ int64) (statemachine.Outcome, error) {
 	c := cmd.(*LeaseCommand)
 	if c.Op == opAcquireLease {
@@ -73,18 +74,19 @@
 	return statemachine.Outcome{Value: lease}, nil
 }
 
-// acquire grants a lease that is free with the next token. Its present holder gets the lease that it has.
+// acquire grants a free lease with the next token. If the requester already holds the lease, acquire returns it
+// unchanged.
 func (s *leaseStore) acquire(wanted Lease) (statemachine.Outcome, error) {
-	present, held := s.ByName[wanted.Name]
+	current, held := s.ByName[wanted.Name]
 	switch {
 	case wanted.Name == "" || wanted.Holder == "":
-		return statemachine.Outcome{}, ErrMalformed.Of("lease", errors.New("missing name or holder"))
+		return statemachine.Outcome{}, ErrMalformed.Of("lease", errors.New("name or holder is missing"))
 	case wanted.TTLms <= 0:
 		return statemachine.Outcome{}, ErrMalformed.Of("lease "+wanted.Name, errors.New("ttl_ms must be above 0"))
-	case held && present.Holder != wanted.Holder:
+	case held && current.Holder != wanted.Holder:
 		return statemachine.Outcome{}, ErrLeaseHeld.Of(wanted.Name, nil)
 	case held:
-		return statemachine.Outcome{Unchanged: true, Value: present}, nil
+		return statemachine.Outcome{Unchanged: true, Value: current}, nil
 	}
 	s.LastToken++
 	granted := Lease{Name: wanted.Name, Holder: wanted.Holder, Token: s.LastToken, TTLms: wanted.TTLms}
@@ -92,16 +94,16 @@
 	return statemachine.Outcome{Value: granted}, nil
 }
 
-// Encode is part of statemachine.Machine.
+// Encode implements statemachine.Machine.
 func (s *leaseStore) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode is part of statemachine.Machine.
+// Decode implements statemachine.Machine.
 func (s *leaseStore) Decode(section []byte, _ int64) error {
 	decoded := newLeaseStore()
 	if err := json.Unmarshal(section, decoded); err != nil {
 		return err
 	}
-	if decoded.ByName == nil || decoded.AcceptedTokens == nil { // version 0 wrote null before the first lease
+	if decoded.ByName == nil || decoded.AcceptedTokens == nil { // a version 0 snapshot without leases has null here
 		decoded.ByName = map[string]Lease{}
 		decoded.AcceptedTokens = map[string]uint64{}
 	}
@@ -109,12 +111,13 @@
 	return nil
 }
 
-// disableFencing removes the fence check if it is not empty. It is a planted fault that the lab's lease scenarios must
-// detect, set at build time (-ldflags -X hitchvale/internal/registry.disableFencing=1) by tests alone.
+// disableFencing, if not empty, turns off the check of fencing tokens. It is an injected fault that the lab's lease
+// scenarios must detect. Only tests set it, at build time with -ldflags
+// "-X hitchvale/internal/registry.disableFencing=1".
 var disableFencing string
 
-// checkToken accepts a fenced write and records its token, or fails with ErrStaleFencingToken if the token is lower
-// than one already accepted for the lease. A write without a token is accepted.
+// checkToken records the fencing token of a write. It fails with ErrStaleFencingToken if a write with a higher token has
+// already been accepted for the lease. A write without a token passes.
 func (s *leaseStore) checkToken(token *FencingToken) error {
 	if token == nil || disableFencing != "" {
 		return nil
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -83,21 +83,21 @@
 	return buffer.Bytes()
 }
 
-// last returns the latest view, nil before the first, and the channel that the next one closes.
-func (p *viewPublisher) last() (*publishedView, <-chan struct{}) {
+// latestView returns the latest view, nil before the first, and the channel that the next one closes.
+func (p *viewPublisher) latestView() (*publishedView, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.latest, p.changed
 }
 
-// waitForOther waits until there is a view of another version than the one given, for at most timeout: then it returns
+// waitForOtherView waits until there is a view of another version than the one given, for at most timeout: then it returns
 // nil. It fails if ctx ends first.
-func (p *viewPublisher) waitForOther(ctx context.Context, version fleet.ViewVersion, timeout time.Duration) (
+func (p *viewPublisher) waitForOtherView(ctx context.Context, version fleet.ViewVersion, timeout time.Duration) (
 	*publishedView, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		view, changed := p.last()
+		view, changed := p.latestView()
 		if view != nil && view.version != version {
 			return view, nil
 		}
@@ -164,9 +164,9 @@
 	return err
 }
 
-// latestVersion returns the latest view if it has the given version, else fleet.ErrViewNotReady.
-func (p *viewPublisher) latestVersion(version fleet.ViewVersion) (*publishedView, error) {
-	view, _ := p.last()
+// latestViewOfVersion returns the latest view if it has the given version, else fleet.ErrViewNotReady.
+func (p *viewPublisher) latestViewOfVersion(version fleet.ViewVersion) (*publishedView, error) {
+	view, _ := p.latestView()
 	if view == nil || view.version != version {
 		return nil, fleet.ErrViewNotReady.Of("order",
 			fmt.Errorf("view %d.%d is not the last", version.Term, version.Epoch))
--- a/internal/registry/write.go
+++ b/internal/registry/write.go
@@ -9,12 +9,14 @@
 	"hitchvale/internal/statemachine"
 )
 
-// applyTimeout bounds how long a write waits to be committed and applied.
+// applyTimeout is the timeout of raft's Apply and Barrier: it limits how long raft may take to accept a command or a
+// barrier.
 const applyTimeout = 5 * time.Second
 
-// Write commits a command through raft and returns its result once it is applied here. It fails with ErrNotLeader on a
-// follower. After ErrNotCommitted, ErrDiskFailed or a lost leadership the write may still be committed later, as after
-// any lost answer.
+// Write commits a command through raft and returns its result after this replica has applied the command. A command that
+// the state rejects has its reason in Result.Err. Write fails with ErrNotLeader on a follower. If it fails with
+// ErrNotCommitted, with ErrDiskFailed, or because the replica has lost its leadership, the write may still be committed
+// later.
 func (r *Replica) Write(c statemachine.Command) (Result, error) {
 	if !r.IsLeader() {
 		return Result{}, ErrNotLeader.Of(r.cfg.ID, nil)
@@ -24,7 +26,7 @@
 		return Result{}, err
 	}
 	future := r.raft.Apply(text, applyTimeout)
-	if r.acknowledgeEarly {
+	if r.ackBeforeCommit {
 		return Result{}, nil
 	}
 	if err := future.Error(); err != nil {
@@ -39,7 +41,7 @@
 	return result, nil
 }
 
-// writeFailure returns the registry's error for an error of raft.
+// writeFailure converts an error of raft's Apply to an error of the registry.
 func (r *Replica) writeFailure(err error) error {
 	if diskErr := r.store.lastError(); diskErr != nil {
 		return ErrDiskFailed.Of(r.cfg.ID, diskErr)
