--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -148,8 +148,8 @@
 	return err
 }
 
-// ExistingLease returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down. It is
-// not renewed, and its Lost is nil.
+// ExistingLease returns a lease that was granted elsewhere, for Release alone, as when an operator steps a holder down.
+// It is not renewed, and its Lost is nil.
 func (c *Client) ExistingLease(name, holder string, token uint64) *Lease {
 	stopped := make(chan struct{})
 	close(stopped)
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -14,13 +14,13 @@
 
 // cluster is a registry of several replicas in this process.
 type cluster struct {
-	t                testing.TB
-	configs          []Config
-	replicas         []*Replica
-	http             []string
-	stops            []func() // ends replica i's HTTP side and waits for it
+	t               testing.TB
+	configs         []Config
+	replicas        []*Replica
+	http            []string
+	stops           []func() // ends replica i's HTTP side and waits for it
 	ackBeforeCommit bool     // the planted bug, for every replica opened
-	disks            []*faultyDisk
+	disks           []*faultyDisk
 }
 
 func testConfig(id, dir string) Config {
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -18,7 +18,8 @@
 	HTTPAddr  string `toml:"http"`      // IP address and port of the HTTP interface
 	RaftAddr  string `toml:"raft"`      // IP address and port at which peers dial raft's transport
 	Bootstrap bool   `toml:"bootstrap"` // start the cluster of Peers if data_dir has no raft state
-	// RaftListenAddr is the address that raft's transport listens on if it differs from RaftAddr, such as behind a proxy.
+	// RaftListenAddr is the address that raft's transport listens on if it differs from RaftAddr, such as behind a
+	// proxy.
 	RaftListenAddr string `toml:"raft_listen"`
 	// RaftDialHost is the local IP address from which raft dials its peers. If it is empty, the system chooses.
 	RaftDialHost string `toml:"raft_from"`
@@ -107,8 +108,8 @@
 	return c, tomlfile.Locate(text, c.Validate())
 }
 
-// Validate returns an error for a missing key, an invalid address, a value out of range, or a list of peers that does not
-// include this replica.
+// Validate returns an error for a missing key, an invalid address, a value out of range, or a list of peers that does
+// not include this replica.
 func (c Config) Validate() error {
 	if c.ID == "" {
 		return tomlfile.Bad("id", "missing")
@@ -165,8 +166,8 @@
 	return nil
 }
 
-// validatePeers checks each peer. If there are peers, this replica must be one of them, with the same addresses as in its
-// own keys.
+// validatePeers checks each peer. If there are peers, this replica must be one of them, with the same addresses as in
+// its own keys.
 func (c Config) validatePeers() error {
 	if len(c.Peers) == 0 {
 		return nil
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,9 +6,9 @@
 	"hitchvale/internal/operror"
 )
 
-// The errors of the registry. A call that fails with one of them has changed nothing, except that a write that fails with
-// ErrNotCommitted, ErrDiskFailed or, after a loss of the leadership, ErrNotLeader may be committed later. docs/oncall.md
-// lists the errors for operators.
+// The errors of the registry. A call that fails with one of them has changed nothing, except that a write that fails
+// with ErrNotCommitted, ErrDiskFailed or, after a loss of the leadership, ErrNotLeader may be committed later.
+// docs/oncall.md lists the errors for operators.
 var (
 	ErrMalformed = operror.Define("registry.malformed", http.StatusBadRequest,
 		"the call is malformed", "correct the field that the error names; docs/registry.md describes the calls")
--- a/internal/registry/expiry.go
+++ b/internal/registry/expiry.go
@@ -47,11 +47,12 @@
 	return now.Sub(last) > time.Duration(ttlMs)*time.Millisecond
 }
 
-// ttlStarter is a command that may start a TTL when it is applied. heartbeatKey returns the record's key in the heartbeat
-// table, or "" if the command starts no TTL.
+// ttlStarter is a command that may start a TTL when it is applied. heartbeatKey returns the record's key in the
+// heartbeat table, or "" if the command starts no TTL.
 type ttlStarter interface{ heartbeatKey() string }
 
-// leaseKey returns the heartbeat key of a lease. The prefix separates the key from those of members, which are their IDs.
+// leaseKey returns the heartbeat key of a lease. The prefix separates the key from those of members, which are their
+// IDs.
 func leaseKey(name string) string { return "lease:" + name }
 
 // sessionKey returns the heartbeat key of a node's session.
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// readHeaderTimeout bounds how long a client may take to send a request's header.
+	// readHeaderTimeout is the maximum time that a client may take to send the header of a call.
 	readHeaderTimeout = 5 * time.Second
 
-	// shutdownTimeout bounds how long a replica that shuts down waits for the calls in flight: a write may wait for a
-	// majority that is gone.
+	// shutdownTimeout is the maximum time that a replica waits for the calls in flight when it shuts down. Without the
+	// limit, a write could wait for a majority of replicas that no longer runs.
 	shutdownTimeout = time.Second
 )
 
 // Handler returns the replica's HTTP interface:
 //
-//	GET    /registry/instances                    the complete list (PROTOCOL)
-//	GET    /registry/instances?after=R&wait_ms=W  a watch (PROTOCOL)
-//	POST   /registry/members                      {"member":{...},"ttl_ms":N}: register or replace
-//	PUT    /registry/members/{id}/phase           {"phase":"ready"|"draining"}
-//	DELETE /registry/members/{id}                 deregister: the member is gone among changes
-//	POST   /registry/members/{id}/heartbeat       renew its TTL
+//	GET    /registry/instances                    read the complete list (PROTOCOL-hitchvale.md)
+//	GET    /registry/instances?after=R&wait_ms=W  watch the list (PROTOCOL-hitchvale.md)
+//	POST   /registry/members                      register or replace a member: {"member":{...},"ttl_ms":N}
+//	PUT    /registry/members/{id}/phase           set the member's phase: {"phase":"ready"|"draining"}
+//	DELETE /registry/members/{id}                 deregister the member; watches receive it in phase gone
+//	POST   /registry/members/{id}/heartbeat       renew the member's TTL
 //	GET    /registry/status                       this replica's role, leader and revision
+//	GET    /metrics                               this replica's metrics
 //	*      /registry/leases...                    leases (http_lease.go)
 //	*      /registry/fleet...                     sessions, reports and the view (http_fleet.go)
 //	*      /registry/rota...                      maintenance turns (http_maintenance.go)
 //
-// A write is answered with 200 and {"revision":R} once it is applied. An error is answered with
-// {"code":...,"error":...,"remedy":...}: 400 for invalid input, which changes nothing, 404 for an unknown ID, 409 if
-// the state forbids the write, 503 if no leader can take it. With max_calls calls in flight, further ones get 503 at
-// once.
+// The response to a write is sent after the write has been applied: 200 with {"revision":R} and, for some calls, a
+// record. The response to a call that fails is {"code":...,"error":...,"remedy":...} with status 400 for invalid input,
+// 404 for an unknown ID, 409 if the state forbids the write, and 503 if no leader can commit it. While max_calls calls
+// are in flight, further calls immediately get 503.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/status", r.serveStatus)
@@ -64,8 +65,9 @@
 	})
 }
 
-// Serve answers calls on ln until ctx ends, then shuts down gracefully: watches are answered at once, other calls in
-// flight have shutdownTimeout to end.
+// Serve serves calls on ln until ctx ends, and then shuts down gracefully: watches are answered immediately, and other
+// calls in flight may continue for up to shutdownTimeout. Serve closes ln. It returns an error if accepting connections
+// fails.
 func (r *Replica) Serve(ctx context.Context, ln net.Listener) error {
 	server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	listenerFailed := make(chan struct{})
@@ -93,16 +95,16 @@
 	return err
 }
 
-// retryingListener makes a listener retry after temporary errors of accept, and logs them at a bounded rate.
+// retryingListener returns a listener that retries after temporary errors of Accept and logs them at a limited rate.
 func retryingListener(ln net.Listener, log *slog.Logger) net.Listener {
 	return accept.NewListener(ln, accept.LogRetries(log, "registry"))
 }
 
-// Status is the answer to GET /registry/status.
+// Status is the response to GET /registry/status.
 type Status struct {
 	ID       string `json:"id"`
-	State    string `json:"state"`  // Leader, Follower or Candidate
-	Leader   string `json:"leader"` // its HTTP address; "" if not known
+	State    string `json:"state"`  // raft's state: Leader, Follower or Candidate
+	Leader   string `json:"leader"` // the leader's HTTP address; "" if the leader is not known
 	Revision int64  `json:"revision"`
 	Term     string `json:"term"`
 	Applied  uint64 `json:"applied_index"`
--- a/internal/registry/http_fleet.go
+++ b/internal/registry/http_fleet.go
@@ -10,10 +10,11 @@
 	"hitchvale/internal/statemachine"
 )
 
-// viewHeader names the version of the view in an answer, as TERM.EPOCH.
+// viewHeader is the response header with the version of the view, in the form TERM.EPOCH.
 const viewHeader = "X-Fleet-View"
 
-// maxReportBodyBytes bounds the body of a report, which is longer than the report by its echo.
+// maxReportBodyBytes is the maximum size of the body of a report call. In addition to the report, the body holds the
+// version of the last view that the node received.
 const maxReportBodyBytes = fleet.MaxReportBytes + 8<<10
 
 func (r *Replica) routeFleet(mux *http.ServeMux) {
@@ -24,8 +25,9 @@
 	mux.HandleFunc("DELETE /registry/fleet/sessions/{node}", r.writeHandler(decodeCloseSession, newRevisionResponse))
 }
 
-// serveReport takes a node's report, renews its session's TTL, and answers with the first view after the one that the
-// report echoes; 204 if there is none within wait_ms.
+// serveReport stores a node's report and renews the TTL of the node's session. It responds with the first view of a
+// version other than the one that the report names as the node's last view, or with 204 if there is none within
+// wait_ms.
 func (r *Replica) serveReport(w http.ResponseWriter, req *http.Request) {
 	wait, err := parseWait(req)
 	if err != nil {
@@ -45,7 +47,7 @@
 	r.heartbeats.record(sessionKey(report.Node))
 	view, err := r.views.waitForOtherView(req.Context(), report.LastView, wait)
 	if err != nil {
-		return // the client has closed the call
+		return // the caller has closed the connection
 	}
 	if view == nil {
 		w.WriteHeader(http.StatusNoContent)
@@ -54,7 +56,7 @@
 	writeView(w, req, view)
 }
 
-// serveView answers with the latest view.
+// serveView responds with the latest view.
 func (r *Replica) serveView(w http.ResponseWriter, req *http.Request) {
 	view, _ := r.views.latestView()
 	if view == nil || !r.canServeReads() {
@@ -64,6 +66,7 @@
 	writeView(w, req, view)
 }
 
+// writeView writes a view, compressed with gzip if the caller accepts it.
 func writeView(w http.ResponseWriter, req *http.Request, view *publishedView) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -77,7 +80,7 @@
 	w.Write(body)
 }
 
-// serveSession answers with the highest incarnation of a node, and its open session if there is one.
+// serveSession responds with the highest incarnation of a node and, if there is one, its open session.
 func (r *Replica) serveSession(w http.ResponseWriter, req *http.Request) {
 	if !r.canServeReads() {
 		writeError(w, r.staleReadError())
@@ -88,7 +91,7 @@
 	writeJSON(w, status)
 }
 
-// sessionResponse answers the opening of a session.
+// sessionResponse is the response to a call that opens a session.
 type sessionResponse struct {
 	Revision int64          `json:"revision"`
 	Session  *fleet.Session `json:"session"`
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -32,10 +32,10 @@
 	r.log.Info("became the leader and serves reads", "term", term)
 }
 
-// canServeReads reports whether this replica may serve reads. The leader may serve them after it has applied every entry
-// of earlier terms. A follower may serve them while its last contact with the leader is not older than stale_read. A
-// replica whose last disk write failed may not serve reads: a follower that cannot write still receives heartbeats from
-// the leader, but its state does not advance.
+// canServeReads reports whether this replica may serve reads. The leader may serve them after it has applied every
+// entry of earlier terms. A follower may serve them while its last contact with the leader is not older than
+// stale_read. A replica whose last disk write failed may not serve reads: a follower that cannot write still receives
+// heartbeats from the leader, but its state does not advance.
 func (r *Replica) canServeReads() bool {
 	if r.store.lastError() != nil {
 		return false
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -116,8 +116,8 @@
 // "-X hitchvale/internal/registry.disableFencing=1".
 var disableFencing string
 
-// checkToken records the fencing token of a write. It fails with ErrStaleFencingToken if a write with a higher token has
-// already been accepted for the lease. A write without a token passes.
+// checkToken records the fencing token of a write. It fails with ErrStaleFencingToken if a write with a higher token
+// has already been accepted for the lease. A write without a token passes.
 func (s *leaseStore) checkToken(token *FencingToken) error {
 	if token == nil || disableFencing != "" {
 		return nil
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -11,8 +11,8 @@
 	"hitchvale/internal/statemachine"
 )
 
-// The phases of a member. A write may set ready or draining. Only a list of changes contains gone: it marks a member that
-// was removed.
+// The phases of a member. A write may set ready or draining. Only a list of changes contains gone: it marks a member
+// that was removed.
 const (
 	PhaseReady    = "ready"
 	PhaseDraining = "draining"
@@ -76,8 +76,8 @@
 	opExpire     statemachine.Operation = "expire"
 )
 
-// MemberCommand is a write to the member list. opRegister uses Member and TTLms; the other operations name the member by
-// ID.
+// MemberCommand is a write to the member list. opRegister uses Member and TTLms; the other operations name the member
+// by ID.
 type MemberCommand struct {
 	Op     statemachine.Operation `json:"op"`
 	Member Member                 `json:"member,omitzero"`
@@ -104,14 +104,14 @@
 // memberStore is the state machine of the member list. It is not safe for concurrent use.
 type memberStore struct {
 	Records    map[string]memberRecord `json:"members"` // by member ID
-	changes        changeLog
+	changes    changeLog
 	checkToken func(*FencingToken) error
 }
 
 func newMemberStore(changeLogSize int, checkToken func(*FencingToken) error) *memberStore {
 	return &memberStore{
 		Records:    map[string]memberRecord{},
-		changes:        newChangeLog(changeLogSize),
+		changes:    newChangeLog(changeLogSize),
 		checkToken: checkToken,
 	}
 }
@@ -215,9 +215,9 @@
 	return MemberList{Revision: s.Revision, Complete: true, Members: s.members.sorted()}
 }
 
-// ChangesSince returns the members that changed after a revision. Each member appears once in its current form; a removed
-// member appears in phase gone. If the change log does not reach back to the revision, or if the revision is newer than
-// the state, ChangesSince returns the complete list.
+// ChangesSince returns the members that changed after a revision. Each member appears once in its current form; a
+// removed member appears in phase gone. If the change log does not reach back to the revision, or if the revision is
+// newer than the state, ChangesSince returns the complete list.
 func (s *State) ChangesSince(revision int64) MemberList {
 	if revision < 1 || revision < s.members.changes.compactedRevision || revision > s.Revision {
 		return s.CompleteList()
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -25,9 +25,9 @@
 	// raftStoreFile is the file in a replica's data_dir that holds raft's log and stable store (bbolt).
 	raftStoreFile = "raft.db"
 
-	// raftMaxRPCsInFlight turns off raft's pipelining of AppendEntries. With pipelining, a follower that fails an append,
-	// such as one with a failed disk, ends only the leader's goroutine that reads the responses. The leader's sending
-	// goroutine can then wait for the reading one forever, and the follower receives no further entries.
+	// raftMaxRPCsInFlight turns off raft's pipelining of AppendEntries. With pipelining, a follower that fails an
+	// append, such as one with a failed disk, ends only the leader's goroutine that reads the responses. The leader's
+	// sending goroutine can then wait for the reading one forever, and the follower receives no further entries.
 	raftMaxRPCsInFlight = 1
 
 	// raftMaxIdleConns is the number of idle connections that raft's transport keeps for each peer.
@@ -78,9 +78,9 @@
 	io.Closer
 }
 
-// Open starts a replica from its data_dir, which holds raft's log and stable store and the snapshots. If data_dir is new
-// and cfg.Bootstrap is set, Open starts the cluster of the configured peers. ln is the listener for cfg.RaftAddr; raft's
-// transport takes ownership of it. The caller must call Close when it no longer needs the replica.
+// Open starts a replica from its data_dir, which holds raft's log and stable store and the snapshots. If data_dir is
+// new and cfg.Bootstrap is set, Open starts the cluster of the configured peers. ln is the listener for cfg.RaftAddr;
+// raft's transport takes ownership of it. The caller must call Close when it no longer needs the replica.
 func Open(cfg Config, ln net.Listener, log *slog.Logger) (*Replica, error) {
 	return openWithStore(cfg, ln, log, func(s raftStore) raftStore { return s })
 }
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Close stops the replica's background goroutines, raft, the transport and the store. It must be called only once, after
-// Serve has returned.
+// Close stops the replica's background goroutines, raft, the transport and the store. It must be called only once,
+// after Serve has returned.
 func (r *Replica) Close() error {
 	r.stopBackground()
 	r.background.Wait()
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -23,8 +23,8 @@
 type State struct {
 	Revision int64
 
-	members            *memberStore
-	leases             *leaseStore
+	members                 *memberStore
+	leases                  *leaseStore
 	stateMachines           []statemachine.Machine // all state machines, including members and leases
 	stateMachineByOperation map[statemachine.Operation]statemachine.Machine
 }
@@ -41,8 +41,8 @@
 func NewState(changeLogSize int, machines ...statemachine.Machine) *State {
 	leases := newLeaseStore()
 	s := &State{
-		members:            newMemberStore(changeLogSize, leases.checkToken),
-		leases:             leases,
+		members:                 newMemberStore(changeLogSize, leases.checkToken),
+		leases:                  leases,
 		stateMachineByOperation: map[statemachine.Operation]statemachine.Machine{},
 	}
 	s.addStateMachines(s.members, s.leases)
@@ -123,8 +123,8 @@
 }
 
 // Decode replaces the state with that of a snapshot. A state machine without a section starts empty. Decode fails with
-// ErrSnapshotUnreadable if the snapshot is malformed, has a newer version, or has a section of a state machine that this
-// program does not have: dropping such a section would lose acknowledged writes.
+// ErrSnapshotUnreadable if the snapshot is malformed, has a newer version, or has a section of a state machine that
+// this program does not have: dropping such a section would lose acknowledged writes.
 func (s *State) Decode(text []byte) error {
 	var image snapshotImage
 	if err := json.Unmarshal(text, &image); err != nil {
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// checkSectionKinds fails with ErrSnapshotUnreadable if the snapshot has a section that no state machine of this program
-// decodes.
+// checkSectionKinds fails with ErrSnapshotUnreadable if the snapshot has a section that no state machine of this
+// program decodes.
 func (s *State) checkSectionKinds(image snapshotImage) error {
 	for kind := range image.Sections {
 		known := slices.ContainsFunc(s.stateMachines, func(m statemachine.Machine) bool { return m.Kind() == kind })
--- a/internal/registry/views.go
+++ b/internal/registry/views.go
@@ -90,10 +90,10 @@
 	return p.latest, p.changed
 }
 
-// waitForOtherView waits until there is a view of another version than the one given, for at most timeout: then it returns
-// nil. It fails if ctx ends first.
-func (p *viewPublisher) waitForOtherView(ctx context.Context, version fleet.ViewVersion, timeout time.Duration) (
-	*publishedView, error) {
+// waitForOtherView waits until there is a view of another version than the one given, for at most timeout: then it
+// returns nil. It fails if ctx ends first.
+func (p *viewPublisher) waitForOtherView(ctx context.Context, version fleet.ViewVersion,
+	timeout time.Duration) (*publishedView, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
--- a/internal/registry/write.go
+++ b/internal/registry/write.go
@@ -13,8 +13,8 @@
 // barrier.
 const applyTimeout = 5 * time.Second
 
-// Write commits a command through raft and returns its result after this replica has applied the command. A command that
-// the state rejects has its reason in Result.Err. Write fails with ErrNotLeader on a follower. If it fails with
+// Write commits a command through raft and returns its result after this replica has applied the command. If the state
+// rejects the command, Result.Err has the reason. Write fails with ErrNotLeader on a follower. If it fails with
 // ErrNotCommitted, with ErrDiskFailed, or because the replica has lost its leadership, the write may still be committed
 // later.
 func (r *Replica) Write(c statemachine.Command) (Result, error) {
