--- a/internal/registry/http_maintenance.go
+++ b/internal/registry/http_maintenance.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// maintenanceResponse is the answer to GET /registry/rota.
+// maintenanceResponse is the response to GET /registry/rota.
 type maintenanceResponse struct {
 	SettledView maintenance.ViewVersion        `json:"epoch"`
 	Order       []string                       `json:"order"`
@@ -33,7 +33,7 @@
 	Turns       []maintenance.Turn             `json:"turns"`
 }
 
-// serveMaintenance answers with the maintenance plan.
+// serveMaintenance responds with the maintenance plan.
 func (r *Replica) serveMaintenance(w http.ResponseWriter, _ *http.Request) {
 	if !r.canServeReads() {
 		writeError(w, r.staleReadError())
@@ -53,7 +53,7 @@
 	writeJSON(w, response)
 }
 
-// The answers to writes of the plan.
+// The responses to writes to the maintenance plan.
 type (
 	maintenanceRequestResponse struct {
 		Request  *maintenance.Request `json:"request"`
@@ -65,7 +65,7 @@
 	}
 	turnResponse struct {
 		Revision int64             `json:"revision"`
-		Turn     *maintenance.Turn `json:"turn"` // null for a confirmation and for the end of a turn
+		Turn     *maintenance.Turn `json:"turn"` // null if the call confirms draining or ends a turn
 	}
 )
 
@@ -81,7 +81,7 @@
 	return turnResponse{Revision: result.Revision, Turn: resultValue[maintenance.Turn](result)}
 }
 
-// machineSelector selects members of the list. A field that is not set selects all.
+// machineSelector selects members of the list by their properties. A field that is not set matches every member.
 type machineSelector struct {
 	Site   string `json:"site"`
 	Flavor string `json:"flavor"`
@@ -94,13 +94,14 @@
 		(s.Cell == nil || *s.Cell == m.Cell)
 }
 
-// maintenanceRequest is the body of POST /registry/rota/requests: a request for machines by ID, by a selector, or both.
+// maintenanceRequest is the body of POST /registry/rota/requests. It names the machines by ID, by a selector, or both.
 type maintenanceRequest struct {
 	maintenance.Request
 	Select *machineSelector `json:"select"`
 }
 
-// decodeMaintenanceRequest resolves a request's selector by the present list.
+// decodeMaintenanceRequest decodes a maintenance request and adds the IDs of the current members that its selector
+// matches.
 func (r *Replica) decodeMaintenanceRequest(req *http.Request) (statemachine.Command, error) {
 	var body maintenanceRequest
 	if err := decodeBody(req, &body); err != nil {
@@ -125,8 +126,9 @@
 	return &maintenance.Command{Op: maintenance.OpWithdrawRequest, Request: request}, nil
 }
 
-// decodeSettleOrder takes the machines' costs from the view that the proposer names, which has to be the latest: the
-// proposer has no influence on them. A machine costs the attempts of live nodes that are in flight there and the
+// decodeSettleOrder builds the command that settles the order of the turns. The caller names the version of a view,
+// which must be the latest one, and this replica computes the machines' costs from that view, so that the caller cannot
+// influence them. The cost of a machine is the number of attempts that the live nodes have in flight there plus the
 // estimate of its queue.
 func (r *Replica) decodeSettleOrder(req *http.Request) (statemachine.Command, error) {
 	var version fleet.ViewVersion
@@ -148,7 +150,7 @@
 	}, nil
 }
 
-// turnDecoder returns the decoder of an operation on one turn.
+// turnDecoder returns the decoder of calls for an operation on the turn of one machine.
 func turnDecoder(operation statemachine.Operation) func(*http.Request) (statemachine.Command, error) {
 	return func(req *http.Request) (statemachine.Command, error) {
 		command := &maintenance.Command{}
--- a/internal/registry/http_members.go
+++ b/internal/registry/http_members.go
@@ -11,11 +11,11 @@
 	"hitchvale/internal/statemachine"
 )
 
-// maxWatchWait bounds a watch's wait_ms (PROTOCOL-hitchvale.md).
+// maxWatchWait is the maximum of wait_ms in PROTOCOL-hitchvale.md. Longer waits are shortened to it.
 const maxWatchWait = 60 * time.Second
 
-// roleHeader names the role of the replica that served a complete list: a leader's answer is linearizable, a follower's
-// at most stale_read old.
+// roleHeader is the response header with the role of the replica that served a complete list. The list from a leader is
+// linearizable; the list from a follower may lag behind by stale_read.
 const (
 	roleHeader   = "X-Registry-Role"
 	roleLeader   = "leader"
@@ -30,7 +30,7 @@
 	mux.HandleFunc("POST /registry/members/{id}/heartbeat", r.leaderOnly(r.serveHeartbeat))
 }
 
-// serveList answers a read, or a watch if the call has after, from this replica's state.
+// serveList responds to a read or, if the call has the after parameter, to a watch. It uses the state of this replica.
 func (r *Replica) serveList(w http.ResponseWriter, req *http.Request) {
 	if !req.URL.Query().Has("after") {
 		r.serveCompleteList(w)
@@ -60,7 +60,7 @@
 		writeError(w, r.staleReadError())
 		return
 	}
-	role := r.role() // before the read: a replica that leads before it has every acknowledged write
+	role := r.role() // determined before the read: a replica that is the leader then has every acknowledged write
 	var list MemberList
 	r.fsm.read(func(s *State) { list = s.CompleteList() })
 	w.Header().Set(roleHeader, role)
@@ -74,9 +74,9 @@
 	return roleFollower
 }
 
-// watch waits until the list has changed since a revision, and returns the changes; after the given wait, or when the
-// replica shuts down, it returns what there is. It returns false if this replica may not serve reads by then, or if ctx
-// ends.
+// watch waits until the list has changed after a revision, and returns the changes. When the wait time has passed or
+// the replica shuts down, it returns the list of changes as it is, which may be empty. It returns false if this replica
+// may not serve reads at that time, or if ctx ends.
 func (r *Replica) watch(ctx context.Context, after int64, wait time.Duration) (MemberList, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -84,8 +84,8 @@
 	defer r.openWatches.Add(-1)
 	for {
 		var list MemberList
-		var revision int64     // of the state
-		var listRevision int64 // of the list's last change: changes of other records are no event for a watch
+		var revision int64     // revision of the state
+		var listRevision int64 // revision of the list's last change; changes of other records do not end a watch
 		changed := r.fsm.read(func(s *State) {
 			revision = s.Revision
 			listRevision = s.members.changes.lastRevision
@@ -121,7 +121,7 @@
 		body.Member.Phase = PhaseReady
 	}
 	if body.TTLms < 0 {
-		return nil, ErrMalformed.Of("ttl_ms", errors.New("negative"))
+		return nil, ErrMalformed.Of("ttl_ms", errors.New("the value is negative"))
 	}
 	if body.TTLms == 0 {
 		body.TTLms = r.cfg.DefaultTTL.Milliseconds()
@@ -152,7 +152,8 @@
 	return withFencingToken(req, &MemberCommand{Op: opDeregister, ID: req.PathValue("id")})
 }
 
-// withFencingToken adds the fencing token that a write of the list carries, if any.
+// withFencingToken sets the command's fencing token from the header of the call, if there is one, and returns the
+// command.
 func withFencingToken(req *http.Request, c *MemberCommand) (statemachine.Command, error) {
 	token, err := parseFencingToken(req)
 	c.FencingToken = token
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -8,10 +8,11 @@
 	"hitchvale/internal/maintenance"
 )
 
-// memberInventory gives the maintenance plan the member list of the same state. It implements maintenance.Inventory.
+// memberInventory gives the maintenance plan access to the member list of the same State. It implements
+// maintenance.Inventory.
 type memberInventory struct{ members *memberStore }
 
-// Machines returns the members of the list by ID.
+// Machines returns the members of the list, sorted by ID.
 func (i memberInventory) Machines() []maintenance.Machine {
 	machines := make([]maintenance.Machine, 0, len(i.members.Records))
 	for _, member := range i.members.sorted() {
@@ -26,7 +27,8 @@
 	return machines
 }
 
-// SetDraining changes a member's phase. A member that is no longer in the list is not added again.
+// SetDraining sets a member's phase to draining or ready with a change of revision nextRevision. It does nothing if the
+// member is no longer in the list.
 func (i memberInventory) SetDraining(id string, draining bool, nextRevision int64) {
 	record, ok := i.members.Records[id]
 	if !ok {
@@ -39,7 +41,7 @@
 	i.members.store(record, nextRevision)
 }
 
-// liveSessions gives the maintenance plan the sessions of the same state. It implements maintenance.Sessions.
+// liveSessions gives the maintenance plan access to the sessions of the same State. It implements maintenance.Sessions.
 type liveSessions struct{ *fleet.SessionStore }
 
 // LiveNodes returns the names of the nodes that have an open session, sorted.
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are a replica's metrics for GET /metrics, on a Prometheus registry of their own.
+// metrics holds the metrics of one replica for GET /metrics. Each replica has its own Prometheus registry.
 type metrics struct {
 	registry      *prometheus.Registry
-	writeSeconds  *prometheus.HistogramVec // from a write's arrival to its answer, by result
+	writeSeconds  *prometheus.HistogramVec // time from a write's arrival to its response, by result
 	rejectedCalls prometheus.Counter
 }
 
@@ -20,30 +20,30 @@
 		registry: prometheus.NewRegistry(),
 		writeSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "hitchvale_registry_write_seconds",
-			Help:    "Time from a write's arrival at the leader to its answer, by result (ok, refused, failed).",
+			Help:    "Time from a write's arrival at the leader to its response, by result (ok, refused, failed).",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 4, 9),
 		}, []string{"result"}),
 		rejectedCalls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "hitchvale_registry_shed_total",
-			Help: "Calls answered 503 at once for being over max_calls.",
+			Help: "Calls rejected with 503 because max_calls calls were in flight.",
 		}),
 	}
 	m.registry.MustRegister(m.writeSeconds, m.rejectedCalls)
-	m.gauge("hitchvale_registry_revision", "Revision of the list this replica has applied.", r.revision)
+	m.gauge("hitchvale_registry_revision", "Revision of this replica's state.", r.revision)
 	m.gauge("hitchvale_registry_members", "Members in the list.", r.memberCount)
-	m.gauge("hitchvale_registry_leader", "1 while this replica leads and may read.", r.readyLeader)
-	m.gauge("hitchvale_registry_watches", "Watches waiting now.", func() float64 {
+	m.gauge("hitchvale_registry_leader", "1 while this replica is the leader and may serve reads.", r.readyLeader)
+	m.gauge("hitchvale_registry_watches", "Watches that are waiting.", func() float64 {
 		return float64(r.openWatches.Load())
 	})
 	return m
 }
 
-// gauge registers a gauge that is read at each scrape.
+// gauge registers a gauge whose value is read at each scrape.
 func (m *metrics) gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// observeWrite records a write that has been answered.
+// observeWrite records the duration of a write that arrived at the given time and whose response is about to be sent.
 func (m *metrics) observeWrite(received time.Time, result string) {
 	m.writeSeconds.WithLabelValues(result).Observe(time.Since(received).Seconds())
 }
@@ -64,6 +64,7 @@
 	return float64(count)
 }
 
+// readyLeader returns 1 if this replica is the leader and may serve reads, otherwise 0.
 func (r *Replica) readyLeader() float64 {
 	if r.IsLeader() && r.canServeReads() {
 		return 1
--- a/internal/registry/retryingstore.go
+++ b/internal/registry/retryingstore.go
@@ -11,26 +11,28 @@
 	"hitchvale/internal/lograte"
 )
 
-// The backoff between retries of a write that has to succeed, which doubles from the first to the second.
+// The delay between retries of a write that must succeed doubles from minRetryDelay up to maxRetryDelay.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 )
 
-// currentTermKey is the key under which raft saves its term. Raft panics if that write fails.
+// currentTermKey is the key under which raft stores its current term. Raft panics if that write fails.
 const currentTermKey = "CurrentTerm"
 
-// retryingStore lets raft survive a disk that fails for a while. Without it raft panics if it can't save its term, and
-// after it truncates the tail of its log and then fails to append, it assumes a last entry that is not there.
+// retryingStore wraps raft's store so that raft survives a disk that fails for some time. Without it, raft panics if it
+// cannot save its term. In addition, if raft truncates the tail of its log and then fails to append, it assumes a last
+// entry that is not in the log.
 //
-// Those two writes are retried until they succeed. Meanwhile raft's main loop is blocked, so that the replica neither
-// votes nor leads: raft steps down before it saves a newer term, and only a follower truncates the tail. Every other
-// write fails at once: the vote is not given, the leader steps down, the follower does not acknowledge.
+// Those two writes, saving the term and the append after a truncation, are retried until they succeed. During the
+// retries raft's main loop is blocked, so that the replica neither votes nor leads: raft steps down before it saves a
+// newer term, and only a follower truncates the tail. Every other write fails immediately. Then the replica does not
+// vote, a leader steps down, and a follower does not acknowledge the entries.
 //
-// Every error of the store counts as temporary. Nothing is read again after a failed sync: the store (bbolt) writes
-// each transaction to pages that no durable page refers to, and syncs them before it writes the page that refers to
-// them. So what a failed transaction left in the page cache is never taken for written, and the next transaction
-// overwrites it.
+// Every error of the store counts as temporary. No data is read back after a failed sync: the store (bbolt) writes each
+// transaction to pages that no durable page refers to, and syncs those pages before it writes the page that refers to
+// them. Therefore data that a failed transaction has left in the page cache is never mistaken for durable data, and the
+// next transaction overwrites it.
 type retryingStore struct {
 	raftStore
 	warnings *lograte.Limited
@@ -38,27 +40,27 @@
 
 	mu             sync.Mutex
 	lastWriteError error // nil if the last write succeeded
-	tailTruncated  bool  // the log's tail was truncated and nothing appended since
+	tailTruncated  bool  // the log's tail was truncated, and no append has succeeded since
 }
 
 func newRetryingStore(s raftStore, log *slog.Logger) *retryingStore {
 	return &retryingStore{raftStore: s, warnings: &lograte.Limited{Log: log}, stopped: make(chan struct{})}
 }
 
-// lastError returns the error of the last write; nil if it succeeded.
+// lastError returns the error of the last write, or nil if that write succeeded.
 func (s *retryingStore) lastError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastWriteError
 }
 
-// stop ends retries. It is to be called once, before raft is shut down.
+// stop ends the retries. It must be called once, before raft is shut down.
 func (s *retryingStore) stop() { close(s.stopped) }
 
-// StoreLog is part of raft.LogStore.
+// StoreLog implements raft.LogStore.
 func (s *retryingStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs is part of raft.LogStore.
+// StoreLogs implements raft.LogStore. It retries the append after a truncation of the tail until the append succeeds.
 func (s *retryingStore) StoreLogs(logs []*raft.Log) error {
 	write := func() error { return s.raftStore.StoreLogs(logs) }
 	if !s.isTailTruncated() {
@@ -69,8 +71,8 @@
 	return err
 }
 
-// DeleteRange is part of raft.LogStore. Raft truncates the log's head after a snapshot, which may fail, and its tail
-// where it differs from the leader's log.
+// DeleteRange implements raft.LogStore. Raft truncates the head of the log after a snapshot, and the tail where it
+// differs from the leader's log. A truncation of the head may fail without harm.
 func (s *retryingStore) DeleteRange(from, to uint64) error {
 	last, err := s.raftStore.LastIndex()
 	if err != nil {
@@ -85,12 +87,12 @@
 	return nil
 }
 
-// Set is part of raft.StableStore.
+// Set implements raft.StableStore.
 func (s *retryingStore) Set(key, value []byte) error {
 	return s.writeOnce("save "+string(key), func() error { return s.raftStore.Set(key, value) })
 }
 
-// SetUint64 is part of raft.StableStore.
+// SetUint64 implements raft.StableStore. It retries the write of the current term until the write succeeds.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	write := func() error { return s.raftStore.SetUint64(key, value) }
 	if string(key) == currentTermKey {
@@ -111,7 +113,8 @@
 	s.tailTruncated = truncated
 }
 
-// writeOnce makes a write, remembers its error and logs it. operation names the write in the log.
+// writeOnce calls write once, stores its error as the last write error, and logs a failure. operation names the write
+// in the log line.
 func (s *retryingStore) writeOnce(operation string, write func() error) error {
 	err := write()
 	s.mu.Lock()
@@ -123,8 +126,8 @@
 	return err
 }
 
-// writeUntilSuccess retries a write until it succeeds. If the replica stops first, it ends raft's goroutine that called
-// it: raft would panic at an error.
+// writeUntilSuccess retries a write until it succeeds. If the replica stops first, it ends the calling goroutine, which
+// is one of raft's: raft would panic if it received an error.
 func (s *retryingStore) writeUntilSuccess(operation string, write func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		if s.writeOnce(operation, write) == nil {
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -11,11 +11,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer is raft's TCP stream layer over a listener that the caller has opened. It implements raft.StreamLayer.
+// streamLayer is the TCP stream layer of raft's transport. It accepts connections on a listener that the caller has
+// opened. It implements raft.StreamLayer.
 type streamLayer struct {
 	net.Listener
-	localAddr  net.Addr // that peers are dialled from; nil: the system chooses
-	advertised net.Addr // that peers dial
+	localAddr  net.Addr // the address from which peers are dialed; nil: the system chooses
+	advertised net.Addr // the address that peers dial
 }
 
 func newStreamLayer(cfg Config, ln net.Listener) streamLayer {
@@ -29,16 +30,17 @@
 	return s
 }
 
-// Addr returns the address that peers dial.
+// Addr implements net.Listener. It returns the address that peers dial, which may differ from the listener's.
 func (s streamLayer) Addr() net.Addr { return s.advertised }
 
-// Dial is part of raft.StreamLayer.
+// Dial implements raft.StreamLayer.
 func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: s.localAddr}
 	return dialer.Dial("tcp", string(addr))
 }
 
-// raftLogWriter passes raft's own log lines, which are JSON, to the replica's logger, one record a line.
+// raftLogWriter writes raft's log lines, which are JSON, to the replica's logger. Each line becomes one record of level
+// Warn.
 type raftLogWriter struct{ log *slog.Logger }
 
 func (w raftLogWriter) Write(line []byte) (int, error) {
