--- a/internal/lab/backend.go
+++ b/internal/lab/backend.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// backendStream sets a stand-in backend's draws apart from others of the same seed.
+	// backendStream is the random stream of a stand-in backend, which differs from the other streams of the same seed.
 	backendStream = 2
-	// hangDuration is how long a request hangs beyond its service time.
+	// hangDuration is how long a hanging request takes in addition to its service time.
 	hangDuration = 2 * time.Second
 	// backendReadHeaderTimeout bounds the wait for a request's head.
 	backendReadHeaderTimeout = 5 * time.Second
 )
 
-// Execution is one request that a stand-in backend executed, as a line of its log.
+// Execution is one request that a stand-in backend executed. Each line of the backend's log holds one Execution.
 type Execution struct {
-	At      int64  `json:"at_ns"` // Unix time in nanoseconds when its last byte had arrived
+	At      int64  `json:"at_ns"` // Unix time in nanoseconds when the request's last byte had arrived
 	Backend string `json:"backend"`
 	Trace   string `json:"trace"`
 	Key     string `json:"key,omitempty"`
 	Method  string `json:"method"`
 }
 
-// BackendServer is a stand-in backend that speaks the backend side of PROTOCOL-hitchvale.md: a request without
-// X-Trace-Id gets 404; one with it takes the service time and gets 200, or 500 for a share of them. It is written to
-// the log before the response, so that one killed in between counts as executed. Health checks (/health/live, /stats)
-// get 200.
+// BackendServer is a stand-in backend, which implements the backend's side of PROTOCOL-hitchvale.md. A request with an
+// X-Trace-Id header takes the service time and gets 200. Behavior sets the shares of these requests for which the
+// response comes late, has status 500, or is replaced by a reset of the connection. A request without the header gets
+// 404. The backend writes a request to its log before it responds, so a request counts as executed if the backend is
+// killed in between. Health checks (/health/live, /stats) get 200.
 type BackendServer struct {
 	ID       string
 	Behavior BackendBehavior
@@ -46,8 +47,8 @@
 	rng *rand.Rand
 }
 
-// ServeBackend runs a stand-in backend on ln until ctx ends, appending its executions to logPath (JSON lines,
-// one unbuffered write each, so that a SIGKILL loses none that was answered).
+// ServeBackend runs a stand-in backend on ln until ctx ends. It appends the backend's executions to the file logPath,
+// as JSON lines. Each line is written without buffering, so that a SIGKILL loses no request that was answered.
 func ServeBackend(ctx context.Context, ln net.Listener, id string, behavior BackendBehavior, logPath string,
 	seed uint64) error {
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -74,7 +75,7 @@
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	io.Copy(io.Discard, r.Body) // the execution starts once the last byte has arrived
+	io.Copy(io.Discard, r.Body) // the execution starts when the last byte has arrived
 	trace := r.Header.Get("X-Trace-Id")
 	if trace == "" {
 		http.Error(w, "no trace id", http.StatusNotFound)
@@ -98,7 +99,7 @@
 	fmt.Fprintf(w, "ran %s at %s\n", trace, backend.ID)
 }
 
-// execute records a request's execution; twice for a POST where that fault is planted.
+// execute records the execution of a request. With RunTwice it records a POST twice.
 func (backend *BackendServer) execute(r *http.Request, trace string) error {
 	execution := Execution{At: time.Now().UnixNano(), Backend: backend.ID, Trace: trace,
 		Key: r.Header.Get("Idempotency-Key"), Method: r.Method}
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// draw draws whether a share includes the present request.
+// draw draws whether the present request belongs to a share of the requests.
 func (backend *BackendServer) draw(share float64) bool {
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
@@ -133,8 +134,8 @@
 	return err
 }
 
-// ReadExecutions reads a backend's log. An incomplete last line, where the process was killed while it wrote, is
-// skipped.
+// ReadExecutions reads a backend's log. It ignores an incomplete last line, which a process leaves that is killed while
+// it writes.
 func ReadExecutions(path string) ([]Execution, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/caller_router.go
+++ b/internal/lab/caller_router.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// CallerRouter is one address before a process whose callers each dial from a loopback address of their own: it hands
-// each connection to the fault proxy of its caller's link. Callers that have no link are refused with a reset.
+// CallerRouter listens at one address in front of a process. Each of its callers dials from a loopback address of its
+// own, by which the router finds the fault proxy of the caller's link and passes the connection on to it. A connection
+// of a caller without a link is reset. The caller of NewCallerRouter must call Close.
 type CallerRouter struct {
 	ln     net.Listener
 	target string
@@ -16,7 +17,7 @@
 	done  chan struct{}
 }
 
-// NewCallerRouter listens on a port of 127.0.0.1 that the system picks, for links to target (host:port).
+// NewCallerRouter starts a router that listens on a free port of 127.0.0.1, for links to target (host:port).
 func NewCallerRouter(target string) (*CallerRouter, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,10 +28,11 @@
 	return router, nil
 }
 
-// Addr is where the router listens.
+// Addr returns the address on which the router listens.
 func (router *CallerRouter) Addr() string { return router.ln.Addr().String() }
 
-// LinkFor places the link of the caller that dials from host. The caller of LinkFor closes the link.
+// LinkFor adds a link for the caller that dials from host, and returns the link's proxy. The caller of LinkFor must
+// close the proxy.
 func (router *CallerRouter) LinkFor(host string, seed uint64) *Proxy {
 	router.mu.Lock()
 	defer router.mu.Unlock()
@@ -39,7 +41,7 @@
 	return proxy
 }
 
-// Close stops accepting; the links stay until they are closed.
+// Close stops accepting connections. It does not close the links' proxies.
 func (router *CallerRouter) Close() {
 	router.ln.Close()
 	<-router.done
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -8,7 +8,7 @@
 	"hitchvale/internal/registry"
 )
 
-// Member is one entry of the endpoint list in PROTOCOL's form, the registry's own.
+// Member is one entry of the endpoint list in PROTOCOL's form, which is also the registry's.
 type Member = registry.Member
 
 // The phases of a member.
@@ -17,23 +17,24 @@
 	phaseDraining = "draining"
 )
 
-// Discovery is the lab's stand-in for the registry: one endpoint list with a revision that each change raises, served
-// to each node on a listener of its own (a view), in which host_port is that node's proxy to the backend.
+// Discovery is the lab's stand-in for the registry. It has one endpoint list, and each change raises the list's
+// revision. Each node gets the list from a view: a listener of its own, at which a backend's host_port is the node's
+// proxy to that backend. The caller of NewDiscovery must call Close. The methods may be called by several goroutines.
 type Discovery struct {
 	mu        sync.Mutex
 	revision  int64
-	members   []Member      // host_port is the backend's own address; views replace it
-	changedAt []int64       // by member: the revision of its last change
-	changed   chan struct{} // closed at the next change
-	drained   map[string]time.Time
+	members   []Member                  // host_port is the backend's own address; views replace it
+	changedAt []int64                   // by member: the revision of its last change
+	changed   chan struct{}             // closed at the next change
+	drained   map[string]time.Time      // by backend: when it was last set draining
 	drains    map[string][]*drainPeriod // by backend
 	views     []*view
 	down      bool
-	lastUp    time.Time      // when it last came back
+	lastUp    time.Time      // when the last outage ended
 	servers   sync.WaitGroup // the views' servers
 }
 
-// NewDiscovery starts with the members listed (all ready) at revision 1.
+// NewDiscovery returns a discovery that lists the members, which are all ready, at revision 1.
 func NewDiscovery(members []Member) *Discovery {
 	d := &Discovery{
 		revision:  1,
@@ -49,7 +50,7 @@
 	return d
 }
 
-// SetDown has discovery reset every call, watches too, or answer again.
+// SetDown starts an outage (true) or ends it (false). During an outage, discovery resets every call, watches included.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,7 +61,7 @@
 	d.wakeWatches()
 }
 
-// SetStarted lists a member as ready and started just now.
+// SetStarted lists a member as ready and just started. It ends the member's drain.
 func (d *Discovery) SetStarted(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +80,7 @@
 	d.wakeWatches()
 }
 
-// SetPhase changes a member's phase, and raises the revision where that is another one.
+// SetPhase changes a member's phase. It raises the revision if the phase is a different one.
 func (d *Discovery) SetPhase(id, phase string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,13 +100,14 @@
 	}
 }
 
-// wakeWatches ends the wait of every watch. Called with the lock held.
+// wakeWatches ends the wait of every watch. The caller must hold d.mu.
 func (d *Discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// drainPeriods returns when each backend drained, and when discovery last came back.
+// drainPeriods returns the periods in which each backend drained, and when the last outage ended. The caller must not
+// read the periods while the run goes on.
 func (d *Discovery) drainPeriods() (periods map[string][]*drainPeriod, lastUp time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/exchange.go
+++ b/internal/lab/exchange.go
@@ -34,7 +34,7 @@
 // text returns the request as a client sends it now, with the time that remains until its deadline.
 func (r *clientRequest) text() string { return r.textWithTimeout(time.Until(r.deadline)) }
 
-// textWithTimeout returns the request as a client sends it that waits for timeout from now on.
+// textWithTimeout returns the request of a client that waits for its response for timeout from now on.
 func (r *clientRequest) textWithTimeout(timeout time.Duration) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /api HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %.3f\r\n",
--- a/internal/lab/idle_connections.go
+++ b/internal/lab/idle_connections.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// idleReconnectDelay is how long a client waits before it opens an idle connection again.
+// idleReconnectDelay is how long a client waits before it replaces an idle connection that the node has closed.
 const idleReconnectDelay = 500 * time.Millisecond
 
-// holdIdleConnections holds count connections to the node until ctx ends. Nothing is sent on most of them, and half a
-// head on every third.
+// holdIdleConnections holds count connections to the node until ctx ends. On every third connection it sends a part of
+// a request's head, and on the others nothing.
 func (c *client) holdIdleConnections(ctx context.Context, count int) {
 	var connections sync.WaitGroup
 	for i := range count {
@@ -30,7 +30,7 @@
 	connections.Wait()
 }
 
-// holdIdleConnection connects and stays connected until the node ends the connection.
+// holdIdleConnection connects to the node and stays connected until the node closes the connection or ctx ends.
 func (c *client) holdIdleConnection(ctx context.Context, sendsHead bool) {
 	conn, err := c.dial()
 	if err != nil {
--- a/internal/lab/node_config.go
+++ b/internal/lab/node_config.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The limits of a node's container. One whose clients hold idle connections has so few descriptors that they are used
-// up.
+// The limits of a node's container. A node whose clients hold idle connections gets few descriptors, so that the idle
+// connections use them up.
 const (
 	nodeCores       = 1
 	nodeMemoryMB    = 256
@@ -15,10 +15,11 @@
 	manyDescriptors = 1024
 )
 
-// keyWindow is how long backends drop the repeats of a keyed request.
+// keyWindow is how long backends drop repeated executions of a keyed request.
 const keyWindow = 2 * time.Second
 
-// nodeSeedFactor sets the seeds of a run's nodes apart from those of the next seeds' nodes.
+// nodeSeedFactor is the distance between the node seeds of consecutive scenario seeds. It is larger than the number of
+// nodes, so that nodes of different scenario seeds have different seeds.
 const nodeSeedFactor = 7919
 
 // nodeAddresses are the addresses in a node's configuration.
@@ -26,11 +27,11 @@
 	listen    string
 	admin     string
 	discovery string
-	replicas  []string // of the registry; none: discovery is the stand-in
+	replicas  []string // of the registry; empty: discovery is the stand-in
 }
 
-// nodeConfig is a node's configuration file in the platform's form (DEPLOY-hitchvale.md). Times in the settings are
-// nanoseconds, as on the wire.
+// nodeConfig is a node's configuration file in the platform's form (DEPLOY-hitchvale.md). Durations in the settings are
+// in nanoseconds, as on the wire.
 type nodeConfig struct {
 	Name      string       `json:"name"`
 	Listen    string       `json:"listen"`
@@ -90,7 +91,7 @@
 	ConnectTimeout time.Duration `json:"connectTimeout"`
 }
 
-// nodeConfig is the configuration file of a node.
+// nodeConfig returns the configuration file of a node, as JSON.
 func (run *loadRun) nodeConfig(i int, addresses nodeAddresses) []byte {
 	config := nodeConfig{
 		Name:      processName(roleNode, i),
@@ -106,11 +107,11 @@
 		config.Fleet = &nodeFleet{Registry: addresses.replicas, Site: fmt.Sprintf("site-%d", i%fleetScenario.Sites),
 			IntervalMs: fleetScenario.Interval.Milliseconds()}
 	}
-	text, _ := json.Marshal(config) // plain values always encode
+	text, _ := json.Marshal(config) // values of these types always encode
 	return text
 }
 
-// descriptorLimit are those that a node may have open.
+// descriptorLimit returns how many descriptors a node may have open.
 func (scenario Scenario) descriptorLimit() int {
 	if scenario.idleConnections > 0 {
 		return fewDescriptors
@@ -118,8 +119,8 @@
 	return manyDescriptors
 }
 
-// nodeSettings are the settings that a node gets from the platform. A soak has rules of slow start, overload and
-// retries beside those that every run has.
+// nodeSettings returns the settings that a node gets from the platform. In a soak, they also contain rules for slow
+// start, overload and retries.
 func (scenario Scenario) nodeSettings(i int) nodeSettings {
 	settings := nodeSettings{
 		Nodes:   scenario.Nodes,
@@ -141,8 +142,8 @@
 	return settings
 }
 
-// nodeClasses are the classes of requests: read (GET, idempotent), claim (POST without a key, not idempotent) and token
-// (POST with an idempotency key).
+// nodeClasses returns the classes of requests: read (GET, idempotent), claim (POST without a key, not idempotent) and
+// token (POST with an idempotency key).
 func (scenario Scenario) nodeClasses() []nodeClass {
 	deadline := scenario.Load.Deadline.Duration
 	newClass := func(name, effect string) nodeClass {
--- a/internal/lab/node_log_check.go
+++ b/internal/lab/node_log_check.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// nodeLogFaultMarkers are the texts in a node's log that tell of a fault of the program.
+// nodeLogFaultMarkers are the texts in a node's log that show a fault of the program.
 var nodeLogFaultMarkers = []string{"invariant violated", "panic:", "fatal error:", "SIGSEGV", "hitchvale-node: "}
 
-// checkNodeLogs reports each line of a node's log that has such a text.
+// checkNodeLogs checks that no line of a node's log contains one of nodeLogFaultMarkers.
 func (run *loadRun) checkNodeLogs() Check {
 	check := Check{Name: "no node breaks an invariant, panics or ends by itself"}
 	for i := range run.scenario.Nodes {
--- a/internal/lab/starvation.go
+++ b/internal/lab/starvation.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// starvationInterval is how often the lab looks for children that wait for a processor.
+	// starvationInterval is the time between two samples of how long children have waited for a processor.
 	starvationInterval = 100 * time.Millisecond
-	// minStarvation is how long a thread has to have waited within an interval to count as starved: longer than a node may
-	// be held up.
+	// minStarvation is how long a thread must have waited for a processor between two samples to count as starved. It is
+	// longer than a node may be delayed.
 	minStarvation = 60 * time.Millisecond
 )
 
-// starvation is a time in which a child waited for a processor, by the kernel's account of its threads (schedstat). It
-// excuses nothing; it tells a check that fails on a busy machine from one that fails by itself.
+// starvation is a time in which a child waited for a processor, measured from the kernel's statistics on its threads
+// (schedstat). It excuses no violation. It shows whether a check may have failed only because the machine was busy.
 type starvation struct {
 	Child string        `json:"child"`
 	At    time.Time     `json:"at"`
@@ -51,7 +51,8 @@
 	}
 }
 
-// sample records a child whose threads have waited for long since the last sample.
+// sample records a starvation if a thread of the child has waited at least minStarvation since the last sample. It
+// updates waited.
 func (log *starvationLog) sample(name string, pids []int, waited map[string]time.Duration) {
 	var longest time.Duration
 	for _, pid := range pids {
@@ -72,14 +73,15 @@
 	log.entries = append(log.entries, starvation{Child: name, At: time.Now(), For: longest})
 }
 
-// all returns what was recorded.
+// all returns the entries recorded so far.
 func (log *starvationLog) all() []starvation {
 	log.mu.Lock()
 	defer log.mu.Unlock()
 	return slices.Clone(log.entries)
 }
 
-// runDelay is how long a thread has waited for a processor in all.
+// runDelay returns how long a thread has waited for a processor in total, from its schedstat file. It returns false if
+// the file cannot be read.
 func runDelay(file string) (time.Duration, bool) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/lab/tap.go
+++ b/internal/lab/tap.go
@@ -5,20 +5,21 @@
 	"net"
 )
 
-// tapBufferChunks is how many chunks a tap buffers until they are read.
+// tapBufferChunks is how many unread chunks a tap buffers.
 const tapBufferChunks = 64
 
-// tap reads a connection at once, reports each chunk as it comes, and buffers it until it is read: what was sent over a
-// link that is partitioned or slow must not look as if it had been sent later.
+// tap is a connection that is read in the background. Each chunk is reported when it arrives, and buffered until Read
+// returns it. The time of the report is therefore when the chunk was sent, even if the link is partitioned or slow and
+// forwards the chunk later.
 type tap struct {
 	net.Conn
 	chunks chan []byte
-	unread []byte // of the chunk that is being read
+	unread []byte // remainder of the chunk that is being read
 	err    error  // set before chunks is closed
 }
 
-// newTap starts to read a connection. It ends with the connection; what is not read by then is dropped once stop is
-// closed.
+// newTap starts to read a connection in the background. The goroutine ends when the connection ends. The caller must
+// close stop once it reads no more chunks, and the tap then drops the unread chunks.
 func newTap(c net.Conn, observe func([]byte), stop <-chan struct{}) *tap {
 	t := &tap{Conn: c, chunks: make(chan []byte, tapBufferChunks)}
 	go t.run(observe, stop)
@@ -46,7 +47,7 @@
 	}
 }
 
-// Read is part of net.Conn.
+// Read implements net.Conn. It must not be called by several goroutines at the same time.
 func (t *tap) Read(p []byte) (int, error) {
 	if len(t.unread) == 0 {
 		chunk, ok := <-t.chunks
--- a/internal/lab/tcp_state.go
+++ b/internal/lab/tcp_state.go
@@ -9,24 +9,24 @@
 
 // The states of a connection in TCP_INFO (tcp_states.h).
 const (
-	tcpClose     = 7 // it has been reset
-	tcpCloseWait = 8 // the other side has ended it in order
+	tcpClose     = 7 // the connection has been reset
+	tcpCloseWait = 8 // the other side has closed the connection with a FIN
 )
 
 const (
-	// resetTimeout is how long the reset that follows a close may take.
+	// resetTimeout bounds the wait for the reset that may follow a close.
 	resetTimeout = 300 * time.Millisecond
-	// resetPollInterval is how often the connection's state is read meanwhile.
+	// resetPollInterval is the time between two readings of the connection's state during this wait.
 	resetPollInterval = time.Millisecond
 )
 
-// ended tells whether the other side of a connection has ended it.
+// ended reports whether the other side of a connection has ended it, by a close or a reset.
 func ended(c net.Conn) bool {
 	state, ok := tcpState(c)
 	return ok && (state == tcpCloseWait || state == tcpClose)
 }
 
-// tcpState is the state of a connection; false where it has none.
+// tcpState returns the state of a TCP connection. ok is false if c is not a TCP connection or has been closed.
 func tcpState(c net.Conn) (state uint8, ok bool) {
 	tcp, isTCP := c.(*net.TCPConn)
 	if !isTCP {
@@ -48,12 +48,12 @@
 	return state, ok
 }
 
-// awaitReset tells whether a connection that the other side has ended is reset as well: so it is where the other side
-// closed it before it had read all that was written to it.
+// awaitReset reports whether a connection that the other side has ended is also reset within resetTimeout. The other
+// side resets a connection if it closed the connection before it had read all data that was sent to it.
 func awaitReset(c net.Conn) bool {
 	for end := time.Now().Add(resetTimeout); time.Now().Before(end); time.Sleep(resetPollInterval) {
 		if state, ok := tcpState(c); !ok || state == tcpClose {
-			return true // a connection without a state has been closed
+			return true // a connection without a state has been closed here
 		}
 	}
 	return false
--- a/internal/lab/timeline_log.go
+++ b/internal/lab/timeline_log.go
@@ -10,11 +10,11 @@
 	"hitchvale/internal/timeline"
 )
 
-// timelineLog records a run's timeline.
+// timelineLog records the events of a run's timeline.
 type timelineLog struct {
 	mu       sync.Mutex
 	events   []timeline.Event
-	lastText map[string]string // by column: what recordChange added there last
+	lastText map[string]string // by column: the text of the last call of recordChange
 }
 
 // recordEvent adds an event to a column of the timeline.
@@ -25,7 +25,8 @@
 		timeline.Event{At: time.Since(cluster.start), Process: column, Text: fmt.Sprintf(format, args...)})
 }
 
-// recordChange adds a text to a column where it differs from the last one there.
+// recordChange adds a text to a column of the timeline if it differs from the text of the previous call for that
+// column.
 func (cluster *cluster) recordChange(column, text string) {
 	cluster.timelineLog.mu.Lock()
 	changed := cluster.timelineLog.lastText[column] != text
@@ -42,7 +43,7 @@
 	cluster.recordEvent(timeline.Faults, "%s %s", kind, strings.Join(targets, " "))
 }
 
-// drawTimeline draws the timeline into the run's folder, and returns it.
+// drawTimeline draws the timeline as text, writes it to timeline.txt in the output folder and returns it.
 func (cluster *cluster) drawTimeline(columns []string) (string, error) {
 	text := timeline.Draw(columns, cluster.timelineLog.events)
 	return text, os.WriteFile(cluster.path("timeline.txt"), []byte(text), 0o644)
