--- a/internal/node/config_file.go
+++ b/internal/node/config_file.go
@@ -12,27 +12,27 @@
 	"hitchvale/internal/siteconfig"
 )
 
-// configFile is a node's configuration as its file has it.
+// configFile is the JSON form of a node's configuration file.
 type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
 	Registry   []string        `json:"registry"`
 	Admin      string          `json:"admin"`
-	Seed       string          `json:"seed"` // 64 bits, hexadecimal
+	Seed       string          `json:"seed"` // a 64-bit hexadecimal number; "" is 0
 	Limits     Limits          `json:"limits"`
 	PeerListen string          `json:"peer_listen"`
 	Peers      []string        `json:"peers"`
 	PeersAll   string          `json:"peers_all"`
-	Known      json.RawMessage `json:"known"`    // an endpoint list in discovery's form
-	Settings   json.RawMessage `json:"settings"` // see package siteconfig
+	Known      json.RawMessage `json:"known"`    // an endpoint list in the format of the discovery service
+	Settings   json.RawMessage `json:"settings"` // the format is that of package siteconfig
 	Fleet      *FleetConfig    `json:"fleet"`
 }
 
-// LoadConfig reads the configuration from a file. The error names the file, and the key if the file can be read.
+// LoadConfig reads the configuration from a file. The error names the file, and the key with an invalid value.
 func LoadConfig(path string) (Config, error) {
 	if path == "" {
-		return Config{}, errors.New("configuration: no file named")
+		return Config{}, errors.New("configuration: the path of the file is empty")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,7 +45,8 @@
 	return cfg, nil
 }
 
-// ParseConfig decodes and checks a configuration. Unknown keys are skipped. The error names the key.
+// ParseConfig decodes and checks a configuration. Unknown keys are ignored. The error names the key with an invalid
+// value.
 func ParseConfig(text []byte) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -91,17 +92,17 @@
 	return seed, nil
 }
 
-// parseSettings decodes the settings of the site, which have to name at least one class.
+// parseSettings decodes the settings of the site, which have to contain at least one class.
 func parseSettings(text json.RawMessage) (siteconfig.Settings, error) {
 	if isAbsent(text) {
-		return siteconfig.Settings{}, errors.New("missing")
+		return siteconfig.Settings{}, errors.New("the key is missing, it must contain the settings of the site")
 	}
 	settings, err := siteconfig.Parse(text)
 	if err != nil {
 		return siteconfig.Settings{}, err
 	}
 	if len(settings.Classes) == 0 {
-		return siteconfig.Settings{}, errors.New("no classes")
+		return siteconfig.Settings{}, errors.New("classes is empty, it must contain at least one class")
 	}
 	return settings, settings.CheckNames()
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -9,32 +9,34 @@
 	"hitchvale/balance"
 )
 
-// counters are the node's statistics for its second address, since the start of the process. They may be read at any
-// time, from any goroutine. metrics reads them too.
+// counters are the node's statistics since the start of the process. The admin server shows them, as lines of text and
+// as Prometheus metrics. They are safe for concurrent use.
 type counters struct {
 	classNames           []string
 	outcomes             []classOutcomes // by class
 	attemptsWritten      atomic.Int64    // attempts whose last byte has been written to a backend
-	pendingRequests      atomic.Int64    // requests that were taken and have no final response
-	listedEndpoints      atomic.Int64    // those in the endpoint list, draining ones too
-	unavailableEndpoints atomic.Int64    // those of them that get nothing now
-	attempts             [balance.StatusNotSent + 1]atomic.Int64
-	retries              atomic.Int64
-	closes               closeCounters
+	pendingRequests      atomic.Int64    // complete requests that have no final response yet
+	listedEndpoints      atomic.Int64    // endpoints in the list, including draining ones
+	unavailableEndpoints atomic.Int64    // listed endpoints that get no requests at present
+
+	attempts [balance.StatusNotSent + 1]atomic.Int64 // ended attempts, by status
+	retries  atomic.Int64                            // attempts of requests that had an attempt before
+	closes   closeCounters
 }
 
-// classOutcomes counts the requests of a class by how they ended. Each request is in one of them.
+// classOutcomes counts the requests of a class by outcome. Each request is counted once.
 type classOutcomes struct {
 	completed atomic.Int64
 	rejected  atomic.Int64
 	failed    atomic.Int64
 }
 
+// newCounters returns the counters of a node with these classes, all zero.
 func newCounters(classNames []string) *counters {
 	return &counters{classNames: classNames, outcomes: make([]classOutcomes, len(classNames))}
 }
 
-// recordOutcome counts the end of a request.
+// recordOutcome counts a request that has ended, by the kind of its response.
 func (c *counters) recordOutcome(class int, kind responseKind) {
 	outcomes := &c.outcomes[class]
 	switch kind {
@@ -47,8 +49,9 @@
 	}
 }
 
-// trackPending returns the functions that a request calls when it has been taken, and when it has ended, taken or not.
-// Each call after the first of end changes nothing.
+// trackPending returns two functions for one request: begin counts the request as pending, and end ends this count.
+// begin has no effect after a call of end. Only the first call of each function has an effect. Both are safe for
+// concurrent use.
 func (c *counters) trackPending() (begin, end func()) {
 	var mu sync.Mutex
 	var begun, ended bool
@@ -71,7 +74,7 @@
 	return begin, end
 }
 
-// writeText writes a line for each figure.
+// writeText writes a line for each of the counters that /admin/stats shows.
 func (c *counters) writeText(w io.Writer) {
 	const prefix = "edge_balancer."
 	for i, class := range c.classNames {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -11,8 +11,8 @@
 	"hitchvale/balance"
 )
 
-// statusNames are the label values of the attempts' statuses, as WIRE-hitchvale.md names them, in the order of
-// balance.Status.
+// statusNames are the label values of the attempts' statuses, indexed by balance.Status. WIRE-hitchvale.md defines
+// them.
 var statusNames = [balance.StatusNotSent + 1]string{
 	"delivered",
 	"app_error",
@@ -24,15 +24,15 @@
 	"unused",
 }
 
-// scrapeTimeout bounds the answer to a scrape.
+// scrapeTimeout bounds the time to serve a scrape.
 const scrapeTimeout = time.Second
 
-// metrics is the node's collector for Prometheus. It reads the counters at each scrape; they have a form and names of
-// their own on /admin/stats.
+// metrics is the node's Prometheus collector. It reads the counters at each scrape. /admin/stats shows the same
+// counters under other names and in another format. It is safe for concurrent use.
 type metrics struct {
 	counters       *counters
 	guard          *guard
-	discoveryCalls *prometheus.HistogramVec // duration in seconds, by result
+	discoveryCalls *prometheus.HistogramVec // durations in seconds, by result
 	listRevision   prometheus.Gauge
 	registry       *prometheus.Registry
 }
@@ -52,12 +52,13 @@
 		"Rules on sending and closing that were about to be broken, or were: a fault of the program.", "rule")
 )
 
+// newDesc returns the description of a metric.
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, labels, nil)
 }
 
-// newMetrics registers the node's collectors on a registry of its own: the library's process and runtime
-// collectors are left out, since a node may run where reading /proc is refused.
+// newMetrics returns the collector of a node, registered with a Prometheus registry of its own. This registry does not
+// have the library's collectors of process and runtime metrics, since a node may run where it may not read /proc.
 func newMetrics(counters *counters) *metrics {
 	m := &metrics{
 		counters: counters,
@@ -77,10 +78,10 @@
 	return m
 }
 
-// Describe is part of prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (m *metrics) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(m, ch) }
 
-// Collect is part of prometheus.Collector.
+// Collect implements prometheus.Collector.
 func (m *metrics) Collect(ch chan<- prometheus.Metric) {
 	c := m.counters
 	for i, class := range c.classNames {
@@ -106,15 +107,17 @@
 	ch <- gaugeMetric(usableDesc, listed-c.unavailableEndpoints.Load())
 }
 
+// counterMetric returns a counter with a value.
 func counterMetric(desc *prometheus.Desc, value int64, labels ...string) prometheus.Metric {
 	return prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), labels...)
 }
 
+// gaugeMetric returns a gauge with a value.
 func gaugeMetric(desc *prometheus.Desc, value int64) prometheus.Metric {
 	return prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value))
 }
 
-// observeDiscoveryCall takes in the duration and the result of a call to discovery.
+// observeDiscoveryCall records the duration and the result of a call to discovery.
 func (m *metrics) observeDiscoveryCall(took time.Duration, err error) {
 	result := "ok"
 	if err != nil {
@@ -123,7 +126,7 @@
 	m.discoveryCalls.WithLabelValues(result).Observe(took.Seconds())
 }
 
-// handler serves a scrape.
+// handler returns the HTTP handler for scrapes.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{Timeout: scrapeTimeout})
 }
--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -10,25 +10,25 @@
 // statisticsInterval is how often the event loop logs its statistics.
 const statisticsInterval = 5 * time.Second
 
-// statistics counts what the event loop has done since it last logged them.
+// statistics counts the work of the event loop since it last logged them. Only the event loop uses them.
 type statistics struct {
-	since            time.Duration // when they were last logged, on the loop's clock
-	arrived          int           // requests
-	responses        [responseKinds]int
-	deadlineExceeded int // responses at or after the deadline that no backend gave
-	disconnected     int // clients that closed their connection before their response
+	since            time.Duration      // when the statistics were last logged, on the loop's clock
+	arrived          int                // requests
+	responses        [responseKinds]int // final responses, by kind
+	deadlineExceeded int                // final responses of the node itself at or after the request's deadline
+	disconnected     int                // clients that disconnected before their response
 	attemptsStarted  int
-	attempts         [balance.StatusNotSent + 1]int // that have ended, by status
+	attempts         [balance.StatusNotSent + 1]int // ended attempts, by status
 	healthChecks     int
-	dials            int64         // of connections to backends
-	discoveryCalls   int64         // that were made
-	longestTurn      time.Duration // the longest that one message, with the timers due after it, took the loop
+	dials            int64         // dials of connections to backends
+	discoveryCalls   int64         // calls to discovery
+	longestTurn      time.Duration // the longest time that the loop took for one message and the timers due after it
 }
 
-// due says whether the statistics are to be logged.
+// due reports whether it is time to log the statistics.
 func (s *statistics) due(now time.Duration) bool { return now-s.since >= statisticsInterval }
 
-// log logs the statistics and resets them. An interval without requests and attempts is not logged.
+// log logs the statistics and resets them. It logs nothing for an interval without requests and attempts.
 func (s *statistics) log(now time.Duration, log *slog.Logger, openRequests int, state balance.Stats) {
 	if s.arrived+s.attemptsStarted > 0 {
 		log.Info("statistics",
