--- a/internal/durable/snapshotstore.go
+++ b/internal/durable/snapshotstore.go
@@ -26,7 +26,7 @@
 // SnapshotStore stores the newest snapshots in a directory, and lists them in a manifest. The manifest lists a snapshot
 // only after the snapshot is durable and has been read back and verified. An old snapshot is removed only after a
 // manifest without it is durable. Therefore, after a power cut at any moment, Latest returns the last acknowledged
-// snapshot or the one that was being written. A SnapshotStore is not safe for concurrent writes.
+// snapshot or the snapshot that was being written. A SnapshotStore is not safe for concurrent writes.
 type SnapshotStore struct {
 	FS   FS
 	Dir  string
--- a/internal/durable/snapshotstore_test.go
+++ b/internal/durable/snapshotstore_test.go
@@ -12,9 +12,9 @@
 	return bytes.Repeat([]byte(fmt.Sprintf("state at %d;", revision)), int(revision))
 }
 
-// The test writes five snapshots and cuts the power after each operation in turn, with and without a torn unsynced
-// write. After the restart the newest valid snapshot must be the last acknowledged one or the one that was being
-// written, with complete data. No damage may be reported, since a power cut does not change synced data.
+// The test writes five snapshots and simulates a power cut after each operation, with and without a torn unsynced
+// write. After the restart the newest valid snapshot must be the last acknowledged snapshot or the snapshot that was
+// being written, with complete data. No damage may be reported, since a power cut does not change synced data.
 func TestPowerCutAtEveryStepRetainsAcknowledgedSnapshot(t *testing.T) {
 	for _, tornBytes := range []int{0, 5, 40} {
 		for crashStep := 0; ; crashStep++ {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -38,7 +38,7 @@
 }
 
 // Client calls the registry over HTTP. It uses one replica at a time, and changes to the next replica if a call gets no
-// usable response or gets status 503. Its errors are those of this package. It is safe for concurrent use.
+// usable response or gets status 503. It returns the errors of this package. It is safe for concurrent use.
 type Client struct {
 	Replicas []string // HTTP addresses, at least one
 	HTTP     *http.Client
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -144,7 +144,8 @@
 	}
 }
 
-// Of several proposals the plan accepts those that fit the order, the budget and the revision of their turn.
+// If several nodes propose steps at the same time, the plan accepts only the steps that fit the order and the budget
+// and that name the current revision of their turn.
 func TestConcurrentProposals(t *testing.T) {
 	f := newPlanFixture(t)
 	f.mustApply(request("q", DisruptionBudget{Total: 1}, nil, "s0", "s1"))
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -18,8 +18,8 @@
 	HTTPAddr  string `toml:"http"`      // IP address and port of the HTTP interface
 	RaftAddr  string `toml:"raft"`      // IP address and port at which peers dial raft's transport
 	Bootstrap bool   `toml:"bootstrap"` // start the cluster of Peers if data_dir has no raft state
-	// RaftListenAddr is the address that raft's transport listens on if it differs from RaftAddr, such as behind a
-	// proxy.
+	// RaftListenAddr is the address that raft's transport listens on if it differs from RaftAddr, for example because
+	// peers connect through a proxy.
 	RaftListenAddr string `toml:"raft_listen"`
 	// RaftDialHost is the local IP address from which raft dials its peers. If it is empty, the system chooses the
 	// address.
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -64,7 +64,7 @@
 // MemberList is the response to a read or a watch. PROTOCOL-hitchvale.md defines its JSON form.
 type MemberList struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // Members holds all members; otherwise only those that changed
+	Complete bool     `json:"complete"` // Members holds all members, not only the members that changed
 	Members  []Member `json:"members"`
 }
 
@@ -85,7 +85,7 @@
 	ID     string                 `json:"id,omitempty"`
 	Phase  string                 `json:"phase,omitempty"`
 	// SeenRevision is used by opExpire. It is the revision of the member's last change when the leader found that its
-	// TTL had elapsed. A member that has changed since then, such as by a new registration, does not expire.
+	// TTL had elapsed. A member that has changed since then, for example by a new registration, does not expire.
 	SeenRevision int64 `json:"seen,omitempty"`
 	// FencingToken, if set, makes the write conditional on the token, as leaseStore.checkToken describes.
 	FencingToken *FencingToken `json:"fence,omitempty"`
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -26,8 +26,9 @@
 	raftStoreFile = "raft.db"
 
 	// raftMaxRPCsInFlight turns off raft's pipelining of AppendEntries. With pipelining, a follower that fails an
-	// append, such as one with a failed disk, ends only the leader's goroutine that reads the responses. The leader's
-	// sending goroutine can then wait for the reading one forever, and the follower receives no further entries.
+	// append, for example because its disk has failed, ends only the leader's goroutine that reads the responses. The
+	// leader's sending goroutine can then wait for the reading one forever, and the follower receives no further
+	// entries.
 	raftMaxRPCsInFlight = 1
 
 	// raftMaxIdleConns is the number of idle connections that raft's transport keeps for each peer.
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -37,7 +37,7 @@
 }
 
 // NewState returns an empty state at revision 0. Its member list keeps the last changeLogSize changes for watches. The
-// given state machines are added to those of the members and the leases.
+// given state machines are added to the state machines of the members and the leases.
 func NewState(changeLogSize int, machines ...statemachine.Machine) *State {
 	leases := newLeaseStore()
 	s := &State{
