--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -44,9 +44,9 @@
 	case m.Phase != PhaseReady && m.Phase != PhaseDraining:
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("phase %q is neither ready nor draining", m.Phase))
 	case m.Size < 0:
-		return ErrMalformed.Of("member "+m.ID, errors.New("size is negative"))
+		return ErrMalformed.Of("member "+m.ID, errors.New("size is negative; it must be 0 or more"))
 	case m.UpSince < 0:
-		return ErrMalformed.Of("member "+m.ID, errors.New("up_since_ms is negative"))
+		return ErrMalformed.Of("member "+m.ID, errors.New("up_since_ms is negative; it must be 0 or more"))
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 		return ErrMalformed.Of("member "+m.ID, fmt.Errorf("host_port %q is not an IP address with a port", m.HostPort))
@@ -64,7 +64,7 @@
 // MemberList is the response to a read or a watch. PROTOCOL-hitchvale.md defines its JSON form.
 type MemberList struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // Members holds all members; otherwise only those that changed
+	Complete bool     `json:"complete"` // Members holds all members, not only the members that changed
 	Members  []Member `json:"members"`
 }
 
@@ -85,7 +85,7 @@
 	ID     string                 `json:"id,omitempty"`
 	Phase  string                 `json:"phase,omitempty"`
 	// SeenRevision is used by opExpire. It is the revision of the member's last change when the leader found that its
-	// TTL had elapsed. A member that has changed since then, such as by a new registration, does not expire.
+	// TTL had elapsed. A member that has changed since then, for example by a new registration, does not expire.
 	SeenRevision int64 `json:"seen,omitempty"`
 	// FencingToken, if set, makes the write conditional on the token, as leaseStore.checkToken describes.
 	FencingToken *FencingToken `json:"fence,omitempty"`
